--- a/components/gateway/src/accept.rs
+++ b/components/gateway/src/accept.rs
@@ -48,8 +48,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    edge::Edge,
     handle::Context, //
+    protocol::Protocol,
 };
 
 /// Time for which a connection may rest while no document says.
@@ -62,9 +62,9 @@
 const HEAD: usize = 16 * 1024;
 
 /// Accepts connections until `stop`.
-pub async fn run<E: Edge + 'static>(
+pub async fn run<P: Protocol + 'static>(
     listener: TcpListener,
-    context: Rc<Context<E>>,
+    context: Rc<Context<P>>,
     stop: CancellationToken,
     close: CancellationToken,
 ) {
@@ -89,16 +89,16 @@
 }
 
 /// A connection that is open.
-struct Open<E>(Rc<Context<E>>);
+struct Open<P>(Rc<Context<P>>);
 
-impl<E> Open<E> {
-    fn new(context: &Rc<Context<E>>) -> Open<E> {
+impl<P> Open<P> {
+    fn new(context: &Rc<Context<P>>) -> Open<P> {
         context.connections.set(context.connections.get() + 1);
         Open(context.clone())
     }
 }
 
-impl<E> Drop for Open<E> {
+impl<P> Drop for Open<P> {
     fn drop(&mut self) {
         self.0.connections.set(self.0.connections.get() - 1);
     }
@@ -133,9 +133,9 @@
     }
 }
 
-async fn serve<E: Edge + 'static>(
+async fn serve<P: Protocol + 'static>(
     stream: TcpStream,
-    context: Rc<Context<E>>,
+    context: Rc<Context<P>>,
     close: CancellationToken,
 ) {
     // Without it the last piece of an answer waits for an acknowledgement.
@@ -192,7 +192,7 @@
     }
 }
 
-fn limits<E>(context: &Context<E>) -> (Duration, Duration, usize) {
+fn limits<P>(context: &Context<P>) -> (Duration, Duration, usize) {
     let document_cache = context.document_cache.borrow();
     let edition = document_cache.edition();
     let bounds = edition.and_then(|edition| edition.index.document().callers.as_ref());
--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -55,13 +55,13 @@
 };
 
 use crate::{
-    edge::Edge,
     fleet::Chosen,
     handle::{
         Call,
         Context, //
     },
     peers::Outgoing,
+    protocol::Protocol,
     update::Registration, //
 };
 
@@ -147,8 +147,8 @@
 
 /// Learns which engines of a service hold which prompts, for a request with a part of a prompt and some
 /// time `left`; returns when that is known, or when it takes too long.
-pub async fn learn<E: Edge + 'static>(
-    context: &Rc<Context<E>>,
+pub async fn learn<P: Protocol + 'static>(
+    context: &Rc<Context<P>>,
     service: &Service,
     part: (Part, u32),
     left: Duration,
@@ -177,7 +177,7 @@
 
 /// Waits until an entry that started a moment ago knows that its fleet is large: all entries may have
 /// started together, and as long as each believes that it is alone it would ask all engines.
-async fn settle<E>(context: &Context<E>, longest: Duration) {
+async fn settle<P>(context: &Context<P>, longest: Duration) {
     let until = context.started + SETTLE_TIME;
     let until = until.min(Instant::now() + longest);
     while Instant::now() < until && !context.fleet.borrow().divided() {
@@ -186,8 +186,8 @@
 }
 
 /// Asks this entry's part of the engines whenever a peer wants that.
-pub async fn serve<E: Edge + 'static>(
-    context: Rc<Context<E>>,
+pub async fn serve<P: Protocol + 'static>(
+    context: Rc<Context<P>>,
     mut wanted: UnboundedReceiver<Number>,
 ) {
     while let Some(wanted) = wanted.recv().await {
@@ -203,7 +203,7 @@
 }
 
 /// The service with a number.
-fn named<E>(context: &Context<E>, wanted: Number) -> Option<Service> {
+fn named<P>(context: &Context<P>, wanted: Number) -> Option<Service> {
     let cache = context.document_cache.borrow();
     let services = &cache.edition()?.index.document().services;
     let service = services.iter().find(|one| number(&one.name) == wanted)?;
@@ -212,7 +212,7 @@
 
 /// The lookup of a service's engines, if there was one a moment ago. An entry whose place changed has
 /// another part of the engines, and so have the others.
-fn fresh<E>(context: &Context<E>, service: &Service) -> Option<Asked> {
+fn fresh<P>(context: &Context<P>, service: &Service) -> Option<Asked> {
     let fleet = context.fleet.borrow();
     let asked = context.cache_lookup.fresh(service)?;
     let same = asked.place == fleet.place() || !fleet.divided();
@@ -221,7 +221,12 @@
 
 /// Lets a request wait for the server that has read its prompt, while servers are missing from the
 /// register: one that registers later is asked as well. Another server would read the prompt anew.
-pub async fn wait<E: Edge>(context: &Context<E>, call: &Call, part: (Part, u32), left: Duration) {
+pub async fn wait<P: Protocol>(
+    context: &Context<P>,
+    call: &Call,
+    part: (Part, u32),
+    left: Duration,
+) {
     let Some(until) = context.cache_lookup.registering.get() else {
         return;
     };
@@ -244,7 +249,7 @@
 
 /// Asks a server that has just registered, if the others of its service were asked a moment ago and
 /// it is of this entry's part.
-pub fn registered<E: Edge + 'static>(context: &Rc<Context<E>>, registration: &Registration) {
+pub fn registered<P: Protocol + 'static>(context: &Rc<Context<P>>, registration: &Registration) {
     let Registration { server, facts, .. } = registration;
     if context.cache_lookup.fresh(&facts.service).is_none() {
         return;
@@ -262,21 +267,21 @@
 }
 
 /// Tells the others what engines of this entry's part hold.
-fn tell<E>(context: &Context<E>, held: Vec<Read>) {
+fn tell<P>(context: &Context<P>, held: Vec<Read>) {
     if context.fleet.borrow().divided() && !held.is_empty() {
         context.cache_lookup.tell(Outgoing::Held(held));
     }
 }
 
 /// The engines of a service that are this entry's to ask.
-fn part<E>(context: &Context<E>, service: &Service) -> Vec<Chosen> {
+fn part<P>(context: &Context<P>, service: &Service) -> Vec<Chosen> {
     let fleet = context.fleet.borrow();
     let mut engines = fleet.of(service);
     engines.retain(|engine| fleet.owns(&engine.server));
     engines
 }
 
-fn begin<E: Edge + 'static>(context: &Rc<Context<E>>, service: &Service) -> Asked {
+fn begin<P: Protocol + 'static>(context: &Rc<Context<P>>, service: &Service) -> Asked {
     let (told, done) = watch::channel(false);
     let asked = Asked {
         at: Instant::now(),
@@ -309,16 +314,16 @@
 }
 
 /// Asks an engine what its cache holds.
-async fn ask<E: Edge>(context: &Context<E>, engine: Chosen) -> Vec<Read> {
-    let edge = context.sender.edge();
+async fn ask<P: Protocol>(context: &Context<P>, engine: Chosen) -> Vec<Read> {
+    let protocol = context.sender.protocol();
     let call = context
         .sender
-        .call(&engine, &Method::GET, edge.holdings(), Bytes::new());
+        .call(&engine, &Method::GET, protocol.holdings(), Bytes::new());
     // An engine that doesn't answer holds nothing that could be used now.
     let Ok(Ok((head, body))) = timeout(CALL_TIMEOUT, call).await else {
         return Vec::new();
     };
-    let parts = edge.held(&head, &body).unwrap_or_default();
+    let parts = protocol.held(&head, &body).unwrap_or_default();
     context.fleet.borrow_mut().holds(&parts, &engine.server);
     let server = number(&engine.server);
     parts
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -54,7 +54,6 @@
     },
     clock,
     document_cache::State,
-    edge::Edge,
     fleet::Fleet,
     handle::Context,
     initial_sync::InitialSync,
@@ -66,6 +65,7 @@
         Peers,
         Shared, //
     },
+    protocol::Protocol,
     queue::Queue,
     ready,
     sender::Sender,
@@ -95,17 +95,17 @@
 }
 
 /// A gateway that serves.
-pub struct Gateway<E> {
-    context: Rc<Context<E>>,
+pub struct Gateway<P> {
+    context: Rc<Context<P>>,
     exchange: Cell<Option<Exchange>>,
     told: UnboundedSender<Outgoing>,
     heard: Cell<Option<UnboundedReceiver<Changes>>>,
     wanted: Cell<Option<UnboundedReceiver<Number>>>,
 }
 
-impl<E: Edge + 'static> Gateway<E> {
+impl<P: Protocol + 'static> Gateway<P> {
     /// Prepares a gateway; it knows nothing yet.
-    pub fn new(settings: Settings, edge: E) -> Gateway<E> {
+    pub fn new(settings: Settings, protocol: P) -> Gateway<P> {
         let (told, out) = unbounded_channel();
         let (inward, heard) = unbounded_channel();
         let (lookups, wanted) = unbounded_channel();
@@ -116,7 +116,7 @@
             document_cache: RefCell::default(),
             fresh: Rc::default(),
             fleet: Rc::new(RefCell::new(fleet)),
-            sender: Sender::new(Rc::new(edge)),
+            sender: Sender::new(Rc::new(protocol)),
             quotas: Rc::default(),
             cache_lookup: CacheLookup::new(told.clone()),
             queue: Rc::new(Queue::default()),
@@ -318,7 +318,7 @@
     }
 }
 
-fn level<E>(context: &Context<E>) -> Level {
+fn level<P>(context: &Context<P>) -> Level {
     let document_cache = context.document_cache.borrow();
     let confirmed = context.fresh.borrow().confirmed();
     Level {
@@ -331,7 +331,7 @@
     }
 }
 
-fn is_ready<E: Edge + 'static>(context: &Context<E>) -> bool {
+fn is_ready<P: Protocol + 'static>(context: &Context<P>) -> bool {
     if context.departure.begun() {
         return false;
     }
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -60,15 +60,15 @@
         DocumentCache,
         State, //
     },
-    edge::{
-        Ask,
-        Edge,
-        Prompt, //
-    },
     fleet::Fleet,
     initial_sync::InitialSync,
     moving::Moving,
     plain,
+    protocol::{
+        Ask,
+        Prompt, //
+        Protocol,
+    },
     queue::Queue,
     quotas::Quotas,
     refuse::{
@@ -87,7 +87,7 @@
 const BODY: Duration = Duration::from_secs(10);
 
 /// What a request needs.
-pub struct Context<E> {
+pub struct Context<P> {
     /// Settings of the process.
     pub settings: Rc<RefCell<Rc<Settings>>>,
     /// The document.
@@ -97,7 +97,7 @@
     /// The backend servers.
     pub fleet: Rc<RefCell<Fleet>>,
     /// The way to them.
-    pub sender: Sender<E>,
+    pub sender: Sender<P>,
     /// Retries of each service.
     pub quotas: Rc<RefCell<Quotas>>,
     /// What engines said of their caches.
@@ -164,7 +164,7 @@
     }
 }
 
-impl<E: Edge + 'static> Context<E> {
+impl<P: Protocol + 'static> Context<P> {
     /// Answers a request.
     pub async fn serve(self: &Rc<Self>, request: Request<Incoming>) -> Response<Body> {
         self.running.set(self.running.get() + 1);
@@ -236,7 +236,7 @@
         let (parts, body) = request.into_parts();
         let ask = self
             .sender
-            .edge()
+            .protocol()
             .ask(&parts)
             .map_err(|flaw| Refusal::Flawed(flaw).tell("", arrived, &Basis::default()))?;
         let documented = || self.document_cache.borrow().edition().is_some();
@@ -280,9 +280,9 @@
     }
 }
 
-struct Running<E: 'static>(Rc<Context<E>>);
+struct Running<P: 'static>(Rc<Context<P>>);
 
-impl<E> Drop for Running<E> {
+impl<P> Drop for Running<P> {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -50,10 +50,6 @@
         Abort,
         Body, //
     },
-    edge::{
-        Edge,
-        Sending, //
-    },
     fleet::{
         Charge,
         Chosen,
@@ -66,6 +62,10 @@
     },
     meter,
     moving::Pick,
+    protocol::{
+        Protocol,
+        Sending, //
+    },
     refuse::{
         COME_BACK,
         Refusal, //
@@ -91,7 +91,7 @@
 };
 
 /// Answers a request.
-pub async fn run<E: Edge + 'static>(context: &Rc<Context<E>>, call: Call) -> Response<Body> {
+pub async fn run<P: Protocol + 'static>(context: &Rc<Context<P>>, call: Call) -> Response<Body> {
     let class = match call.pass.repeats {
         Repeats::Always => Class::Repeatable,
         Repeats::Never | Repeats::Resumes => Class::Once,
@@ -110,8 +110,8 @@
 }
 
 /// One request from its arrival to its answer.
-struct Plain<'a, E> {
-    context: &'a Rc<Context<E>>,
+struct Plain<'a, P> {
+    context: &'a Rc<Context<P>>,
     call: Call,
     /// Versions that it may go to.
     pick: Pick,
@@ -131,7 +131,7 @@
     answer: Option<Response<Body>>,
 }
 
-impl<E: Edge + 'static> Plain<'_, E> {
+impl<P: Protocol + 'static> Plain<'_, P> {
     async fn run(mut self) -> Response<Body> {
         while let Some(chosen) = self.next() {
             let until = self.call.until;
@@ -242,7 +242,11 @@
 }
 
 /// Sends the request to a server and reads its whole answer.
-async fn attempt<E: Edge + 'static>(context: &Rc<Context<E>>, call: &Call, chosen: &Chosen) -> End {
+async fn attempt<P: Protocol + 'static>(
+    context: &Rc<Context<P>>,
+    call: &Call,
+    chosen: &Chosen,
+) -> End {
     let mut charge = Charge::new(&context.fleet, &chosen.server, WORK);
     // A request whose caller's time ends meanwhile is the server's failure.
     charge.end(Outcome::Failed);
@@ -285,8 +289,8 @@
     end
 }
 
-async fn exchange<E: Edge + 'static>(
-    context: &Rc<Context<E>>,
+async fn exchange<P: Protocol + 'static>(
+    context: &Rc<Context<P>>,
     call: &Call,
     chosen: &Chosen,
 ) -> End {
@@ -358,7 +362,7 @@
     };
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    *response.headers_mut() = context.sender.edge().headers(head.headers);
+    *response.headers_mut() = context.sender.protocol().headers(head.headers);
     let ending = match status.is_server_error() {
         true => Ending::Failed,
         false => Ending::Answered,
@@ -381,8 +385,8 @@
 }
 
 /// The body of a long answer: what was read of it, and the rest as it comes.
-fn rest<E: Edge + 'static>(
-    context: &Rc<Context<E>>,
+fn rest<P: Protocol + 'static>(
+    context: &Rc<Context<P>>,
     call: &Call,
     mut connection: Connection,
     first: Bytes,
--- a/components/gateway/src/edge.rs
+++ b/components/gateway/src/protocol.rs
@@ -120,7 +120,7 @@
 }
 
 /// The platform's HTTP.
-pub trait Edge {
+pub trait Protocol {
     /// Reads a caller's request.
     ///
     /// # Errors
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -55,11 +55,11 @@
 };
 
 use crate::{
-    edge::Edge,
     handle::{
         Call,
         Context, //
     },
+    protocol::Protocol,
     refuse::Refusal, //
 };
 
@@ -151,8 +151,8 @@
 /// # Errors
 ///
 /// [`Refusal`] when it can't be served, or the process stops first. It hasn't run.
-pub async fn enter<E: Edge + 'static>(
-    context: &Rc<Context<E>>,
+pub async fn enter<P: Protocol + 'static>(
+    context: &Rc<Context<P>>,
     call: &Call,
     work: Work,
 ) -> Result<Place, Refusal> {
@@ -212,20 +212,20 @@
 }
 
 /// A request that waits and can still be in time, until it is dropped.
-struct Hurried<'a, E> {
-    context: &'a Context<E>,
+struct Hurried<'a, P> {
+    context: &'a Context<P>,
     service: &'a Service,
 }
 
-impl<'a, E> Hurried<'a, E> {
-    fn new(context: &'a Context<E>, service: &'a Service) -> Hurried<'a, E> {
+impl<'a, P> Hurried<'a, P> {
+    fn new(context: &'a Context<P>, service: &'a Service) -> Hurried<'a, P> {
         let mut hurried = context.queue.hurried.borrow_mut();
         *hurried.entry(service.clone()).or_default() += 1;
         Hurried { context, service }
     }
 }
 
-impl<E> Drop for Hurried<'_, E> {
+impl<P> Drop for Hurried<'_, P> {
     fn drop(&mut self) {
         let mut hurried = self.context.queue.hurried.borrow_mut();
         if let Some(count) = hurried.get_mut(self.service) {
@@ -328,7 +328,7 @@
 
 /// Tells the gates what the engines have room for; `fresh` is the service of a request that comes
 /// now and can be in time.
-fn report<E: Edge>(context: &Context<E>, fresh: Option<&Service>) {
+fn report<P: Protocol>(context: &Context<P>, fresh: Option<&Service>) {
     let queue = &context.queue;
     let fleet = context.fleet.borrow();
     let sizes = queue.sizes.borrow();
@@ -351,7 +351,7 @@
 }
 
 /// Sees to the gates while requests wait.
-fn follow<E: Edge + 'static>(context: &Rc<Context<E>>) {
+fn follow<P: Protocol + 'static>(context: &Rc<Context<P>>) {
     if context.queue.following.replace(true) {
         return;
     }
--- a/components/gateway/src/refuse.rs
+++ b/components/gateway/src/refuse.rs
@@ -20,8 +20,8 @@
 
 use crate::{
     body::Body,
-    edge::Flaw,
     meter, //
+    protocol::Flaw,
 };
 
 /// Time after which a caller may come back when no server could take its request.
--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -20,14 +20,14 @@
 };
 
 use crate::{
-    edge::{
+    fleet::Chosen, //
+    protocol::{
         Ask,
-        Edge,
         Inquiry,
+        Protocol,
         Reply,
         Sending, //
     },
-    fleet::Chosen, //
 };
 
 /// Time for a new connection. Servers are a few milliseconds away; a packet that is lost is sent
@@ -45,8 +45,8 @@
 const STRAY: usize = 64 * 1024;
 
 /// Opens connections, sends requests, reads heads.
-pub struct Sender<E> {
-    edge: Rc<E>,
+pub struct Sender<P> {
+    protocol: Rc<P>,
     pool: RefCell<Pool>,
 }
 
@@ -67,18 +67,18 @@
     Unsent(Error),
 }
 
-impl<E: Edge> Sender<E> {
+impl<P: Protocol> Sender<P> {
     /// A sender without connections.
-    pub fn new(edge: Rc<E>) -> Sender<E> {
+    pub fn new(protocol: Rc<P>) -> Sender<P> {
         Sender {
-            edge,
+            protocol,
             pool: RefCell::default(),
         }
     }
 
     /// The platform's HTTP.
-    pub fn edge(&self) -> &E {
-        &self.edge
+    pub fn protocol(&self) -> &P {
+        &self.protocol
     }
 
     /// Writes a request to a server.
@@ -95,7 +95,9 @@
         loop {
             let mut connection = self.connect(chosen).await.map_err(Failure::Unsent)?;
             let length = packet.body.len();
-            let head = self.edge.head(&packet.parts, &packet.ask, sending, length);
+            let head = self
+                .protocol
+                .head(&packet.parts, &packet.ask, sending, length);
             let method = &packet.parts.method;
             let written = connection
                 .write(method, head.into(), packet.body.clone())
@@ -113,7 +115,7 @@
     /// Whether a head answers a request. What comes late to an earlier request on the same
     /// connection doesn't; the answer comes behind it.
     pub fn reply(&self, packet: &Packet, head: &Head) -> Option<Reply> {
-        let reply = self.edge.reply(head);
+        let reply = self.protocol.reply(head);
         let ours = reply.id.as_ref().is_none_or(|id| *id == packet.ask.id);
         ours.then_some(reply)
     }
@@ -143,14 +145,14 @@
     /// Asks a server what it runs. `None` when it can't be reached; an answer that says nothing is
     /// as good as none at all about the run, but shows that the server lives.
     pub async fn inquire(&self, chosen: &Chosen) -> Option<Inquiry> {
-        let head = self.edge.inquiry();
+        let head = self.protocol.inquiry();
         let call = self.call(chosen, &Method::GET, head, Bytes::new());
         let (head, body) = timeout(INQUIRY, call).await.ok()?.ok()?;
         let nothing = Inquiry {
             before: 1,
             runs: Vec::new(),
         };
-        Some(self.edge.inquired(&head, &body).unwrap_or(nothing))
+        Some(self.protocol.inquired(&head, &body).unwrap_or(nothing))
     }
 
     /// Makes a call of the gateway's own, and reads the whole answer.
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -34,7 +34,6 @@
         Abort,
         Body, //
     },
-    edge::Edge,
     fleet::Chosen,
     handle::{
         Call,
@@ -42,6 +41,7 @@
     },
     meter,
     moving::Pick,
+    protocol::Protocol,
     queue::{
         self,
         Place, //
@@ -76,7 +76,7 @@
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Answers a request with a stream.
-pub async fn run<E: Edge + 'static>(context: &Rc<Context<E>>, call: Call) -> Response<Body> {
+pub async fn run<P: Protocol + 'static>(context: &Rc<Context<P>>, call: Call) -> Response<Body> {
     let mut story = Story {
         leaving: Leaving::new(&call),
         context: context.clone(),
@@ -115,9 +115,9 @@
 }
 
 /// One stream from its request to its end.
-struct Story<E> {
+struct Story<P> {
     leaving: Leaving,
-    context: Rc<Context<E>>,
+    context: Rc<Context<P>>,
     call: Call,
     /// Versions that it may go to.
     pick: Pick,
@@ -142,7 +142,7 @@
     gap: Duration,
 }
 
-impl<E: Edge + 'static> Story<E> {
+impl<P: Protocol + 'static> Story<P> {
     /// Starts runs until one answers, or there is nothing left to try.
     async fn begin(&mut self) -> Result<Begun, Response<Body>> {
         self.cache_lookup().await;
--- a/components/gateway/src/stream/backup.rs
+++ b/components/gateway/src/stream/backup.rs
@@ -28,15 +28,15 @@
 };
 
 use crate::{
-    edge::{
-        Copy,
-        Edge, //
-    },
     fleet::{
         Charge,
         Chosen, //
     },
     handle::Context, //
+    protocol::{
+        Copy,
+        Protocol, //
+    },
 };
 
 /// Time for one call that makes a copy: tens of milliseconds of transfer, behind others.
@@ -112,9 +112,9 @@
     }
 
     /// Brings a copy on request up to date when it is time.
-    pub(super) fn refresh<E: Edge + 'static>(
+    pub(super) fn refresh<P: Protocol + 'static>(
         &self,
-        context: &Rc<Context<E>>,
+        context: &Rc<Context<P>>,
         source: &Chosen,
         id: &str,
         kept: Duration,
@@ -154,22 +154,23 @@
 }
 
 /// One call that makes or refreshes a copy.
-struct Call<E> {
-    context: Rc<Context<E>>,
+struct Call<P> {
+    context: Rc<Context<P>>,
     source: Chosen,
     holder: Chosen,
     id: String,
     kept: Duration,
 }
 
-impl<E: Edge> Call<E> {
+impl<P: Protocol> Call<P> {
     async fn run(&self) -> Option<Copy> {
         let began = Instant::now();
         let sender = &self.context.sender;
-        let (head, body) = sender.edge().copy(&self.id, self.holder.address);
+        let (head, body) = sender.protocol().copy(&self.id, self.holder.address);
         let answer = timeout(CALL, sender.call(&self.source, &Method::POST, head, body)).await;
         let answer = answer.ok().and_then(Result::ok);
-        let name = answer.and_then(|(head, body): (_, Bytes)| sender.edge().copied(&head, &body));
+        let name =
+            answer.and_then(|(head, body): (_, Bytes)| sender.protocol().copied(&head, &body));
         note!(
             direct::COPIED,
             id = self.id.as_str(),
--- a/components/gateway/src/stream/place.rs
+++ b/components/gateway/src/stream/place.rs
@@ -11,14 +11,14 @@
 
 use crate::{
     cache_lookup, //
-    edge::{
-        Copy,
-        Edge, //
-    },
     fleet::{
         Charge,
         Chosen, //
     },
+    protocol::{
+        Copy,
+        Protocol, //
+    },
     stream::{
         Story,
         resumption::Resumption, //
@@ -32,7 +32,7 @@
 /// times the capacity the places beyond it are all taken by callers.
 const SCARCE: f64 = 0.5;
 
-impl<E: Edge + 'static> Story<E> {
+impl<P: Protocol + 'static> Story<P> {
     pub(super) fn parts(&self) -> &[(u64, u32)] {
         self.call.prompt().map_or(&[], |prompt| &prompt.parts)
     }
--- a/components/gateway/src/stream/resumption.rs
+++ b/components/gateway/src/stream/resumption.rs
@@ -9,8 +9,8 @@
 };
 
 use crate::{
-    edge::Copy,
     fleet::Chosen, //
+    protocol::Copy,
 };
 
 /// A run that was lost, and where its stream can go on.
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -39,12 +39,6 @@
 
 use crate::{
     body::Body,
-    edge::{
-        Copy,
-        Edge,
-        Reply,
-        Sending, //
-    },
     fleet::{
         Charge,
         Chosen,
@@ -53,6 +47,12 @@
         suspicion, //
     },
     meter,
+    protocol::{
+        Copy,
+        Protocol,
+        Reply,
+        Sending, //
+    },
     refuse::COME_BACK,
     sender::Failure,
     stream::{
@@ -163,7 +163,7 @@
     }
 
     /// Takes what was read of the answer.
-    fn take<E: Edge>(&mut self, story: &Story<E>, head: bool) -> Result<Option<Heard>, Error> {
+    fn take<P: Protocol>(&mut self, story: &Story<P>, head: bool) -> Result<Option<Heard>, Error> {
         if !head {
             return Ok(match self.connection.try_data()? {
                 Data::Bytes(bytes) => Some(Heard::Data(bytes)),
@@ -181,7 +181,7 @@
     }
 }
 
-impl<E: Edge + 'static> Story<E> {
+impl<P: Protocol + 'static> Story<P> {
     /// Waits for the next piece of a run's answer, or for a reason to give it up.
     async fn listen(&self, run: &mut Run, head: bool) -> Heard {
         loop {
@@ -503,7 +503,7 @@
         let usable = reply.signed && !reply.encoded;
         if usable && head.status.is_success() {
             meter::send("answered");
-            let headers = self.context.sender.edge().headers(head.headers);
+            let headers = self.context.sender.protocol().headers(head.headers);
             return Start::Running {
                 run: Box::new(run),
                 status: head.status,
@@ -526,7 +526,7 @@
         self.context.sender.keep(run.connection);
         let mut response = Response::new(Body::whole(body));
         *response.status_mut() = head.status;
-        *response.headers_mut() = self.context.sender.edge().headers(head.headers);
+        *response.headers_mut() = self.context.sender.protocol().headers(head.headers);
         Start::Failed(response)
     }
 
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -30,13 +30,13 @@
     },
 };
 use gateway::{
-    Edge,
     Gateway,
+    Protocol,
     Settings,
     Update,
     clock,
     document_cache::Edition,
-    edge::{
+    protocol::{
         Ask,
         Flaw,
         Inquiry,
@@ -100,7 +100,7 @@
     parts.collect()
 }
 
-impl Edge for Plain {
+impl Protocol for Plain {
     fn ask(&self, request: &Parts) -> Result<Ask, Flaw> {
         let headers = &request.headers;
         let tokens = number(headers, "tokens")?;
