--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -241,7 +241,7 @@
     }
     note!(
         direct::REGISTERING,
-        id = call.packet.ask.id.as_str(),
+        id = call.packet.metadata.id.as_str(),
         found = found(),
         waited_ms = began.elapsed().as_millis() as u64
     );
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -65,7 +65,7 @@
     moving::Moving,
     plain,
     protocol::{
-        Ask,
+        Metadata,
         Prompt, //
         Protocol,
     },
@@ -148,19 +148,19 @@
 impl Call {
     /// Time that is left for the caller.
     pub fn left(&self) -> Option<Duration> {
-        let deadline = self.packet.ask.deadline?;
+        let deadline = self.packet.metadata.deadline?;
         let left = self.arrived + deadline;
         Some(left.saturating_duration_since(Instant::now()))
     }
 
     /// Logs a refusal, and gives its answer.
     pub fn refuse(&self, refusal: &Refusal) -> Response<Body> {
-        refusal.tell(&self.packet.ask.id, self.arrived, &self.basis)
+        refusal.tell(&self.packet.metadata.id, self.arrived, &self.basis)
     }
 
     /// The work of its prompt.
     pub fn prompt(&self) -> Option<&Prompt> {
-        self.packet.ask.prompt.as_ref()
+        self.packet.metadata.prompt.as_ref()
     }
 }
 
@@ -217,15 +217,15 @@
     }
 
     /// Lets a request wait for the first reading of the store, while what it needs isn't known yet.
-    async fn synced(&self, ask: &Ask, known: impl FnOnce() -> bool) {
+    async fn synced(&self, metadata: &Metadata, known: impl FnOnce() -> bool) {
         if self.initial_sync.over() || known() {
             return;
         }
         let came = Instant::now();
-        self.initial_sync.wait(ask.deadline).await;
+        self.initial_sync.wait(metadata.deadline).await;
         note!(
             direct::OPENED,
-            id = ask.id.as_str(),
+            id = metadata.id.as_str(),
             document = self.basis().document,
             waited_ms = came.elapsed().as_millis() as u64
         );
@@ -234,15 +234,15 @@
     async fn admit(&self, request: Request<Incoming>) -> Result<Call, Response<Body>> {
         let arrived = Instant::now();
         let (parts, body) = request.into_parts();
-        let ask = self
+        let metadata = self
             .sender
             .protocol()
-            .ask(&parts)
+            .parse_request(&parts)
             .map_err(|flaw| Refusal::Flawed(flaw).tell("", arrived, &Basis::default()))?;
         let documented = || self.document_cache.borrow().edition().is_some();
-        self.synced(&ask, documented).await;
+        self.synced(&metadata, documented).await;
         let basis = self.basis();
-        let refuse = |refusal: Refusal| refusal.tell(&ask.id, arrived, &basis);
+        let refuse = |refusal: Refusal| refusal.tell(&metadata.id, arrived, &basis);
         let settings = self.settings.borrow().clone();
         let edition = match self.state(&settings) {
             State::Current(edition) => edition,
@@ -251,10 +251,10 @@
             }
         };
         let index = &edition.index;
-        let (rule, pass, service, team) = route(index, &parts, &ask).map_err(refuse)?;
+        let (rule, pass, service, team) = route(index, &parts, &metadata).map_err(refuse)?;
         // A large register is read page by page, and the first ones may show no server of the service.
         let registered = || self.fleet.borrow().serves(&service);
-        self.synced(&ask, registered).await;
+        self.synced(&metadata, registered).await;
         let grace = settings.bounds.grace;
         if !self.departure.admits(&rule, pass.objective, grace) {
             return Err(refuse(Refusal::Leaving(self.departure.retry_after())));
@@ -263,14 +263,20 @@
         let body = read(&parts, body, bounds, arrived).await.map_err(refuse)?;
         let longest = Duration::from_secs(3600);
         let most = pass.timeout.unwrap_or(longest);
-        let most = ask.deadline.map_or(most, |deadline| deadline.min(most));
+        let most = metadata
+            .deadline
+            .map_or(most, |deadline| deadline.min(most));
         let engine = Self::engine(index, &service);
         Ok(Call {
             backups: engine.is_some_and(|engine| engine.backups),
             copy_kept: engine.map(|engine| engine.copy_kept).unwrap_or_default(),
             basis,
             route: rule,
-            packet: Rc::new(Packet { parts, ask, body }),
+            packet: Rc::new(Packet {
+                parts,
+                metadata,
+                body,
+            }),
             pass,
             service,
             team,
@@ -291,15 +297,15 @@
 fn route(
     index: &Index,
     parts: &Parts,
-    ask: &Ask,
+    metadata: &Metadata,
 ) -> Result<(Route, Pass, Service, Option<Team>), Refusal> {
     let host = host(parts).ok_or(Refusal::NoRoute)?;
     let found = index.find(host, parts.uri.path()).ok_or(Refusal::NoRoute)?;
-    let team = ask.key.as_deref().and_then(|key| index.team(key));
+    let team = metadata.key.as_deref().and_then(|key| index.team(key));
     if team.is_none() && index.keyed() && !found.pass.public {
         return Err(Refusal::NoKey);
     }
-    let service = share(found.pass, &found.rule.service, &ask.id);
+    let service = share(found.pass, &found.rule.service, &metadata.id);
     let route = found.rule.name.clone();
     Ok((route, found.pass.clone(), service, team.cloned()))
 }
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -252,7 +252,7 @@
     charge.end(Outcome::Failed);
     note!(
         direct::SENT,
-        id = call.packet.ask.id.as_str(),
+        id = call.packet.metadata.id.as_str(),
         server = chosen.server.as_str(),
         load = rounded(chosen.why.load),
         against = chosen.why.against,
@@ -294,7 +294,7 @@
     call: &Call,
     chosen: &Chosen,
 ) -> End {
-    let id = call.packet.ask.id.as_str();
+    let id = call.packet.metadata.id.as_str();
     let server = chosen.server.as_str();
     let sending = Sending {
         server: &chosen.server,
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -20,7 +20,7 @@
 
 /// What a caller's request says beside its method, path and body.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct Metadata {
     /// The caller's id of this attempt. Backend servers repeat it in their answers.
     pub id: String,
     /// How long the caller waits, from the arrival of the request.
@@ -126,10 +126,16 @@
     /// # Errors
     ///
     /// [`Flaw`] names the header that can't be understood.
-    fn ask(&self, request: &Parts) -> Result<Ask, Flaw>;
+    fn parse_request(&self, request: &Parts) -> Result<Metadata, Flaw>;
 
     /// Writes the head of the request as it goes to a backend server.
-    fn head(&self, request: &Parts, ask: &Ask, sending: &Sending<'_>, length: usize) -> Vec<u8>;
+    fn head(
+        &self,
+        request: &Parts,
+        metadata: &Metadata,
+        sending: &Sending<'_>,
+        length: usize,
+    ) -> Vec<u8>;
 
     /// Reads the head of an answer.
     fn reply(&self, head: &upstream::Head) -> Reply;
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -167,7 +167,7 @@
         rank: call.pass.rank,
         objective: call.pass.objective,
         timeout: call.pass.timeout,
-        deadline: call.packet.ask.deadline,
+        deadline: call.packet.metadata.deadline,
         usual: context.departure.usual(&call.route),
     };
     for turn in ask.turns() {
@@ -180,7 +180,7 @@
             patience: turn.patience,
             objective: call.pass.objective,
             lowest: 1.0,
-            resume: call.packet.ask.after.is_some(),
+            resume: call.packet.metadata.after.is_some(),
         });
         let _hurried = turn.in_time.then(|| Hurried::new(context, &call.service));
         pin!(admitted);
@@ -320,7 +320,7 @@
     }
     note!(
         direct::ADMITTED,
-        id = call.packet.ask.id.as_str(),
+        id = call.packet.metadata.id.as_str(),
         in_time = in_time,
         waited_ms = waited.as_millis() as u64
     );
--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -22,8 +22,8 @@
 use crate::{
     fleet::Chosen, //
     protocol::{
-        Ask,
         Inquiry,
+        Metadata,
         Protocol,
         Reply,
         Sending, //
@@ -55,7 +55,7 @@
     /// Head as the caller sent it.
     pub parts: Parts,
     /// What the head says.
-    pub ask: Ask,
+    pub metadata: Metadata,
     /// Body, whole.
     pub body: Bytes,
 }
@@ -97,7 +97,7 @@
             let length = packet.body.len();
             let head = self
                 .protocol
-                .head(&packet.parts, &packet.ask, sending, length);
+                .head(&packet.parts, &packet.metadata, sending, length);
             let method = &packet.parts.method;
             let written = connection
                 .write(method, head.into(), packet.body.clone())
@@ -116,7 +116,7 @@
     /// connection doesn't; the answer comes behind it.
     pub fn reply(&self, packet: &Packet, head: &Head) -> Option<Reply> {
         let reply = self.protocol.reply(head);
-        let ours = reply.id.as_ref().is_none_or(|id| *id == packet.ask.id);
+        let ours = reply.id.as_ref().is_none_or(|id| *id == packet.metadata.id);
         ours.then_some(reply)
     }
 
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -80,7 +80,7 @@
     let mut story = Story {
         leaving: Leaving::new(&call),
         context: context.clone(),
-        sequence: Sequence::after(call.packet.ask.after),
+        sequence: Sequence::after(call.packet.metadata.after),
         pick: Pick::default(),
         call,
         place: None,
@@ -290,7 +290,7 @@
             meter::outcome("cut", self.call.arrived.elapsed());
             note!(
                 direct::CUT,
-                id = self.call.packet.ask.id.as_str(),
+                id = self.call.packet.metadata.id.as_str(),
                 reason = reason,
                 attempts = self.ran.len(),
                 last = self.sequence.last(),
@@ -308,7 +308,7 @@
                 let first = now - self.call.arrived;
                 meter::first(first);
                 // Of a stream that comes back the first event says nothing of a prompt.
-                if self.call.packet.ask.after.is_none() {
+                if self.call.packet.metadata.after.is_none() {
                     self.judged(&run.chosen, Some(run.began.elapsed()));
                 }
                 self.first = Some(first);
@@ -324,7 +324,7 @@
     fn finish(&self, run: Run) {
         note!(
             direct::ANSWERED,
-            id = self.call.packet.ask.id.as_str(),
+            id = self.call.packet.metadata.id.as_str(),
             server = run.chosen.server.as_str(),
             attempts = self.ran.len() + 1,
             first_ms = self.first.map(|first| first.as_millis() as u64),
@@ -333,9 +333,11 @@
         );
         let departure = &self.context.departure;
         departure.learn(&self.call.route, self.call.arrived.elapsed());
-        if let (None, Some(first), Some(events)) =
-            (self.call.packet.ask.after, self.first, self.sequence.last())
-        {
+        if let (None, Some(first), Some(events)) = (
+            self.call.packet.metadata.after,
+            self.first,
+            self.sequence.last(),
+        ) {
             let time = self.call.arrived.elapsed().saturating_sub(first);
             let answer = Answer { events, time };
             self.context
@@ -375,7 +377,7 @@
                     meter::resumed(from, self.heard.elapsed());
                     note!(
                         direct::RESUMED,
-                        id = self.call.packet.ask.id.as_str(),
+                        id = self.call.packet.metadata.id.as_str(),
                         server = chosen.server.as_str(),
                         last = self.sequence.last(),
                         from = from,
@@ -435,7 +437,7 @@
 impl Leaving {
     fn new(call: &Call) -> Leaving {
         Leaving {
-            id: call.packet.ask.id.clone(),
+            id: call.packet.metadata.id.clone(),
             arrived: call.arrived,
             done: false,
         }
--- a/components/gateway/src/stream/place.rs
+++ b/components/gateway/src/stream/place.rs
@@ -145,7 +145,7 @@
         // It may have lost its entry before the first event; an entry that started long ago knows.
         let timeout = self.call.pass.timeout.unwrap_or_default();
         let waited = left < timeout / 2 && self.context.started.elapsed() < timeout;
-        let back = self.call.packet.ask.after.is_some() || waited;
+        let back = self.call.packet.metadata.after.is_some() || waited;
         let Some(part) = self.parts().last().filter(|_| back) else {
             return;
         };
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -239,7 +239,7 @@
                         }
                         said = inquiry => match said {
                             None => return Heard::Lost(Loss::Dark),
-                            Some(said) if said.lost(&self.call.packet.ask.id) => {
+                            Some(said) if said.lost(&self.call.packet.metadata.id) => {
                                 return Heard::Lost(Loss::Mute);
                             }
                             Some(_) => {
@@ -298,7 +298,7 @@
             run.held = backup.map(|(holder, charge)| Backup::asked(holder, charge));
         }
         if let Some(held) = &run.held {
-            let id = &self.call.packet.ask.id;
+            let id = &self.call.packet.metadata.id;
             held.refresh(&self.context, &run.chosen, id, self.call.copy_kept);
         }
     }
@@ -353,7 +353,7 @@
         self.context.sender.forget(run.chosen.address);
         note!(
             direct::LOST,
-            id = self.call.packet.ask.id.as_str(),
+            id = self.call.packet.metadata.id.as_str(),
             server = server.as_str(),
             data_centre = run.chosen.data_centre.as_str(),
             reason = loss.name(),
@@ -382,7 +382,7 @@
         }
         let held = self
             .backup(chosen)
-            .map(|(holder, charge)| Backup::running(holder, charge, &self.call.packet.ask.id));
+            .map(|(holder, charge)| Backup::running(holder, charge, &self.call.packet.metadata.id));
         let mut charge = Charge::new(&self.context.fleet, &chosen.server, work);
         let sending = Sending {
             server: &chosen.server,
@@ -394,7 +394,7 @@
         };
         note!(
             direct::SENT,
-            id = self.call.packet.ask.id.as_str(),
+            id = self.call.packet.metadata.id.as_str(),
             server = chosen.server.as_str(),
             data_centre = chosen.data_centre.as_str(),
             load = rounded(chosen.why.load),
@@ -421,7 +421,7 @@
                 self.context.fleet.borrow_mut().lost(&chosen.server, seen);
                 note!(
                     direct::DECLINED,
-                    id = self.call.packet.ask.id.as_str(),
+                    id = self.call.packet.metadata.id.as_str(),
                     server = chosen.server.as_str(),
                     reason = error.to_string().as_str()
                 );
@@ -463,7 +463,7 @@
     }
 
     async fn started(&self, mut run: Run, head: Head, reply: Reply) -> Start {
-        let id = self.call.packet.ask.id.as_str();
+        let id = self.call.packet.metadata.id.as_str();
         let server = run.chosen.server.clone();
         let status = head.status.as_u16();
         if reply.not_run {
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -37,9 +37,9 @@
     clock,
     document_cache::Edition,
     protocol::{
-        Ask,
         Flaw,
         Inquiry,
+        Metadata,
         Prompt,
         Reply,
         Sending, //
@@ -101,10 +101,10 @@
 }
 
 impl Protocol for Plain {
-    fn ask(&self, request: &Parts) -> Result<Ask, Flaw> {
+    fn parse_request(&self, request: &Parts) -> Result<Metadata, Flaw> {
         let headers = &request.headers;
         let tokens = number(headers, "tokens")?;
-        Ok(Ask {
+        Ok(Metadata {
             id: text(headers, "id").unwrap_or_default().to_string(),
             deadline: number(headers, "deadline")?.map(Duration::from_millis),
             key: text(headers, "key").map(str::to_string),
@@ -118,9 +118,15 @@
         })
     }
 
-    fn head(&self, request: &Parts, ask: &Ask, sending: &Sending<'_>, length: usize) -> Vec<u8> {
+    fn head(
+        &self,
+        request: &Parts,
+        metadata: &Metadata,
+        sending: &Sending<'_>,
+        length: usize,
+    ) -> Vec<u8> {
         let mut head = format!("{} {} HTTP/1.1\r\n", request.method, request.uri);
-        head += &format!("id: {}\r\ncontent-length: {length}\r\n", ask.id);
+        head += &format!("id: {}\r\ncontent-length: {length}\r\n", metadata.id);
         head += &format!("server: {}\r\n", sending.server);
         if let Some(left) = sending.deadline {
             head += &format!("deadline: {}\r\n", left.as_millis());
