--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -238,7 +238,7 @@
             .sender
             .protocol()
             .parse_request(&parts)
-            .map_err(|flaw| Refusal::Flawed(flaw).tell("", arrived, &Basis::default()))?;
+            .map_err(|error| Refusal::Flawed(error).tell("", arrived, &Basis::default()))?;
         let documented = || self.document_cache.borrow().edition().is_some();
         self.synced(&metadata, documented).await;
         let basis = self.basis();
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -48,7 +48,7 @@
 
 /// Why a request can't be understood.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Flaw {
+pub struct HeaderError {
     /// The header at fault.
     pub field: &'static str,
     /// What is accepted.
@@ -126,7 +126,7 @@
     /// # Errors
     ///
     /// [`Flaw`] names the header that can't be understood.
-    fn parse_request(&self, request: &Parts) -> Result<Metadata, Flaw>;
+    fn parse_request(&self, request: &Parts) -> Result<Metadata, HeaderError>;
 
     /// Writes the head of the request as it goes to a backend server.
     fn head(
--- a/components/gateway/src/refuse.rs
+++ b/components/gateway/src/refuse.rs
@@ -21,7 +21,7 @@
 use crate::{
     body::Body,
     meter, //
-    protocol::Flaw,
+    protocol::HeaderError,
 };
 
 /// Time after which a caller may come back when no server could take its request.
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The request can't be understood.
-    Flawed(Flaw),
+    Flawed(HeaderError),
     /// No route matches.
     NoRoute,
     /// The key is missing or unknown.
@@ -138,9 +138,9 @@
             _ => "not_run",
         };
         let mut text = serde_json::json!({ "outcome": outcome, "reason": self.reason() });
-        if let Refusal::Flawed(flaw) = self {
-            text["field"] = flaw.field.into();
-            text["message"] = flaw.message.into();
+        if let Refusal::Flawed(error) = self {
+            text["field"] = error.field.into();
+            text["message"] = error.message.into();
         }
         let mut response = Response::new(Body::whole(text.to_string()));
         *response.status_mut() = self.status();
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -37,7 +37,7 @@
     clock,
     document_cache::Edition,
     protocol::{
-        Flaw,
+        HeaderError,
         Inquiry,
         Metadata,
         Prompt,
@@ -81,11 +81,11 @@
     headers.get(name)?.to_str().ok()
 }
 
-fn number(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, Flaw> {
+fn number(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, HeaderError> {
     let Some(value) = text(headers, name) else {
         return Ok(None);
     };
-    value.parse().map(Some).map_err(|_| Flaw {
+    value.parse().map(Some).map_err(|_| HeaderError {
         field: name,
         message: "a whole number is accepted",
     })
@@ -101,7 +101,7 @@
 }
 
 impl Protocol for Plain {
-    fn parse_request(&self, request: &Parts) -> Result<Metadata, Flaw> {
+    fn parse_request(&self, request: &Parts) -> Result<Metadata, HeaderError> {
         let headers = &request.headers;
         let tokens = number(headers, "tokens")?;
         Ok(Metadata {
