--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -63,8 +63,8 @@
     meter,
     moving::Pick,
     protocol::{
+        Dispatch, //
         Protocol,
-        Sending, //
     },
     refuse::{
         COME_BACK,
@@ -296,7 +296,7 @@
 ) -> End {
     let id = call.packet.metadata.id.as_str();
     let server = chosen.server.as_str();
-    let sending = Sending {
+    let dispatch = Dispatch {
         server: &chosen.server,
         deadline: call.left(),
         team: call.team.as_ref(),
@@ -304,7 +304,7 @@
         backup: None,
         copy: None,
     };
-    let sent = context.sender.send(&call.packet, chosen, &sending).await;
+    let sent = context.sender.send(&call.packet, chosen, &dispatch).await;
     let mut connection = match sent {
         Ok(connection) => connection,
         Err(Failure::Unsent(error)) => {
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -57,7 +57,7 @@
 
 /// How a request goes to a backend server.
 #[derive(Clone, Debug)]
-pub struct Sending<'a> {
+pub struct Dispatch<'a> {
     /// The server that is meant; another one at the same address must not run the request.
     pub server: &'a Server,
     /// Time that is left.
@@ -129,11 +129,11 @@
     fn parse_request(&self, request: &Parts) -> Result<Metadata, HeaderError>;
 
     /// Writes the head of the request as it goes to a backend server.
-    fn head(
+    fn encode_request(
         &self,
         request: &Parts,
         metadata: &Metadata,
-        sending: &Sending<'_>,
+        dispatch: &Dispatch<'_>,
         length: usize,
     ) -> Vec<u8>;
 
--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -22,11 +22,11 @@
 use crate::{
     fleet::Chosen, //
     protocol::{
+        Dispatch, //
         Inquiry,
         Metadata,
         Protocol,
         Reply,
-        Sending, //
     },
 };
 
@@ -90,14 +90,14 @@
         &self,
         packet: &Packet,
         chosen: &Chosen,
-        sending: &Sending<'_>,
+        dispatch: &Dispatch<'_>,
     ) -> Result<Connection, Failure> {
         loop {
             let mut connection = self.connect(chosen).await.map_err(Failure::Unsent)?;
             let length = packet.body.len();
-            let head = self
-                .protocol
-                .head(&packet.parts, &packet.metadata, sending, length);
+            let head =
+                self.protocol
+                    .encode_request(&packet.parts, &packet.metadata, dispatch, length);
             let method = &packet.parts.method;
             let written = connection
                 .write(method, head.into(), packet.body.clone())
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -49,9 +49,9 @@
     meter,
     protocol::{
         Copy,
+        Dispatch, //
         Protocol,
         Reply,
-        Sending, //
     },
     refuse::COME_BACK,
     sender::Failure,
@@ -384,7 +384,7 @@
             .backup(chosen)
             .map(|(holder, charge)| Backup::running(holder, charge, &self.call.packet.metadata.id));
         let mut charge = Charge::new(&self.context.fleet, &chosen.server, work);
-        let sending = Sending {
+        let dispatch = Dispatch {
             server: &chosen.server,
             deadline: self.call.left(),
             team: self.call.team.as_ref(),
@@ -403,15 +403,15 @@
             document = self.call.basis.document,
             prompt = self.parts().last().map(|(part, _)| *part),
             attempt = self.ran.len() + 1,
-            after = sending.after,
-            left_ms = sending.deadline.map(|left| left.as_millis() as u64),
+            after = dispatch.after,
+            left_ms = dispatch.deadline.map(|left| left.as_millis() as u64),
             copy = copy.is_some(),
             backup = held.as_ref().map(|held| held.holder.server.as_str())
         );
         let sent = self
             .context
             .sender
-            .send(&self.call.packet, chosen, &sending);
+            .send(&self.call.packet, chosen, &dispatch);
         let connection = match timeout_at(self.call.until, sent).await {
             Err(_) => return Start::Late,
             Ok(Err(Failure::Unsent(error))) => {
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -37,12 +37,12 @@
     clock,
     document_cache::Edition,
     protocol::{
+        Dispatch, //
         HeaderError,
         Inquiry,
         Metadata,
         Prompt,
         Reply,
-        Sending, //
     },
     settings::Bounds,
     update::Registration, //
@@ -118,29 +118,29 @@
         })
     }
 
-    fn head(
+    fn encode_request(
         &self,
         request: &Parts,
         metadata: &Metadata,
-        sending: &Sending<'_>,
+        dispatch: &Dispatch<'_>,
         length: usize,
     ) -> Vec<u8> {
         let mut head = format!("{} {} HTTP/1.1\r\n", request.method, request.uri);
         head += &format!("id: {}\r\ncontent-length: {length}\r\n", metadata.id);
-        head += &format!("server: {}\r\n", sending.server);
-        if let Some(left) = sending.deadline {
+        head += &format!("server: {}\r\n", dispatch.server);
+        if let Some(left) = dispatch.deadline {
             head += &format!("deadline: {}\r\n", left.as_millis());
         }
-        if let Some(team) = sending.team {
+        if let Some(team) = dispatch.team {
             head += &format!("team: {team}\r\n");
         }
-        if let Some(after) = sending.after {
+        if let Some(after) = dispatch.after {
             head += &format!("after: {after}\r\n");
         }
-        if let Some(backup) = sending.backup {
+        if let Some(backup) = dispatch.backup {
             head += &format!("backup: {backup}\r\n");
         }
-        if let Some(copy) = sending.copy {
+        if let Some(copy) = dispatch.copy {
             head += &format!("copy: {}/{}\r\n", copy.address, copy.name);
         }
         head += "\r\n";
