--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -69,12 +69,12 @@
     /// Server to which the run's memory is copied as it grows.
     pub backup: Option<SocketAddr>,
     /// Copy of the run's memory from which the run goes on.
-    pub copy: Option<&'a Copy>,
+    pub copy: Option<&'a KvCopy>,
 }
 
 /// A copy of a run's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Copy {
+pub struct KvCopy {
     /// Address of the server that names it: the holder, or the one that made it.
     pub address: SocketAddr,
     /// Its name there.
@@ -141,10 +141,10 @@
     fn reply(&self, head: &upstream::Head) -> Reply;
 
     /// Writes a call that has a run's memory copied to another server.
-    fn copy(&self, id: &str, holder: SocketAddr) -> (Vec<u8>, Bytes);
+    fn copy_request(&self, id: &str, holder: SocketAddr) -> (Vec<u8>, Bytes);
 
     /// Reads the answer to [`Edge::copy`]: the name of the copy, when there is one.
-    fn copied(&self, head: &upstream::Head, body: &[u8]) -> Option<String>;
+    fn parse_copy(&self, head: &upstream::Head, body: &[u8]) -> Option<String>;
 
     /// Writes a call that asks a server what it runs.
     fn inquiry(&self) -> Vec<u8>;
--- a/components/gateway/src/stream/backup.rs
+++ b/components/gateway/src/stream/backup.rs
@@ -34,7 +34,7 @@
     },
     handle::Context, //
     protocol::{
-        Copy,
+        KvCopy,
         Protocol, //
     },
 };
@@ -59,7 +59,7 @@
 
 enum Kind {
     /// The run's server sends its memory there as it grows.
-    Running(Copy),
+    Running(KvCopy),
     /// Made on request.
     Asked(Rc<RefCell<Progress>>),
 }
@@ -67,7 +67,7 @@
 /// How far a copy on request is.
 #[derive(Default)]
 struct Progress {
-    copy: Option<Copy>,
+    copy: Option<KvCopy>,
     next: Option<Instant>,
     call: Option<JoinHandle<()>>,
 }
@@ -83,7 +83,7 @@
 impl Backup {
     /// A copy that the run's server makes by itself.
     pub(super) fn running(holder: Chosen, charge: Charge, id: &str) -> Backup {
-        let copy = Copy {
+        let copy = KvCopy {
             address: holder.address,
             name: id.to_string(),
         };
@@ -104,7 +104,7 @@
     }
 
     /// The copy, as far as there is one.
-    pub(super) fn copy(&self) -> Option<Copy> {
+    pub(super) fn copy(&self) -> Option<KvCopy> {
         match &self.kind {
             Kind::Running(copy) => Some(copy.clone()),
             Kind::Asked(progress) => progress.borrow().copy.clone(),
@@ -163,14 +163,16 @@
 }
 
 impl<P: Protocol> Call<P> {
-    async fn run(&self) -> Option<Copy> {
+    async fn run(&self) -> Option<KvCopy> {
         let began = Instant::now();
         let sender = &self.context.sender;
-        let (head, body) = sender.protocol().copy(&self.id, self.holder.address);
+        let (head, body) = sender
+            .protocol()
+            .copy_request(&self.id, self.holder.address);
         let answer = timeout(CALL, sender.call(&self.source, &Method::POST, head, body)).await;
         let answer = answer.ok().and_then(Result::ok);
         let name =
-            answer.and_then(|(head, body): (_, Bytes)| sender.protocol().copied(&head, &body));
+            answer.and_then(|(head, body): (_, Bytes)| sender.protocol().parse_copy(&head, &body));
         note!(
             direct::COPIED,
             id = self.id.as_str(),
@@ -180,7 +182,7 @@
             ms = began.elapsed().as_millis() as u64
         );
         let name = name?;
-        Some(Copy {
+        Some(KvCopy {
             address: self.source.address,
             name,
         })
--- a/components/gateway/src/stream/place.rs
+++ b/components/gateway/src/stream/place.rs
@@ -16,7 +16,7 @@
         Chosen, //
     },
     protocol::{
-        Copy,
+        KvCopy,
         Protocol, //
     },
     stream::{
@@ -58,7 +58,7 @@
     pub(super) fn choose(
         &mut self,
         next: &mut Option<Resumption>,
-    ) -> Option<(Chosen, Option<Copy>)> {
+    ) -> Option<(Chosen, Option<KvCopy>)> {
         let fleet = self.context.fleet.clone();
         if let Some(onward) = next {
             while let Some(candidate) = onward.take() {
--- a/components/gateway/src/stream/resumption.rs
+++ b/components/gateway/src/stream/resumption.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     fleet::Chosen, //
-    protocol::Copy,
+    protocol::KvCopy,
 };
 
 /// A run that was lost, and where its stream can go on.
@@ -21,9 +21,9 @@
     pub(super) age: Duration,
     pub(super) server: Chosen,
     /// The copy from which it was to go on, if it gave no event: the copy may still be there.
-    pub(super) from: Option<Copy>,
+    pub(super) from: Option<KvCopy>,
     /// The server that holds a copy of its memory, and the copy.
-    pub(super) held: Option<(Chosen, Copy)>,
+    pub(super) held: Option<(Chosen, KvCopy)>,
 }
 
 /// What is left to try after a loss.
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -48,8 +48,8 @@
     },
     meter,
     protocol::{
-        Copy,
         Dispatch, //
+        KvCopy,
         Protocol,
         Reply,
     },
@@ -91,7 +91,7 @@
     events: u64,
     complete: bool,
     /// The copy from which it was to go on; a server refuses it too when the copy isn't there.
-    copy: Option<Copy>,
+    copy: Option<KvCopy>,
 }
 
 /// What the next look at a run gave.
@@ -364,7 +364,7 @@
     }
 
     /// Starts a run, and waits for the head of its answer.
-    pub(super) async fn start(&self, chosen: &Chosen, copy: Option<&Copy>) -> Start {
+    pub(super) async fn start(&self, chosen: &Chosen, copy: Option<&KvCopy>) -> Start {
         let began = Instant::now();
         let mut work = self.work();
         let known = self
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -159,12 +159,12 @@
         }
     }
 
-    fn copy(&self, id: &str, holder: SocketAddr) -> (Vec<u8>, Bytes) {
+    fn copy_request(&self, id: &str, holder: SocketAddr) -> (Vec<u8>, Bytes) {
         let head = format!("POST /copy HTTP/1.1\r\nid: {id}\r\nholder: {holder}\r\n\r\n");
         (head.into_bytes(), Bytes::new())
     }
 
-    fn copied(&self, head: &upstream::Head, body: &[u8]) -> Option<String> {
+    fn parse_copy(&self, head: &upstream::Head, body: &[u8]) -> Option<String> {
         let made = head.status.is_success();
         made.then(|| String::from_utf8_lossy(body).into_owned())
     }
