--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -100,21 +100,21 @@
 
 /// What a server says of its work, as of a moment ago.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Inquiry {
+pub struct Activity {
     /// Requests that wait, or whose prompts are being read.
-    pub before: u32,
+    pub queued: u32,
     /// Requests that give events: their ids, and how many events each has given.
     pub runs: Vec<(String, u64)>,
 }
 
-impl Inquiry {
+impl Activity {
     /// Whether the answer to a request is lost: the server gave events of which none came, or
     /// doesn't know the request any more.
-    pub fn lost(&self, id: &str) -> bool {
+    pub fn has_lost(&self, id: &str) -> bool {
         match self.runs.iter().find(|(known, _)| known == id) {
             // A first event may be on its way.
             Some((_, events)) => *events > FIRST_EVENTS,
-            None => self.before == 0,
+            None => self.queued == 0,
         }
     }
 }
@@ -147,10 +147,10 @@
     fn parse_copy(&self, head: &upstream::Head, body: &[u8]) -> Option<String>;
 
     /// Writes a call that asks a server what it runs.
-    fn inquiry(&self) -> Vec<u8>;
+    fn activity_request(&self) -> Vec<u8>;
 
     /// Reads the answer to [`Edge::inquiry`].
-    fn inquired(&self, head: &upstream::Head, body: &[u8]) -> Option<Inquiry>;
+    fn parse_activity(&self, head: &upstream::Head, body: &[u8]) -> Option<Activity>;
 
     /// Writes a call that asks a server which parts of prompts its cache holds.
     fn holdings(&self) -> Vec<u8>;
--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -22,8 +22,8 @@
 use crate::{
     fleet::Chosen, //
     protocol::{
+        Activity,
         Dispatch, //
-        Inquiry,
         Metadata,
         Protocol,
         Reply,
@@ -144,15 +144,19 @@
 
     /// Asks a server what it runs. `None` when it can't be reached; an answer that says nothing is
     /// as good as none at all about the run, but shows that the server lives.
-    pub async fn inquire(&self, chosen: &Chosen) -> Option<Inquiry> {
-        let head = self.protocol.inquiry();
+    pub async fn inquire(&self, chosen: &Chosen) -> Option<Activity> {
+        let head = self.protocol.activity_request();
         let call = self.call(chosen, &Method::GET, head, Bytes::new());
         let (head, body) = timeout(INQUIRY, call).await.ok()?.ok()?;
-        let nothing = Inquiry {
-            before: 1,
+        let nothing = Activity {
+            queued: 1,
             runs: Vec::new(),
         };
-        Some(self.protocol.inquired(&head, &body).unwrap_or(nothing))
+        Some(
+            self.protocol
+                .parse_activity(&head, &body)
+                .unwrap_or(nothing),
+        )
     }
 
     /// Makes a call of the gateway's own, and reads the whole answer.
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -239,7 +239,7 @@
                         }
                         said = inquiry => match said {
                             None => return Heard::Lost(Loss::Dark),
-                            Some(said) if said.lost(&self.call.packet.metadata.id) => {
+                            Some(said) if said.has_lost(&self.call.packet.metadata.id) => {
                                 return Heard::Lost(Loss::Mute);
                             }
                             Some(_) => {
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -37,9 +37,9 @@
     clock,
     document_cache::Edition,
     protocol::{
+        Activity,
         Dispatch, //
         HeaderError,
-        Inquiry,
         Metadata,
         Prompt,
         Reply,
@@ -169,18 +169,18 @@
         made.then(|| String::from_utf8_lossy(body).into_owned())
     }
 
-    fn inquiry(&self) -> Vec<u8> {
+    fn activity_request(&self) -> Vec<u8> {
         b"GET /runs HTTP/1.1\r\n\r\n".to_vec()
     }
 
-    fn inquired(&self, head: &upstream::Head, body: &[u8]) -> Option<Inquiry> {
+    fn parse_activity(&self, head: &upstream::Head, body: &[u8]) -> Option<Activity> {
         let text = String::from_utf8_lossy(body);
         let runs = text.lines().filter_map(|line| {
             let (id, events) = line.split_once(' ')?;
             Some((id.to_string(), events.parse().ok()?))
         });
-        head.status.is_success().then(|| Inquiry {
-            before: 0,
+        head.status.is_success().then(|| Activity {
+            queued: 0,
             runs: runs.collect(),
         })
     }
