--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -316,14 +316,17 @@
 /// Asks an engine what its cache holds.
 async fn ask<P: Protocol>(context: &Context<P>, engine: Chosen) -> Vec<Read> {
     let protocol = context.sender.protocol();
-    let call = context
-        .sender
-        .call(&engine, &Method::GET, protocol.holdings(), Bytes::new());
+    let call = context.sender.call(
+        &engine,
+        &Method::GET,
+        protocol.cache_request(),
+        Bytes::new(),
+    );
     // An engine that doesn't answer holds nothing that could be used now.
     let Ok(Ok((head, body))) = timeout(CALL_TIMEOUT, call).await else {
         return Vec::new();
     };
-    let parts = protocol.held(&head, &body).unwrap_or_default();
+    let parts = protocol.parse_cache(&head, &body).unwrap_or_default();
     context.fleet.borrow_mut().holds(&parts, &engine.server);
     let server = number(&engine.server);
     parts
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -339,7 +339,7 @@
         if whole.is_ok() {
             context.sender.keep(connection);
         }
-        if !reply.other {
+        if !reply.misdirected {
             return End::without(Ending::Declined);
         }
         context.fleet.borrow_mut().replaced(&chosen.server);
@@ -362,7 +362,7 @@
     };
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    *response.headers_mut() = context.sender.protocol().headers(head.headers);
+    *response.headers_mut() = context.sender.protocol().response_headers(head.headers);
     let ending = match status.is_server_error() {
         true => Ending::Failed,
         false => Ending::Answered,
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -91,7 +91,7 @@
     /// The server says that it didn't run the request and never will.
     pub not_run: bool,
     /// Another server than the one that was meant stands at the address.
-    pub other: bool,
+    pub misdirected: bool,
     /// The body isn't what the server made, as something on the way encoded it.
     pub encoded: bool,
     /// When to come back.
@@ -138,7 +138,7 @@
     ) -> Vec<u8>;
 
     /// Reads the head of an answer.
-    fn reply(&self, head: &upstream::Head) -> Reply;
+    fn parse_reply(&self, head: &upstream::Head) -> Reply;
 
     /// Writes a call that has a run's memory copied to another server.
     fn copy_request(&self, id: &str, holder: SocketAddr) -> (Vec<u8>, Bytes);
@@ -153,11 +153,11 @@
     fn parse_activity(&self, head: &upstream::Head, body: &[u8]) -> Option<Activity>;
 
     /// Writes a call that asks a server which parts of prompts its cache holds.
-    fn holdings(&self) -> Vec<u8>;
+    fn cache_request(&self) -> Vec<u8>;
 
     /// Reads the answer to [`Edge::holdings`]: hashes of parts, and their tokens.
-    fn held(&self, head: &upstream::Head, body: &[u8]) -> Option<Vec<(u64, u32)>>;
+    fn parse_cache(&self, head: &upstream::Head, body: &[u8]) -> Option<Vec<(u64, u32)>>;
 
     /// Leaves the headers that concern the caller.
-    fn headers(&self, headers: HeaderMap) -> HeaderMap;
+    fn response_headers(&self, headers: HeaderMap) -> HeaderMap;
 }
--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -115,7 +115,7 @@
     /// Whether a head answers a request. What comes late to an earlier request on the same
     /// connection doesn't; the answer comes behind it.
     pub fn reply(&self, packet: &Packet, head: &Head) -> Option<Reply> {
-        let reply = self.protocol.reply(head);
+        let reply = self.protocol.parse_reply(head);
         let ours = reply.id.as_ref().is_none_or(|id| *id == packet.metadata.id);
         ours.then_some(reply)
     }
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -483,7 +483,7 @@
                     .borrow_mut()
                     .lost(&server, Suspicion::Full);
             }
-            if reply.other {
+            if reply.misdirected {
                 let mut fleet = self.context.fleet.borrow_mut();
                 // Servers that were lost together come back together, under names that aren't known
                 // while the store is out.
@@ -492,10 +492,10 @@
                 drop(fleet);
                 self.context.sender.forget(run.chosen.address);
             }
-            if self.rest(&mut run).await.is_some() && !reply.other {
+            if self.rest(&mut run).await.is_some() && !reply.misdirected {
                 self.context.sender.keep(run.connection);
             }
-            return match reply.other {
+            return match reply.misdirected {
                 true => Start::Replaced,
                 false => Start::Declined,
             };
@@ -503,7 +503,11 @@
         let usable = reply.signed && !reply.encoded;
         if usable && head.status.is_success() {
             meter::send("answered");
-            let headers = self.context.sender.protocol().headers(head.headers);
+            let headers = self
+                .context
+                .sender
+                .protocol()
+                .response_headers(head.headers);
             return Start::Running {
                 run: Box::new(run),
                 status: head.status,
@@ -526,7 +530,11 @@
         self.context.sender.keep(run.connection);
         let mut response = Response::new(Body::whole(body));
         *response.status_mut() = head.status;
-        *response.headers_mut() = self.context.sender.protocol().headers(head.headers);
+        *response.headers_mut() = self
+            .context
+            .sender
+            .protocol()
+            .response_headers(head.headers);
         Start::Failed(response)
     }
 
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -147,13 +147,13 @@
         head.into_bytes()
     }
 
-    fn reply(&self, head: &upstream::Head) -> Reply {
+    fn parse_reply(&self, head: &upstream::Head) -> Reply {
         let headers = &head.headers;
         Reply {
             id: text(headers, "id").map(str::to_string),
             signed: headers.contains_key("signed"),
             not_run: headers.contains_key("not-run"),
-            other: headers.contains_key("other"),
+            misdirected: headers.contains_key("other"),
             encoded: headers.contains_key("content-encoding"),
             retry_after: None,
         }
@@ -185,17 +185,17 @@
         })
     }
 
-    fn holdings(&self) -> Vec<u8> {
+    fn cache_request(&self) -> Vec<u8> {
         b"GET /held HTTP/1.1\r\n\r\n".to_vec()
     }
 
-    fn held(&self, head: &upstream::Head, body: &[u8]) -> Option<Vec<(u64, u32)>> {
+    fn parse_cache(&self, head: &upstream::Head, body: &[u8]) -> Option<Vec<(u64, u32)>> {
         head.status
             .is_success()
             .then(|| parts(&String::from_utf8_lossy(body)))
     }
 
-    fn headers(&self, mut headers: HeaderMap) -> HeaderMap {
+    fn response_headers(&self, mut headers: HeaderMap) -> HeaderMap {
         headers.remove("content-length");
         headers.remove("transfer-encoding");
         headers
