--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -39,9 +39,9 @@
     /// Tokens of the prompt.
     pub tokens: u32,
     /// Most tokens of the answer.
-    pub most: u32,
+    pub max_tokens: u32,
     /// Tokens of the answer that the caller expects.
-    pub hint: Option<u32>,
+    pub expected_tokens: Option<u32>,
     /// The prompt's parts in order: a hash that prompts share, and the part's tokens.
     pub parts: Vec<(u64, u32)>,
 }
--- a/components/gateway/src/stream/place.rs
+++ b/components/gateway/src/stream/place.rs
@@ -45,7 +45,10 @@
                 ..Work::default()
             };
         };
-        let answer = prompt.hint.unwrap_or(prompt.most).min(prompt.most);
+        let answer = prompt
+            .expected_tokens
+            .unwrap_or(prompt.max_tokens)
+            .min(prompt.max_tokens);
         Work {
             requests: 1,
             tokens: u64::from(prompt.tokens) + u64::from(answer),
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -111,8 +111,8 @@
             after: number(headers, "after")?,
             prompt: tokens.map(|tokens| Prompt {
                 tokens: tokens as u32,
-                most: 100,
-                hint: None,
+                max_tokens: 100,
+                expected_tokens: None,
                 parts: parts(text(headers, "parts").unwrap_or_default()),
             }),
         })
