--- a/components/gateway/src/accept.rs
+++ b/components/gateway/src/accept.rs
@@ -194,8 +194,8 @@
 
 fn limits<P>(context: &Context<P>) -> (Duration, Duration, usize) {
     let document_cache = context.document_cache.borrow();
-    let edition = document_cache.edition();
-    let bounds = edition.and_then(|edition| edition.index.document().callers.as_ref());
+    let snapshot = document_cache.snapshot();
+    let bounds = snapshot.and_then(|snapshot| snapshot.index.document().callers.as_ref());
     match bounds {
         Some(bounds) => (bounds.idle_time, bounds.header_time, bounds.header_bytes),
         None => (IDLE, HEADER, HEAD),
--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -205,7 +205,7 @@
 /// The service with a number.
 fn named<P>(context: &Context<P>, wanted: Number) -> Option<Service> {
     let cache = context.document_cache.borrow();
-    let services = &cache.edition()?.index.document().services;
+    let services = &cache.snapshot()?.index.document().services;
     let service = services.iter().find(|one| number(&one.name) == wanted)?;
     Some(service.name.clone())
 }
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -181,9 +181,9 @@
     /// Takes news.
     pub fn learn(&self, update: Update) {
         match update {
-            Update::Document(edition) => {
-                let version = edition.version;
-                if self.context.document_cache.borrow_mut().learn(edition) {
+            Update::Document(snapshot) => {
+                let version = snapshot.version;
+                if self.context.document_cache.borrow_mut().learn(snapshot) {
                     note!(direct::DOCUMENT, version = version);
                 }
             }
@@ -325,8 +325,8 @@
         connections: context.connections.get(),
         running: context.running.get(),
         document: document_cache
-            .edition()
-            .map_or(0, |edition| edition.version),
+            .snapshot()
+            .map_or(0, |snapshot| snapshot.version),
         age: confirmed.map(|at| clock::now().saturating_sub(at)),
     }
 }
--- a/components/gateway/src/document_cache.rs
+++ b/components/gateway/src/document_cache.rs
@@ -15,12 +15,12 @@
 /// The document in force here.
 #[derive(Debug, Default)]
 pub struct DocumentCache {
-    current: Option<Edition>,
+    current: Option<Snapshot>,
 }
 
 /// A document with its number.
 #[derive(Clone, Debug)]
-pub struct Edition {
+pub struct Snapshot {
     /// Number; it grows with each change.
     pub version: u64,
     /// The document.
@@ -33,38 +33,38 @@
     /// No document is known yet.
     Unknown,
     /// The document may be out of date: a key may have been taken away meanwhile.
-    Stale(Edition),
+    Stale(Snapshot),
     /// The document is known to have been in force a moment ago.
-    Current(Edition),
+    Current(Snapshot),
 }
 
 impl DocumentCache {
     /// Takes a document. One that is older than the known one is ignored: within a process's life
     /// a document never goes back.
-    pub fn learn(&mut self, edition: Edition) -> bool {
-        let known = self.current.as_ref().map(|edition| edition.version);
-        if known >= Some(edition.version) {
+    pub fn learn(&mut self, snapshot: Snapshot) -> bool {
+        let known = self.current.as_ref().map(|snapshot| snapshot.version);
+        if known >= Some(snapshot.version) {
             return false;
         }
-        self.current = Some(edition);
+        self.current = Some(snapshot);
         true
     }
 
     /// The newest document that is known.
-    pub fn edition(&self) -> Option<&Edition> {
+    pub fn snapshot(&self) -> Option<&Snapshot> {
         self.current.as_ref()
     }
 
     /// What requests can go by now, when all that is known was last known to be complete at
     /// `confirmed`.
     pub fn state(&self, now: Clock, confirmed: Option<Clock>, revocation: Duration) -> State {
-        let Some(edition) = self.current.clone() else {
+        let Some(snapshot) = self.current.clone() else {
             return State::Unknown;
         };
         let age = confirmed.map(|at| now.saturating_sub(at));
         if age.is_some_and(|age| age <= revocation.mul_f64(HOLDS)) {
-            return State::Current(edition);
+            return State::Current(snapshot);
         }
-        State::Stale(edition)
+        State::Stale(snapshot)
     }
 }
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -184,8 +184,8 @@
         let confirmed = self.fresh.borrow().confirmed();
         Basis {
             document: document_cache
-                .edition()
-                .map_or(0, |edition| edition.version),
+                .snapshot()
+                .map_or(0, |snapshot| snapshot.version),
             age: confirmed.map(|at| clock::now().saturating_sub(at)),
         }
     }
@@ -239,18 +239,18 @@
             .protocol()
             .parse_request(&parts)
             .map_err(|error| Refusal::Flawed(error).tell("", arrived, &Basis::default()))?;
-        let documented = || self.document_cache.borrow().edition().is_some();
+        let documented = || self.document_cache.borrow().snapshot().is_some();
         self.synced(&metadata, documented).await;
         let basis = self.basis();
         let refuse = |refusal: Refusal| refusal.tell(&metadata.id, arrived, &basis);
         let settings = self.settings.borrow().clone();
-        let edition = match self.state(&settings) {
-            State::Current(edition) => edition,
+        let snapshot = match self.state(&settings) {
+            State::Current(snapshot) => snapshot,
             State::Unknown | State::Stale(_) => {
                 return Err(refuse(Refusal::Unsure));
             }
         };
-        let index = &edition.index;
+        let index = &snapshot.index;
         let (rule, pass, service, team) = route(index, &parts, &metadata).map_err(refuse)?;
         // A large register is read page by page, and the first ones may show no server of the service.
         let registered = || self.fleet.borrow().serves(&service);
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -15,13 +15,13 @@
 };
 use routing::placement::Facts;
 
-use crate::document_cache::Edition;
+use crate::document_cache::Snapshot;
 
 /// News for the gateway.
 #[derive(Clone, Debug)]
 pub enum Update {
     /// A document.
-    Document(Edition),
+    Document(Snapshot),
     /// A backend server registered, changed, or gave a sign of life.
     Server {
         /// What it says.
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -35,7 +35,7 @@
     Settings,
     Update,
     clock,
-    document_cache::Edition,
+    document_cache::Snapshot,
     protocol::{
         Activity,
         Dispatch, //
@@ -579,7 +579,7 @@
     pub fn put(&self, version: u64, document: Document) {
         let index = Rc::new(Index::new(document));
         self.gateway
-            .learn(Update::Document(Edition { version, index }));
+            .learn(Update::Document(Snapshot { version, index }));
         let mut fresh = self.gateway.fresh().borrow_mut();
         fresh.learned(version);
         let at = clock::now();
