--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -58,7 +58,6 @@
     handle::Context,
     initial_sync::InitialSync,
     meter::Level,
-    moving::Report,
     peers::{
         Exchange,
         Outgoing,
@@ -68,6 +67,7 @@
     protocol::Protocol,
     queue::Queue,
     ready,
+    rollout::Report,
     sender::Sender,
     settings::Settings,
     update::Update, //
@@ -120,7 +120,7 @@
             quotas: Rc::default(),
             cache_lookup: CacheLookup::new(told.clone()),
             queue: Rc::new(Queue::default()),
-            moving: Rc::default(),
+            rollouts: Rc::default(),
             initial_sync: InitialSync::default(),
             outlook: RefCell::default(),
             departure: Rc::default(),
@@ -159,12 +159,12 @@
 
     /// The states of moves that should stand in the store and don't.
     pub fn due(&self) -> Vec<Report> {
-        self.context.moving.due()
+        self.context.rollouts.due()
     }
 
     /// This process's place among those that live.
     pub fn place(&self) -> usize {
-        self.context.moving.place()
+        self.context.rollouts.place()
     }
 
     /// Tells peers what was heard from the store, or from another peer.
@@ -207,14 +207,14 @@
             }
             Update::Move { service, order } => {
                 let exposure = self.context.settings.borrow().bounds.exposure;
-                self.context.moving.order(&service, order, exposure);
+                self.context.rollouts.order(&service, order, exposure);
             }
             Update::Standing {
                 service,
                 at,
                 to,
                 state,
-            } => self.context.moving.stands(&service, at, &to, state),
+            } => self.context.rollouts.stands(&service, at, &to, state),
             Update::Gone(server) => {
                 note!(direct::GONE, server = server.as_str());
                 let address = self.context.fleet.borrow_mut().remove(&server);
@@ -278,7 +278,7 @@
                 fresh: context.fresh.clone(),
                 quotas: context.quotas.clone(),
                 queue: context.queue.clone(),
-                moving: context.moving.clone(),
+                rollouts: context.rollouts.clone(),
                 departure: context.departure.clone(),
                 settings: context.settings.clone(),
             };
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -62,7 +62,6 @@
     },
     fleet::Fleet,
     initial_sync::InitialSync,
-    moving::Moving,
     plain,
     protocol::{
         Metadata,
@@ -75,6 +74,7 @@
         Basis,
         Refusal, //
     },
+    rollout::Rollouts,
     sender::{
         Packet,
         Sender, //
@@ -105,7 +105,7 @@
     /// Streams that wait for an engine.
     pub queue: Rc<Queue>,
     /// Moves between versions.
-    pub moving: Rc<Moving>,
+    pub rollouts: Rc<Rollouts>,
     /// The first call to the store.
     pub initial_sync: InitialSync,
     /// How long answers take.
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -47,9 +47,9 @@
     clock,
     departure::Departure,
     fleet::Fleet,
-    moving::Moving,
     queue::Queue,
     quotas::Quotas,
+    rollout::Rollouts,
     settings::Settings, //
 };
 
@@ -94,7 +94,7 @@
     /// Requests that wait.
     pub queue: Rc<Queue>,
     /// Moves between versions.
-    pub moving: Rc<Moving>,
+    pub rollouts: Rc<Rollouts>,
     /// The process's way out.
     pub departure: Rc<Departure>,
     /// Settings of the process.
@@ -195,7 +195,7 @@
         }
         fleet.stand(self.table.place());
         self.shared.queue.stand(self.table.place().1);
-        self.shared.moving.stand(self.table.place());
+        self.shared.rollouts.stand(self.table.place());
         drop(fleet);
         let settings = self.shared.settings.borrow();
         let near = self.table.place_near(&settings.data_centre);
@@ -224,7 +224,7 @@
         };
         self.shared.fleet.borrow_mut().tell(&mut beacon);
         self.shared.queue.tell(&mut beacon);
-        self.shared.moving.tell(&mut beacon);
+        self.shared.rollouts.tell(&mut beacon);
         let bound = settings.bounds.retries();
         beacon.sends = self.shared.quotas.borrow_mut().sends(&bound);
         let now = clock::now();
@@ -377,7 +377,7 @@
         }
         fleet.hear(&beacon);
         self.shared.queue.hear(&beacon);
-        self.shared.moving.hear(&beacon);
+        self.shared.rollouts.hear(&beacon);
         let near = beacon.data_centre == self.shared.settings.borrow().data_centre;
         let mut quotas = self.shared.quotas.borrow_mut();
         quotas.hear(beacon.incarnation, &beacon.sends, near);
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -61,7 +61,6 @@
         Context, //
     },
     meter,
-    moving::Pick,
     protocol::{
         Dispatch, //
         Protocol,
@@ -70,6 +69,7 @@
         COME_BACK,
         Refusal, //
     },
+    rollout::Pick,
     sender::Failure, //
 };
 
@@ -99,7 +99,7 @@
     let plain = Plain {
         context,
         sends: Sends::new(class, call.pass.attempts),
-        pick: context.moving.pick(&call.service, &call.route),
+        pick: context.rollouts.pick(&call.service, &call.route),
         call,
         class,
         tried: Vec::new(),
@@ -274,8 +274,8 @@
         _ => None,
     };
     if let Some(time) = time {
-        let moving = &context.moving;
-        moving.ended(&call.service, &call.route, &chosen.version, time);
+        let rollouts = &context.rollouts;
+        rollouts.ended(&call.service, &call.route, &chosen.version, time);
     }
     charge.end(match end.ending {
         Ending::Answered => Outcome::Served {
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -334,7 +334,7 @@
     let sizes = queue.sizes.borrow();
     queue.gates.report(|service, running| {
         let size = sizes.get(service)?;
-        let pick = context.moving.limit(service);
+        let pick = context.rollouts.limit(service);
         let versions = pick.versions();
         let mut room = fleet.room(service, versions, size.work(), size.within);
         // What is late here stands behind what can be in time elsewhere.
--- a/components/gateway/src/moving.rs
+++ b/components/gateway/src/rollout.rs
@@ -55,7 +55,7 @@
 
 /// Moves that are under way, and those that were.
 #[derive(Default)]
-pub struct Moving {
+pub struct Rollouts {
     briefs: RefCell<HashMap<Service, Brief>>,
     /// Times to the first event, or of a plain answer, by route.
     usual: RefCell<HashMap<Route, Histogram>>,
@@ -93,7 +93,7 @@
     pub state: State,
 }
 
-impl Moving {
+impl Rollouts {
     /// Takes an operator's order for a service; none when it was withdrawn.
     pub fn order(&self, service: &Service, order: Option<Order>, exposure: Exposure) {
         let mut briefs = self.briefs.borrow_mut();
@@ -238,7 +238,7 @@
 }
 
 // What peers tell one another.
-impl Moving {
+impl Rollouts {
     /// What is known of each move, for a beacon.
     pub fn tell(&self, beacon: &mut Beacon) {
         let now = clock::now();
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -40,13 +40,13 @@
         Context, //
     },
     meter,
-    moving::Pick,
     protocol::Protocol,
     queue::{
         self,
         Place, //
     },
     refuse::Refusal,
+    rollout::Pick,
     stream::{
         resumption::{
             Next,
@@ -152,7 +152,7 @@
             Err(refusal) => return Err(self.call.refuse(&refusal)),
         }
         let (service, route) = (&self.call.service, &self.call.route);
-        self.pick = self.context.moving.pick(service, route);
+        self.pick = self.context.rollouts.pick(service, route);
         let mut declined = 0;
         let mut failure = None;
         let mut next = None;
@@ -210,7 +210,7 @@
                 break;
             }
             // The move may have ended meanwhile, and the servers that it left with it.
-            self.pick = self.context.moving.limit(&self.call.service);
+            self.pick = self.context.rollouts.limit(&self.call.service);
         }
         Err(match failure {
             Some(response) => response,
@@ -357,7 +357,7 @@
             return None;
         }
         let mut next = None;
-        self.pick = self.context.moving.limit(&self.call.service);
+        self.pick = self.context.rollouts.limit(&self.call.service);
         self.onward(&mut next, lost);
         let mut declined = 0;
         while !self.over() {
@@ -409,7 +409,7 @@
     fn judged(&self, chosen: &Chosen, time: Option<Duration>) {
         let (service, route) = (&self.call.service, &self.call.route);
         self.context
-            .moving
+            .rollouts
             .ended(service, route, &chosen.version, time);
     }
 
