--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -205,17 +205,17 @@
                     cache_lookup::registered(&self.context, &told);
                 }
             }
-            Update::Move { service, order } => {
+            Update::Rollout { service, order } => {
                 let exposure = self.context.settings.borrow().bounds.exposure;
                 self.context.rollouts.order(&service, order, exposure);
             }
-            Update::Standing {
+            Update::RolloutState {
                 service,
                 at,
                 to,
                 state,
             } => self.context.rollouts.stands(&service, at, &to, state),
-            Update::Gone(server) => {
+            Update::Deregistered(server) => {
                 note!(direct::GONE, server = server.as_str());
                 let address = self.context.fleet.borrow_mut().remove(&server);
                 if let Some(address) = address {
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -30,16 +30,16 @@
         since: Clock,
     },
     /// A backend server left the register.
-    Gone(Server),
+    Deregistered(Server),
     /// An operator ordered that a service's traffic moves, or withdrew the order.
-    Move {
+    Rollout {
         /// The service.
         service: Service,
         /// The order; none when it was withdrawn.
         order: Option<Order>,
     },
     /// A state of a move stands in the store.
-    Standing {
+    RolloutState {
         /// The service.
         service: Service,
         /// Revision at which it was written.
