--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -143,43 +143,43 @@
     }
 
     /// How current what is known is. Whoever reads the store keeps this up to date.
-    pub fn fresh(&self) -> &RefCell<Fresh> {
+    pub fn freshness(&self) -> &RefCell<Fresh> {
         &self.context.fresh
     }
 
     /// Notes that the first reading of the store has ended, or that a call failed.
-    pub fn opened(&self) {
+    pub fn end_initial_sync(&self) {
         self.context.initial_sync.end();
     }
 
     /// Notes that servers may be missing from the register for a time, as it is made anew.
-    pub fn registering(&self, time: Duration) {
+    pub fn await_registrations(&self, time: Duration) {
         self.context.cache_lookup.registering(time);
     }
 
     /// The states of moves that should stand in the store and don't.
-    pub fn due(&self) -> Vec<Report> {
+    pub fn pending_reports(&self) -> Vec<Report> {
         self.context.rollouts.due()
     }
 
     /// This process's place among those that live.
-    pub fn place(&self) -> usize {
+    pub fn position(&self) -> usize {
         self.context.rollouts.place()
     }
 
     /// Tells peers what was heard from the store, or from another peer.
-    pub fn tell(&self, changes: Changes, reach: Reach) {
+    pub fn send_changes(&self, changes: Changes, reach: Reach) {
         // Nobody listens any more when the process ends.
         let _ = self.told.send(Outgoing::Changes(changes, reach));
     }
 
     /// What peers heard from the store; to be taken once.
-    pub fn heard(&self) -> Option<UnboundedReceiver<Changes>> {
+    pub fn take_changes(&self) -> Option<UnboundedReceiver<Changes>> {
         self.heard.take()
     }
 
     /// Takes news.
-    pub fn learn(&self, update: Update) {
+    pub fn apply(&self, update: Update) {
         match update {
             Update::Document(snapshot) => {
                 let version = snapshot.version;
@@ -226,7 +226,7 @@
     }
 
     /// Takes changed settings. Addresses are those of the start.
-    pub fn change(&self, settings: Settings) {
+    pub fn set_settings(&self, settings: Settings) {
         *self.context.settings.borrow_mut() = Rc::new(settings);
     }
 
--- a/components/gateway/tests/callers.rs
+++ b/components/gateway/tests/callers.rs
@@ -282,7 +282,7 @@
         sleep(Duration::from_millis(50)).await;
         harness.register("s1", "ledger", "a", server.address);
         harness.put(1, document());
-        harness.gateway.opened();
+        harness.gateway.end_initial_sync();
         let told = common::read(&mut early).await.expect("an answer");
         assert_eq!((told.status(), server.count()), (200, 1));
     });
@@ -299,7 +299,7 @@
             .connect("r0", "/safe/x", "deadline: 25000\r\n")
             .await;
         sleep(Duration::from_millis(50)).await;
-        harness.gateway.opened();
+        harness.gateway.end_initial_sync();
         let told = common::read(&mut early).await.expect("an answer");
         let (_, late) = harness.ask("r1", "/safe/x", "deadline: 25000\r\n").await;
         for told in [told, late.expect("an answer")] {
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -579,8 +579,8 @@
     pub fn put(&self, version: u64, document: Document) {
         let index = Rc::new(Index::new(document));
         self.gateway
-            .learn(Update::Document(Snapshot { version, index }));
-        let mut fresh = self.gateway.fresh().borrow_mut();
+            .apply(Update::Document(Snapshot { version, index }));
+        let mut fresh = self.gateway.freshness().borrow_mut();
         fresh.learned(version);
         let at = clock::now();
         fresh.hear(
@@ -613,7 +613,7 @@
             slots,
             memory: if service == "draft" { 50_000 } else { 0 },
         };
-        self.gateway.learn(Update::Server {
+        self.gateway.apply(Update::Server {
             registration: Registration {
                 server: server.into(),
                 address,
--- a/components/gateway/tests/returning.rs
+++ b/components/gateway/tests/returning.rs
@@ -60,7 +60,7 @@
         let holder = engine("holder", "77:5000", &ran).await;
         let harness = Harness::with(document());
         if registering {
-            harness.gateway.registering(Duration::from_secs(2));
+            harness.gateway.await_registrations(Duration::from_secs(2));
         }
         harness.register("s1", "draft", "a", other.address);
         let more = "tokens: 5000\r\nparts: 77:5000\r\nafter: 4\r\ndeadline: 15000\r\n";
@@ -83,7 +83,9 @@
         let ran = Ran::default();
         let other = engine("other", "", &ran).await;
         let harness = Harness::with(document());
-        harness.gateway.registering(Duration::from_millis(300));
+        harness
+            .gateway
+            .await_registrations(Duration::from_millis(300));
         harness.register("s1", "draft", "a", other.address);
         let more = "tokens: 5000\r\nparts: 77:5000\r\nafter: 4\r\ndeadline: 15000\r\n";
         let began = Instant::now();
--- a/components/gateway/tests/streams.rs
+++ b/components/gateway/tests/streams.rs
@@ -338,7 +338,7 @@
         let holder = holder.expect("one of them holds the copy");
         harness
             .gateway
-            .learn(Update::Deregistered(names[holder].into()));
+            .apply(Update::Deregistered(names[holder].into()));
         tokio::time::sleep(PACE * 20).await;
         let third = 3 - run - holder;
         let asked = servers[run].seen.borrow()[1].clone();
--- a/components/gateway/tests/unreachable.rs
+++ b/components/gateway/tests/unreachable.rs
@@ -66,7 +66,7 @@
         slots: 8,
         memory: 50_000,
     };
-    harness.gateway.learn(Update::Server {
+    harness.gateway.apply(Update::Server {
         registration: Registration {
             server: server.into(),
             address,
@@ -165,7 +165,7 @@
             to: "v2".into(),
             within: Duration::from_secs(60),
         };
-        harness.gateway.learn(Update::Rollout {
+        harness.gateway.apply(Update::Rollout {
             service: "draft".into(),
             order: Some(order),
         });
@@ -184,7 +184,7 @@
         for number in 0..REFUSING * 3 {
             register(&harness, &format!("old-{number}"), "v1", nowhere());
         }
-        harness.gateway.learn(Update::RolloutState {
+        harness.gateway.apply(Update::RolloutState {
             service: "draft".into(),
             at: 6,
             to: "v2".into(),
