--- a/components/gateway/src/accept.rs
+++ b/components/gateway/src/accept.rs
@@ -52,16 +52,17 @@
     protocol::Protocol,
 };
 
-/// Time for which a connection may rest while no document says.
-const IDLE: Duration = Duration::from_secs(15);
+/// Idle timeout of a connection while no document is known.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time for the head of a request while no document says.
-const HEADER: Duration = Duration::from_secs(5);
+/// Timeout of a request's head while no document is known.
+const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest head while no document says, in bytes. The library takes no less than 8 KiB.
-const HEAD: usize = 16 * 1024;
+/// Maximum size of a request's head while no document is known, in bytes. Hyper accepts no less
+/// than 8 KiB.
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
 
-/// Accepts connections until `stop`.
+/// Accepts connections until `stop` is cancelled.
 pub async fn run<P: Protocol + 'static>(
     listener: TcpListener,
     context: Rc<Context<P>>,
@@ -76,60 +77,61 @@
         match accepted {
             Ok((stream, _)) => {
                 let serve = serve(stream, context.clone(), close.clone());
-                let open = Open::new(&context);
+                let open = OpenGuard::new(&context);
                 spawn_local(async move {
                     serve.await;
                     drop(open);
                 });
             }
-            // Out of descriptors, or the peer went away: the next one may do better.
+            // The process is out of descriptors or the peer disconnected; accepting continues after
+            // a pause.
             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
         }
     }
 }
 
-/// A connection that is open.
-struct Open<P>(Rc<Context<P>>);
+/// Counts an open connection until it is dropped.
+struct OpenGuard<P>(Rc<Context<P>>);
 
-impl<P> Open<P> {
-    fn new(context: &Rc<Context<P>>) -> Open<P> {
+impl<P> OpenGuard<P> {
+    fn new(context: &Rc<Context<P>>) -> OpenGuard<P> {
         context.connections.set(context.connections.get() + 1);
-        Open(context.clone())
+        OpenGuard(context.clone())
     }
 }
 
-impl<P> Drop for Open<P> {
+impl<P> Drop for OpenGuard<P> {
     fn drop(&mut self) {
         self.0.connections.set(self.0.connections.get() - 1);
     }
 }
 
-/// What is known of a connection's progress.
+/// Progress of a connection.
 #[derive(Default)]
 struct Progress {
-    /// Requests in progress.
+    /// Whether a request is in progress.
     running: Cell<bool>,
-    /// When the last answer ended, or the connection began.
-    rested: Cell<Option<Instant>>,
-    /// When the first byte of the next request came.
-    begun: Cell<Option<Instant>>,
+    /// When the last response ended, or the connection was opened.
+    idle_since: Cell<Option<Instant>>,
+    /// When the first byte of the next request arrived.
+    request_began: Cell<Option<Instant>>,
 }
 
-/// A request in progress, until its answer is written.
-struct Busy(Rc<Progress>);
+/// Marks a request as in progress until its response is written.
+struct ActiveGuard(Rc<Progress>);
 
-impl Busy {
-    fn new(progress: Rc<Progress>) -> Busy {
+impl ActiveGuard {
+    fn new(progress: Rc<Progress>) -> ActiveGuard {
         progress.running.set(true);
-        progress.begun.set(None);
-        Busy(progress)
+        progress.request_began.set(None);
+        ActiveGuard(progress)
     }
 }
 
-impl Drop for Busy {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.0.running.set(false);
-        self.0.rested.set(Some(Instant::now()));
+        self.0.idle_since.set(Some(Instant::now()));
     }
 }
 
@@ -138,10 +140,10 @@
     context: Rc<Context<P>>,
     close: CancellationToken,
 ) {
-    // Without it the last piece of an answer waits for an acknowledgement.
+    // Without it the last segment of a response waits for an acknowledgement.
     let _ = stream.set_nodelay(true);
     let progress = Rc::new(Progress::default());
-    progress.rested.set(Some(Instant::now()));
+    progress.idle_since.set(Some(Instant::now()));
     let (idle, header, head) = limits(&context);
     let service = {
         let progress = progress.clone();
@@ -150,18 +152,18 @@
             let progress = progress.clone();
             let context = context.clone();
             async move {
-                let busy = Busy::new(progress);
+                let active = ActiveGuard::new(progress);
                 let mut response = context.serve(request).await;
-                if context.departure.begun() {
+                if context.shutdown.has_begun() {
                     let value = HeaderValue::from_static("close");
                     response.headers_mut().insert(CONNECTION, value);
                 }
-                response.body_mut().hold(busy);
+                response.body_mut().hold(active);
                 Ok::<_, Infallible>(response)
             }
         })
     };
-    let guard = Stream {
+    let guard = CallerStream {
         inner: stream,
         progress: progress.clone(),
     };
@@ -171,18 +173,18 @@
     let mut connection = std::pin::pin!(connection);
     let mut closing = false;
     loop {
-        let due = due(&progress, idle, header);
+        let next = next_check(&progress, idle, header);
         tokio::select! {
             _ = connection.as_mut() => return,
             () = close.cancelled(), if !closing => {
                 closing = true;
                 connection.as_mut().graceful_shutdown();
             }
-            () = sleep_until(due) => {
-                if progress.running.get() || self::due(&progress, idle, header) > Instant::now() {
+            () = sleep_until(next) => {
+                if progress.running.get() || next_check(&progress, idle, header) > Instant::now() {
                     continue;
                 }
-                if progress.begun.get().is_some() || closing {
+                if progress.request_began.get().is_some() || closing {
                     return;
                 }
                 closing = true;
@@ -198,37 +200,41 @@
     let bounds = snapshot.and_then(|snapshot| snapshot.index.document().callers.as_ref());
     match bounds {
         Some(bounds) => (bounds.idle_time, bounds.header_time, bounds.header_bytes),
-        None => (IDLE, HEADER, HEAD),
+        None => (
+            DEFAULT_IDLE_TIMEOUT,
+            DEFAULT_HEADER_TIMEOUT,
+            DEFAULT_MAX_HEADER_BYTES,
+        ),
     }
 }
 
-/// When the connection has to be looked at next.
-fn due(progress: &Progress, idle: Duration, header: Duration) -> Instant {
+/// Returns when the timeouts of the connection have to be checked next.
+fn next_check(progress: &Progress, idle: Duration, header: Duration) -> Instant {
     if progress.running.get() {
         return Instant::now() + idle;
     }
-    if let Some(begun) = progress.begun.get() {
-        return begun + header;
+    if let Some(request_began) = progress.request_began.get() {
+        return request_began + header;
     }
-    progress.rested.get().unwrap_or_else(Instant::now) + idle
+    progress.idle_since.get().unwrap_or_else(Instant::now) + idle
 }
 
-/// A caller's connection as the library wants it.
-pub(crate) struct Stream {
+/// A caller's connection as hyper reads and writes it, which records when a request begins.
+pub(crate) struct CallerStream {
     inner: TcpStream,
     progress: Rc<Progress>,
 }
 
-impl Stream {
-    pub(crate) fn new(inner: TcpStream) -> Stream {
-        Stream {
+impl CallerStream {
+    pub(crate) fn new(inner: TcpStream) -> CallerStream {
+        CallerStream {
             inner,
             progress: Rc::default(),
         }
     }
 }
 
-impl Read for Stream {
+impl Read for CallerStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         waker: &mut task::Context<'_>,
@@ -239,15 +245,18 @@
         let mut buffer = ReadBuf::new(&mut bytes[..room]);
         ready!(Pin::new(&mut self.inner).poll_read(waker, &mut buffer))?;
         let read = buffer.filled();
-        if !read.is_empty() && !self.progress.running.get() && self.progress.begun.get().is_none() {
-            self.progress.begun.set(Some(Instant::now()));
+        if !read.is_empty()
+            && !self.progress.running.get()
+            && self.progress.request_began.get().is_none()
+        {
+            self.progress.request_began.set(Some(Instant::now()));
         }
         cursor.put_slice(read);
         Poll::Ready(Ok(()))
     }
 }
 
-impl Write for Stream {
+impl Write for CallerStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         waker: &mut task::Context<'_>,
--- a/components/gateway/src/ready.rs
+++ b/components/gateway/src/admin.rs
@@ -1,5 +1,4 @@
-//! What the platform and operators ask of the process itself: whether it takes new connections, and
-//! its metrics.
+//! HTTP endpoints of the process itself: readiness and metrics.
 
 use std::{
     convert::Infallible,
@@ -23,14 +22,14 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    accept::Stream,
+    accept::CallerStream,
     body::Body, //
 };
 
-/// What is answered: a status and a text.
+/// Status and body of a response.
 pub type Answer = (StatusCode, String);
 
-/// Answers every request with what `answer` gives, until `stop`.
+/// Answers every request with the result of `answer` until `stop` is cancelled.
 pub async fn run(listener: TcpListener, answer: Rc<dyn Fn() -> Answer>, stop: CancellationToken) {
     loop {
         let accepted = tokio::select! {
@@ -48,9 +47,9 @@
                 *response.status_mut() = status;
                 std::future::ready(Ok::<_, Infallible>(response))
             });
-            // A broken connection is the asker's concern; it asks again.
+            // A failed connection needs no handling: the client polls again.
             let _ = http1::Builder::new()
-                .serve_connection(Stream::new(stream), service)
+                .serve_connection(CallerStream::new(stream), service)
                 .await;
         });
     }
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Response bodies.
 
 use std::{
     any::Any,
@@ -22,39 +22,39 @@
     SizeHint, //
 };
 
-/// An answer that ends before it is complete. The connection is closed without the end of the
-/// body, so that the caller sees that something is missing.
+/// Error of a response that ends early. The connection is closed without the end of the body, so
+/// that the caller notices that the response is incomplete.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer can't be completed")]
+#[error("response ended early")]
 pub struct Abort;
 
-/// Body of an answer.
+/// Body of a response.
 pub struct Body {
     content: Content,
-    /// Dropped with the body, so that the request counts as in progress until its last byte is
-    /// written, not until its head is.
+    /// Values that are dropped with the body, so that a request counts as in progress until its
+    /// last byte is written rather than its head.
     guards: Vec<Box<dyn Any>>,
 }
 
 enum Content {
-    /// All of it, until it is taken.
+    /// The whole body; `None` after it was taken.
     Whole(Option<Bytes>),
-    /// As it comes.
+    /// Chunks as they arrive.
     Stream(LocalBoxStream<'static, Result<Bytes, Abort>>),
 }
 
 impl Body {
-    /// A body that is known whole.
+    /// Creates a body from all its bytes.
     pub fn whole(bytes: impl Into<Bytes>) -> Body {
         Body::new(Content::Whole(Some(bytes.into())))
     }
 
-    /// A body that comes piece by piece.
+    /// Creates a body from a stream of chunks.
     pub fn stream(stream: impl Stream<Item = Result<Bytes, Abort>> + 'static) -> Body {
         Body::new(Content::Stream(stream.boxed_local()))
     }
 
-    /// Keeps something until the body is written or given up.
+    /// Keeps `guard` alive until the body is written or dropped.
     pub fn hold(&mut self, guard: impl Any) {
         self.guards.push(Box::new(guard));
     }
--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -1,11 +1,11 @@
-//! Which engines still have the prompts of callers that come back.
+//! Finds the engines that still have the prompts of reconnecting callers in their caches.
 //!
-//! The load that it answers: all entries fail at once, and seconds later their callers come back for
-//! the rest of their answers. No entry knows any more where their prompts were read, so each would
-//! have them read anew, for a second of an engine and of the little time that the callers have left.
-//! The engines know what their caches hold. They are asked once for all callers that come back
-//! together; in a large fleet each entry asks its part of them and tells the others, as a hundred
-//! entries that ask all engines keep the engines from their work.
+//! When all gateways fail at once, their callers reconnect seconds later to resume their streams.
+//! No gateway knows any more where their prompts were processed, so each prompt would be processed
+//! again, which takes a second of an engine and of the little time that the caller has left. The
+//! engines are therefore queried for the contents of their caches, once for all callers that
+//! reconnect together. In a large fleet each gateway queries its partition of the engines and sends
+//! the results to the others, as a hundred gateways that query all engines would slow them down.
 
 use std::{
     cell::{
@@ -55,7 +55,7 @@
 };
 
 use crate::{
-    fleet::Chosen,
+    fleet::Target,
     handle::{
         Call,
         Context, //
@@ -65,174 +65,177 @@
     update::Registration, //
 };
 
-/// Time for one engine's answer.
+/// Timeout of the query to one engine.
 const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time after its start in which an entry hears how many others there are.
+/// Time after its start in which a gateway learns of the others.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
 
-/// Longest time that a request waits for the answers: a tenth of what reading a prompt takes.
+/// Longest time that a request waits for the results: a tenth of what processing a prompt takes.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Part of the time that a request has left that it waits at most.
+/// Longest wait of a request as a share of its remaining time.
 const MAX_WAIT_SHARE: f64 = 0.1;
 
-/// Time for which the engines' answers stand. Callers of entries that failed together come back
-/// within a second or two; what is read after that, this entry or a peer knows of.
+/// Time for which the results are valid. Callers of gateways that failed together reconnect within
+/// a second or two; prompts processed after that are known to this gateway or a peer.
 const CACHE_TTL: Duration = Duration::from_secs(10);
 
-/// Engines that are asked at the same time.
+/// Maximum number of engines that are queried at the same time.
 const MAX_CONCURRENT_LOOKUPS: usize = 16;
 
-/// Pace at which a request looks whether its prompt was found.
+/// Interval at which a waiting request checks whether its prompt was found.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What was asked of late, and whether the answers are in.
+/// Recent lookups and their progress.
 pub struct CacheLookup {
-    asked: RefCell<HashMap<Service, Asked>>,
-    /// When each engine was asked by this entry.
-    engines: RefCell<HashMap<Server, Instant>>,
-    /// Until when servers may be missing from the register.
-    registering: Cell<Option<Instant>>,
+    lookups: RefCell<HashMap<Service, Lookup>>,
+    /// When this gateway queried each engine.
+    queried: RefCell<HashMap<Server, Instant>>,
+    /// Until when servers may be missing from the registry.
+    registering_until: Cell<Option<Instant>>,
     peers: UnboundedSender<Outgoing>,
 }
 
-/// A lookup of a service's engines.
+/// A lookup at a service's engines.
 #[derive(Clone)]
-struct Asked {
+struct Lookup {
     at: Instant,
-    /// This entry's place among all, and their number, which tell its part of the engines.
-    place: (usize, usize),
+    /// Index of this gateway among all, and their number, which define its partition of the
+    /// engines.
+    position: (usize, usize),
     done: watch::Receiver<bool>,
 }
 
 impl CacheLookup {
-    /// Nothing was asked yet.
+    /// Creates a cache without lookups.
     pub fn new(peers: UnboundedSender<Outgoing>) -> CacheLookup {
         CacheLookup {
-            asked: RefCell::default(),
-            engines: RefCell::default(),
-            registering: Cell::default(),
+            lookups: RefCell::default(),
+            queried: RefCell::default(),
+            registering_until: Cell::default(),
             peers,
         }
     }
 
-    /// Notes that servers may be missing from the register for a time.
-    pub fn registering(&self, time: Duration) {
-        self.registering.set(Some(Instant::now() + time));
+    /// Records that servers may be missing from the registry for a time.
+    pub fn await_registrations(&self, time: Duration) {
+        self.registering_until.set(Some(Instant::now() + time));
     }
 
-    /// The lookup of a service's engines, if there was one a moment ago.
-    fn fresh(&self, service: &Service) -> Option<Asked> {
-        let asked = self.asked.borrow().get(service).cloned();
-        asked.filter(|asked| asked.at.elapsed() < CACHE_TTL)
+    /// Returns the recent lookup at a service's engines, if there is one.
+    fn recent(&self, service: &Service) -> Option<Lookup> {
+        let lookup = self.lookups.borrow().get(service).cloned();
+        lookup.filter(|lookup| lookup.at.elapsed() < CACHE_TTL)
     }
 
-    /// Notes that an engine is asked; `false` if it was asked a moment ago.
-    fn asks(&self, server: &Server) -> bool {
-        let mut engines = self.engines.borrow_mut();
-        engines.retain(|_, at| at.elapsed() < CACHE_TTL);
-        if engines.contains_key(server) {
+    /// Marks an engine as queried; returns `false` if it was queried recently.
+    fn mark_queried(&self, server: &Server) -> bool {
+        let mut queried = self.queried.borrow_mut();
+        queried.retain(|_, at| at.elapsed() < CACHE_TTL);
+        if queried.contains_key(server) {
             return false;
         }
-        engines.insert(server.clone(), Instant::now());
+        queried.insert(server.clone(), Instant::now());
         true
     }
 
-    fn tell(&self, outgoing: Outgoing) {
-        // Nobody listens any more when the process ends.
+    fn send(&self, outgoing: Outgoing) {
+        // The receiver is gone when the process exits.
         let _ = self.peers.send(outgoing);
     }
 }
 
-/// Learns which engines of a service hold which prompts, for a request with a part of a prompt and some
-/// time `left`; returns when that is known, or when it takes too long.
-pub async fn learn<P: Protocol + 'static>(
+/// Looks up which engines of a service have a prompt part cached. Returns when all were queried, or
+/// when waiting takes too long for a request with `left` time.
+pub async fn find_prompt<P: Protocol + 'static>(
     context: &Rc<Context<P>>,
     service: &Service,
     part: (Part, u32),
     left: Duration,
 ) {
     settle(context, left.mul_f64(MAX_WAIT_SHARE)).await;
-    let divided = context.fleet.borrow().divided();
-    let mut asked = match fresh(context, service) {
-        Some(asked) => asked,
+    let partitioned = context.fleet.borrow().is_partitioned();
+    let mut lookup = match recent(context, service) {
+        Some(lookup) => lookup,
         None => {
-            if divided {
-                context.cache_lookup.tell(Outgoing::Lookup(number(service)));
+            if partitioned {
+                context.cache_lookup.send(Outgoing::Lookup(number(service)));
             }
-            begin(context, service)
+            start_lookup(context, service)
         }
     };
-    // A time-out leaves the request with what is known by then.
+    // After a timeout the request goes on with the results that arrived.
     let until = Instant::now() + LOOKUP_TIMEOUT.min(left.mul_f64(MAX_WAIT_SHARE));
-    let _ = timeout_at(until, asked.done.wait_for(|done| *done)).await;
-    // What peers learn comes with their messages.
-    let until = until.min(asked.at + LOOKUP_TIMEOUT);
-    let found = || context.fleet.borrow().found(part);
-    while divided && Instant::now() < until && !found() {
+    let _ = timeout_at(until, lookup.done.wait_for(|done| *done)).await;
+    // The results of peers arrive in messages of their own.
+    let until = until.min(lookup.at + LOOKUP_TIMEOUT);
+    let found = || context.fleet.borrow().is_cached(part);
+    while partitioned && Instant::now() < until && !found() {
         sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until an entry that started a moment ago knows that its fleet is large: all entries may have
-/// started together, and as long as each believes that it is alone it would ask all engines.
+/// Waits until a gateway that has just started knows whether its fleet is large. All gateways may
+/// have started together, and each one that knows no peers would query all engines.
 async fn settle<P>(context: &Context<P>, longest: Duration) {
     let until = context.started + SETTLE_TIME;
     let until = until.min(Instant::now() + longest);
-    while Instant::now() < until && !context.fleet.borrow().divided() {
+    while Instant::now() < until && !context.fleet.borrow().is_partitioned() {
         sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Asks this entry's part of the engines whenever a peer wants that.
-pub async fn serve<P: Protocol + 'static>(
+/// Queries this gateway's partition of the engines when a peer asks for it.
+pub async fn serve_peers<P: Protocol + 'static>(
     context: Rc<Context<P>>,
-    mut wanted: UnboundedReceiver<Number>,
+    mut requested: UnboundedReceiver<Number>,
 ) {
-    while let Some(wanted) = wanted.recv().await {
-        let Some(service) = named(&context, wanted) else {
+    while let Some(requested) = requested.recv().await {
+        let Some(service) = service_by_number(&context, requested) else {
             continue;
         };
         settle(&context, SETTLE_TIME).await;
-        // An entry that hears few peers doesn't know its part.
-        if context.fleet.borrow().divided() && fresh(&context, &service).is_none() {
-            begin(&context, &service);
+        // A gateway that knows few peers doesn't know its partition.
+        if context.fleet.borrow().is_partitioned() && recent(&context, &service).is_none() {
+            start_lookup(&context, &service);
         }
     }
 }
 
-/// The service with a number.
-fn named<P>(context: &Context<P>, wanted: Number) -> Option<Service> {
+/// Returns the service with a number.
+fn service_by_number<P>(context: &Context<P>, requested: Number) -> Option<Service> {
     let cache = context.document_cache.borrow();
     let services = &cache.snapshot()?.index.document().services;
-    let service = services.iter().find(|one| number(&one.name) == wanted)?;
+    let service = services.iter().find(|one| number(&one.name) == requested)?;
     Some(service.name.clone())
 }
 
-/// The lookup of a service's engines, if there was one a moment ago. An entry whose place changed has
-/// another part of the engines, and so have the others.
-fn fresh<P>(context: &Context<P>, service: &Service) -> Option<Asked> {
+/// Returns the recent lookup at a service's engines, if there is one. A change of this gateway's
+/// position changes its partition of the engines and those of the others, so the lookup is invalid
+/// then.
+fn recent<P>(context: &Context<P>, service: &Service) -> Option<Lookup> {
     let fleet = context.fleet.borrow();
-    let asked = context.cache_lookup.fresh(service)?;
-    let same = asked.place == fleet.place() || !fleet.divided();
-    same.then_some(asked)
+    let lookup = context.cache_lookup.recent(service)?;
+    let same = lookup.position == fleet.position() || !fleet.is_partitioned();
+    same.then_some(lookup)
 }
 
-/// Lets a request wait for the server that has read its prompt, while servers are missing from the
-/// register: one that registers later is asked as well. Another server would read the prompt anew.
-pub async fn wait<P: Protocol>(
+/// Lets a request wait for the server that has its prompt cached while servers are missing from the
+/// registry; those that register later are queried as well. Another server would process the prompt
+/// again.
+pub async fn wait_for_registration<P: Protocol>(
     context: &Context<P>,
     call: &Call,
     part: (Part, u32),
     left: Duration,
 ) {
-    let Some(until) = context.cache_lookup.registering.get() else {
+    let Some(until) = context.cache_lookup.registering_until.get() else {
         return;
     };
     let began = Instant::now();
     let until = until.min(began + left.mul_f64(MAX_WAIT_SHARE));
-    let found = || context.fleet.borrow().found(part);
+    let found = || context.fleet.borrow().is_cached(part);
     while Instant::now() < until && !found() {
         sleep(POLL_INTERVAL).await;
     }
@@ -241,80 +244,85 @@
     }
     note!(
         direct::REGISTERING,
-        id = call.packet.metadata.id.as_str(),
+        id = call.request.metadata.id.as_str(),
         found = found(),
         waited_ms = began.elapsed().as_millis() as u64
     );
 }
 
-/// Asks a server that has just registered, if the others of its service were asked a moment ago and
-/// it is of this entry's part.
-pub fn registered<P: Protocol + 'static>(context: &Rc<Context<P>>, registration: &Registration) {
+/// Queries a newly registered server if the others of its service were queried recently and it
+/// belongs to this gateway's partition.
+pub fn query_registered<P: Protocol + 'static>(
+    context: &Rc<Context<P>>,
+    registration: &Registration,
+) {
     let Registration { server, facts, .. } = registration;
-    if context.cache_lookup.fresh(&facts.service).is_none() {
+    if context.cache_lookup.recent(&facts.service).is_none() {
         return;
     }
     let fleet = context.fleet.borrow();
-    let Some(engine) = fleet.named(server).filter(|_| fleet.owns(server)) else {
+    let Some(engine) = fleet.usable_server(server).filter(|_| fleet.owns(server)) else {
         return;
     };
     drop(fleet);
     let context = context.clone();
     spawn_local(async move {
-        let held = ask(&context, engine).await;
-        tell(&context, held);
+        let cached = query_engine(&context, engine).await;
+        send_cached(&context, cached);
     });
 }
 
-/// Tells the others what engines of this entry's part hold.
-fn tell<P>(context: &Context<P>, held: Vec<Read>) {
-    if context.fleet.borrow().divided() && !held.is_empty() {
-        context.cache_lookup.tell(Outgoing::Held(held));
+/// Sends cached prompt parts of this gateway's partition to its peers.
+fn send_cached<P>(context: &Context<P>, cached: Vec<Read>) {
+    if context.fleet.borrow().is_partitioned() && !cached.is_empty() {
+        context.cache_lookup.send(Outgoing::Cached(cached));
     }
 }
 
-/// The engines of a service that are this entry's to ask.
-fn part<P>(context: &Context<P>, service: &Service) -> Vec<Chosen> {
+/// Returns the engines of a service in this gateway's partition.
+fn partition<P>(context: &Context<P>, service: &Service) -> Vec<Target> {
     let fleet = context.fleet.borrow();
-    let mut engines = fleet.of(service);
+    let mut engines = fleet.usable_servers(service);
     engines.retain(|engine| fleet.owns(&engine.server));
     engines
 }
 
-fn begin<P: Protocol + 'static>(context: &Rc<Context<P>>, service: &Service) -> Asked {
-    let (told, done) = watch::channel(false);
-    let asked = Asked {
+fn start_lookup<P: Protocol + 'static>(context: &Rc<Context<P>>, service: &Service) -> Lookup {
+    let (finished, done) = watch::channel(false);
+    let lookup = Lookup {
         at: Instant::now(),
-        place: context.fleet.borrow().place(),
+        position: context.fleet.borrow().position(),
         done,
     };
-    let lookup = &context.cache_lookup;
-    let all = &mut *lookup.asked.borrow_mut();
-    all.insert(service.clone(), asked.clone());
-    let mut engines = part(context, service);
-    engines.retain(|engine| lookup.asks(&engine.server));
+    let cache = &context.cache_lookup;
+    let all = &mut *cache.lookups.borrow_mut();
+    all.insert(service.clone(), lookup.clone());
+    let mut engines = partition(context, service);
+    engines.retain(|engine| cache.mark_queried(&engine.server));
     let (context, service) = (context.clone(), service.clone());
     spawn_local(async move {
         let count = engines.len();
-        let calls = engines.into_iter().map(|engine| ask(&context, engine));
+        let calls = engines
+            .into_iter()
+            .map(|engine| query_engine(&context, engine));
         let answers = stream::iter(calls).buffer_unordered(MAX_CONCURRENT_LOOKUPS);
-        let held: Vec<Read> = answers.concat().await;
+        let cached: Vec<Read> = answers.concat().await;
         note!(
             direct::SURVEYED,
             service = service.as_str(),
             engines = count,
-            prompts = held.len(),
-            ms = asked.at.elapsed().as_millis() as u64
+            prompts = cached.len(),
+            ms = lookup.at.elapsed().as_millis() as u64
         );
-        tell(&context, held);
-        // Nobody waits any more when all requests timed out.
-        let _ = told.send(true);
+        send_cached(&context, cached);
+        // No receiver is left when all requests timed out.
+        let _ = finished.send(true);
     });
-    asked
+    lookup
 }
 
-/// Asks an engine what its cache holds.
-async fn ask<P: Protocol>(context: &Context<P>, engine: Chosen) -> Vec<Read> {
+/// Queries the contents of an engine's cache.
+async fn query_engine<P: Protocol>(context: &Context<P>, engine: Target) -> Vec<Read> {
     let protocol = context.sender.protocol();
     let call = context.sender.call(
         &engine,
@@ -322,12 +330,15 @@
         protocol.cache_request(),
         Bytes::new(),
     );
-    // An engine that doesn't answer holds nothing that could be used now.
+    // An engine that doesn't answer counts as having an empty cache.
     let Ok(Ok((head, body))) = timeout(CALL_TIMEOUT, call).await else {
         return Vec::new();
     };
     let parts = protocol.parse_cache(&head, &body).unwrap_or_default();
-    context.fleet.borrow_mut().holds(&parts, &engine.server);
+    context
+        .fleet
+        .borrow_mut()
+        .record_cached(&parts, &engine.server);
     let server = number(&engine.server);
     parts
         .into_iter()
--- a/components/gateway/src/clock.rs
+++ b/components/gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks.
+//! Clock that keeps counting while the host is suspended.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
     clock_gettime, //
 };
 
-/// Time since the host started, with the time that it was suspended.
+/// Returns the time since the host booted, including time that it was suspended.
 ///
-/// The usual monotonic clock stands still while a host is suspended. What must lapse after a true
-/// time, such as the right to accept a key, would be kept too long by it.
+/// `CLOCK_MONOTONIC` stops while a host is suspended. Anything that must expire in real time, such
+/// as the right to accept an API key, would live too long if measured by it.
 pub fn now() -> Clock {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The process: listeners, news, the way out.
+//! Listeners, updates and shutdown of the process.
 
 use std::{
     cell::{
@@ -48,6 +48,7 @@
 
 use crate::{
     accept,
+    admin,
     cache_lookup::{
         self,
         CacheLookup, //
@@ -57,58 +58,57 @@
     fleet::Fleet,
     handle::Context,
     initial_sync::InitialSync,
-    meter::Level,
+    meter::Gauges,
     peers::{
-        Exchange,
+        Channels,
         Outgoing,
         Peers,
         Shared, //
     },
     protocol::Protocol,
     queue::Queue,
-    ready,
     rollout::Report,
     sender::Sender,
     settings::Settings,
     update::Update, //
 };
 
-/// Pace at which idle connections to servers are looked over.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Interval at which idle connections to servers are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1024;
+/// Maximum number of connections that wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
 
-/// Pace at which it is looked whether connections are left.
-const PACE: Duration = Duration::from_millis(20);
+/// Interval at which a shutdown checks for open connections.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Addresses that are bound.
+/// Bound sockets.
 pub struct Listeners {
-    /// Where callers connect.
+    /// Callers' connections.
     pub callers: TcpListener,
-    /// Where the platform asks whether this process takes new connections.
+    /// Readiness endpoint.
     pub ready: TcpListener,
-    /// Where beacons of other gateways come.
+    /// Beacons and messages of other gateways.
     pub peers: UdpSocket,
-    /// Where metrics are asked for.
+    /// Metrics endpoint.
     pub metrics: Option<TcpListener>,
 }
 
-/// A gateway that serves.
+/// A gateway process.
 pub struct Gateway<P> {
     context: Rc<Context<P>>,
-    exchange: Cell<Option<Exchange>>,
-    told: UnboundedSender<Outgoing>,
-    heard: Cell<Option<UnboundedReceiver<Changes>>>,
-    wanted: Cell<Option<UnboundedReceiver<Number>>>,
+    channels: Cell<Option<Channels>>,
+    outgoing: UnboundedSender<Outgoing>,
+    changes: Cell<Option<UnboundedReceiver<Changes>>>,
+    lookup_requests: Cell<Option<UnboundedReceiver<Number>>>,
 }
 
 impl<P: Protocol + 'static> Gateway<P> {
-    /// Prepares a gateway; it knows nothing yet.
+    /// Creates a gateway without a document or servers.
     pub fn new(settings: Settings, protocol: P) -> Gateway<P> {
-        let (told, out) = unbounded_channel();
-        let (inward, heard) = unbounded_channel();
-        let (lookups, wanted) = unbounded_channel();
+        let (outgoing, out) = unbounded_channel();
+        let (incoming, changes) = unbounded_channel();
+        let (lookups, lookup_requests) = unbounded_channel();
         let mut fleet = Fleet::new(rand::random());
         fleet.set_home(&settings.data_centre);
         let context = Context {
@@ -117,73 +117,73 @@
             fresh: Rc::default(),
             fleet: Rc::new(RefCell::new(fleet)),
             sender: Sender::new(Rc::new(protocol)),
-            quotas: Rc::default(),
-            cache_lookup: CacheLookup::new(told.clone()),
+            retry_budgets: Rc::default(),
+            cache_lookup: CacheLookup::new(outgoing.clone()),
             queue: Rc::new(Queue::default()),
             rollouts: Rc::default(),
             initial_sync: InitialSync::default(),
             outlook: RefCell::default(),
-            departure: Rc::default(),
+            shutdown: Rc::default(),
             started: Instant::now(),
             running: Cell::new(0),
             connections: Cell::new(0),
         };
-        let exchange = Exchange {
+        let channels = Channels {
             out,
-            inward,
+            incoming,
             lookups,
         };
         Gateway {
             context: Rc::new(context),
-            exchange: Cell::new(Some(exchange)),
-            told,
-            heard: Cell::new(Some(heard)),
-            wanted: Cell::new(Some(wanted)),
+            channels: Cell::new(Some(channels)),
+            outgoing,
+            changes: Cell::new(Some(changes)),
+            lookup_requests: Cell::new(Some(lookup_requests)),
         }
     }
 
-    /// How current what is known is. Whoever reads the store keeps this up to date.
+    /// Returns how current the document and registry are; the reader of the store updates it.
     pub fn freshness(&self) -> &RefCell<Fresh> {
         &self.context.fresh
     }
 
-    /// Notes that the first reading of the store has ended, or that a call failed.
+    /// Records that the initial read of the store has ended, or that a call failed.
     pub fn end_initial_sync(&self) {
         self.context.initial_sync.end();
     }
 
-    /// Notes that servers may be missing from the register for a time, as it is made anew.
+    /// Records that servers may be missing from the registry for a time, as they register again.
     pub fn await_registrations(&self, time: Duration) {
-        self.context.cache_lookup.registering(time);
+        self.context.cache_lookup.await_registrations(time);
     }
 
-    /// The states of moves that should stand in the store and don't.
+    /// Returns the states of rollouts that are due to be written to the store.
     pub fn pending_reports(&self) -> Vec<Report> {
-        self.context.rollouts.due()
+        self.context.rollouts.pending_reports()
     }
 
-    /// This process's place among those that live.
+    /// Returns the index of this process among the live gateways.
     pub fn position(&self) -> usize {
-        self.context.rollouts.place()
+        self.context.rollouts.position()
     }
 
-    /// Tells peers what was heard from the store, or from another peer.
+    /// Sends changes to peers that were read from the store or received from another peer.
     pub fn send_changes(&self, changes: Changes, reach: Reach) {
-        // Nobody listens any more when the process ends.
-        let _ = self.told.send(Outgoing::Changes(changes, reach));
+        // The receiver is gone when the process exits.
+        let _ = self.outgoing.send(Outgoing::Changes(changes, reach));
     }
 
-    /// What peers heard from the store; to be taken once.
+    /// Returns the receiver of changes that peers read from the store; `None` after the first call.
     pub fn take_changes(&self) -> Option<UnboundedReceiver<Changes>> {
-        self.heard.take()
+        self.changes.take()
     }
 
-    /// Takes news.
+    /// Applies an update.
     pub fn apply(&self, update: Update) {
         match update {
             Update::Document(snapshot) => {
                 let version = snapshot.version;
-                if self.context.document_cache.borrow_mut().learn(snapshot) {
+                if self.context.document_cache.borrow_mut().update(snapshot) {
                     note!(direct::DOCUMENT, version = version);
                 }
             }
@@ -191,41 +191,46 @@
                 registration,
                 since,
             } => {
-                let told = registration.clone();
-                if self.context.fleet.borrow_mut().put(registration, since) {
+                let registered = registration.clone();
+                if self
+                    .context
+                    .fleet
+                    .borrow_mut()
+                    .register(registration, since)
+                {
                     note!(
                         direct::SERVER,
-                        server = told.server.as_str(),
-                        service = told.facts.service.as_str(),
-                        version = told.facts.version.as_str(),
-                        data_centre = told.facts.data_centre.as_str(),
-                        address = told.address.to_string().as_str(),
-                        leaving = told.leaving
+                        server = registered.server.as_str(),
+                        service = registered.facts.service.as_str(),
+                        version = registered.facts.version.as_str(),
+                        data_centre = registered.facts.data_centre.as_str(),
+                        address = registered.address.to_string().as_str(),
+                        leaving = registered.leaving
                     );
-                    cache_lookup::registered(&self.context, &told);
+                    cache_lookup::query_registered(&self.context, &registered);
                 }
             }
             Update::Rollout { service, order } => {
                 let exposure = self.context.settings.borrow().bounds.exposure;
-                self.context.rollouts.order(&service, order, exposure);
+                self.context.rollouts.set_order(&service, order, exposure);
             }
             Update::RolloutState {
                 service,
                 at,
                 to,
                 state,
-            } => self.context.rollouts.stands(&service, at, &to, state),
+            } => self.context.rollouts.apply_state(&service, at, &to, state),
             Update::Deregistered(server) => {
                 note!(direct::GONE, server = server.as_str());
                 let address = self.context.fleet.borrow_mut().remove(&server);
                 if let Some(address) = address {
-                    self.context.sender.forget(address);
+                    self.context.sender.disconnect(address);
                 }
             }
         }
     }
 
-    /// Takes changed settings. Addresses are those of the start.
+    /// Replaces the settings. Listening addresses don't change until a restart.
     pub fn set_settings(&self, settings: Settings) {
         *self.context.settings.borrow_mut() = Rc::new(settings);
     }
@@ -234,94 +239,99 @@
     ///
     /// # Errors
     ///
-    /// When an address can't be bound.
+    /// Fails when an address can't be bound.
     pub fn listen(&self) -> io::Result<Listeners> {
         let settings = self.context.settings.borrow().clone();
         Ok(Listeners {
             callers: listen(settings.callers)?,
             ready: listen(settings.ready)?,
-            peers: datagrams(settings.peers)?,
+            peers: bind_udp(settings.peers)?,
             metrics: settings.metrics.map(listen).transpose()?,
         })
     }
 
-    /// Serves until `stop`, then finishes what is in progress within the grace time.
+    /// Serves until `stop` is cancelled, then waits for requests in progress within the grace time.
     pub async fn run(&self, listeners: Listeners, stop: CancellationToken) {
         let Listeners {
             callers,
-            ready: asked,
+            ready: readiness,
             peers,
             metrics,
         } = listeners;
-        let over = CancellationToken::new();
+        let stopped = CancellationToken::new();
         let close = CancellationToken::new();
-        let accept = accept::run(callers, self.context.clone(), over.clone(), close.clone());
+        let accept = accept::run(
+            callers,
+            self.context.clone(),
+            stopped.clone(),
+            close.clone(),
+        );
         spawn_local(accept);
         let context = self.context.clone();
         let answer = Rc::new(move || match is_ready(&context) {
             true => (StatusCode::OK, String::new()),
             false => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
         });
-        spawn_local(ready::run(asked, answer, over.clone()));
+        spawn_local(admin::run(readiness, answer, stopped.clone()));
         if let Some(metrics) = metrics {
             let (context, handle) = (self.context.clone(), metering::install());
             let answer = Rc::new(move || {
-                level(&context).set();
+                gauges(&context).set();
                 (StatusCode::OK, handle.render())
             });
-            spawn_local(ready::run(metrics, answer, over.clone()));
+            spawn_local(admin::run(metrics, answer, stopped.clone()));
         }
         let context = &self.context;
-        if let Some(exchange) = self.exchange.take() {
+        if let Some(channels) = self.channels.take() {
             let shared = Shared {
                 fleet: context.fleet.clone(),
                 fresh: context.fresh.clone(),
-                quotas: context.quotas.clone(),
+                retry_budgets: context.retry_budgets.clone(),
                 queue: context.queue.clone(),
                 rollouts: context.rollouts.clone(),
-                departure: context.departure.clone(),
+                shutdown: context.shutdown.clone(),
                 settings: context.settings.clone(),
             };
-            let peers = Peers::new(peers, shared, exchange);
-            spawn_local(peers.run(over.clone()));
+            let peers = Peers::new(peers, shared, channels);
+            spawn_local(peers.run(stopped.clone()));
         }
-        if let Some(wanted) = self.wanted.take() {
-            spawn_local(cache_lookup::serve(context.clone(), wanted));
+        if let Some(lookup_requests) = self.lookup_requests.take() {
+            spawn_local(cache_lookup::serve_peers(context.clone(), lookup_requests));
         }
-        let mut pace = interval(SWEEP);
+        let mut ticks = interval(SWEEP_INTERVAL);
         loop {
             tokio::select! {
                 () = stop.cancelled() => break,
-                _ = pace.tick() => self.context.sender.sweep(),
+                _ = ticks.tick() => self.context.sender.close_idle(),
             }
         }
-        self.leave(&over, &close).await;
+        self.drain(&stopped, &close).await;
     }
 
-    async fn leave(&self, over: &CancellationToken, close: &CancellationToken) {
+    async fn drain(&self, stopped: &CancellationToken, close: &CancellationToken) {
         let context = &self.context;
-        context.departure.begin();
+        context.shutdown.begin();
         note!(process::STOPPING, running = context.running.get());
         let grace = context.settings.borrow().bounds.grace;
-        if let Some(at) = context.departure.close() {
+        if let Some(at) = context.shutdown.idle_close_at() {
             sleep_until(at).await;
         }
         close.cancel();
-        let end = context.departure.end(grace).unwrap_or_else(Instant::now);
+        let end = context.shutdown.exit_at(grace).unwrap_or_else(Instant::now);
         while context.connections.get() > 0 && Instant::now() < end {
-            sleep(PACE).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
         if context.running.get() > 0 {
             note!(process::CUT, running = context.running.get());
         }
-        over.cancel();
+        stopped.cancel();
     }
 }
 
-fn level<P>(context: &Context<P>) -> Level {
+fn gauges<P>(context: &Context<P>) -> Gauges {
     let document_cache = context.document_cache.borrow();
     let confirmed = context.fresh.borrow().confirmed();
-    Level {
+    Gauges {
         connections: context.connections.get(),
         running: context.running.get(),
         document: document_cache
@@ -332,14 +342,14 @@
 }
 
 fn is_ready<P: Protocol + 'static>(context: &Context<P>) -> bool {
-    if context.departure.begun() {
+    if context.shutdown.has_begun() {
         return false;
     }
     let settings = context.settings.borrow().clone();
     matches!(context.state(&settings), State::Current(_))
 }
 
-fn datagrams(address: SocketAddr) -> io::Result<UdpSocket> {
+fn bind_udp(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = std::net::UdpSocket::bind(address)?;
     socket.set_nonblocking(true)?;
     UdpSocket::from_std(socket)
@@ -347,8 +357,9 @@
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
-    // A process that comes back finds its port in the time-wait state otherwise.
+    // Without it a restarted process can't bind its port while old connections are in the time-wait
+    // state.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
--- a/components/gateway/src/document_cache.rs
+++ b/components/gateway/src/document_cache.rs
@@ -1,4 +1,4 @@
-//! What the process knows of the operator's document, and since when.
+//! Last known version of the operator's document, and whether it is current.
 
 use std::{
     rc::Rc,
@@ -8,40 +8,41 @@
 use environment::Index;
 use names::Clock;
 
-/// Part of the revocation time for which a confirmation holds. A request is judged by when its
-/// caller sent it, which is before it is read here; the rest is for clocks that run unevenly.
-const HOLDS: f64 = 0.95;
+/// Share of the revocation time for which a confirmation counts as current. A request is judged by
+/// the time at which its caller sent it, which is before it is read here; the remainder covers that
+/// delay and clock drift.
+const CONFIRMATION_SHARE: f64 = 0.95;
 
-/// The document in force here.
+/// Cache of the operator's document.
 #[derive(Debug, Default)]
 pub struct DocumentCache {
     current: Option<Snapshot>,
 }
 
-/// A document with its number.
+/// A version of the document.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Number; it grows with each change.
+    /// Version number; it grows with each change.
     pub version: u64,
-    /// The document.
+    /// Indexed document.
     pub index: Rc<Index>,
 }
 
-/// Whether requests can be decided on.
+/// Whether requests can be decided on the cached document.
 #[derive(Clone, Debug)]
 pub enum State {
     /// No document is known yet.
     Unknown,
-    /// The document may be out of date: a key may have been taken away meanwhile.
+    /// The document may be out of date: an API key may have been revoked since.
     Stale(Snapshot),
-    /// The document is known to have been in force a moment ago.
+    /// The document was confirmed recently enough.
     Current(Snapshot),
 }
 
 impl DocumentCache {
-    /// Takes a document. One that is older than the known one is ignored: within a process's life
-    /// a document never goes back.
-    pub fn learn(&mut self, snapshot: Snapshot) -> bool {
+    /// Stores a document and returns `true` if it is newer than the cached one. Older ones are
+    /// ignored: within the life of a process the version never decreases.
+    pub fn update(&mut self, snapshot: Snapshot) -> bool {
         let known = self.current.as_ref().map(|snapshot| snapshot.version);
         if known >= Some(snapshot.version) {
             return false;
@@ -50,19 +51,20 @@
         true
     }
 
-    /// The newest document that is known.
+    /// Returns the newest known document.
     pub fn snapshot(&self) -> Option<&Snapshot> {
         self.current.as_ref()
     }
 
-    /// What requests can go by now, when all that is known was last known to be complete at
-    /// `confirmed`.
+    /// Returns whether requests can be decided now. `confirmed` is the time at which the document
+    /// was last known to be the newest, and `revocation` the longest time for which a revoked key
+    /// may still work.
     pub fn state(&self, now: Clock, confirmed: Option<Clock>, revocation: Duration) -> State {
         let Some(snapshot) = self.current.clone() else {
             return State::Unknown;
         };
         let age = confirmed.map(|at| now.saturating_sub(at));
-        if age.is_some_and(|age| age <= revocation.mul_f64(HOLDS)) {
+        if age.is_some_and(|age| age <= revocation.mul_f64(CONFIRMATION_SHARE)) {
             return State::Current(snapshot);
         }
         State::Stale(snapshot)
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The backend servers: where they are, and what is sent to them.
+//! Known backend servers, and the work that is sent to them.
 
 use std::{
     collections::{
@@ -46,88 +46,90 @@
     update::Registration, //
 };
 
-mod charge;
 mod exchange;
+mod in_flight;
 
-pub use charge::Charge;
+pub use in_flight::InFlight;
 
-/// A load for a log line: three places tell all there is to see.
-pub fn rounded(load: f64) -> f64 {
+/// Rounds a load to three decimal places for a log line.
+pub fn round_load(load: f64) -> f64 {
     (load * 1000.0).round() / 1000.0
 }
 
-/// What a connection that didn't come about says of its server.
-pub fn suspicion(error: &upstream::Error) -> Suspicion {
+/// Returns the suspicion that a failed connection raises against its server.
+pub fn suspicion_for(error: &upstream::Error) -> Suspicion {
     match error {
         upstream::Error::Timeout => Suspicion::Dark,
         _ => Suspicion::Refused,
     }
 }
 
-/// Prompts that are told to peers; those that were read last.
-const PROMPTS: usize = 24;
+/// Maximum number of recently processed prompts that are sent to peers.
+const MAX_RECENT_PROMPTS: usize = 24;
 
-/// Servers that are remembered as over. Runs last minutes at most.
-const OVER: usize = 256;
+/// Maximum number of replaced servers that are remembered. Runs last minutes at most.
+const MAX_REPLACED_SERVERS: usize = 256;
 
-/// Backend servers that are known.
+/// Known backend servers.
 pub struct Fleet {
     placement: Placement,
     addresses: HashMap<Server, SocketAddr>,
-    /// The same the other way round: who stands at an address.
-    standing: HashMap<SocketAddr, Server>,
+    /// Reverse index of `addresses`.
+    servers_by_address: HashMap<SocketAddr, Server>,
     /// Servers by their numbers in beacons.
-    numbers: HashMap<Number, Server>,
-    /// Work changed since the last beacon.
+    servers_by_number: HashMap<Number, Server>,
+    /// Whether work changed since the last beacon.
     changed: bool,
-    /// Servers at which own work changed since peers of the data centre were told.
-    changed_at: HashSet<Server>,
-    /// Wakes who tells them.
-    wake: Rc<Notify>,
-    /// Newest sequence number of each peer's messages on its work.
+    /// Servers whose work of this gateway changed since the last message to peers of the data
+    /// centre.
+    changed_servers: HashSet<Server>,
+    /// Wakes the task that sends these messages.
+    loads_notify: Rc<Notify>,
+    /// Highest sequence number of each peer's load messages.
     loads_sequences: HashMap<Incarnation, u64>,
-    /// Prompts that were read for this entry: the last part, the server, and when that was.
+    /// Prompts that were processed for this gateway: last part, server and time.
     prompts: VecDeque<(Part, Server, Clock)>,
-    /// Servers that were found to be over, as another stands at their address; the newest last.
-    over: VecDeque<Server>,
+    /// Servers whose address was taken by another one, oldest first.
+    replaced: VecDeque<Server>,
     rng: SmallRng,
 }
 
-/// A server that was chosen.
+/// A chosen server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Chosen {
-    /// Its name.
+pub struct Target {
+    /// Name.
     pub server: Server,
-    /// Its address.
+    /// Address.
     pub address: SocketAddr,
     /// Version of its software.
     pub version: Version,
-    /// Where it is.
+    /// Data centre.
     pub data_centre: DataCentre,
-    /// What it was chosen by.
+    /// Figures of the choice, for logs.
     pub why: Why,
 }
 
 impl Fleet {
-    /// A fleet without servers.
+    /// Creates a fleet without servers.
     pub fn new(seed: u64) -> Fleet {
         Fleet {
             placement: Placement::default(),
             addresses: HashMap::new(),
-            standing: HashMap::new(),
-            numbers: HashMap::new(),
+            servers_by_address: HashMap::new(),
+            servers_by_number: HashMap::new(),
             changed: false,
-            changed_at: HashSet::new(),
-            wake: Rc::default(),
+            changed_servers: HashSet::new(),
+            loads_notify: Rc::default(),
             loads_sequences: HashMap::new(),
             prompts: VecDeque::new(),
-            over: VecDeque::new(),
+            replaced: VecDeque::new(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Takes a registration that was written at `since` or later; tells whether it is news.
-    pub fn put(&mut self, registration: Registration, since: Clock) -> bool {
+    /// Applies a registration that was written at `since` or later; returns whether it changed
+    /// anything.
+    pub fn register(&mut self, registration: Registration, since: Clock) -> bool {
         let Registration {
             server,
             address,
@@ -141,54 +143,58 @@
         if same {
             return false;
         }
-        // A server that starts anew has a new name and its old address.
-        let before = self.standing.get(&address).cloned();
+        // A restarted server has a new name and its previous address.
+        let before = self.servers_by_address.get(&address).cloned();
         if let Some(before) = before.filter(|before| *before != server) {
-            self.replaced(&before);
+            self.mark_replaced(&before);
         }
         self.placement.put(clock::now(), &server, facts, leaving);
-        self.numbers.insert(beacon::number(&server), server.clone());
+        self.servers_by_number
+            .insert(beacon::number(&server), server.clone());
         if let Some(moved) = self.addresses.insert(server.clone(), address) {
-            self.standing.remove(&moved);
+            self.servers_by_address.remove(&moved);
         }
-        self.standing.insert(address, server);
+        self.servers_by_address.insert(address, server);
         true
     }
 
-    /// Notes that another server stands at a server's address: what ran there is lost.
-    pub fn replaced(&mut self, server: &Server) -> Option<SocketAddr> {
-        self.over.push_back(server.clone());
-        if self.over.len() > OVER {
-            self.over.pop_front();
+    /// Records that another server took over a server's address: the runs of the former are lost.
+    /// Returns the address.
+    pub fn mark_replaced(&mut self, server: &Server) -> Option<SocketAddr> {
+        self.replaced.push_back(server.clone());
+        if self.replaced.len() > MAX_REPLACED_SERVERS {
+            self.replaced.pop_front();
         }
         self.remove(server)
     }
 
-    /// Whether a server is over, as another stands at its address.
-    pub fn is_over(&self, server: &Server) -> bool {
-        self.over.contains(server)
+    /// Returns whether another server took over a server's address.
+    pub fn is_replaced(&self, server: &Server) -> bool {
+        self.replaced.contains(server)
     }
 
-    /// Forgets a server.
+    /// Removes a server and returns its address.
     pub fn remove(&mut self, server: &Server) -> Option<SocketAddr> {
         self.placement.remove(server);
-        self.numbers.remove(&beacon::number(server));
+        self.servers_by_number.remove(&beacon::number(server));
         let address = self.addresses.remove(server)?;
-        self.standing.remove(&address);
+        self.servers_by_address.remove(&address);
         Some(address)
     }
 
-    /// The servers of a service that can be used.
-    pub fn of(&self, service: &Service) -> Vec<Chosen> {
+    /// Returns the usable servers of a service.
+    pub fn usable_servers(&self, service: &Service) -> Vec<Target> {
         let serves = |server: &&Server| {
             let facts = self.placement.facts(server);
             facts.is_some_and(|facts| facts.service == *service)
         };
         let servers = self.placement.servers().filter(serves);
-        servers.filter_map(|server| self.named(server)).collect()
+        servers
+            .filter_map(|server| self.usable_server(server))
+            .collect()
     }
 
-    /// Whether any server of a service is known.
+    /// Returns whether any server of a service is known.
     pub fn serves(&self, service: &Service) -> bool {
         let mut servers = self.placement.servers();
         servers.any(|server| {
@@ -197,19 +203,19 @@
         })
     }
 
-    /// A server by its name, if it can be used.
-    pub fn named(&self, server: &Server) -> Option<Chosen> {
-        if !self.usable(server) {
+    /// Returns a server by name, if it is usable.
+    pub fn usable_server(&self, server: &Server) -> Option<Target> {
+        if !self.is_usable(server) {
             return None;
         }
-        self.chosen(Choice {
+        self.target(Choice {
             server: server.clone(),
             why: Why::default(),
         })
     }
 
-    /// How many more requests with some work the servers of a service could begin now, with their
-    /// first events within a time.
+    /// Returns how many more requests of some work the servers of a service can start now with the
+    /// first event within a time.
     pub fn room(
         &self,
         service: &Service,
@@ -221,17 +227,18 @@
         self.placement.room(now, service, versions, work, within)
     }
 
-    /// Part of the memory of a service's servers that is taken.
-    pub fn fill(&self, service: &Service) -> f64 {
+    /// Returns the share of the memory of a service's servers that is in use.
+    pub fn memory_use(&self, service: &Service) -> f64 {
         self.placement.fill(clock::now(), service)
     }
 
-    /// Chooses a server for work.
-    pub fn choose(&mut self, request: &Request<'_>) -> Option<Chosen> {
+    /// Chooses a server for a request.
+    pub fn choose(&mut self, request: &Request<'_>) -> Option<Target> {
         let now = clock::now();
         let choice = self.placement.choose(now, request, &mut self.rng);
         let choice = match (choice, request.versions) {
-            // A version that should get samples may have no server yet; any other can serve them.
+            // The new version of a rollout may have no server yet; any other version can serve the
+            // request.
             (None, Versions::Only(version)) => {
                 let others = Request {
                     versions: Versions::Not(version),
@@ -241,21 +248,21 @@
             }
             (choice, _) => choice,
         };
-        self.chosen(choice?)
+        self.target(choice?)
     }
 
-    /// Chooses a server for the copy of a run's memory, if one has room.
-    pub fn choose_backup(&mut self, request: &Request<'_>) -> Option<Chosen> {
+    /// Chooses a server for the copy of a run's KV cache, if one has memory for it.
+    pub fn choose_backup(&mut self, request: &Request<'_>) -> Option<Target> {
         let now = clock::now();
         let choice = self.placement.choose_backup(now, request, &mut self.rng)?;
-        self.chosen(choice)
+        self.target(choice)
     }
 
-    fn chosen(&self, choice: Choice) -> Option<Chosen> {
+    fn target(&self, choice: Choice) -> Option<Target> {
         let Choice { server, why } = choice;
         let address = *self.addresses.get(&server)?;
         let facts = self.placement.facts(&server)?;
-        Some(Chosen {
+        Some(Target {
             version: facts.version.clone(),
             data_centre: facts.data_centre.clone(),
             server,
@@ -264,30 +271,32 @@
         })
     }
 
-    /// Usual time of a plain request of a service; 0 when nothing is known.
-    pub fn usual(&self, service: &Service) -> Duration {
+    /// Returns the average time of a plain request of a service; 0 when there are no samples.
+    pub fn average_time(&self, service: &Service) -> Duration {
         self.placement.usual(service).unwrap_or_default()
     }
 
-    /// Time that a first event of work that was just sent usually takes; 0 when nothing is known.
-    pub fn expected(&self, chosen: &Chosen) -> Duration {
-        self.placement.expected(&chosen.server).unwrap_or_default()
+    /// Returns the usual time to the first event of work that was just sent; 0 when it is unknown.
+    pub fn expected_first_event(&self, target: &Target) -> Duration {
+        self.placement.expected(&target.server).unwrap_or_default()
     }
 
-    /// The same at a server of the same service that has nothing else to read.
-    pub fn alone(&self, chosen: &Chosen, unread: u64) -> Duration {
+    /// Returns the usual time to the first event at a server of the same service without other
+    /// prompts to process; 0 when it is unknown.
+    pub fn unloaded_first_event(&self, target: &Target, unread: u64) -> Duration {
         self.placement
-            .alone(&chosen.server, unread)
+            .alone(&target.server, unread)
             .unwrap_or_default()
     }
 
-    /// Tokens at the beginning of a prompt that a server is believed to have.
-    pub fn known(&self, parts: &[(Part, u32)], server: &Server) -> u64 {
+    /// Returns the number of tokens at the beginning of a prompt that a server is expected to have
+    /// cached.
+    pub fn cached_tokens(&self, parts: &[(Part, u32)], server: &Server) -> u64 {
         self.placement.known(clock::now(), parts, server)
     }
 
-    /// Notes that a server has read a prompt, and may have it for a while.
-    pub fn has_read(&mut self, parts: &[(Part, u32)], server: &Server) {
+    /// Records that a server processed a prompt and has it cached for a while.
+    pub fn record_prompt(&mut self, parts: &[(Part, u32)], server: &Server) {
         let now = clock::now();
         self.placement.has_read(now, parts, server);
         let Some((last, _)) = parts.last() else {
@@ -295,49 +304,49 @@
         };
         self.prompts.retain(|(part, _, _)| part != last);
         self.prompts.push_back((*last, server.clone(), now));
-        if self.prompts.len() > PROMPTS {
+        if self.prompts.len() > MAX_RECENT_PROMPTS {
             self.prompts.pop_front();
         }
         self.changed = true;
     }
 
-    /// Whether a server is believed to have a part of a prompt.
-    pub fn found(&self, part: (Part, u32)) -> bool {
+    /// Returns whether any server is expected to have a prompt part cached.
+    pub fn is_cached(&self, part: (Part, u32)) -> bool {
         let now = clock::now();
         let mut servers = self.placement.servers();
         servers.any(|server| self.placement.known(now, &[part], server) > 0)
     }
 
-    /// Notes what a server says that its cache holds.
-    pub fn holds(&mut self, parts: &[(Part, u32)], server: &Server) {
+    /// Records the prompt parts that a server reported as cached.
+    pub fn record_cached(&mut self, parts: &[(Part, u32)], server: &Server) {
         self.placement.has_read(clock::now(), parts, server);
     }
 
-    /// Notes that a server should get no new work for a while.
-    pub fn lost(&mut self, server: &Server, suspicion: Suspicion) {
+    /// Records a failure of a server, which gets no new work for a while.
+    pub fn suspect(&mut self, server: &Server, suspicion: Suspicion) {
         self.placement.lost(clock::now(), server, suspicion);
         self.changed = true;
     }
 
-    /// Time since a server, or its data centre, was last found dark.
-    pub fn doubted(&self, server: &Server) -> Option<Duration> {
+    /// Returns the time since a server or its data centre was last found unreachable.
+    pub fn suspected_for(&self, server: &Server) -> Option<Duration> {
         let now = clock::now();
         let at = self.placement.doubted(now, server)?;
         Some(now.saturating_sub(at))
     }
 
-    /// Notes that a server answered.
-    pub fn alive(&mut self, server: &Server) {
+    /// Records that a server answered.
+    pub fn mark_alive(&mut self, server: &Server) {
         self.placement.alive(clock::now(), server);
     }
 
-    /// Whether a server takes work, as far as its registration says.
-    pub fn open(&self, server: &Server) -> bool {
+    /// Returns whether a server accepts work according to its registration.
+    pub fn accepts_work(&self, server: &Server) -> bool {
         self.placement.open(server)
     }
 
-    /// Whether a server takes work and can be reached as far as is known.
-    pub fn usable(&self, server: &Server) -> bool {
+    /// Returns whether a server accepts work and is not suspected to be unreachable.
+    pub fn is_usable(&self, server: &Server) -> bool {
         self.placement.usable(clock::now(), server)
     }
 }
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -1,4 +1,4 @@
-//! What entries tell one another of work at backend servers.
+//! Exchange of server loads and failures with other gateways.
 
 use std::{
     collections::HashMap,
@@ -30,31 +30,32 @@
     fleet::Fleet, //
 };
 
-/// Age up to which prompts are told: runs usually end within, and their callers come back at once.
-const TOLD: Duration = Duration::from_secs(12);
+/// Maximum age of prompts in a beacon: runs usually end within it, and callers of a failed gateway
+/// reconnect at once.
+const MAX_PROMPT_AGE: Duration = Duration::from_secs(12);
 
 impl Fleet {
-    /// Work and losses for a beacon.
-    pub fn tell(&mut self, beacon: &mut Beacon) {
+    /// Adds loads, prompts and lost servers to a beacon.
+    pub fn fill_beacon(&mut self, beacon: &mut Beacon) {
         self.changed = false;
         let own = self.placement.own();
         beacon
             .loads
             .extend(own.map(|(server, work)| load(server, work)));
-        self.tell_prompts(beacon);
+        self.fill_prompts(beacon);
         for (server, age, suspicion) in self.placement.losses(clock::now()) {
             beacon.losses.push(Loss {
                 server: beacon::number(server),
                 age_ms: age.as_millis() as u32,
-                suspicion: told(suspicion),
+                suspicion: to_beacon(suspicion),
             });
         }
     }
 
-    fn tell_prompts(&self, beacon: &mut Beacon) {
+    fn fill_prompts(&self, beacon: &mut Beacon) {
         let now = clock::now();
         for (part, server, at) in &self.prompts {
-            if now.saturating_sub(*at) > TOLD {
+            if now.saturating_sub(*at) > MAX_PROMPT_AGE {
                 continue;
             }
             beacon.prompts.push(Read {
@@ -64,34 +65,37 @@
         }
     }
 
-    /// Notes where this entry is.
+    /// Sets the data centre of this gateway.
     pub fn set_home(&mut self, home: &DataCentre) {
         self.placement.set_home(home);
     }
 
-    /// What is notified when own work changes.
-    pub fn wake(&self) -> Rc<Notify> {
-        self.wake.clone()
+    /// Returns the handle that is notified when this gateway's work changes.
+    pub fn loads_notify(&self) -> Rc<Notify> {
+        self.loads_notify.clone()
     }
 
-    /// Own work at servers where it changed since the last call, for peers of the data centre.
+    /// Returns this gateway's work at servers where it changed since the last call, for peers of
+    /// the data centre.
     pub fn take_changed(&mut self) -> Vec<Load> {
-        let changed = std::mem::take(&mut self.changed_at);
+        let changed = std::mem::take(&mut self.changed_servers);
         let load = |server: &Server| load(server, self.placement.own_work(server));
         changed.iter().map(load).collect()
     }
 
-    /// Notes that own work at a server changed. Only peers of a divided fleet are told at once.
+    /// Records that this gateway's work at a server changed. Peers are notified at once only in a
+    /// partitioned fleet.
     pub(super) fn mark_changed(&mut self, server: &Server) {
         self.changed = true;
-        if !self.divided() {
+        if !self.is_partitioned() {
             return;
         }
-        self.changed_at.insert(server.clone());
-        self.wake.notify_one();
+        self.changed_servers.insert(server.clone());
+        self.loads_notify.notify_one();
     }
 
-    /// Takes the work of a peer of the data centre; `false` when newer work is known.
+    /// Applies the load message of a peer in the data centre; returns `false` if a newer one was
+    /// applied before.
     pub fn apply_loads(&mut self, message: &Loads) -> bool {
         let newest = self.loads_sequences.entry(message.incarnation).or_default();
         if *newest >= message.sequence {
@@ -99,7 +103,7 @@
         }
         *newest = message.sequence;
         for load in &message.loads {
-            if let Some(server) = self.numbers.get(&load.server) {
+            if let Some(server) = self.servers_by_number.get(&load.server) {
                 self.placement
                     .set_peer_work(message.incarnation, server, work(load));
             }
@@ -107,65 +111,66 @@
         true
     }
 
-    /// Takes what engines told a peer that they hold.
-    pub fn held(&mut self, reads: &[Read]) {
+    /// Applies prompts that a peer found in the caches of engines.
+    pub fn apply_cached(&mut self, reads: &[Read]) {
         let now = clock::now();
         for read in reads {
-            if let Some(server) = self.numbers.get(&read.server) {
+            if let Some(server) = self.servers_by_number.get(&read.server) {
                 self.placement.has_read(now, &[(read.part, 0)], server);
             }
         }
     }
 
-    /// Takes what a peer tells.
-    pub fn hear(&mut self, beacon: &Beacon) {
+    /// Applies a peer's beacon.
+    pub fn apply_beacon(&mut self, beacon: &Beacon) {
         let mut loads = HashMap::with_capacity(beacon.loads.len());
         for load in &beacon.loads {
-            let Some(server) = self.numbers.get(&load.server) else {
+            let Some(server) = self.servers_by_number.get(&load.server) else {
                 continue;
             };
             loads.insert(server.clone(), work(load));
         }
         self.placement.peer(beacon.incarnation, loads);
-        self.held(&beacon.prompts);
+        self.apply_cached(&beacon.prompts);
         let now = clock::now();
         for loss in &beacon.losses {
-            let Some(server) = self.numbers.get(&loss.server) else {
+            let Some(server) = self.servers_by_number.get(&loss.server) else {
                 continue;
             };
             let at = now.saturating_sub(Duration::from_millis(u64::from(loss.age_ms)));
-            self.placement.peer_lost(at, server, heard(loss.suspicion));
+            self.placement
+                .peer_lost(at, server, from_beacon(loss.suspicion));
         }
     }
 
-    /// Forgets the work of a peer that ended or fell silent.
-    pub fn forget(&mut self, peer: Incarnation) {
+    /// Removes the work of a peer that ended or stopped sending.
+    pub fn remove_peer(&mut self, peer: Incarnation) {
         self.loads_sequences.remove(&peer);
         self.placement.forget(peer);
     }
 
-    /// Notes this entry's place among all, and their number.
-    pub fn stand(&mut self, place: (usize, usize)) {
+    /// Sets the index of this gateway among all, and their number.
+    pub fn set_position(&mut self, place: (usize, usize)) {
         self.placement.stand(place);
     }
 
-    /// This entry's place among all, and their number.
-    pub fn place(&self) -> (usize, usize) {
+    /// Returns the index of this gateway among all, and their number.
+    pub fn position(&self) -> (usize, usize) {
         self.placement.place()
     }
 
-    /// Whether the entries are so many that each has a part of the servers.
-    pub fn divided(&self) -> bool {
+    /// Returns whether there are so many gateways that each has a partition of the servers.
+    pub fn is_partitioned(&self) -> bool {
         self.placement.divided()
     }
 
-    /// Whether a server is of this entry's part.
+    /// Returns whether a server belongs to this gateway's partition.
     pub fn owns(&self, server: &Server) -> bool {
         self.placement.owns(server)
     }
 
-    /// Whether there is news for peers.
-    pub fn changed(&self) -> bool {
+    /// Returns whether there are changes for the next beacon.
+    pub fn has_changes(&self) -> bool {
         self.changed
     }
 }
@@ -187,7 +192,7 @@
     }
 }
 
-fn told(suspicion: Suspicion) -> beacon::Suspicion {
+fn to_beacon(suspicion: Suspicion) -> beacon::Suspicion {
     match suspicion {
         Suspicion::Refused => beacon::Suspicion::Refused,
         Suspicion::Dark => beacon::Suspicion::Dark,
@@ -196,7 +201,7 @@
     }
 }
 
-fn heard(suspicion: beacon::Suspicion) -> Suspicion {
+fn from_beacon(suspicion: beacon::Suspicion) -> Suspicion {
     match suspicion {
         beacon::Suspicion::Refused => Suspicion::Refused,
         beacon::Suspicion::Dark => Suspicion::Dark,
--- a/components/gateway/src/fleet/charge.rs
+++ b/components/gateway/src/fleet/in_flight.rs
@@ -1,4 +1,4 @@
-//! Work at backend servers, counted while it lasts.
+//! Accounting of requests in flight at backend servers.
 
 use std::{
     cell::RefCell,
@@ -17,25 +17,26 @@
     fleet::Fleet, //
 };
 
-/// Work at a server, counted until it is dropped.
-pub struct Charge {
+/// Work at a server that is counted until it is dropped.
+pub struct InFlight {
     fleet: Rc<RefCell<Fleet>>,
     server: Server,
     work: Work,
-    /// Tokens of prompts that were to be read at the server when the work was sent, its own too.
+    /// Prompt tokens that the server had to process when the work was sent, including those of this
+    /// request.
     ahead: u64,
     outcome: Outcome,
 }
 
-impl Charge {
+impl InFlight {
     /// Counts work that is about to be sent.
-    pub fn new(fleet: &Rc<RefCell<Fleet>>, server: &Server, work: Work) -> Charge {
+    pub fn new(fleet: &Rc<RefCell<Fleet>>, server: &Server, work: Work) -> InFlight {
         let mut inner = fleet.borrow_mut();
         inner.placement.sent(clock::now(), server, work);
         inner.mark_changed(server);
         let ahead = inner.placement.unread(server);
         drop(inner);
-        Charge {
+        InFlight {
             fleet: fleet.clone(),
             server: server.clone(),
             work,
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Notes that the prompt was read, a time after it was sent.
-    pub fn read(&mut self, time: Duration) {
+    /// Records that the prompt was processed within `time`.
+    pub fn prompt_processed(&mut self, time: Duration) {
         let unread = std::mem::take(&mut self.work.unread);
         let mut fleet = self.fleet.borrow_mut();
         fleet.mark_changed(&self.server);
@@ -54,13 +55,13 @@
             .read(clock::now(), &self.server, unread, self.ahead, time);
     }
 
-    /// Notes how it ended; without this it counts as cancelled.
-    pub fn end(&mut self, outcome: Outcome) {
+    /// Sets the outcome; it defaults to cancelled.
+    pub fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 }
 
-impl Drop for Charge {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let mut fleet = self.fleet.borrow_mut();
         fleet.mark_changed(&self.server);
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to its answer.
+//! Handles a request from its arrival to its response.
 
 use std::{
     cell::{
@@ -55,7 +55,6 @@
     body::Body,
     cache_lookup::CacheLookup, //
     clock,
-    departure::Departure,
     document_cache::{
         DocumentCache,
         State, //
@@ -69,106 +68,107 @@
         Protocol,
     },
     queue::Queue,
-    quotas::Quotas,
     refuse::{
-        Basis,
+        DocumentInfo,
         Refusal, //
     },
+    retry_budget::RetryBudgets,
     rollout::Rollouts,
     sender::{
-        Packet,
+        BufferedRequest,
         Sender, //
     },
     settings::Settings,
+    shutdown::Shutdown,
     stream,
 };
 
-/// Time for the body of a request where the document gives none.
-const BODY: Duration = Duration::from_secs(10);
+/// Timeout of a request's body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a request needs.
+/// Shared state of the gateway.
 pub struct Context<P> {
     /// Settings of the process.
     pub settings: Rc<RefCell<Rc<Settings>>>,
-    /// The document.
+    /// Operator's document.
     pub document_cache: RefCell<DocumentCache>,
-    /// How current it is.
+    /// How current the document is.
     pub fresh: Rc<RefCell<Fresh>>,
-    /// The backend servers.
+    /// Backend servers.
     pub fleet: Rc<RefCell<Fleet>>,
-    /// The way to them.
+    /// Client for backend servers.
     pub sender: Sender<P>,
-    /// Retries of each service.
-    pub quotas: Rc<RefCell<Quotas>>,
-    /// What engines said of their caches.
+    /// Retry budget of each service.
+    pub retry_budgets: Rc<RefCell<RetryBudgets>>,
+    /// Lookups of the engines' caches.
     pub cache_lookup: CacheLookup,
-    /// Streams that wait for an engine.
+    /// Queue of streams that wait for an engine.
     pub queue: Rc<Queue>,
-    /// Moves between versions.
+    /// Rollouts of new versions.
     pub rollouts: Rc<Rollouts>,
-    /// The first call to the store.
+    /// Initial read of the store.
     pub initial_sync: InitialSync,
-    /// How long answers take.
+    /// Estimates of how long answers take.
     pub outlook: RefCell<Outlook>,
-    /// The process's way out.
-    pub departure: Rc<Departure>,
+    /// Graceful shutdown.
+    pub shutdown: Rc<Shutdown>,
     /// When the process started.
     pub started: Instant,
     /// Requests in progress.
     pub running: Cell<usize>,
-    /// Callers' connections.
+    /// Open connections of callers.
     pub connections: Cell<usize>,
 }
 
-/// A request that was understood and may be sent. Clones share what is sent.
+/// An admitted request. Clones share the request that is sent.
 #[derive(Clone)]
 pub struct Call {
-    /// What is sent.
-    pub packet: Rc<Packet>,
-    /// The route that it matched.
+    /// The buffered request.
+    pub request: Rc<BufferedRequest>,
+    /// Route that it matched.
     pub route: Route,
-    /// How requests of its route are passed through.
+    /// How requests of the route are forwarded.
     pub pass: Pass,
-    /// Where it goes.
+    /// Service to which it is sent.
     pub service: Service,
-    /// Whose it is.
+    /// The caller's team.
     pub team: Option<Team>,
-    /// What it was admitted by.
-    pub basis: Basis,
-    /// When it came.
+    /// Document on which it was admitted.
+    pub document: DocumentInfo,
+    /// When it arrived.
     pub arrived: Instant,
-    /// When the caller gets a final answer, whatever it is.
+    /// Time by which the caller gets a final response, whatever it is.
     pub until: Instant,
-    /// The servers copy a run's memory to one another.
+    /// Whether the servers replicate the KV caches of runs to one another.
     pub backups: bool,
-    /// How long a copy is kept that isn't used.
+    /// How long an unused copy of a KV cache is kept.
     pub copy_kept: Duration,
 }
 
 impl Call {
-    /// Time that is left for the caller.
-    pub fn left(&self) -> Option<Duration> {
-        let deadline = self.packet.metadata.deadline?;
+    /// Returns the time until the caller's deadline.
+    pub fn time_left(&self) -> Option<Duration> {
+        let deadline = self.request.metadata.deadline?;
         let left = self.arrived + deadline;
         Some(left.saturating_duration_since(Instant::now()))
     }
 
-    /// Logs a refusal, and gives its answer.
+    /// Logs a rejection and returns its response.
     pub fn refuse(&self, refusal: &Refusal) -> Response<Body> {
-        refusal.tell(&self.packet.metadata.id, self.arrived, &self.basis)
+        refusal.respond(&self.request.metadata.id, self.arrived, &self.document)
     }
 
-    /// The work of its prompt.
+    /// Returns the size of the generation.
     pub fn prompt(&self) -> Option<&Prompt> {
-        self.packet.metadata.prompt.as_ref()
+        self.request.metadata.prompt.as_ref()
     }
 }
 
 impl<P: Protocol + 'static> Context<P> {
-    /// Answers a request.
+    /// Handles a request.
     pub async fn serve(self: &Rc<Self>, request: Request<Incoming>) -> Response<Body> {
         self.running.set(self.running.get() + 1);
-        let running = Running(self.clone());
+        let running = RunningGuard(self.clone());
         let mut response = match self.admit(request).await {
             Ok(call) if call.pass.stream => stream::run(self, call).await,
             Ok(call) => plain::run(self, call).await,
@@ -178,19 +178,19 @@
         response
     }
 
-    /// What decisions go by now, for logs.
-    fn basis(&self) -> Basis {
+    /// Returns the document on which decisions are based now, for logs.
+    fn document_info(&self) -> DocumentInfo {
         let document_cache = self.document_cache.borrow();
         let confirmed = self.fresh.borrow().confirmed();
-        Basis {
-            document: document_cache
+        DocumentInfo {
+            version: document_cache
                 .snapshot()
                 .map_or(0, |snapshot| snapshot.version),
             age: confirmed.map(|at| clock::now().saturating_sub(at)),
         }
     }
 
-    /// What requests can go by now.
+    /// Returns whether requests can be decided now.
     pub fn state(&self, settings: &Settings) -> State {
         let confirmed = self.fresh.borrow().confirmed();
         let revocation = settings.bounds.revocation;
@@ -199,35 +199,36 @@
             .state(clock::now(), confirmed, revocation)
     }
 
-    /// Counts a send of a request; `false` when it is a retry and there is none left.
+    /// Counts a send of a request. Returns `false` when it is a retry and the budget is used up.
     pub fn may_send(&self, service: &Service, first: bool, purpose: Purpose) -> bool {
         let bound = self.settings.borrow().bounds.retries();
-        let mut quotas = self.quotas.borrow_mut();
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
         if first {
-            quotas.request(service, &bound);
+            retry_budgets.count_request(service, &bound);
             return true;
         }
-        quotas.retry(service, &bound, purpose)
+        retry_budgets.take_retry(service, &bound, purpose)
     }
 
-    /// How the engines of a service work.
+    /// Returns the engine parameters of a service.
     fn engine<'a>(index: &'a Index, service: &Service) -> Option<&'a Engine> {
         let provision = index.document().service(service)?;
         provision.direct.as_ref()?.engine.as_ref()
     }
 
-    /// Lets a request wait for the first reading of the store, while what it needs isn't known yet.
-    async fn synced(&self, metadata: &Metadata, known: impl FnOnce() -> bool) {
-        if self.initial_sync.over() || known() {
+    /// Lets a request wait for the initial read of the store, unless what it needs is `known`
+    /// already.
+    async fn wait_for_sync(&self, metadata: &Metadata, known: impl FnOnce() -> bool) {
+        if self.initial_sync.has_ended() || known() {
             return;
         }
-        let came = Instant::now();
+        let began = Instant::now();
         self.initial_sync.wait(metadata.deadline).await;
         note!(
             direct::OPENED,
             id = metadata.id.as_str(),
-            document = self.basis().document,
-            waited_ms = came.elapsed().as_millis() as u64
+            document = self.document_info().version,
+            waited_ms = began.elapsed().as_millis() as u64
         );
     }
 
@@ -238,41 +239,46 @@
             .sender
             .protocol()
             .parse_request(&parts)
-            .map_err(|error| Refusal::Flawed(error).tell("", arrived, &Basis::default()))?;
-        let documented = || self.document_cache.borrow().snapshot().is_some();
-        self.synced(&metadata, documented).await;
-        let basis = self.basis();
-        let refuse = |refusal: Refusal| refusal.tell(&metadata.id, arrived, &basis);
+            .map_err(|error| {
+                Refusal::InvalidHeader(error).respond("", arrived, &DocumentInfo::default())
+            })?;
+        let has_document = || self.document_cache.borrow().snapshot().is_some();
+        self.wait_for_sync(&metadata, has_document).await;
+        let document = self.document_info();
+        let refuse = |refusal: Refusal| refusal.respond(&metadata.id, arrived, &document);
         let settings = self.settings.borrow().clone();
         let snapshot = match self.state(&settings) {
             State::Current(snapshot) => snapshot,
             State::Unknown | State::Stale(_) => {
-                return Err(refuse(Refusal::Unsure));
+                return Err(refuse(Refusal::StaleDocument));
             }
         };
         let index = &snapshot.index;
-        let (rule, pass, service, team) = route(index, &parts, &metadata).map_err(refuse)?;
-        // A large register is read page by page, and the first ones may show no server of the service.
-        let registered = || self.fleet.borrow().serves(&service);
-        self.synced(&metadata, registered).await;
+        let (rule, pass, service, team) = match_route(index, &parts, &metadata).map_err(refuse)?;
+        // A large registry is read page by page, and the first pages may contain no server of the
+        // service.
+        let has_server = || self.fleet.borrow().serves(&service);
+        self.wait_for_sync(&metadata, has_server).await;
         let grace = settings.bounds.grace;
-        if !self.departure.admits(&rule, pass.objective, grace) {
-            return Err(refuse(Refusal::Leaving(self.departure.retry_after())));
+        if !self.shutdown.admits(&rule, pass.objective, grace) {
+            return Err(refuse(Refusal::ShuttingDown(self.shutdown.retry_after())));
         }
         let bounds = index.document().callers.as_ref();
-        let body = read(&parts, body, bounds, arrived).await.map_err(refuse)?;
+        let body = read_body(&parts, body, bounds, arrived)
+            .await
+            .map_err(refuse)?;
         let longest = Duration::from_secs(3600);
-        let most = pass.timeout.unwrap_or(longest);
-        let most = metadata
+        let limit = pass.timeout.unwrap_or(longest);
+        let limit = metadata
             .deadline
-            .map_or(most, |deadline| deadline.min(most));
+            .map_or(limit, |deadline| deadline.min(limit));
         let engine = Self::engine(index, &service);
         Ok(Call {
             backups: engine.is_some_and(|engine| engine.backups),
             copy_kept: engine.map(|engine| engine.copy_kept).unwrap_or_default(),
-            basis,
+            document,
             route: rule,
-            packet: Rc::new(Packet {
+            request: Rc::new(BufferedRequest {
                 parts,
                 metadata,
                 body,
@@ -281,44 +287,44 @@
             service,
             team,
             arrived,
-            until: arrived + most,
+            until: arrived + limit,
         })
     }
 }
 
-struct Running<P: 'static>(Rc<Context<P>>);
+struct RunningGuard<P: 'static>(Rc<Context<P>>);
 
-impl<P> Drop for Running<P> {
+impl<P> Drop for RunningGuard<P> {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
 }
 
-fn route(
+fn match_route(
     index: &Index,
     parts: &Parts,
     metadata: &Metadata,
 ) -> Result<(Route, Pass, Service, Option<Team>), Refusal> {
-    let host = host(parts).ok_or(Refusal::NoRoute)?;
+    let host = requested_host(parts).ok_or(Refusal::NoRoute)?;
     let found = index.find(host, parts.uri.path()).ok_or(Refusal::NoRoute)?;
     let team = metadata.key.as_deref().and_then(|key| index.team(key));
     if team.is_none() && index.keyed() && !found.pass.public {
         return Err(Refusal::NoKey);
     }
-    let service = share(found.pass, &found.rule.service, &metadata.id);
+    let service = split_service(found.pass, &found.rule.service, &metadata.id);
     let route = found.rule.name.clone();
     Ok((route, found.pass.clone(), service, team.cloned()))
 }
 
-/// The host that a request names, without its port.
-fn host(parts: &Parts) -> Option<&str> {
+/// Returns the host that a request names, without its port.
+fn requested_host(parts: &Parts) -> Option<&str> {
     let named = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = named.or(parts.uri.host())?;
     Some(host.split(':').next().unwrap_or(host))
 }
 
-/// Picks the service of a split route by the request's id.
-fn share(pass: &Pass, service: &Service, id: &str) -> Service {
+/// Picks the service of a split route by the hash of the request's id.
+fn split_service(pass: &Pass, service: &Service, id: &str) -> Service {
     let sum: u64 = pass.split.iter().map(|share| u64::from(share.weight)).sum();
     if sum == 0 {
         return service.clone();
@@ -345,37 +351,37 @@
     hasher.finish()
 }
 
-async fn read(
+async fn read_body(
     parts: &Parts,
     mut body: Incoming,
     bounds: Option<&Bounds>,
     arrived: Instant,
 ) -> Result<Bytes, Refusal> {
-    let most = bounds.map_or(usize::MAX, |bounds| bounds.body_bytes);
-    let told = parts
+    let limit = bounds.map_or(usize::MAX, |bounds| bounds.body_bytes);
+    let declared = parts
         .headers
         .get(CONTENT_LENGTH)
         .and_then(|length| length.to_str().ok()?.parse::<usize>().ok());
-    if told.is_some_and(|length| length > most) {
-        return Err(Refusal::Long);
+    if declared.is_some_and(|length| length > limit) {
+        return Err(Refusal::BodyTooLong);
     }
-    let until = arrived + BODY;
+    let until = arrived + BODY_TIMEOUT;
     let mut whole = BytesMut::new();
     loop {
         let frame = timeout_at(until, body.frame()).await;
         let frame = match frame {
-            Err(_) => return Err(Refusal::Slow),
+            Err(_) => return Err(Refusal::BodyTimeout),
             Ok(None) => return Ok(whole.freeze()),
-            Ok(Some(Err(_))) => return Err(Refusal::Slow),
+            Ok(Some(Err(_))) => return Err(Refusal::BodyTimeout),
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > most {
-            return Err(Refusal::Long);
+        if whole.len() + data.len() > limit {
+            return Err(Refusal::BodyTooLong);
         }
-        if whole.is_empty() && told == Some(data.len()) {
+        if whole.is_empty() && declared == Some(data.len()) {
             return Ok(data);
         }
         whole.extend_from_slice(&data);
--- a/components/gateway/src/initial_sync.rs
+++ b/components/gateway/src/initial_sync.rs
@@ -1,43 +1,45 @@
-//! Requests that come before the first reading of the store has shown what they need.
+//! Holds requests that arrive before the initial read of the store is complete.
 //!
-//! A process that starts again has its place behind the balancer at once, but knows no document for
-//! the time of its first call to the store, mostly some 20 ms, and in a large fleet no server of some
-//! service for longer. After all processes ended together, many callers whose answers broke off come
-//! back in that time, and most come back only once: a rejection then loses the request. So it waits
-//! for the reading to end.
+//! A restarted process gets connections from the balancer at once, but has no document until its
+//! first call to the store returns, usually after some 20 ms, and in a large fleet it has no server
+//! of some services for longer. When all processes failed together, many callers whose answers were
+//! cut reconnect in that time, and most of them retry only once, so a rejection would lose the
+//! request. Such requests wait for the read to complete.
 
 use std::time::Duration;
 
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-/// Part of the caller's time that a request may wait; seven eighths are left for its answer.
+/// Share of the caller's deadline that a request may wait, as a divisor; seven eighths remain for
+/// its answer.
 const MAX_WAIT_SHARE: u32 = 8;
 
-/// Longest wait. A call to the store that takes longer is given up, and the store is out.
+/// Longest wait. A call to the store that takes longer is abandoned, and the store counts as
+/// unavailable.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// Whether the first reading of the store is still under way.
+/// Whether the initial read of the store is still running.
 #[derive(Debug, Default)]
 pub struct InitialSync {
-    over: CancellationToken,
+    ended: CancellationToken,
 }
 
 impl InitialSync {
-    /// Notes that the store was read, or that a call failed.
+    /// Records that the store was read, or that a call to it failed.
     pub fn end(&self) {
-        self.over.cancel();
+        self.ended.cancel();
     }
 
-    /// Whether the first reading has ended.
-    pub fn over(&self) -> bool {
-        self.over.is_cancelled()
+    /// Returns whether the initial read has ended.
+    pub fn has_ended(&self) -> bool {
+        self.ended.is_cancelled()
     }
 
-    /// Waits for the end of the first reading, within the time that a request can spare.
+    /// Waits for the end of the initial read, for at most a share of the request's deadline.
     pub async fn wait(&self, deadline: Option<Duration>) {
         let spare = deadline.map_or(MAX_WAIT, |deadline| MAX_WAIT.min(deadline / MAX_WAIT_SHARE));
-        // Whether a document is known then is seen from the document.
-        let _ = timeout(spare, self.over.cancelled()).await;
+        // The caller checks the document cache afterwards, so a timeout needs no handling here.
+        let _ = timeout(spare, self.ended.cancelled()).await;
     }
 }
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,15 +1,16 @@
-//! The entry's direct path: callers' HTTP routes, passed through as bytes to backend servers that
-//! the entry reaches itself, without sidecars.
+//! The gateway's data path: accepts callers' HTTP requests and forwards them as bytes directly to
+//! backend servers, without sidecars.
 //!
-//! The decisions stand in crates of their own (`routing`, `answer`, `environment`, `admission`);
-//! this crate drives them. What the platform calls things is known to an [`edge::Edge`] alone.
+//! Routing, placement, failure and admission decisions are made by crates of their own (`routing`,
+//! `answer`, `environment`, `admission`); this crate drives them. Everything specific to the
+//! platform's HTTP is behind the [`protocol::Protocol`] trait.
 
 mod accept;
+mod admin;
 mod body;
 mod cache_lookup;
 pub mod clock;
 pub mod daemon;
-mod departure;
 pub mod document_cache;
 mod fleet;
 mod handle;
@@ -19,12 +20,12 @@
 mod plain;
 pub mod protocol;
 mod queue;
-mod quotas;
-mod ready;
 mod refuse;
+mod retry_budget;
 pub mod rollout;
 mod sender;
 pub mod settings;
+mod shutdown;
 mod stream;
 pub mod update;
 
--- a/components/gateway/src/meter.rs
+++ b/components/gateway/src/meter.rs
@@ -1,5 +1,5 @@
-//! Counters and histograms of the direct path. Names, units and labels stand in
-//! docs/operators/metrics.md; labels have few values, whatever callers send.
+//! Metrics of the data path. Names, units and labels are listed in docs/operators/metrics.md.
+//! Labels take few values, whatever callers send.
 
 use std::time::Duration;
 
@@ -9,56 +9,56 @@
     histogram, //
 };
 
-/// What became of a request.
+/// Counts a finished request by outcome, and records its duration.
 pub fn outcome(outcome: &'static str, time: Duration) {
     counter!("medlarhatch_requests_total", "outcome" => outcome).increment(1);
     histogram!("medlarhatch_request_seconds", "outcome" => outcome).record(time);
 }
 
-/// An answer of the gateway's own.
+/// Counts a request that the gateway rejected.
 pub fn refused(reason: &'static str) {
     counter!("medlarhatch_refusals_total", "reason" => reason).increment(1);
 }
 
-/// What came of one send to a backend server.
+/// Counts an attempt at a backend server by its result.
 pub fn send(ending: &'static str) {
     counter!("medlarhatch_sends_total", "ending" => ending).increment(1);
 }
 
-/// A run that was lost.
+/// Counts a lost run by reason.
 pub fn loss(reason: &'static str) {
     counter!("medlarhatch_losses_total", "reason" => reason).increment(1);
 }
 
-/// A stream that goes on elsewhere, and what its caller waited for the next event.
+/// Counts a stream that was resumed, and records the caller's wait for the next event.
 pub fn resumed(from: &'static str, gap: Duration) {
     counter!("medlarhatch_resumes_total", "from" => from).increment(1);
     histogram!("medlarhatch_resume_seconds").record(gap);
 }
 
-/// The first event of a stream.
-pub fn first(time: Duration) {
+/// Records the time from a request to the first event of its stream.
+pub fn first_event(time: Duration) {
     histogram!("medlarhatch_first_event_seconds").record(time);
 }
 
-/// The longest time between two events of a stream.
-pub fn gap(time: Duration) {
+/// Records the longest time between two events of a stream.
+pub fn event_gap(time: Duration) {
     histogram!("medlarhatch_event_gap_seconds").record(time);
 }
 
-/// What the process has open, and what it knows.
-pub struct Level {
-    /// Callers' connections.
+/// Values of the gauges.
+pub struct Gauges {
+    /// Open connections of callers.
     pub connections: usize,
     /// Requests in progress.
     pub running: usize,
-    /// Number of the document in force.
+    /// Version of the current document.
     pub document: u64,
-    /// Time since what is known was last known to be complete.
+    /// Time since the document was last confirmed.
     pub age: Option<Duration>,
 }
 
-impl Level {
+impl Gauges {
     /// Sets the gauges.
     pub fn set(&self) {
         gauge!("medlarhatch_connections").set(self.connections as f64);
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! Beacons between gateways, over UDP.
+//! Beacons and messages between gateways, over UDP.
 
 use std::{
     cell::RefCell,
@@ -45,121 +45,124 @@
 
 use crate::{
     clock,
-    departure::Departure,
     fleet::Fleet,
     queue::Queue,
-    quotas::Quotas,
+    retry_budget::RetryBudgets,
     rollout::Rollouts,
     settings::Settings, //
+    shutdown::Shutdown,
 };
 
-/// Bytes that are kept free for the echo and the message's kind.
+/// Bytes of a datagram that are reserved for the echo and the message's kind.
 const ECHO_BYTES: usize = 34;
 
-/// Servers in one message on work that changed: with its frame it fits a datagram.
+/// Maximum number of servers in a load message, so that it fits a datagram.
 const MAX_LOADS: usize = 50;
 
-/// Prompts in one datagram: with their frame they fit it.
+/// Maximum number of prompts in a cache message, so that it fits a datagram.
 const MAX_READS: usize = 80;
 
-/// Pace at which it is looked whether there is news.
+/// Interval at which changes for a beacon are polled.
 const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(30);
 
-/// The peers' side of a gateway.
+/// Sends and receives the messages between gateways.
 pub struct Peers {
     socket: UdpSocket,
     table: Table,
     shared: Shared,
-    told: Option<Clock>,
-    exchange: Exchange,
+    last_claim: Option<Clock>,
+    channels: Channels,
     reassembly: Reassembly,
     incarnation: u64,
     sequence: u64,
-    /// Sequence number of messages on work that changed.
+    /// Sequence number of load messages.
     loads_sequence: u64,
-    /// Bytes of the last beacon.
+    /// Size of the last beacon in bytes.
     size: usize,
-    /// There are addresses that no beacon went to yet.
-    grown: bool,
+    /// Whether addresses were learned that got no beacon yet.
+    new_addresses: bool,
 }
 
-/// What peers tell one another of.
+/// State that is exchanged with peers.
 pub struct Shared {
-    /// Work at servers, and servers that were lost.
+    /// Load of servers, and lost servers.
     pub fleet: Rc<RefCell<Fleet>>,
-    /// How current what is known is.
+    /// How current the document and registry are.
     pub fresh: Rc<RefCell<Fresh>>,
-    /// Retries.
-    pub quotas: Rc<RefCell<Quotas>>,
-    /// Requests that wait.
+    /// Retry budgets.
+    pub retry_budgets: Rc<RefCell<RetryBudgets>>,
+    /// Waiting requests.
     pub queue: Rc<Queue>,
-    /// Moves between versions.
+    /// Rollouts of new versions.
     pub rollouts: Rc<Rollouts>,
-    /// The process's way out.
-    pub departure: Rc<Departure>,
+    /// Graceful shutdown.
+    pub shutdown: Rc<Shutdown>,
     /// Settings of the process.
     pub settings: Rc<RefCell<Rc<Settings>>>,
 }
 
-/// What this process has for its peers besides beacons.
+/// Messages of this process to its peers besides beacons.
 #[derive(Clone, Debug)]
 pub enum Outgoing {
-    /// What it heard from the store.
+    /// Changes read from the store.
     Changes(Changes, Reach),
-    /// A caller came back whose prompt may be at any engine of a service.
+    /// Request to query the engines of a service, as a caller reconnected whose prompt may be
+    /// cached at any of them.
     Lookup(Number),
-    /// What engines hold, as they said.
-    Held(Vec<Read>),
+    /// Prompt parts that engines reported as cached.
+    Cached(Vec<Read>),
 }
 
-/// The other side of what goes to peers, and comes from them.
-pub struct Exchange {
-    /// What is for the peers.
+/// Channels between the gateway and its peers.
+pub struct Channels {
+    /// Messages to the peers.
     pub out: UnboundedReceiver<Outgoing>,
-    /// What peers heard from the store.
-    pub inward: UnboundedSender<Changes>,
-    /// Services whose engines peers want to be asked.
+    /// Changes that peers read from the store.
+    pub incoming: UnboundedSender<Changes>,
+    /// Services whose engines peers ask to query.
     pub lookups: UnboundedSender<Number>,
 }
 
 impl Peers {
-    /// Prepares beacons on a socket.
-    pub fn new(socket: UdpSocket, shared: Shared, exchange: Exchange) -> Peers {
+    /// Creates the peer exchange on a socket.
+    pub fn new(socket: UdpSocket, shared: Shared, channels: Channels) -> Peers {
         let incarnation = rand::random();
         let seeds = shared.settings.borrow().seeds.clone();
         Peers {
             socket,
             table: Table::new(incarnation, seeds),
             shared,
-            told: None,
-            exchange,
+            last_claim: None,
+            channels,
             reassembly: Reassembly::default(),
             incarnation,
             sequence: 0,
             loads_sequence: 0,
             size: 0,
-            grown: true,
+            new_addresses: true,
         }
     }
 
-    /// Sends and takes beacons until `stop`.
+    /// Sends and receives messages until `stop` is cancelled.
     pub async fn run(mut self, stop: CancellationToken) {
-        let changed = self.shared.fleet.borrow().wake();
+        let loads_changed = self.shared.fleet.borrow().loads_notify();
         let mut sent = Instant::now();
         let mut bytes = vec![0; MAX_DATAGRAM];
         loop {
             let now = Instant::now();
             let confirmed = self.shared.fresh.borrow().confirmed();
-            self.grown |= self.table.grown();
-            let news = self.grown || self.shared.fleet.borrow().changed() || confirmed != self.told;
-            let due = sent + self.table.pace(news, self.size);
-            if now >= due {
-                self.size = self.send().await;
+            self.new_addresses |= self.table.grown();
+            let news = self.new_addresses
+                || self.shared.fleet.borrow().has_changes()
+                || confirmed != self.last_claim;
+            let next_send = sent + self.table.pace(news, self.size);
+            if now >= next_send {
+                self.size = self.send_beacons().await;
                 sent = now;
                 self.tick();
                 continue;
             }
-            let wake = due.min(
+            let wake = next_send.min(
                 now + if news {
                     POLL_INTERVAL
                 } else {
@@ -169,18 +172,18 @@
             tokio::select! {
                 () = stop.cancelled() => return,
                 () = sleep_until(wake) => {}
-                () = changed.notified() => self.send_loads(),
-                outgoing = self.exchange.out.recv() => match outgoing {
+                () = loads_changed.notified() => self.send_loads(),
+                outgoing = self.channels.out.recv() => match outgoing {
                     None => {}
-                    Some(Outgoing::Changes(changes, reach)) => self.pass_on(changes, reach),
-                    Some(Outgoing::Lookup(service)) => self.tell(&Message::Lookup(service)),
-                    Some(Outgoing::Held(reads)) => {
+                    Some(Outgoing::Changes(changes, reach)) => self.send_changes(changes, reach),
+                    Some(Outgoing::Lookup(service)) => self.broadcast(&Message::Lookup(service)),
+                    Some(Outgoing::Cached(reads)) => {
                         for reads in reads.chunks(MAX_READS) {
-                            self.tell(&Message::Held(reads.to_vec()));
+                            self.broadcast(&Message::Held(reads.to_vec()));
                         }
                     }
                 },
-                received = self.socket.recv_from(&mut bytes) => self.take(received, &bytes),
+                received = self.socket.recv_from(&mut bytes) => self.receive(received, &bytes),
             }
         }
     }
@@ -189,13 +192,13 @@
         let mut fleet = self.shared.fleet.borrow_mut();
         for silent in self.table.silent(clock::now()) {
             note!(links::SILENT, peer = silent, alive = self.table.place().1);
-            fleet.forget(silent);
-            self.shared.queue.forget(silent);
-            self.shared.quotas.borrow_mut().forget(silent);
+            fleet.remove_peer(silent);
+            self.shared.queue.remove_peer(silent);
+            self.shared.retry_budgets.borrow_mut().remove_peer(silent);
         }
-        fleet.stand(self.table.place());
-        self.shared.queue.stand(self.table.place().1);
-        self.shared.rollouts.stand(self.table.place());
+        fleet.set_position(self.table.place());
+        self.shared.queue.set_gateways(self.table.place().1);
+        self.shared.rollouts.set_position(self.table.place());
         drop(fleet);
         let settings = self.shared.settings.borrow();
         let near = self.table.place_near(&settings.data_centre);
@@ -204,40 +207,40 @@
             .borrow_mut()
             .stand(self.table.place(), near);
         let neighbours = self.table.neighbours(&settings.data_centre);
-        self.shared.departure.set_neighbours(neighbours);
+        self.shared.shutdown.set_neighbours(neighbours);
         self.table.reseed_from(&settings.seeds);
     }
 
-    async fn send(&mut self) -> usize {
+    async fn send_beacons(&mut self) -> usize {
         self.sequence += 1;
-        self.grown = false;
+        self.new_addresses = false;
         let settings = self.shared.settings.borrow().clone();
         let mut beacon = Beacon {
             host: settings.host.clone(),
             incarnation: self.incarnation,
             data_centre: settings.data_centre.clone(),
             sequence: self.sequence,
-            leaving: self.shared.departure.begun(),
+            leaving: self.shared.shutdown.has_begun(),
             known: self.table.known(),
             peers: self.table.count() as u32,
             ..Beacon::default()
         };
-        self.shared.fleet.borrow_mut().tell(&mut beacon);
-        self.shared.queue.tell(&mut beacon);
-        self.shared.rollouts.tell(&mut beacon);
+        self.shared.fleet.borrow_mut().fill_beacon(&mut beacon);
+        self.shared.queue.fill_beacon(&mut beacon);
+        self.shared.rollouts.fill_beacon(&mut beacon);
         let bound = settings.bounds.retries();
-        beacon.sends = self.shared.quotas.borrow_mut().sends(&bound);
+        beacon.sends = self.shared.retry_budgets.borrow_mut().sends(&bound);
         let now = clock::now();
         let claim = self.shared.fresh.borrow().claim();
-        self.told = claim.map(|claim| claim.at);
+        self.last_claim = claim.map(|claim| claim.at);
         beacon.stamp = now.as_millis() as u64;
         beacon.pace_ms = self.table.pace(false, self.size).as_millis() as u32;
         beacon.fresh = claim.map(|claim| Age {
             revision: claim.revision,
-            // Rounded up: it may look older than it is, never newer.
+            // Rounded up: the claim may look older than it is, never newer.
             ms: now.saturating_sub(claim.at).as_millis() as u64 + 1,
         });
-        fit(&mut beacon);
+        shrink_to_fit(&mut beacon);
         let mut size = 0;
         for target in self.table.targets() {
             if target == settings.peers {
@@ -245,13 +248,14 @@
             }
             beacon.echo = self.table.echo(now, target);
             let message = Message::Beacon(Box::new(beacon.clone()));
-            size = self.post(&message, target);
+            size = self.send_to(&message, target);
         }
         size
     }
 
-    /// Sends a message; returns its size. A peer that can't be reached hears the next one.
-    fn post(&self, message: &Message, target: SocketAddr) -> usize {
+    /// Sends a message and returns its size. A send that fails isn't repeated; the next message
+    /// supersedes it.
+    fn send_to(&self, message: &Message, target: SocketAddr) -> usize {
         let Ok(bytes) = postcard::to_stdvec(message) else {
             return 0;
         };
@@ -259,18 +263,18 @@
         bytes.len()
     }
 
-    /// Passes changes on to the peers, in as many datagrams as it takes.
-    fn pass_on(&self, changes: Changes, reach: Reach) {
+    /// Sends changes to the peers, in as many datagrams as needed.
+    fn send_changes(&self, changes: Changes, reach: Reach) {
         let home = self.shared.settings.borrow().data_centre.clone();
         let audience = self.table.audience(&home, reach);
         for message in beacon::split(changes) {
             for target in &audience {
-                self.post(&message, *target);
+                self.send_to(&message, *target);
             }
         }
     }
 
-    /// Tells the data centre's other processes of work that changed, and of retries.
+    /// Sends the changed loads and the retries to the other gateways of the data centre.
     fn send_loads(&mut self) {
         let loads = self.shared.fleet.borrow_mut().take_changed();
         if loads.is_empty() {
@@ -278,7 +282,7 @@
         }
         let settings = self.shared.settings.borrow().clone();
         let bound = settings.bounds.retries();
-        let sends = self.shared.quotas.borrow_mut().sends(&bound);
+        let sends = self.shared.retry_budgets.borrow_mut().sends(&bound);
         let targets = self.table.peers_near(&settings.data_centre);
         for loads in loads.chunks(MAX_LOADS) {
             self.loads_sequence += 1;
@@ -289,59 +293,59 @@
                 sends: sends.clone(),
             });
             for target in &targets {
-                self.post(&message, *target);
+                self.send_to(&message, *target);
             }
         }
     }
 
-    /// Sends a message to all peers that are heard.
-    fn tell(&self, message: &Message) {
+    /// Sends a message to all live peers.
+    fn broadcast(&self, message: &Message) {
         for target in self.table.peers() {
-            self.post(message, target);
+            self.send_to(message, target);
         }
     }
 
-    /// Takes changes from a peer that is heard.
-    fn heard(&self, from: SocketAddr, changes: Changes) {
+    /// Forwards changes from a live peer.
+    fn forward_changes(&self, from: SocketAddr, changes: Changes) {
         if self.table.knows(from) {
-            // Nobody listens any more when the process ends.
-            let _ = self.exchange.inward.send(changes);
+            // The receiver is gone when the process exits.
+            let _ = self.channels.incoming.send(changes);
         }
     }
 
-    fn take(&mut self, received: io::Result<(usize, SocketAddr)>, bytes: &[u8]) {
+    fn receive(&mut self, received: io::Result<(usize, SocketAddr)>, bytes: &[u8]) {
         let Ok((length, from)) = received else {
             return;
         };
         let beacon = match postcard::from_bytes(&bytes[..length]) {
             Ok(Message::Beacon(beacon)) => beacon,
             Ok(Message::Changes(changes)) => {
-                self.heard(from, changes);
+                self.forward_changes(from, changes);
                 return;
             }
             Ok(Message::Fragment(fragment)) => {
                 if let Some(changes) = self.reassembly.add(from, fragment) {
-                    self.heard(from, changes);
+                    self.forward_changes(from, changes);
                 }
                 return;
             }
             Ok(Message::Loads(loads)) => {
                 if self.table.knows(from) && self.shared.fleet.borrow_mut().apply_loads(&loads) {
-                    let mut quotas = self.shared.quotas.borrow_mut();
-                    quotas.hear(loads.incarnation, &loads.sends, true);
+                    let mut retry_budgets = self.shared.retry_budgets.borrow_mut();
+                    retry_budgets.apply_sends(loads.incarnation, &loads.sends, true);
                 }
                 return;
             }
             Ok(Message::Lookup(service)) => {
                 if self.table.knows(from) {
-                    // Nobody asks any more when the process ends.
-                    let _ = self.exchange.lookups.send(service);
+                    // The receiver is gone when the process exits.
+                    let _ = self.channels.lookups.send(service);
                 }
                 return;
             }
             Ok(Message::Held(reads)) => {
                 if self.table.knows(from) {
-                    self.shared.fleet.borrow_mut().held(&reads);
+                    self.shared.fleet.borrow_mut().apply_cached(&reads);
                 }
                 return;
             }
@@ -359,7 +363,7 @@
         };
         let addresses = self.table.introduction(clock::now(), from);
         if !addresses.is_empty() {
-            self.post(&Message::Introduction(addresses), from);
+            self.send_to(&Message::Introduction(addresses), from);
         }
         if back {
             note!(
@@ -371,24 +375,24 @@
         }
         let mut fleet = self.shared.fleet.borrow_mut();
         if let Some(ended) = ended {
-            fleet.forget(ended);
-            self.shared.queue.forget(ended);
-            self.shared.quotas.borrow_mut().forget(ended);
+            fleet.remove_peer(ended);
+            self.shared.queue.remove_peer(ended);
+            self.shared.retry_budgets.borrow_mut().remove_peer(ended);
         }
-        fleet.hear(&beacon);
-        self.shared.queue.hear(&beacon);
-        self.shared.rollouts.hear(&beacon);
+        fleet.apply_beacon(&beacon);
+        self.shared.queue.apply_beacon(&beacon);
+        self.shared.rollouts.apply_beacon(&beacon);
         let near = beacon.data_centre == self.shared.settings.borrow().data_centre;
-        let mut quotas = self.shared.quotas.borrow_mut();
-        quotas.hear(beacon.incarnation, &beacon.sends, near);
+        let mut retry_budgets = self.shared.retry_budgets.borrow_mut();
+        retry_budgets.apply_sends(beacon.incarnation, &beacon.sends, near);
         if let Some(claim) = beacon.claim(self.incarnation) {
             self.shared.fresh.borrow_mut().hear(clock::now(), claim);
         }
     }
 }
 
-/// Leaves out the smallest loads of a beacon that is too long for a datagram.
-fn fit(beacon: &mut Beacon) {
+/// Drops the smallest loads of a beacon that is too long for a datagram.
+fn shrink_to_fit(beacon: &mut Beacon) {
     let loads = &mut beacon.loads;
     loads.sort_unstable_by_key(|load| std::cmp::Reverse(load.unread + load.tokens));
     while postcard::to_stdvec(&*beacon).is_ok_and(|bytes| bytes.len() > MAX_DATAGRAM - ECHO_BYTES) {
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -1,4 +1,4 @@
-//! Requests whose answer comes as a whole.
+//! Requests with a single response that isn't a stream.
 
 use std::{
     rc::Rc,
@@ -51,10 +51,10 @@
         Body, //
     },
     fleet::{
-        Charge,
-        Chosen,
-        rounded,
-        suspicion, //
+        InFlight,
+        Target,
+        round_load,
+        suspicion_for, //
     },
     handle::{
         Call,
@@ -66,40 +66,41 @@
         Protocol,
     },
     refuse::{
-        COME_BACK,
+        DEFAULT_RETRY_AFTER,
         Refusal, //
     },
-    rollout::Pick,
+    rollout::Selection,
     sender::Failure, //
 };
 
-/// Longest answer that is read whole before the caller gets it, in bytes.
-const WHOLE: usize = 256 * 1024;
+/// Maximum size of a response that is buffered before the caller gets it, in bytes.
+const MAX_BUFFERED_RESPONSE: usize = 256 * 1024;
 
-/// Multiple of the usual time of an answer after which a request that may be repeated is sent to a
-/// second server.
-const HEDGE: f64 = 3.0;
+/// Multiple of the average response time after which a repeatable request is hedged with a second
+/// server.
+const HEDGE_DELAY_FACTOR: f64 = 3.0;
 
-/// Bounds of that time, as parts of the objective: sooner costs a send for little, later is late.
-const HEDGE_WITHIN: (f64, f64) = (0.2, 0.6);
+/// Bounds of the hedge delay as shares of the latency objective: an earlier hedge costs an attempt
+/// for little gain, a later one is too late.
+const HEDGE_DELAY_BOUNDS: (f64, f64) = (0.2, 0.6);
 
-/// The work of a plain call.
-const WORK: Work = Work {
+/// Work of a plain request.
+const PLAIN_WORK: Work = Work {
     requests: 1,
     tokens: 0,
     unread: 0,
 };
 
-/// Answers a request.
+/// Handles a plain request.
 pub async fn run<P: Protocol + 'static>(context: &Rc<Context<P>>, call: Call) -> Response<Body> {
     let class = match call.pass.repeats {
         Repeats::Always => Class::Repeatable,
         Repeats::Never | Repeats::Resumes => Class::Once,
     };
-    let plain = Plain {
+    let plain = PlainRequest {
         context,
         sends: Sends::new(class, call.pass.attempts),
-        pick: context.rollouts.pick(&call.service, &call.route),
+        selection: context.rollouts.select(&call.service, &call.route),
         call,
         class,
         tried: Vec::new(),
@@ -109,129 +110,130 @@
     plain.run().await
 }
 
-/// One request from its arrival to its answer.
-struct Plain<'a, P> {
+/// A plain request and its attempts.
+struct PlainRequest<'a, P> {
     context: &'a Rc<Context<P>>,
     call: Call,
-    /// Versions that it may go to.
-    pick: Pick,
+    /// Versions that may serve it.
+    selection: Selection,
     class: Class,
     sends: Sends,
-    /// Servers that it was sent to.
+    /// Servers to which it was sent.
     tried: Vec<Server>,
-    /// Sends that were counted and reached no server.
+    /// Counted sends that reached no server; further sends are offset against them.
     unsent: u32,
-    /// The last answer of a server.
+    /// Last response of a server.
     answer: Option<Response<Body>>,
 }
 
-/// What came of one send, and the server's answer if there was one.
-struct End {
+/// Result of one attempt, and the server's response if there was one.
+struct Attempt {
     ending: Ending,
     answer: Option<Response<Body>>,
 }
 
-impl<P: Protocol + 'static> Plain<'_, P> {
+impl<P: Protocol + 'static> PlainRequest<'_, P> {
     async fn run(mut self) -> Response<Body> {
-        while let Some(chosen) = self.next() {
+        while let Some(target) = self.next() {
             let until = self.call.until;
-            let Ok(ends) = timeout_at(until, self.race(chosen)).await else {
-                return self.late();
+            let Ok(results) = timeout_at(until, self.race(target)).await else {
+                return self.timed_out();
             };
             let mut verdict = Verdict::Send;
-            for end in ends {
-                self.unsent += u32::from(end.ending == Ending::Unsent);
-                self.answer = end.answer.or(self.answer.take());
-                verdict = self.sends.ended(end.ending);
+            for result in results {
+                self.unsent += u32::from(result.ending == Ending::Unsent);
+                self.answer = result.answer.or(self.answer.take());
+                verdict = self.sends.ended(result.ending);
             }
             if verdict != Verdict::Send {
-                return self.tell(verdict);
+                return self.finish(verdict);
             }
         }
         let verdict = self.sends.give_up();
-        self.tell(verdict)
+        self.finish(verdict)
     }
 
-    /// Chooses the next server, if there is one and another send is allowed.
-    fn next(&mut self) -> Option<Chosen> {
+    /// Chooses the next server, if there is one and the retry budget allows another send.
+    fn next(&mut self) -> Option<Target> {
         let home = self.context.settings.borrow().data_centre.clone();
         let request = Request {
             service: &self.call.service,
             home: &home,
-            work: WORK,
+            work: PLAIN_WORK,
             parts: &[],
-            versions: self.pick.versions(),
+            versions: self.selection.versions(),
             avoid: &self.tried,
             avoid_data_centre: None,
         };
-        let chosen = self.context.fleet.borrow_mut().choose(&request)?;
+        let target = self.context.fleet.borrow_mut().choose(&request)?;
         let first = self.tried.is_empty();
         let service = &self.call.service;
-        // Only what may reach a server counts.
+        // A send that can't have reached a server doesn't count.
         if self.unsent > 0 {
             self.unsent -= 1;
         } else if !self.context.may_send(service, first, Purpose::First) {
             return None;
         }
-        self.tried.push(chosen.server.clone());
-        Some(chosen)
+        self.tried.push(target.server.clone());
+        Some(target)
     }
 
-    /// Sends the request; to a second server too when the first takes long and it may be repeated.
-    async fn race(&mut self, chosen: Chosen) -> Vec<End> {
+    /// Sends the request to a server, and to a second one too when it is repeatable and the first
+    /// response takes long.
+    async fn race(&mut self, target: Target) -> Vec<Attempt> {
         let (context, call) = (self.context.clone(), self.call.clone());
-        let first = attempt(&context, &call, &chosen);
+        let first = attempt(&context, &call, &target);
         let mut first = std::pin::pin!(first);
         if self.class == Class::Once || self.sends.left() < 2 {
             return vec![first.await];
         }
-        let hedge = sleep(self.hedge());
-        if let Either::Left((end, _)) = select(first.as_mut(), std::pin::pin!(hedge)).await {
-            return vec![end];
+        let hedge = sleep(self.hedge_delay());
+        if let Either::Left((result, _)) = select(first.as_mut(), std::pin::pin!(hedge)).await {
+            return vec![result];
         }
-        let Some(chosen) = self.next() else {
+        let Some(target) = self.next() else {
             return vec![first.await];
         };
-        let second = attempt(&context, &call, &chosen);
+        let second = attempt(&context, &call, &target);
         let second = std::pin::pin!(second);
-        let (end, other) = match select(first, second).await {
-            Either::Left((end, other)) => (end, Either::Left(other)),
-            Either::Right((end, other)) => (end, Either::Right(other)),
+        let (result, other) = match select(first, second).await {
+            Either::Left((result, other)) => (result, Either::Left(other)),
+            Either::Right((result, other)) => (result, Either::Right(other)),
         };
-        if end.ending == Ending::Answered {
-            return vec![end];
+        if result.ending == Ending::Answered {
+            return vec![result];
         }
         let last = match other {
             Either::Left(other) => other.await,
             Either::Right(other) => other.await,
         };
-        vec![end, last]
+        vec![result, last]
     }
 
-    fn hedge(&self) -> Duration {
+    fn hedge_delay(&self) -> Duration {
         let objective = self.call.pass.objective;
-        let usual = self.context.fleet.borrow().usual(&self.call.service);
-        let (least, most) = HEDGE_WITHIN;
-        usual
-            .mul_f64(HEDGE)
-            .clamp(objective.mul_f64(least), objective.mul_f64(most))
+        let average = self.context.fleet.borrow().average_time(&self.call.service);
+        let (shortest, longest) = HEDGE_DELAY_BOUNDS;
+        average
+            .mul_f64(HEDGE_DELAY_FACTOR)
+            .clamp(objective.mul_f64(shortest), objective.mul_f64(longest))
     }
 
-    fn late(mut self) -> Response<Body> {
-        // What was under way when the time ended may have run.
+    fn timed_out(mut self) -> Response<Body> {
+        // An attempt that was in progress at the deadline may have run.
         let verdict = self.sends.ended(Ending::Lost);
         match (verdict, self.answer.take()) {
             (Verdict::Answer, Some(answer)) => answer,
-            _ => self.call.refuse(&Refusal::Late),
+            _ => self.call.refuse(&Refusal::DeadlineExceeded),
         }
     }
 
-    fn tell(mut self, verdict: Verdict) -> Response<Body> {
+    fn finish(mut self, verdict: Verdict) -> Response<Body> {
         match (verdict, self.answer.take()) {
             (Verdict::Answer, Some(answer)) => {
-                let departure = &self.context.departure;
+                let shutdown = &self.context.shutdown;
                 let time = self.call.arrived.elapsed();
-                departure.learn(&self.call.route, time);
+                shutdown.record_duration(&self.call.route, time);
                 meter::outcome("answered", time);
                 answer
             }
@@ -241,77 +243,77 @@
     }
 }
 
-/// Sends the request to a server and reads its whole answer.
+/// Sends the request to a server and reads its response.
 async fn attempt<P: Protocol + 'static>(
     context: &Rc<Context<P>>,
     call: &Call,
-    chosen: &Chosen,
-) -> End {
-    let mut charge = Charge::new(&context.fleet, &chosen.server, WORK);
-    // A request whose caller's time ends meanwhile is the server's failure.
-    charge.end(Outcome::Failed);
+    target: &Target,
+) -> Attempt {
+    let mut in_flight = InFlight::new(&context.fleet, &target.server, PLAIN_WORK);
+    // Dropping the attempt at the caller's deadline counts as a failure of the server.
+    in_flight.set_outcome(Outcome::Failed);
     note!(
         direct::SENT,
-        id = call.packet.metadata.id.as_str(),
-        server = chosen.server.as_str(),
-        load = rounded(chosen.why.load),
-        against = chosen.why.against,
-        among = chosen.why.among,
-        document = call.basis.document
+        id = call.request.metadata.id.as_str(),
+        server = target.server.as_str(),
+        load = round_load(target.why.load),
+        against = target.why.against,
+        among = target.why.among,
+        document = call.document.version
     );
     let began = Instant::now();
-    let end = exchange(context, call, chosen).await;
-    meter::send(match end.ending {
+    let result = send_and_read(context, call, target).await;
+    meter::send(match result.ending {
         Ending::Answered => "answered",
         Ending::Failed => "failed",
         Ending::Declined | Ending::Misdirected => "declined",
         Ending::Unsent => "unsent",
         Ending::Lost => "lost",
     });
-    let time = match end.ending {
+    let time = match result.ending {
         Ending::Answered => Some(Some(began.elapsed())),
         Ending::Failed => Some(None),
         _ => None,
     };
     if let Some(time) = time {
         let rollouts = &context.rollouts;
-        rollouts.ended(&call.service, &call.route, &chosen.version, time);
+        rollouts.record_result(&call.service, &call.route, &target.version, time);
     }
-    charge.end(match end.ending {
+    in_flight.set_outcome(match result.ending {
         Ending::Answered => Outcome::Served {
             time: began.elapsed(),
         },
         Ending::Failed | Ending::Lost | Ending::Unsent => Outcome::Failed,
         Ending::Declined | Ending::Misdirected => Outcome::Refused {
-            retry_after: COME_BACK,
+            retry_after: DEFAULT_RETRY_AFTER,
         },
     });
-    end
+    result
 }
 
-async fn exchange<P: Protocol + 'static>(
+async fn send_and_read<P: Protocol + 'static>(
     context: &Rc<Context<P>>,
     call: &Call,
-    chosen: &Chosen,
-) -> End {
-    let id = call.packet.metadata.id.as_str();
-    let server = chosen.server.as_str();
+    target: &Target,
+) -> Attempt {
+    let id = call.request.metadata.id.as_str();
+    let server = target.server.as_str();
     let dispatch = Dispatch {
-        server: &chosen.server,
-        deadline: call.left(),
+        server: &target.server,
+        deadline: call.time_left(),
         team: call.team.as_ref(),
         after: None,
         backup: None,
         copy: None,
     };
-    let sent = context.sender.send(&call.packet, chosen, &dispatch).await;
+    let sent = context.sender.send(&call.request, target, &dispatch).await;
     let mut connection = match sent {
         Ok(connection) => connection,
         Err(Failure::Unsent(error)) => {
             context
                 .fleet
                 .borrow_mut()
-                .lost(&chosen.server, suspicion(&error));
+                .suspect(&target.server, suspicion_for(&error));
             let reason = error.to_string();
             note!(
                 direct::DECLINED,
@@ -319,17 +321,21 @@
                 server = server,
                 reason = reason.as_str()
             );
-            return End::without(Ending::Unsent);
+            return Attempt::without_answer(Ending::Unsent);
         }
     };
-    let (head, reply) = match context.sender.answer(&call.packet, &mut connection).await {
+    let (head, reply) = match context
+        .sender
+        .read_reply(&call.request, &mut connection)
+        .await
+    {
         Ok(answer) => answer,
-        Err(error) => return lost(id, server, &error.to_string()),
+        Err(error) => return lost_attempt(id, server, &error.to_string()),
     };
-    let whole = connection.whole(WHOLE).await;
+    let whole = connection.whole(MAX_BUFFERED_RESPONSE).await;
     let status = head.status;
     if reply.not_run {
-        // What the server says of itself stands, also when its text is cut off.
+        // The server's statement in the head holds even when the body is cut off.
         note!(
             direct::DECLINED,
             id = id,
@@ -337,28 +343,28 @@
             status = status.as_u16()
         );
         if whole.is_ok() {
-            context.sender.keep(connection);
+            context.sender.release(connection);
         }
         if !reply.misdirected {
-            return End::without(Ending::Declined);
+            return Attempt::without_answer(Ending::Declined);
         }
-        context.fleet.borrow_mut().replaced(&chosen.server);
-        context.sender.forget(chosen.address);
-        return End::without(Ending::Misdirected);
+        context.fleet.borrow_mut().mark_replaced(&target.server);
+        context.sender.disconnect(target.address);
+        return Attempt::without_answer(Ending::Misdirected);
     }
     let Ok(whole) = whole else {
-        return lost(id, server, "answer cut off");
+        return lost_attempt(id, server, "response cut off");
     };
     if !reply.signed || reply.encoded {
-        return lost(id, server, "not the server's answer");
+        return lost_attempt(id, server, "response not from the server");
     }
-    context.fleet.borrow_mut().alive(&chosen.server);
+    context.fleet.borrow_mut().mark_alive(&target.server);
     let body = match whole {
         Whole::Complete(body) => {
-            context.sender.keep(connection);
+            context.sender.release(connection);
             Body::whole(body)
         }
-        Whole::Longer(first) => rest(context, call, connection, first),
+        Whole::Longer(first) => long_body(context, call, connection, first),
     };
     let mut response = Response::new(body);
     *response.status_mut() = status;
@@ -378,14 +384,14 @@
         status = status.as_u16(),
         ms = call.arrived.elapsed().as_millis() as u64
     );
-    End {
+    Attempt {
         ending,
         answer: Some(response),
     }
 }
 
-/// The body of a long answer: what was read of it, and the rest as it comes.
-fn rest<P: Protocol + 'static>(
+/// Returns the body of a long response: the part that was read, then the rest as it arrives.
+fn long_body<P: Protocol + 'static>(
     context: &Rc<Context<P>>,
     call: &Call,
     mut connection: Connection,
@@ -404,18 +410,18 @@
                 }
             }
         }
-        context.sender.keep(connection);
+        context.sender.release(connection);
     })
 }
 
-fn lost(id: &str, server: &str, reason: &str) -> End {
+fn lost_attempt(id: &str, server: &str, reason: &str) -> Attempt {
     note!(direct::LOST, id = id, server = server, reason = reason);
-    End::without(Ending::Lost)
+    Attempt::without_answer(Ending::Lost)
 }
 
-impl End {
-    fn without(ending: Ending) -> End {
-        End {
+impl Attempt {
+    fn without_answer(ending: Ending) -> Attempt {
+        Attempt {
             ending,
             answer: None,
         }
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -1,4 +1,4 @@
-//! What the gateway needs to know of the platform's HTTP: a typed request, a typed answer.
+//! Interface to the platform's HTTP: typed requests and responses.
 
 use std::{
     net::SocketAddr,
@@ -15,120 +15,122 @@
     Team, //
 };
 
-/// Events that a server may have given while none has come yet.
+/// Events that a server may have produced before the first one arrives here.
 const FIRST_EVENTS: u64 = 3;
 
-/// What a caller's request says beside its method, path and body.
+/// Data of a caller's request beside its method, path and body.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metadata {
-    /// The caller's id of this attempt. Backend servers repeat it in their answers.
+    /// The caller's id of this attempt. Backend servers repeat it in their responses.
     pub id: String,
-    /// How long the caller waits, from the arrival of the request.
+    /// How long the caller waits, counted from the arrival of the request.
     pub deadline: Option<Duration>,
-    /// Key by which the caller's team is known.
+    /// API key.
     pub key: Option<String>,
-    /// Last event of the stream that the caller has, when it comes back for the rest.
+    /// Last event that the caller received, when it resumes a stream.
     pub after: Option<u64>,
-    /// Work that the request brings; none for plain calls.
+    /// Size of the generation; `None` for plain requests.
     pub prompt: Option<Prompt>,
 }
 
-/// Work that a generation brings.
+/// Size of a generation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prompt {
     /// Tokens of the prompt.
     pub tokens: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u32,
-    /// Tokens of the answer that the caller expects.
+    /// Number of tokens that the caller expects in the answer.
     pub expected_tokens: Option<u32>,
-    /// The prompt's parts in order: a hash that prompts share, and the part's tokens.
+    /// Parts of the prompt in order: a hash that is shared by prompts with the same part, and its
+    /// tokens.
     pub parts: Vec<(u64, u32)>,
 }
 
-/// Why a request can't be understood.
+/// A header that is missing or can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderError {
-    /// The header at fault.
+    /// Name of the header.
     pub field: &'static str,
-    /// What is accepted.
+    /// Description of what is accepted.
     pub message: &'static str,
 }
 
-/// How a request goes to a backend server.
+/// Parameters with which a request is forwarded to a backend server.
 #[derive(Clone, Debug)]
 pub struct Dispatch<'a> {
-    /// The server that is meant; another one at the same address must not run the request.
+    /// The intended server; another one at the same address must not run the request.
     pub server: &'a Server,
-    /// Time that is left.
+    /// Remaining time.
     pub deadline: Option<Duration>,
-    /// Team of the caller.
+    /// The caller's team.
     pub team: Option<&'a Team>,
-    /// Last event that the caller has, when a stream goes on.
+    /// Last event that the caller received, when a stream is resumed.
     pub after: Option<u64>,
-    /// Server to which the run's memory is copied as it grows.
+    /// Server to which the run's KV cache is replicated as it grows.
     pub backup: Option<SocketAddr>,
-    /// Copy of the run's memory from which the run goes on.
+    /// Copy of the KV cache from which the run resumes.
     pub copy: Option<&'a KvCopy>,
 }
 
-/// A copy of a run's memory.
+/// A copy of a run's KV cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KvCopy {
-    /// Address of the server that names it: the holder, or the one that made it.
+    /// Address of the server that assigned the name: the one that holds the copy, or the one that
+    /// made it.
     pub address: SocketAddr,
-    /// Its name there.
+    /// Name of the copy at that server.
     pub name: String,
 }
 
-/// What the head of an answer says.
+/// Data of a response's head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// Id of the request that it belongs to, where it says.
+    /// Id of the request that it answers, if it is given.
     pub id: Option<String>,
-    /// Signed by a backend server.
+    /// Whether a backend server signed it.
     pub signed: bool,
-    /// The server says that it didn't run the request and never will.
+    /// Whether the server states that it didn't run the request and never will.
     pub not_run: bool,
-    /// Another server than the one that was meant stands at the address.
+    /// Whether the address belongs to another server than the intended one.
     pub misdirected: bool,
-    /// The body isn't what the server made, as something on the way encoded it.
+    /// Whether an intermediary encoded the body, so that it differs from what the server sent.
     pub encoded: bool,
-    /// When to come back.
+    /// Time to wait before a retry.
     pub retry_after: Option<Duration>,
 }
 
-/// What a server says of its work, as of a moment ago.
+/// Load of a server as it reported a moment ago.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Activity {
-    /// Requests that wait, or whose prompts are being read.
+    /// Requests that are queued, or whose prompts are still being processed.
     pub queued: u32,
-    /// Requests that give events: their ids, and how many events each has given.
+    /// Requests that produce events: their ids and the number of events produced so far.
     pub runs: Vec<(String, u64)>,
 }
 
 impl Activity {
-    /// Whether the answer to a request is lost: the server gave events of which none came, or
-    /// doesn't know the request any more.
+    /// Returns whether the answer to a request is lost: the server produced events of which none
+    /// arrived, or no longer knows the request.
     pub fn has_lost(&self, id: &str) -> bool {
         match self.runs.iter().find(|(known, _)| known == id) {
-            // A first event may be on its way.
+            // The first events may still be in transit.
             Some((_, events)) => *events > FIRST_EVENTS,
             None => self.queued == 0,
         }
     }
 }
 
-/// The platform's HTTP.
+/// Encodes and parses the platform's HTTP.
 pub trait Protocol {
-    /// Reads a caller's request.
+    /// Parses a caller's request.
     ///
     /// # Errors
     ///
-    /// [`Flaw`] names the header that can't be understood.
+    /// [`HeaderError`] names the header that is missing or invalid.
     fn parse_request(&self, request: &Parts) -> Result<Metadata, HeaderError>;
 
-    /// Writes the head of the request as it goes to a backend server.
+    /// Encodes the head of a request to a backend server. `length` is that of the body in bytes.
     fn encode_request(
         &self,
         request: &Parts,
@@ -137,27 +139,29 @@
         length: usize,
     ) -> Vec<u8>;
 
-    /// Reads the head of an answer.
+    /// Parses the head of a response.
     fn parse_reply(&self, head: &upstream::Head) -> Reply;
 
-    /// Writes a call that has a run's memory copied to another server.
+    /// Encodes a call that replicates the KV cache of run `id` to another server.
     fn copy_request(&self, id: &str, holder: SocketAddr) -> (Vec<u8>, Bytes);
 
-    /// Reads the answer to [`Edge::copy`]: the name of the copy, when there is one.
+    /// Parses the response to [`Protocol::copy_request`] and returns the name of the copy, if one
+    /// was made.
     fn parse_copy(&self, head: &upstream::Head, body: &[u8]) -> Option<String>;
 
-    /// Writes a call that asks a server what it runs.
+    /// Encodes a call that reads a server's current runs.
     fn activity_request(&self) -> Vec<u8>;
 
-    /// Reads the answer to [`Edge::inquiry`].
+    /// Parses the response to [`Protocol::activity_request`].
     fn parse_activity(&self, head: &upstream::Head, body: &[u8]) -> Option<Activity>;
 
-    /// Writes a call that asks a server which parts of prompts its cache holds.
+    /// Encodes a call that lists the prompt parts in a server's cache.
     fn cache_request(&self) -> Vec<u8>;
 
-    /// Reads the answer to [`Edge::holdings`]: hashes of parts, and their tokens.
+    /// Parses the response to [`Protocol::cache_request`] into hashes of prompt parts and their
+    /// tokens.
     fn parse_cache(&self, head: &upstream::Head, body: &[u8]) -> Option<Vec<(u64, u32)>>;
 
-    /// Leaves the headers that concern the caller.
+    /// Returns the headers that are passed to the caller.
     fn response_headers(&self, headers: HeaderMap) -> HeaderMap;
 }
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -1,10 +1,11 @@
-//! Streams that wait until an engine has room.
+//! Queue of streams that wait until an engine has capacity.
 //!
-//! The load that it answers: several times more callers than the engines can serve. Sent on at once,
-//! all prompts would be read side by side, each first event would come late, and nobody would be
-//! served in time. So a stream waits here, where the order can still be changed, and goes on when an
-//! engine can begin it soon. Whoever can't be in time any more stands behind all who can, as a late
-//! answer is better than none; whoever can't be served at all hears so at once.
+//! It keeps the service usable when callers send several times more than the engines can serve. If
+//! all requests were forwarded at once, their prompts would be processed side by side, every first
+//! event would be late, and no caller would be served in time. So a stream waits here, where the
+//! order can still be changed, until an engine can start it soon. Requests that can no longer meet
+//! their objective are served after those that still can, as a late answer is better than none.
+//! Requests that can't be served at all are rejected at once.
 
 use std::{
     cell::{
@@ -63,34 +64,34 @@
     refuse::Refusal, //
 };
 
-/// Pace at which it is looked whether an engine has room: first events take hundreds of
-/// milliseconds, so that this much more isn't noticed.
+/// Interval at which the engines' capacity is polled. First events take hundreds of milliseconds,
+/// so this delay isn't noticed.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Pace at which a request that waits looks whether the process is stopping. A shorter wait is one
-/// for its turn among the entries and doesn't count as pressure.
+/// Interval at which a queued request checks whether the process is shutting down. A shorter wait
+/// is one for its turn among the gateways and doesn't count as pressure.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after a wait for which a service counts as pressed: as long as runs take, whose memory
-/// is what others wait for.
+/// Time after a wait for which a service counts as under pressure: the length of a run, whose
+/// memory the waiting requests need.
 const PRESSURE_TTL: Duration = Duration::from_secs(5);
 
-/// Weight of a new request in the usual size of a service's requests.
+/// Weight of a new request in the average size of a service's requests.
 const EWMA_WEIGHT: f64 = 0.1;
 
-/// Gates of the services that have engines.
+/// Queues of the services that have engines.
 pub struct Queue {
     gates: Arc<Gates>,
     sizes: RefCell<HashMap<Service, Size>>,
     /// When a request last had to wait, by service.
-    waited: RefCell<HashMap<Service, Instant>>,
-    /// Requests that wait here and can still be in time, by service.
-    hurried: RefCell<HashMap<Service, u32>>,
+    last_waits: RefCell<HashMap<Service, Instant>>,
+    /// Requests that wait here and can still meet their objective, by service.
+    urgent: RefCell<HashMap<Service, u32>>,
     /// Such requests at peers.
     peers: RefCell<HashMap<Incarnation, Vec<(Number, u32)>>>,
-    /// Entries that share the engines.
-    entries: Cell<u32>,
-    following: Cell<bool>,
+    /// Gateways that share the engines.
+    gateways: Cell<u32>,
+    polling: Cell<bool>,
 }
 
 impl Default for Queue {
@@ -98,26 +99,26 @@
         Queue {
             gates: Gates::new(Instant::now()),
             sizes: RefCell::default(),
-            waited: RefCell::default(),
-            hurried: RefCell::default(),
+            last_waits: RefCell::default(),
+            urgent: RefCell::default(),
             peers: RefCell::default(),
-            entries: Cell::new(1),
-            following: Cell::new(false),
+            gateways: Cell::new(1),
+            polling: Cell::new(false),
         }
     }
 }
 
-/// Usual size of a service's requests.
+/// Average size of a service's requests.
 #[derive(Clone, Copy, Debug)]
 struct Size {
     tokens: f64,
     unread: f64,
-    /// Time that an engine may need for the first event.
+    /// Time in which an engine has to produce the first event.
     within: Duration,
 }
 
 impl Size {
-    fn learn(&mut self, work: Work) {
+    fn update(&mut self, work: Work) {
         self.tokens += EWMA_WEIGHT * (work.tokens as f64 - self.tokens);
         self.unread += EWMA_WEIGHT * (work.unread as f64 - self.unread);
     }
@@ -131,33 +132,34 @@
     }
 }
 
-/// A request's place among those that the engines have room for, until it is dropped.
-pub struct Place {
-    pass: Permit,
+/// Capacity that was granted to a request; released on drop.
+pub struct Admission {
+    permit: Permit,
     in_time: bool,
 }
 
-impl Place {
-    /// The first event came. Where that can't have been in time, it says nothing of the engines.
-    pub fn first(&self) {
+impl Admission {
+    /// Records that the first event arrived. Where it couldn't arrive in time, it gives no
+    /// information on the engines.
+    pub fn record_first_event(&self) {
         if self.in_time {
-            self.pass.first();
+            self.permit.first();
         }
     }
 }
 
-/// Waits until an engine has room for a request's work.
+/// Waits until an engine has capacity for a request's work.
 ///
 /// # Errors
 ///
-/// [`Refusal`] when it can't be served, or the process stops first. It hasn't run.
-pub async fn enter<P: Protocol + 'static>(
+/// [`Refusal`] when it can't be served, or the process shuts down first. The request hasn't run.
+pub async fn admit<P: Protocol + 'static>(
     context: &Rc<Context<P>>,
     call: &Call,
     work: Work,
-) -> Result<Place, Refusal> {
+) -> Result<Admission, Refusal> {
     let began = Instant::now();
-    context.queue.know(call, work);
+    context.queue.init_size(call, work);
     let mut refused = Refused {
         reason: Reason::Late,
         retry_after: POLL_INTERVAL,
@@ -167,11 +169,11 @@
         rank: call.pass.rank,
         objective: call.pass.objective,
         timeout: call.pass.timeout,
-        deadline: call.packet.metadata.deadline,
-        usual: context.departure.usual(&call.route),
+        deadline: call.request.metadata.deadline,
+        usual: context.shutdown.duration_estimate(&call.route),
     };
     for turn in ask.turns() {
-        report(context, turn.in_time.then_some(&call.service));
+        report_capacity(context, turn.in_time.then_some(&call.service));
         let admitted = context.queue.gates.admit(Request {
             service: &call.service,
             team: &team,
@@ -180,72 +182,74 @@
             patience: turn.patience,
             objective: call.pass.objective,
             lowest: 1.0,
-            resume: call.packet.metadata.after.is_some(),
+            resume: call.request.metadata.after.is_some(),
         });
-        let _hurried = turn.in_time.then(|| Hurried::new(context, &call.service));
+        let _guard = turn
+            .in_time
+            .then(|| UrgentGuard::new(context, &call.service));
         pin!(admitted);
-        follow(context);
-        let mut pace = interval_at(Instant::now() + STOP_POLL_INTERVAL, STOP_POLL_INTERVAL);
-        let ended = loop {
+        poll_gates(context);
+        let mut ticks = interval_at(Instant::now() + STOP_POLL_INTERVAL, STOP_POLL_INTERVAL);
+        let result = loop {
             select! {
                 biased;
-                ended = &mut admitted => break ended,
-                _ = pace.tick() => {
-                    context.queue.wait(&call.service);
+                result = &mut admitted => break result,
+                _ = ticks.tick() => {
+                    context.queue.record_wait(&call.service);
                     let grace = context.settings.borrow().bounds.grace;
-                    if !context.departure.fits(&call.route, call.pass.objective, grace) {
-                        return Err(Refusal::Leaving(context.departure.retry_after()));
+                    if !context.shutdown.fits_before_exit(&call.route, call.pass.objective, grace) {
+                        return Err(Refusal::ShuttingDown(context.shutdown.retry_after()));
                     }
                 }
             }
         };
-        match ended {
-            Ok(pass) => {
+        match result {
+            Ok(permit) => {
                 let in_time = turn.in_time;
-                note(call, in_time, began.elapsed());
-                return Ok(Place { pass, in_time });
+                log_wait(call, in_time, began.elapsed());
+                return Ok(Admission { permit, in_time });
             }
             Err(error) => refused = error,
         }
     }
-    Err(Refusal::Busy(refused))
+    Err(Refusal::Overloaded(refused))
 }
 
-/// A request that waits and can still be in time, until it is dropped.
-struct Hurried<'a, P> {
+/// Counts a waiting request that can still meet its objective, until it is dropped.
+struct UrgentGuard<'a, P> {
     context: &'a Context<P>,
     service: &'a Service,
 }
 
-impl<'a, P> Hurried<'a, P> {
-    fn new(context: &'a Context<P>, service: &'a Service) -> Hurried<'a, P> {
-        let mut hurried = context.queue.hurried.borrow_mut();
-        *hurried.entry(service.clone()).or_default() += 1;
-        Hurried { context, service }
+impl<'a, P> UrgentGuard<'a, P> {
+    fn new(context: &'a Context<P>, service: &'a Service) -> UrgentGuard<'a, P> {
+        let mut urgent = context.queue.urgent.borrow_mut();
+        *urgent.entry(service.clone()).or_default() += 1;
+        UrgentGuard { context, service }
     }
 }
 
-impl<P> Drop for Hurried<'_, P> {
+impl<P> Drop for UrgentGuard<'_, P> {
     fn drop(&mut self) {
-        let mut hurried = self.context.queue.hurried.borrow_mut();
-        if let Some(count) = hurried.get_mut(self.service) {
+        let mut urgent = self.context.queue.urgent.borrow_mut();
+        if let Some(count) = urgent.get_mut(self.service) {
             *count = count.saturating_sub(1);
         }
     }
 }
 
-// What peers tell one another.
+// Exchange with peers.
 impl Queue {
-    /// What waits here, for a beacon.
-    pub fn tell(&self, beacon: &mut Beacon) {
-        let hurried = self.hurried.borrow();
-        let waiting = hurried.iter().filter(|(_, count)| **count > 0);
+    /// Adds the numbers of waiting requests to a beacon.
+    pub fn fill_beacon(&self, beacon: &mut Beacon) {
+        let urgent = self.urgent.borrow();
+        let waiting = urgent.iter().filter(|(_, count)| **count > 0);
         let waiting = waiting.map(|(service, count)| (beacon::number(service), *count));
         beacon.hurries.extend(waiting);
     }
 
-    /// Takes what a peer tells.
-    pub fn hear(&self, beacon: &Beacon) {
+    /// Applies a peer's beacon.
+    pub fn apply_beacon(&self, beacon: &Beacon) {
         let mut peers = self.peers.borrow_mut();
         match beacon.hurries.is_empty() {
             true => peers.remove(&beacon.incarnation),
@@ -253,27 +257,29 @@
         };
     }
 
-    /// Forgets a peer that ended or fell silent.
-    pub fn forget(&self, peer: Incarnation) {
+    /// Removes a peer that ended or stopped sending.
+    pub fn remove_peer(&self, peer: Incarnation) {
         self.peers.borrow_mut().remove(&peer);
     }
 
-    /// Notes the number of entries that share the engines.
-    pub fn stand(&self, entries: usize) {
-        self.entries.set(u32::try_from(entries).unwrap_or(u32::MAX));
+    /// Sets the number of gateways that share the engines.
+    pub fn set_gateways(&self, gateways: usize) {
+        self.gateways
+            .set(u32::try_from(gateways).unwrap_or(u32::MAX));
     }
 }
 
 impl Queue {
-    fn hurries(&self, service: &Service) -> bool {
-        self.hurried
+    fn has_urgent(&self, service: &Service) -> bool {
+        self.urgent
             .borrow()
             .get(service)
             .is_some_and(|count| *count > 0)
     }
 
-    /// Requests that wait at peers for a service and can still be in time.
-    fn hurried_elsewhere(&self, service: &Service) -> u32 {
+    /// Returns the number of requests that wait at peers for a service and can still meet their
+    /// objective.
+    fn urgent_at_peers(&self, service: &Service) -> u32 {
         let number = beacon::number(service);
         let peers = self.peers.borrow();
         let all = peers.values().flatten();
@@ -282,21 +288,21 @@
             .sum()
     }
 
-    /// Whether requests had to wait for a service a moment ago.
-    pub fn pressed(&self, service: &Service) -> bool {
-        let waited = self.waited.borrow();
-        waited
+    /// Returns whether requests recently had to wait for a service.
+    pub fn is_under_pressure(&self, service: &Service) -> bool {
+        let last_waits = self.last_waits.borrow();
+        last_waits
             .get(service)
             .is_some_and(|at| at.elapsed() < PRESSURE_TTL)
     }
 
-    fn wait(&self, service: &Service) {
+    fn record_wait(&self, service: &Service) {
         let now = Instant::now();
-        self.waited.borrow_mut().insert(service.clone(), now);
+        self.last_waits.borrow_mut().insert(service.clone(), now);
     }
 
-    /// Takes the first request of a service for what all are like.
-    fn know(&self, call: &Call, work: Work) {
+    /// Initializes the average size of a service's requests from the first one.
+    fn init_size(&self, call: &Call, work: Work) {
         let mut sizes = self.sizes.borrow_mut();
         sizes.entry(call.service.clone()).or_insert(Size {
             tokens: work.tokens as f64,
@@ -305,43 +311,44 @@
         });
     }
 
-    /// Learns the work of a request as it was sent: without what its engine has of the prompt.
-    pub fn sent(&self, service: &Service, work: Work) {
+    /// Adds a request's work to the average, without the part of the prompt that its engine has
+    /// cached.
+    pub fn record_work(&self, service: &Service, work: Work) {
         if let Some(size) = self.sizes.borrow_mut().get_mut(service) {
-            size.learn(work);
+            size.update(work);
         }
     }
 }
 
-/// Logs a wait that was longer than a look.
-fn note(call: &Call, in_time: bool, waited: Duration) {
+/// Logs a wait of at least one polling interval.
+fn log_wait(call: &Call, in_time: bool, waited: Duration) {
     if waited < POLL_INTERVAL {
         return;
     }
     note!(
         direct::ADMITTED,
-        id = call.packet.metadata.id.as_str(),
+        id = call.request.metadata.id.as_str(),
         in_time = in_time,
         waited_ms = waited.as_millis() as u64
     );
 }
 
-/// Tells the gates what the engines have room for; `fresh` is the service of a request that comes
-/// now and can be in time.
-fn report<P: Protocol>(context: &Context<P>, fresh: Option<&Service>) {
+/// Reports the engines' capacity to the gates. `arriving` is the service of a new request that can
+/// still meet its objective.
+fn report_capacity<P: Protocol>(context: &Context<P>, arriving: Option<&Service>) {
     let queue = &context.queue;
     let fleet = context.fleet.borrow();
     let sizes = queue.sizes.borrow();
     queue.gates.report(|service, running| {
         let size = sizes.get(service)?;
-        let pick = context.rollouts.limit(service);
-        let versions = pick.versions();
+        let selection = context.rollouts.select_resumed(service);
+        let versions = selection.versions();
         let mut room = fleet.room(service, versions, size.work(), size.within);
-        // What is late here stands behind what can be in time elsewhere.
-        if fresh != Some(service) && !queue.hurries(service) {
-            room = turn::behind(room, queue.hurried_elsewhere(service));
+        // Requests that are late here come after those at peers that can still be in time.
+        if arriving != Some(service) && !queue.has_urgent(service) {
+            room = turn::behind(room, queue.urgent_at_peers(service));
         }
-        let room = turn::share(room, queue.entries.get(), rand::random());
+        let room = turn::share(room, queue.gateways.get(), rand::random());
         Some(Report {
             capacity: running.saturating_add(room),
             load: running,
@@ -350,22 +357,22 @@
     });
 }
 
-/// Sees to the gates while requests wait.
-fn follow<P: Protocol + 'static>(context: &Rc<Context<P>>) {
-    if context.queue.following.replace(true) {
+/// Polls the gates while requests wait.
+fn poll_gates<P: Protocol + 'static>(context: &Rc<Context<P>>) {
+    if context.queue.polling.replace(true) {
         return;
     }
     let context = context.clone();
     spawn_local(async move {
-        let mut pace = interval(POLL_INTERVAL);
+        let mut ticks = interval(POLL_INTERVAL);
         loop {
-            pace.tick().await;
-            report(&context, None);
+            ticks.tick().await;
+            report_capacity(&context, None);
             context.queue.gates.tick();
             if !context.queue.gates.any_waiting() {
                 break;
             }
         }
-        context.queue.following.set(false);
+        context.queue.polling.set(false);
     });
 }
--- a/components/gateway/src/refuse.rs
+++ b/components/gateway/src/refuse.rs
@@ -1,4 +1,4 @@
-//! The gateway's own answers.
+//! Responses that the gateway gives itself.
 
 use std::time::Duration;
 
@@ -24,94 +24,95 @@
     protocol::HeaderError,
 };
 
-/// Time after which a caller may come back when no server could take its request.
-pub const COME_BACK: Duration = Duration::from_millis(100);
+/// Default value of `Retry-After` when no backend server could take a request.
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// What a decision on a request goes by.
+/// Document on which a decision is based.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Basis {
-    /// Number of the document; 0 while none is known.
-    pub document: u64,
-    /// Time since it was last known to be in force.
+pub struct DocumentInfo {
+    /// Version of the document; 0 while none is known.
+    pub version: u64,
+    /// Time since it was last confirmed.
     pub age: Option<Duration>,
 }
 
-/// Why the gateway answers itself.
+/// Reason for which the gateway rejects a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The request can't be understood.
-    Flawed(HeaderError),
+    /// A header is invalid.
+    InvalidHeader(HeaderError),
     /// No route matches.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     NoKey,
     /// The body is longer than the document allows.
-    Long,
-    /// The body didn't come in time.
-    Slow,
+    BodyTooLong,
+    /// The body didn't arrive in time.
+    BodyTimeout,
     /// No document is known yet, or it may be out of date.
-    Unsure,
-    /// The process stops before the request would end; another entry can be reached after this time.
-    Leaving(Duration),
+    StaleDocument,
+    /// The process would exit before the request ends; another gateway can be reached after this
+    /// time.
+    ShuttingDown(Duration),
     /// No backend server can take the request now.
     NoServer,
-    /// Its time was over before a server ran it.
+    /// The deadline passed before a server ran the request.
     Expired,
-    /// It can't be complete in the time that it has.
-    Hopeless,
-    /// There are more requests than can be served in time.
-    Busy(Refused),
-    /// It would have to be sent once more, and the retries of its service are used up.
-    Spent,
-    /// The request was sent and came to no answer; it may have run.
+    /// The answer can't be complete before the deadline.
+    TooLittleTime,
+    /// More requests arrive than can be served in time.
+    Overloaded(Refused),
+    /// Another attempt is needed, and the retry budget of the service is used up.
+    RetriesSpent,
+    /// The request was sent and got no answer; it may have run.
     Lost,
-    /// The request was sent and its time is over; it may have run.
-    Late,
+    /// The request was sent and its deadline passed; it may have run.
+    DeadlineExceeded,
 }
 
 impl Refusal {
-    /// Status that the caller gets.
+    /// Returns the status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
-            Refusal::Flawed(_) => StatusCode::BAD_REQUEST,
+            Refusal::InvalidHeader(_) => StatusCode::BAD_REQUEST,
             Refusal::NoRoute => StatusCode::NOT_FOUND,
             Refusal::NoKey => StatusCode::UNAUTHORIZED,
-            Refusal::Long => StatusCode::PAYLOAD_TOO_LARGE,
-            Refusal::Slow => StatusCode::REQUEST_TIMEOUT,
-            Refusal::Unsure
-            | Refusal::Leaving(_)
+            Refusal::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            Refusal::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            Refusal::StaleDocument
+            | Refusal::ShuttingDown(_)
             | Refusal::NoServer
             | Refusal::Expired
-            | Refusal::Hopeless
-            | Refusal::Busy(_)
-            | Refusal::Spent => StatusCode::SERVICE_UNAVAILABLE,
+            | Refusal::TooLittleTime
+            | Refusal::Overloaded(_)
+            | Refusal::RetriesSpent => StatusCode::SERVICE_UNAVAILABLE,
             Refusal::Lost => StatusCode::BAD_GATEWAY,
-            Refusal::Late => StatusCode::GATEWAY_TIMEOUT,
+            Refusal::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// Name of the reason, for callers' programs and for logs.
+    /// Returns the name of the reason, for callers' programs and for logs.
     pub fn reason(&self) -> &'static str {
         match self {
-            Refusal::Flawed(_) => "flawed",
+            Refusal::InvalidHeader(_) => "flawed",
             Refusal::NoRoute => "no_route",
             Refusal::NoKey => "no_key",
-            Refusal::Long => "too_long",
-            Refusal::Slow => "too_slow",
-            Refusal::Unsure => "no_current_document",
-            Refusal::Leaving(_) => "leaving",
+            Refusal::BodyTooLong => "too_long",
+            Refusal::BodyTimeout => "too_slow",
+            Refusal::StaleDocument => "no_current_document",
+            Refusal::ShuttingDown(_) => "leaving",
             Refusal::NoServer => "no_server",
             Refusal::Expired => "expired",
-            Refusal::Hopeless => "too_little_time",
-            Refusal::Busy(_) => "too_many_requests",
-            Refusal::Spent => "retries_spent",
+            Refusal::TooLittleTime => "too_little_time",
+            Refusal::Overloaded(_) => "too_many_requests",
+            Refusal::RetriesSpent => "retries_spent",
             Refusal::Lost => "lost",
-            Refusal::Late => "late",
+            Refusal::DeadlineExceeded => "late",
         }
     }
 
-    /// Logs the refusal of a request that arrived at a time, with what it was decided by.
-    fn note(&self, id: &str, arrived: Instant, basis: &Basis) {
+    /// Logs the rejection and counts it in the metrics.
+    fn log(&self, id: &str, arrived: Instant, document: &DocumentInfo) {
         meter::refused(self.reason());
         meter::outcome("refused", arrived.elapsed());
         note!(
@@ -119,26 +120,27 @@
             id = id,
             reason = self.reason(),
             status = self.status().as_u16(),
-            document = basis.document,
-            document_age_ms = basis.age.map(|age| age.as_millis() as u64),
+            document = document.version,
+            document_age_ms = document.age.map(|age| age.as_millis() as u64),
             ms = arrived.elapsed().as_millis() as u64
         );
     }
 
-    /// Logs the refusal, and gives its answer.
-    pub fn tell(&self, id: &str, arrived: Instant, basis: &Basis) -> Response<Body> {
-        self.note(id, arrived, basis);
-        self.answer()
+    /// Logs the rejection and returns its response.
+    pub fn respond(&self, id: &str, arrived: Instant, document: &DocumentInfo) -> Response<Body> {
+        self.log(id, arrived, document);
+        self.response()
     }
 
-    /// The answer, with the time after which to come back where the request hasn't run.
-    fn answer(&self) -> Response<Body> {
+    /// Builds the response, with `Retry-After` where the request hasn't run and a retry makes
+    /// sense.
+    fn response(&self) -> Response<Body> {
         let outcome = match self {
-            Refusal::Lost | Refusal::Late => "unknown",
+            Refusal::Lost | Refusal::DeadlineExceeded => "unknown",
             _ => "not_run",
         };
         let mut text = serde_json::json!({ "outcome": outcome, "reason": self.reason() });
-        if let Refusal::Flawed(error) = self {
+        if let Refusal::InvalidHeader(error) = self {
             text["field"] = error.field.into();
             text["message"] = error.message.into();
         }
@@ -146,21 +148,21 @@
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let again = matches!(
+        let retryable = matches!(
             self,
-            Refusal::Unsure
-                | Refusal::Leaving(_)
+            Refusal::StaleDocument
+                | Refusal::ShuttingDown(_)
                 | Refusal::NoServer
                 | Refusal::Expired
-                | Refusal::Busy(_)
-                | Refusal::Spent
+                | Refusal::Overloaded(_)
+                | Refusal::RetriesSpent
         );
         let time = match self {
-            Refusal::Busy(refused) => refused.retry_after,
-            Refusal::Leaving(time) => *time,
-            _ => COME_BACK,
+            Refusal::Overloaded(refused) => refused.retry_after,
+            Refusal::ShuttingDown(time) => *time,
+            _ => DEFAULT_RETRY_AFTER,
         };
-        if again {
+        if retryable {
             let seconds = format!("{:.2}", time.as_secs_f64());
             if let Ok(value) = HeaderValue::try_from(seconds) {
                 headers.insert(RETRY_AFTER, value);
--- a/components/gateway/src/quotas.rs
+++ b/components/gateway/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries of each service, over all entries.
+//! Retry budget of each service, shared by all gateways.
 
 use std::collections::{
     HashMap,
@@ -26,28 +26,28 @@
 
 use crate::clock;
 
-/// Requests and retries of this entry, and what the others told.
+/// Requests and retries of this gateway and of its peers.
 #[derive(Debug, Default)]
-pub struct Quotas {
+pub struct RetryBudgets {
     services: HashMap<Number, Retries>,
     peers: HashSet<Incarnation>,
-    /// Most entries that were known at once.
-    most: usize,
+    /// Largest number of gateways that were known at the same time.
+    max_gateways: usize,
 }
 
-impl Quotas {
-    /// Counts a request's first send.
-    pub fn request(&mut self, service: &Service, bound: &Bound) {
-        self.of(beacon::number(service))
+impl RetryBudgets {
+    /// Counts the first send of a request.
+    pub fn count_request(&mut self, service: &Service, bound: &Bound) {
+        self.budget(beacon::number(service))
             .request(clock::now(), bound);
     }
 
-    /// Takes a retry, if there is one left over all entries.
-    pub fn retry(&mut self, service: &Service, bound: &Bound, purpose: Purpose) -> bool {
+    /// Takes a retry from the budget; returns `false` if it is used up.
+    pub fn take_retry(&mut self, service: &Service, bound: &Bound, purpose: Purpose) -> bool {
         let now = clock::now();
-        let heard = self.peers.len() + 1;
-        let known = heard as f64 / self.most.max(heard) as f64;
-        let retries = self.of(beacon::number(service));
+        let live = self.peers.len() + 1;
+        let known = live as f64 / self.max_gateways.max(live) as f64;
+        let retries = self.budget(beacon::number(service));
         let own = retries.told(now, bound).totals;
         let left = retries.retry(now, bound, known, purpose);
         if !left {
@@ -66,7 +66,7 @@
         left
     }
 
-    /// What this entry sent, for its peers.
+    /// Returns the sends of this gateway for its peers.
     pub fn sends(&mut self, bound: &Bound) -> Vec<Sends> {
         let now = clock::now();
         let mut sends = Vec::with_capacity(self.services.len());
@@ -82,8 +82,8 @@
         sends
     }
 
-    /// Takes what a peer sent; `near` when it is of the same data centre.
-    pub fn hear(&mut self, peer: Incarnation, sends: &[Sends], near: bool) {
+    /// Applies the sends of a peer; `near` if it is in the same data centre.
+    pub fn apply_sends(&mut self, peer: Incarnation, sends: &[Sends], near: bool) {
         let now = clock::now();
         for sent in sends {
             let told = Told {
@@ -93,21 +93,21 @@
                 },
                 retries: sent.total_retries,
             };
-            self.of(sent.service).hear(now, peer, told, near);
+            self.budget(sent.service).hear(now, peer, told, near);
         }
         self.peers.insert(peer);
-        self.most = self.most.max(self.peers.len() + 1);
+        self.max_gateways = self.max_gateways.max(self.peers.len() + 1);
     }
 
-    /// Forgets a peer that ended or fell silent.
-    pub fn forget(&mut self, peer: Incarnation) {
+    /// Removes a peer that ended or stopped sending.
+    pub fn remove_peer(&mut self, peer: Incarnation) {
         self.peers.remove(&peer);
         for retries in self.services.values_mut() {
             retries.forget(peer);
         }
     }
 
-    fn of(&mut self, service: Number) -> &mut Retries {
+    fn budget(&mut self, service: Number) -> &mut Retries {
         self.services.entry(service).or_default()
     }
 }
--- a/components/gateway/src/rollout.rs
+++ b/components/gateway/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Traffic that moves from one version of a service to another, as an operator ordered it.
+//! Gradual rollouts: shifts a service's traffic from one version to another as an operator ordered.
 
 use std::{
     cell::{
@@ -39,40 +39,40 @@
 
 use crate::clock;
 
-/// Time after the start before a new version gets samples: until then it isn't known how many
-/// entries share the bound on them.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Time after the start before a new version gets traffic: until then the number of gateways that
+/// share the limit is unknown.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Times of a route that must be known before one counts as slow.
-const ENOUGH: u64 = 12;
+/// Samples of a route that are needed before a request can count as slow.
+const MIN_SAMPLES: u64 = 12;
 
-/// Times after which a route's are counted anew, as what is usual changes over a day.
-const MOST: u64 = 2048;
+/// Samples after which a route's histogram is reset, as usual durations change over a day.
+const MAX_SAMPLES: u64 = 2048;
 
-/// Multiple of a route's median above which an answer counts as slow. A slow version takes several
-/// times as long; the old version's own slow answers are what it is compared with.
-const SLOW: f64 = 2.5;
+/// Multiple of a route's median above which a response counts as slow. A slow version takes several
+/// times as long, and its share of slow responses is compared with that of the old version.
+const SLOW_FACTOR: f64 = 2.5;
 
-/// Moves that are under way, and those that were.
+/// Rollouts that are in progress or were.
 #[derive(Default)]
 pub struct Rollouts {
     briefs: RefCell<HashMap<Service, Brief>>,
-    /// Times to the first event, or of a plain answer, by route.
-    usual: RefCell<HashMap<Route, Histogram>>,
-    /// This entry's place among all, and their number.
-    place: Cell<usize>,
-    entries: Cell<usize>,
+    /// Times to the first event, or to a plain response, by route.
+    durations: RefCell<HashMap<Route, Histogram>>,
+    /// Index of this gateway among all, and their number.
+    position: Cell<usize>,
+    gateways: Cell<usize>,
     started: Cell<Option<Clock>>,
 }
 
-/// The versions that a request may go to.
+/// Versions that may serve a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Pick {
+pub struct Selection {
     limit: Option<(Limit, Version)>,
 }
 
-impl Pick {
-    /// The versions, for a placement.
+impl Selection {
+    /// Returns the versions as a filter for placement.
     pub fn versions(&self) -> Versions<'_> {
         match &self.limit {
             None | Some((Limit::Any, _)) => Versions::Any,
@@ -82,20 +82,20 @@
     }
 }
 
-/// A state that should stand in the store.
+/// A state of a rollout that has to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The service.
     pub service: Service,
-    /// The order that it belongs to.
+    /// Order to which it belongs.
     pub order: Order,
     /// The state.
     pub state: State,
 }
 
 impl Rollouts {
-    /// Takes an operator's order for a service; none when it was withdrawn.
-    pub fn order(&self, service: &Service, order: Option<Order>, exposure: Exposure) {
+    /// Sets the order of a service; `None` when it was cancelled.
+    pub fn set_order(&self, service: &Service, order: Option<Order>, exposure: Exposure) {
         let mut briefs = self.briefs.borrow_mut();
         let known = briefs.get(service).map(|brief| brief.order().clone());
         if known == order {
@@ -116,13 +116,13 @@
         briefs.insert(service.clone(), Brief::new(order, exposure, clock::now()));
     }
 
-    /// Takes the state that stands in the store, written at a revision.
-    pub fn stands(&self, service: &Service, at: Revision, to: &Version, state: State) {
+    /// Applies a state that was written to the store at revision `at`.
+    pub fn apply_state(&self, service: &Service, at: Revision, to: &Version, state: State) {
         let mut briefs = self.briefs.borrow_mut();
         let Some(brief) = briefs.get_mut(service) else {
             return;
         };
-        // What was written before the order belongs to another one.
+        // A state that was written before the order belongs to another one.
         if at < brief.order().revision || brief.order().to != *to {
             return;
         }
@@ -133,56 +133,56 @@
             event::STANDS,
             service = service.as_str(),
             version = to.as_str(),
-            state = name(state),
+            state = state_name(state),
             against = brief.against(),
             sampled = brief.sampled()
         );
     }
 
-    /// Picks the versions for a new request, and counts it.
-    pub fn pick(&self, service: &Service, route: &Route) -> Pick {
+    /// Selects the versions for a new request, and counts the request.
+    pub fn select(&self, service: &Service, route: &Route) -> Selection {
         let now = clock::now();
         let mut briefs = self.briefs.borrow_mut();
         let Some(brief) = briefs.get_mut(service) else {
-            return Pick::default();
+            return Selection::default();
         };
         let started = self.started.get().unwrap_or(now);
         let limit = match brief.state(now) {
-            State::Running if now.saturating_sub(started) < SETTLE => Limit::Not,
+            State::Running if now.saturating_sub(started) < SETTLE_TIME => Limit::Not,
             _ => {
-                brief.stand(self.entries.get());
+                brief.stand(self.gateways.get());
                 let draw = rand::random();
                 brief.pick(now, beacon::number(route), draw)
             }
         };
-        Pick {
+        Selection {
             limit: Some((limit, brief.order().to.clone())),
         }
     }
 
-    /// The versions for a request that goes on after a loss.
-    pub fn limit(&self, service: &Service) -> Pick {
+    /// Returns the versions for a request that is resumed after a loss.
+    pub fn select_resumed(&self, service: &Service) -> Selection {
         let briefs = self.briefs.borrow();
         let limit = briefs.get(service).map(|brief| {
             let limit = brief.limit(clock::now());
             (limit, brief.order().to.clone())
         });
-        Pick { limit }
+        Selection { limit }
     }
 
-    /// Notes what a version did with a request: the time to its first event or of its answer, or
-    /// none when it failed.
-    pub fn ended(
+    /// Records the result of a request at a version: the time to its first event or to its
+    /// response, or `None` when it failed.
+    pub fn record_result(
         &self,
         service: &Service,
         route: &Route,
         version: &Version,
         time: Option<Duration>,
     ) {
-        let slow = time.is_some_and(|time| self.slow(route, time));
+        let slow = time.is_some_and(|time| self.is_slow(route, time));
         let mut briefs = self.briefs.borrow_mut();
         let Some(brief) = briefs.get_mut(service) else {
-            self.learn(route, time);
+            self.record_duration(route, time);
             return;
         };
         let side = match *version == brief.order().to {
@@ -190,42 +190,45 @@
             false => Side::Old,
         };
         if side == Side::Old {
-            self.learn(route, time);
+            self.record_duration(route, time);
         }
         let before = brief.vetoed();
         let bad = slow || time.is_none();
         brief.ended(clock::now(), beacon::number(route), side, bad);
         if brief.vetoed() && !before {
-            vetoed(service, brief);
+            log_veto(service, brief);
         }
     }
 
-    fn slow(&self, route: &Route, time: Duration) -> bool {
-        let usual = self.usual.borrow();
-        let Some(times) = usual.get(route).filter(|times| times.count() >= ENOUGH) else {
+    fn is_slow(&self, route: &Route, time: Duration) -> bool {
+        let durations = self.durations.borrow();
+        let Some(times) = durations
+            .get(route)
+            .filter(|times| times.count() >= MIN_SAMPLES)
+        else {
             return false;
         };
         let median = times.quantile(0.5).unwrap_or(Duration::MAX);
-        time.as_secs_f64() > median.as_secs_f64() * SLOW
+        time.as_secs_f64() > median.as_secs_f64() * SLOW_FACTOR
     }
 
-    fn learn(&self, route: &Route, time: Option<Duration>) {
+    fn record_duration(&self, route: &Route, time: Option<Duration>) {
         let Some(time) = time else {
             return;
         };
-        let mut usual = self.usual.borrow_mut();
-        let times = usual.entry(route.clone()).or_default();
-        if times.count() >= MOST {
+        let mut durations = self.durations.borrow_mut();
+        let times = durations.entry(route.clone()).or_default();
+        if times.count() >= MAX_SAMPLES {
             *times = Histogram::default();
         }
         times.record(time);
     }
 
-    /// The states that should be written into the store.
-    pub fn due(&self) -> Vec<Report> {
+    /// Returns the states that have to be written to the store.
+    pub fn pending_reports(&self) -> Vec<Report> {
         let now = clock::now();
         let briefs = self.briefs.borrow();
-        let due = briefs.iter().filter_map(|(service, brief)| {
+        let reports = briefs.iter().filter_map(|(service, brief)| {
             let state = brief.due(now)?;
             Some(Report {
                 service: service.clone(),
@@ -233,14 +236,14 @@
                 state,
             })
         });
-        due.collect()
+        reports.collect()
     }
 }
 
-// What peers tell one another.
+// Exchange with peers.
 impl Rollouts {
-    /// What is known of each move, for a beacon.
-    pub fn tell(&self, beacon: &mut Beacon) {
+    /// Adds the state of each rollout to a beacon.
+    pub fn fill_beacon(&self, beacon: &mut Beacon) {
         let now = clock::now();
         for (service, brief) in self.briefs.borrow().iter() {
             if brief.state(now) == State::Running || brief.due(now).is_some() || brief.vetoed() {
@@ -250,40 +253,40 @@
         }
     }
 
-    /// Takes what a peer tells.
-    pub fn hear(&self, beacon: &Beacon) {
+    /// Applies a peer's beacon.
+    pub fn apply_beacon(&self, beacon: &Beacon) {
         let now = clock::now();
         let mut briefs = self.briefs.borrow_mut();
-        for (number, tale) in &beacon.moves {
+        for (number, report) in &beacon.moves {
             let mut found = briefs.iter_mut();
             let found = found.find(|(service, _)| beacon::number(service) == *number);
             let Some((service, brief)) = found else {
                 continue;
             };
             let before = brief.vetoed();
-            brief.hear(now, beacon.incarnation, tale.clone());
+            brief.hear(now, beacon.incarnation, report.clone());
             if brief.vetoed() && !before {
-                vetoed(service, brief);
+                log_veto(service, brief);
             }
         }
     }
 
-    /// Notes this entry's place among those that share the bounds, and their number.
-    pub fn stand(&self, (place, entries): (usize, usize)) {
+    /// Sets the index of this gateway among those that share the limits, and their number.
+    pub fn set_position(&self, (position, gateways): (usize, usize)) {
         if self.started.get().is_none() {
             self.started.set(Some(clock::now()));
         }
-        self.place.set(place);
-        self.entries.set(entries);
+        self.position.set(position);
+        self.gateways.set(gateways);
     }
 
-    /// This entry's place among all.
-    pub fn place(&self) -> usize {
-        self.place.get()
+    /// Returns the index of this gateway among all.
+    pub fn position(&self) -> usize {
+        self.position.get()
     }
 }
 
-fn vetoed(service: &Service, brief: &Brief) {
+fn log_veto(service: &Service, brief: &Brief) {
     note!(
         event::FOUND_BAD,
         service = service.as_str(),
@@ -293,7 +296,7 @@
     );
 }
 
-fn name(state: State) -> &'static str {
+fn state_name(state: State) -> &'static str {
     match state {
         State::Running => "running",
         State::Done => "done",
