--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one backend server.
+//! Sends requests to backend servers and reads the heads of their responses.
 
 use std::{
     cell::RefCell,
@@ -20,7 +20,7 @@
 };
 
 use crate::{
-    fleet::Chosen, //
+    fleet::Target, //
     protocol::{
         Activity,
         Dispatch, //
@@ -30,45 +30,45 @@
     },
 };
 
-/// Time for a new connection. Servers are a few milliseconds away; a packet that is lost is sent
-/// again after a second, which is longer than another server takes.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Timeout of a new connection. Servers are a few milliseconds away; a lost SYN is retransmitted
+/// after a second, by which time another server has answered.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time for a connection that is opened to see whether a server is alive: several round trips
-/// between data centres of one region.
-const CHECK: Duration = Duration::from_millis(100);
+/// Timeout of a connection that probes whether a server is alive: several round trips between data
+/// centres of one region.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for the answer to an inquiry.
-const INQUIRY: Duration = Duration::from_millis(250);
+/// Timeout of a request for a server's current runs.
+const ACTIVITY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Longest body of an answer to an earlier request that is read over, in bytes.
-const STRAY: usize = 64 * 1024;
+/// Maximum size of a response body to an earlier request that is skipped, in bytes.
+const MAX_SKIPPED_BODY: usize = 64 * 1024;
 
-/// Opens connections, sends requests, reads heads.
+/// Client for backend servers, with a pool of connections.
 pub struct Sender<P> {
     protocol: Rc<P>,
     pool: RefCell<Pool>,
 }
 
-/// A request that can be sent, also more than once.
-pub struct Packet {
+/// A caller's request with its whole body, which can be sent more than once.
+pub struct BufferedRequest {
     /// Head as the caller sent it.
     pub parts: Parts,
-    /// What the head says.
+    /// Parsed head.
     pub metadata: Metadata,
-    /// Body, whole.
+    /// Whole body.
     pub body: Bytes,
 }
 
-/// Why a request wasn't sent.
+/// Reason for which a request wasn't sent.
 #[derive(Debug)]
 pub enum Failure {
-    /// No byte of the request left: it hasn't run and won't.
+    /// No byte of the request was written: it hasn't run and won't.
     Unsent(Error),
 }
 
 impl<P: Protocol> Sender<P> {
-    /// A sender without connections.
+    /// Creates a sender without connections.
     pub fn new(protocol: Rc<P>) -> Sender<P> {
         Sender {
             protocol,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The platform's HTTP.
+    /// Returns the platform's HTTP encoding.
     pub fn protocol(&self) -> &P {
         &self.protocol
     }
@@ -85,132 +85,138 @@
     ///
     /// # Errors
     ///
-    /// [`Failure::Unsent`] when no byte left.
+    /// [`Failure::Unsent`] when no byte was written.
     pub async fn send(
         &self,
-        packet: &Packet,
-        chosen: &Chosen,
+        request: &BufferedRequest,
+        target: &Target,
         dispatch: &Dispatch<'_>,
     ) -> Result<Connection, Failure> {
         loop {
-            let mut connection = self.connect(chosen).await.map_err(Failure::Unsent)?;
-            let length = packet.body.len();
+            let mut connection = self.connect(target).await.map_err(Failure::Unsent)?;
+            let length = request.body.len();
             let head =
                 self.protocol
-                    .encode_request(&packet.parts, &packet.metadata, dispatch, length);
-            let method = &packet.parts.method;
+                    .encode_request(&request.parts, &request.metadata, dispatch, length);
+            let method = &request.parts.method;
             let written = connection
-                .write(method, head.into(), packet.body.clone())
+                .write(method, head.into(), request.body.clone())
                 .await;
             match written {
-                // The server closed a connection that rested; a new one is as good as a first.
+                // The server closed an idle connection; the request is sent on another one.
                 Err(_) if connection.sent() == 0 && connection.reused() => {}
                 Err(error) if connection.sent() == 0 => return Err(Failure::Unsent(error)),
-                // An answer may have come before the connection broke.
+                // The response may have arrived before the connection failed.
                 Err(_) | Ok(()) => return Ok(connection),
             }
         }
     }
 
-    /// Whether a head answers a request. What comes late to an earlier request on the same
-    /// connection doesn't; the answer comes behind it.
-    pub fn reply(&self, packet: &Packet, head: &Head) -> Option<Reply> {
+    /// Parses a head, or returns `None` if it answers an earlier request on the same connection;
+    /// the expected response follows it then.
+    pub fn match_reply(&self, request: &BufferedRequest, head: &Head) -> Option<Reply> {
         let reply = self.protocol.parse_reply(head);
-        let ours = reply.id.as_ref().is_none_or(|id| *id == packet.metadata.id);
-        ours.then_some(reply)
+        let matching = reply
+            .id
+            .as_ref()
+            .is_none_or(|id| *id == request.metadata.id);
+        matching.then_some(reply)
     }
 
-    /// Reads the head of the answer to a request.
+    /// Reads the head of the response to a request.
     ///
     /// # Errors
     ///
-    /// When the connection breaks, or what comes is no answer.
-    pub async fn answer(
+    /// Fails when the connection fails or the data is not a valid response.
+    pub async fn read_reply(
         &self,
-        packet: &Packet,
+        request: &BufferedRequest,
         connection: &mut Connection,
     ) -> Result<(Head, Reply), Error> {
         loop {
             let head = connection.head().await?;
-            if let Some(reply) = self.reply(packet, &head) {
+            if let Some(reply) = self.match_reply(request, &head) {
                 return Ok((head, reply));
             }
-            let body = connection.whole(STRAY).await?;
+            let body = connection.whole(MAX_SKIPPED_BODY).await?;
             if body.complete().is_none() {
-                return Err(Error::Malformed("answer to another request"));
+                return Err(Error::Malformed("response to another request"));
             }
         }
     }
 
-    /// Asks a server what it runs. `None` when it can't be reached; an answer that says nothing is
-    /// as good as none at all about the run, but shows that the server lives.
-    pub async fn inquire(&self, chosen: &Chosen) -> Option<Activity> {
+    /// Reads a server's current runs. Returns `None` when it can't be reached. A response that
+    /// can't be parsed gives no information on any run but shows that the server is alive.
+    pub async fn read_activity(&self, target: &Target) -> Option<Activity> {
         let head = self.protocol.activity_request();
-        let call = self.call(chosen, &Method::GET, head, Bytes::new());
-        let (head, body) = timeout(INQUIRY, call).await.ok()?.ok()?;
-        let nothing = Activity {
+        let call = self.call(target, &Method::GET, head, Bytes::new());
+        let (head, body) = timeout(ACTIVITY_TIMEOUT, call).await.ok()?.ok()?;
+        let unknown = Activity {
             queued: 1,
             runs: Vec::new(),
         };
         Some(
             self.protocol
                 .parse_activity(&head, &body)
-                .unwrap_or(nothing),
+                .unwrap_or(unknown),
         )
     }
 
-    /// Makes a call of the gateway's own, and reads the whole answer.
+    /// Sends a request of the gateway itself, and reads the whole response.
     ///
     /// # Errors
     ///
-    /// When the connection breaks, or what comes is no answer.
+    /// Fails when the connection fails, or the response is invalid or too long.
     pub async fn call(
         &self,
-        chosen: &Chosen,
+        target: &Target,
         method: &Method,
         head: Vec<u8>,
         body: Bytes,
     ) -> Result<(Head, Bytes), Error> {
-        let mut connection = self.connect(chosen).await?;
+        let mut connection = self.connect(target).await?;
         connection.write(method, head.into(), body).await?;
         let head = connection.head().await?;
-        let body = connection.whole(STRAY).await?;
-        let body = body.complete().ok_or(Error::Malformed("answer too long"))?;
-        self.keep(connection);
+        let body = connection.whole(MAX_SKIPPED_BODY).await?;
+        let body = body
+            .complete()
+            .ok_or(Error::Malformed("response too long"))?;
+        self.release(connection);
         Ok((head, body))
     }
 
-    /// Opens a connection to see whether a server is alive, and keeps it for the next request.
-    pub async fn check(&self, chosen: &Chosen) -> bool {
-        match Connection::open(chosen.address, CHECK).await {
+    /// Opens a connection to probe whether a server is alive, and keeps it for the next request.
+    pub async fn probe(&self, target: &Target) -> bool {
+        match Connection::open(target.address, PROBE_TIMEOUT).await {
             Ok(connection) => {
-                self.keep(connection);
+                self.release(connection);
                 true
             }
             Err(_) => false,
         }
     }
 
-    /// Keeps a connection whose answer was read to its end.
-    pub fn keep(&self, connection: Connection) {
+    /// Returns a connection to the pool after its response was read to the end.
+    pub fn release(&self, connection: Connection) {
         self.pool.borrow_mut().put(connection);
     }
 
-    /// Closes connections that rested too long.
-    pub fn sweep(&self) {
+    /// Closes connections that were idle for too long.
+    pub fn close_idle(&self) {
         self.pool.borrow_mut().sweep();
     }
 
-    /// Closes idle connections to a server that is gone: its address may be another's soon.
-    pub fn forget(&self, address: std::net::SocketAddr) {
+    /// Closes idle connections to a server that is gone: its address may soon belong to another
+    /// one.
+    pub fn disconnect(&self, address: std::net::SocketAddr) {
         self.pool.borrow_mut().forget(address);
     }
 
-    async fn connect(&self, chosen: &Chosen) -> Result<Connection, Error> {
-        let idle = self.pool.borrow_mut().take(chosen.address);
+    async fn connect(&self, target: &Target) -> Result<Connection, Error> {
+        let idle = self.pool.borrow_mut().take(target.address);
         if let Some(connection) = idle {
             return Ok(connection);
         }
-        Connection::open(chosen.address, CONNECT).await
+        Connection::open(target.address, CONNECT_TIMEOUT).await
     }
 }
--- a/components/gateway/src/settings.rs
+++ b/components/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the gateway is told at its start and whenever its settings change.
+//! Settings that the gateway takes at its start and on each reload.
 
 use std::{
     net::SocketAddr,
@@ -17,46 +17,46 @@
 pub struct Settings {
     /// Name of this host.
     pub host: Host,
-    /// Its data centre.
+    /// Data centre of this host.
     pub data_centre: DataCentre,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Where the platform asks whether this process takes new connections.
+    /// Address of the readiness endpoint.
     pub ready: SocketAddr,
-    /// Where beacons of other gateways come.
+    /// UDP address that receives beacons of other gateways.
     pub peers: SocketAddr,
-    /// Where metrics are asked for.
+    /// Address of the metrics endpoint.
     pub metrics: Option<SocketAddr>,
-    /// Where some other gateways may be found; they may be gone.
+    /// Addresses at which some other gateways may be found; they may be gone.
     pub seeds: Vec<SocketAddr>,
-    /// Bounds that the operator sets on the behaviour of all gateways together.
+    /// Limits that the operator sets for all gateways together.
     pub bounds: Bounds,
 }
 
-/// Bounds that hold over all gateways together.
+/// Limits that hold over all gateways together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// Time that a process has between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// Time after which a key that was taken away must not work any more, also at a process that
-    /// can't reach the store.
+    /// Time after which a revoked API key must no longer be accepted, even by a process that can't
+    /// reach the store.
     pub revocation: Duration,
-    /// Time within which a backend server that leaves must get no new work.
+    /// Time within which a draining backend server must stop getting new work.
     pub drain: Duration,
-    /// Time that an event of a stream may take from the backend server to the caller.
+    /// Maximum delay of a stream event between the backend server and the caller.
     pub pass: Duration,
-    /// Retries of a service that are allowed for each of its requests.
+    /// Retries of a service that are allowed per request.
     pub retry_ratio: f64,
-    /// Retries of a service that are allowed besides, in each window.
+    /// Retries of a service that are allowed in each window on top of the ratio.
     pub retry_slack: f64,
     /// Length of the window over which retries are counted.
     pub retry_window: Duration,
-    /// What a bad version of a service may get.
+    /// Limit on the requests that a faulty new version of a service may get.
     pub exposure: Exposure,
 }
 
 impl Bounds {
-    /// The bound on retries.
+    /// Returns the limit on retries.
     pub fn retries(&self) -> Bound {
         Bound {
             ratio: self.retry_ratio,
--- /dev/null
+++ b/components/gateway/src/shutdown.rs
@@ -0,0 +1,156 @@
+//! Graceful shutdown: which requests are still admitted, and when the process exits.
+//!
+//! The balancer keeps sending connections for some seconds after the process receives SIGTERM, and
+//! callers keep using their open ones. A stream that would outlast the grace time is rejected at
+//! once, so that its caller gets it whole from another gateway; if it were admitted, it would be
+//! cut.
+
+use std::{
+    cell::{
+        Cell,
+        RefCell, //
+    },
+    collections::HashMap,
+    time::Duration, //
+};
+
+use names::Route;
+use tokio::time::Instant;
+
+use crate::refuse::DEFAULT_RETRY_AFTER;
+
+/// Time for which the balancer may still send new connections: it removes a process after two
+/// failed health checks, one a second, and the response to the first may already be on its way.
+const BALANCER_DELAY: Duration = Duration::from_millis(2600);
+
+/// Time that is left unused at the end of the grace time.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+
+/// Weight of a new sample in the average duration of a route's requests.
+const EWMA_WEIGHT: f64 = 0.1;
+
+/// Mean deviations above the average duration that a request is expected to stay within.
+const MAX_DEVIATIONS: f64 = 3.0;
+
+/// As [`MAX_DEVIATIONS`], for the last gateway of a data centre, whose callers can't reach another
+/// one at once.
+const MAX_DEVIATIONS_LAST_GATEWAY: f64 = 1.0;
+
+/// Multiple of the latency objective that a request is expected to take on a route without samples.
+const UNSAMPLED_FACTOR: f64 = 2.0;
+
+/// Average duration of a route's requests and its mean deviation, in seconds.
+#[derive(Clone, Copy, Debug)]
+struct Average {
+    mean: f64,
+    deviation: f64,
+}
+
+/// State of the shutdown, and request durations by route.
+#[derive(Debug, Default)]
+pub struct Shutdown {
+    began: Cell<Option<Instant>>,
+    /// Other gateways of the data centre that accept new work.
+    neighbours: Cell<usize>,
+    averages: RefCell<HashMap<Route, Average>>,
+}
+
+impl Shutdown {
+    /// Records that the process was told to stop.
+    pub fn begin(&self) {
+        self.began.set(Some(Instant::now()));
+    }
+
+    /// Returns whether the process was told to stop.
+    pub fn has_begun(&self) -> bool {
+        self.began.get().is_some()
+    }
+
+    /// Sets the number of other gateways of the data centre that accept new work.
+    pub fn set_neighbours(&self, neighbours: usize) {
+        self.neighbours.set(neighbours);
+    }
+
+    /// Returns the time after which a rejected caller can reach another gateway. The balancer keeps
+    /// to the caller's data centre while it believes that a gateway runs there, and this one may be
+    /// the last.
+    pub fn retry_after(&self) -> Duration {
+        let (Some(close), 0) = (self.idle_close_at(), self.neighbours.get()) else {
+            return DEFAULT_RETRY_AFTER;
+        };
+        let left = close.saturating_duration_since(Instant::now());
+        left.max(DEFAULT_RETRY_AFTER)
+    }
+
+    /// Returns the time at which idle connections are closed.
+    pub fn idle_close_at(&self) -> Option<Instant> {
+        self.began.get().map(|began| began + BALANCER_DELAY)
+    }
+
+    /// Returns the time at which the process exits, even with requests in progress.
+    pub fn exit_at(&self, grace: Duration) -> Option<Instant> {
+        self.began
+            .get()
+            .map(|began| began + grace.saturating_sub(EXIT_MARGIN))
+    }
+
+    /// Returns an upper estimate of the duration of a route's requests.
+    pub fn duration_estimate(&self, route: &Route) -> Option<Duration> {
+        let routes = self.averages.borrow();
+        let average = routes.get(route)?;
+        Duration::try_from_secs_f64(average.mean + MAX_DEVIATIONS * average.deviation).ok()
+    }
+
+    /// Records the duration of a request that was answered in full.
+    pub fn record_duration(&self, route: &Route, time: Duration) {
+        let time = time.as_secs_f64();
+        let mut routes = self.averages.borrow_mut();
+        let Some(average) = routes.get_mut(route) else {
+            let deviation = time / 4.0;
+            let average = Average {
+                mean: time,
+                deviation,
+            };
+            routes.insert(route.clone(), average);
+            return;
+        };
+        let error = (time - average.mean).abs();
+        average.mean += EWMA_WEIGHT * (time - average.mean);
+        average.deviation += EWMA_WEIGHT * (error - average.deviation);
+    }
+
+    /// Returns whether a new request is admitted, which is the case when it is expected to end
+    /// before the process exits. The last gateway of a data centre allows fewer deviations, as its
+    /// callers can't reach another one at once. `objective` is used to estimate the duration on a
+    /// route without samples.
+    pub fn admits(&self, route: &Route, objective: Duration, grace: Duration) -> bool {
+        match self.neighbours.get() {
+            0 => self.ends_within(route, objective, grace, MAX_DEVIATIONS_LAST_GATEWAY),
+            _ => self.fits_before_exit(route, objective, grace),
+        }
+    }
+
+    /// Returns whether a queued request is expected to end before the process exits.
+    pub fn fits_before_exit(&self, route: &Route, objective: Duration, grace: Duration) -> bool {
+        self.ends_within(route, objective, grace, MAX_DEVIATIONS)
+    }
+
+    fn ends_within(
+        &self,
+        route: &Route,
+        objective: Duration,
+        grace: Duration,
+        deviations: f64,
+    ) -> bool {
+        let Some(end) = self.exit_at(grace) else {
+            return true;
+        };
+        let left = end.saturating_duration_since(Instant::now()).as_secs_f64();
+        let routes = self.averages.borrow();
+        let time = match routes.get(route) {
+            Some(average) => average.mean + deviations * average.deviation,
+            None => objective.as_secs_f64() * UNSAMPLED_FACTOR,
+        };
+        time < left
+    }
+}
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams of events, which go on elsewhere when their server is lost.
+//! Event streams, which are resumed at another server when theirs is lost.
 
 use std::{
     rc::Rc,
@@ -34,7 +34,7 @@
         Abort,
         Body, //
     },
-    fleet::Chosen,
+    fleet::Target,
     handle::{
         Call,
         Context, //
@@ -43,13 +43,13 @@
     protocol::Protocol,
     queue::{
         self,
-        Place, //
+        Admission, //
     },
     refuse::Refusal,
-    rollout::Pick,
+    rollout::Selection,
     stream::{
         resumption::{
-            Next,
+            LostRun,
             Resumption, //
         },
         run::{
@@ -61,172 +61,179 @@
 };
 
 mod backup;
-mod place;
 mod resumption;
 mod run;
+mod selection;
 
-/// Sends that a server declined after which a request is refused.
-const DECLINED: u32 = 4;
+/// Maximum number of sends that servers decline before a request is rejected.
+const MAX_DECLINED_SENDS: u32 = 4;
 
-/// Servers in a row that can't be reached after which a request is refused, or one that has begun
-/// waits before each further try. What is known of the rest is no better then.
-const UNREACHABLE: u32 = 8;
+/// Unreachable servers in a row after which a new request is rejected, and a stream that has begun
+/// waits before each further attempt. The state of the other servers is no better known then.
+const MAX_UNREACHABLE_SERVERS: u32 = 8;
 
-/// Time between tries while servers can't be reached.
+/// Wait between attempts while servers are unreachable.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Answers a request with a stream.
+/// Handles a streaming request.
 pub async fn run<P: Protocol + 'static>(context: &Rc<Context<P>>, call: Call) -> Response<Body> {
-    let mut story = Story {
-        leaving: Leaving::new(&call),
+    let mut session = Session {
+        guard: AbandonGuard::new(&call),
         context: context.clone(),
-        sequence: Sequence::after(call.packet.metadata.after),
-        pick: Pick::default(),
+        sequence: Sequence::after(call.request.metadata.after),
+        selection: Selection::default(),
         call,
-        place: None,
+        admission: None,
         tried: Vec::new(),
-        ran: Vec::new(),
-        lost: None,
+        ran_at: Vec::new(),
+        last_lost: None,
         unsent: 0,
-        unreachable: 0,
-        heard: Instant::now(),
-        first: None,
-        gap: Duration::ZERO,
+        unreachable_in_row: 0,
+        last_event: Instant::now(),
+        time_to_first: None,
+        longest_gap: Duration::ZERO,
     };
-    let begun = match story.begin().await {
-        Ok(begun) => begun,
+    let started = match session.start_first().await {
+        Ok(started) => started,
         Err(response) => {
-            story.leaving.done = true;
+            session.guard.done = true;
             return response;
         }
     };
-    let (status, headers) = (begun.status, begun.headers);
-    let mut response = Response::new(Body::stream(story.events(begun.run)));
+    let (status, headers) = (started.status, started.headers);
+    let mut response = Response::new(Body::stream(session.events(started.run)));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
-/// A run that answered, and the head that its caller gets.
-struct Begun {
+/// A started run, and the head for the caller.
+struct StartedRun {
     run: Box<Run>,
     status: StatusCode,
     headers: HeaderMap,
 }
 
 /// One stream from its request to its end.
-struct Story<P> {
-    leaving: Leaving,
+struct Session<P> {
+    guard: AbandonGuard,
     context: Rc<Context<P>>,
     call: Call,
-    /// Versions that it may go to.
-    pick: Pick,
+    /// Versions that may serve it.
+    selection: Selection,
     sequence: Sequence,
-    /// Its place among the requests that the engines have room for.
-    place: Option<Place>,
-    /// Servers that it was sent to.
+    /// Capacity that the queue granted.
+    admission: Option<Admission>,
+    /// Servers to which it was sent.
     tried: Vec<Server>,
     /// Servers at which it may have run.
-    ran: Vec<Server>,
-    /// Server of the run that was lost last.
-    lost: Option<Server>,
-    /// Sends that were counted and reached no server.
+    ran_at: Vec<Server>,
+    /// Server of the last lost run.
+    last_lost: Option<Server>,
+    /// Counted sends that reached no server; further sends are offset against them.
     unsent: u32,
-    /// Servers in a row that couldn't be reached.
-    unreachable: u32,
-    /// When the caller was last sent an event, or the request came.
-    heard: Instant,
+    /// Unreachable servers in a row.
+    unreachable_in_row: u32,
+    /// When the caller was last sent an event, initially when the request arrived.
+    last_event: Instant,
     /// Time from the request to its first event.
-    first: Option<Duration>,
+    time_to_first: Option<Duration>,
     /// Longest time between two events.
-    gap: Duration,
+    longest_gap: Duration,
 }
 
-impl<P: Protocol + 'static> Story<P> {
-    /// Starts runs until one answers, or there is nothing left to try.
-    async fn begin(&mut self) -> Result<Begun, Response<Body>> {
+impl<P: Protocol + 'static> Session<P> {
+    /// Starts runs until one answers, or no attempt is left.
+    async fn start_first(&mut self) -> Result<StartedRun, Response<Body>> {
         self.cache_lookup().await;
-        let work = self.work();
-        match queue::enter(&self.context, &self.call, work).await {
-            Ok(place) => self.place = Some(place),
+        let work = self.remaining_work();
+        match queue::admit(&self.context, &self.call, work).await {
+            Ok(admission) => self.admission = Some(admission),
             Err(refusal) => return Err(self.call.refuse(&refusal)),
         }
         let (service, route) = (&self.call.service, &self.call.route);
-        self.pick = self.context.rollouts.pick(service, route);
+        self.selection = self.context.rollouts.select(service, route);
         let mut declined = 0;
         let mut failure = None;
-        let mut next = None;
+        let mut resumption = None;
         let mut first = true;
-        let mut spent = false;
-        while let Some((chosen, copy)) = self.choose(&mut next) {
-            if self.ran.is_empty() && !self.worth_trying(&chosen) {
-                return Err(self.call.refuse(&Refusal::Hopeless));
+        let mut retries_spent = false;
+        while let Some((target, copy)) = self.choose(&mut resumption) {
+            if self.ran_at.is_empty() && !self.worth_trying(&target) {
+                return Err(self.call.refuse(&Refusal::TooLittleTime));
             }
             if !self.may_send(first, Purpose::First) {
-                spent = true;
+                retries_spent = true;
                 break;
             }
             first = false;
-            match self.start(&chosen, copy.as_ref()).await {
+            match self.start(&target, copy.as_ref()).await {
                 Start::Running {
                     run,
                     status,
                     headers,
                 } => {
-                    self.unreachable = 0;
-                    return Ok(Begun {
+                    self.unreachable_in_row = 0;
+                    return Ok(StartedRun {
                         run,
                         status,
                         headers,
                     });
                 }
-                Start::Late => {
-                    return Err(failure.unwrap_or_else(|| self.call.refuse(&Refusal::Late)));
+                Start::TimedOut => {
+                    return Err(
+                        failure.unwrap_or_else(|| self.call.refuse(&Refusal::DeadlineExceeded))
+                    );
                 }
                 Start::Unreachable | Start::Replaced
-                    if self.ran.is_empty() && self.unreachable >= UNREACHABLE =>
+                    if self.ran_at.is_empty()
+                        && self.unreachable_in_row >= MAX_UNREACHABLE_SERVERS =>
                 {
                     break;
                 }
                 Start::Unreachable => {
                     self.unsent += 1;
-                    self.unreachable().await;
+                    self.count_unreachable().await;
                 }
-                Start::Replaced => self.unreachable().await,
+                Start::Replaced => self.count_unreachable().await,
                 Start::Declined => {
                     declined += 1;
-                    if declined > DECLINED {
+                    if declined > MAX_DECLINED_SENDS {
                         break;
                     }
                 }
                 Start::Failed(response) => {
-                    self.judged(&chosen, None);
-                    self.ran(&chosen);
+                    self.report_result(&target, None);
+                    self.record_ran(&target);
                     failure = Some(response);
                 }
-                Start::Lost(lost) => self.onward(&mut next, *lost),
+                Start::Lost(lost) => self.record_loss(&mut resumption, *lost),
             }
-            if self.over() {
+            if self.timed_out() {
                 break;
             }
-            // The move may have ended meanwhile, and the servers that it left with it.
-            self.pick = self.context.rollouts.limit(&self.call.service);
+            // The rollout may have ended since, and the versions that it allowed with it.
+            self.selection = self.context.rollouts.select_resumed(&self.call.service);
         }
         Err(match failure {
             Some(response) => response,
-            None if self.ran.is_empty() && spent => self.call.refuse(&Refusal::Spent),
-            None if self.ran.is_empty() && self.over() => self.call.refuse(&Refusal::Expired),
-            None if self.ran.is_empty() => self.call.refuse(&Refusal::NoServer),
+            None if self.ran_at.is_empty() && retries_spent => {
+                self.call.refuse(&Refusal::RetriesSpent)
+            }
+            None if self.ran_at.is_empty() && self.timed_out() => {
+                self.call.refuse(&Refusal::Expired)
+            }
+            None if self.ran_at.is_empty() => self.call.refuse(&Refusal::NoServer),
             None => self.call.refuse(&Refusal::Lost),
         })
     }
 
-    fn over(&self) -> bool {
+    fn timed_out(&self) -> bool {
         Instant::now() >= self.call.until
     }
 
-    /// Counts a send; `false` when it is a retry and there is none left. Only what may reach a server
-    /// is one.
+    /// Counts a send; returns `false` when it is a retry and the budget is used up. A send that
+    /// can't have reached a server doesn't count.
     fn may_send(&mut self, first: bool, purpose: Purpose) -> bool {
         if self.unsent > 0 {
             self.unsent -= 1;
@@ -235,64 +242,64 @@
         self.context.may_send(&self.call.service, first, purpose)
     }
 
-    /// Notes that a server couldn't be reached, or is over, and waits when many can't.
-    async fn unreachable(&mut self) {
-        self.unreachable += 1;
-        if self.unreachable > UNREACHABLE {
+    /// Counts a server that was unreachable or replaced, and waits when there are many in a row.
+    async fn count_unreachable(&mut self) {
+        self.unreachable_in_row += 1;
+        if self.unreachable_in_row > MAX_UNREACHABLE_SERVERS {
             sleep(UNREACHABLE_BACKOFF).await;
         }
     }
 
-    /// Notes that the request may have run at a server.
-    fn ran(&mut self, chosen: &Chosen) {
-        if !self.ran.contains(&chosen.server) {
-            self.ran.push(chosen.server.clone());
+    /// Records that the request may have run at a server.
+    fn record_ran(&mut self, target: &Target) {
+        if !self.ran_at.contains(&target.server) {
+            self.ran_at.push(target.server.clone());
         }
     }
 
-    /// Whether the request may be sent to a server, as far as repeats are concerned.
-    fn may(&self, server: &Server) -> bool {
-        if self.ran.is_empty() {
+    /// Returns whether the limits on repetition allow a send to a server.
+    fn may_send_to(&self, server: &Server) -> bool {
+        if self.ran_at.is_empty() {
             return true;
         }
         let repeats = self.call.pass.repeats != Repeats::Never;
-        let known = self.ran.contains(server);
-        repeats && (known || self.ran.len() < self.call.pass.attempts as usize)
+        let known = self.ran_at.contains(server);
+        repeats && (known || self.ran_at.len() < self.call.pass.attempts as usize)
     }
 
-    /// Events until the answer is complete, from as many runs as it takes.
+    /// Yields events until the answer is complete, from as many runs as needed.
     fn events(mut self, run: Box<Run>) -> impl Stream<Item = Result<Bytes, Abort>> {
         stream! {
             let mut run = run;
             let reason = loop {
                 match self.step(&mut run).await {
                     Step::Events(bytes) => {
-                        self.delivered(&run);
+                        self.record_delivery(&run);
                         yield Ok(bytes);
                     }
                     Step::End => {
-                        self.leaving.done = true;
+                        self.guard.done = true;
                         self.finish(*run);
                         return;
                     }
-                    Step::Late => break "late",
+                    Step::TimedOut => break "late",
                     Step::Lost(loss) => {
-                        // The old run is over before the next one begins.
-                        let lost = run.lost(loss);
+                        // The lost run is dropped before the next one begins.
+                        let lost = run.into_lost(loss);
                         match self.resume(lost).await {
                             Some(next) => run = next,
-                            None => break "nowhere to go on",
+                            None => break "no server to resume on",
                         }
                     }
                 }
             };
-            self.leaving.done = true;
+            self.guard.done = true;
             meter::outcome("cut", self.call.arrived.elapsed());
             note!(
                 direct::CUT,
-                id = self.call.packet.metadata.id.as_str(),
+                id = self.call.request.metadata.id.as_str(),
                 reason = reason,
-                attempts = self.ran.len(),
+                attempts = self.ran_at.len(),
                 last = self.sequence.last(),
                 ms = self.call.arrived.elapsed().as_millis() as u64
             );
@@ -300,42 +307,42 @@
         }
     }
 
-    /// Notes that events go to the caller.
-    fn delivered(&mut self, run: &Run) {
+    /// Updates the timing when events are sent to the caller.
+    fn record_delivery(&mut self, run: &Run) {
         let now = Instant::now();
-        match self.first {
+        match self.time_to_first {
             None => {
                 let first = now - self.call.arrived;
-                meter::first(first);
-                // Of a stream that comes back the first event says nothing of a prompt.
-                if self.call.packet.metadata.after.is_none() {
-                    self.judged(&run.chosen, Some(run.began.elapsed()));
+                meter::first_event(first);
+                // The first event of a resumed stream is no sample of the time to process a prompt.
+                if self.call.request.metadata.after.is_none() {
+                    self.report_result(&run.target, Some(run.began.elapsed()));
                 }
-                self.first = Some(first);
-                if let Some(place) = &self.place {
-                    place.first();
+                self.time_to_first = Some(first);
+                if let Some(admission) = &self.admission {
+                    admission.record_first_event();
                 }
             }
-            Some(_) => self.gap = self.gap.max(now - self.heard),
+            Some(_) => self.longest_gap = self.longest_gap.max(now - self.last_event),
         }
-        self.heard = now;
+        self.last_event = now;
     }
 
     fn finish(&self, run: Run) {
         note!(
             direct::ANSWERED,
-            id = self.call.packet.metadata.id.as_str(),
-            server = run.chosen.server.as_str(),
-            attempts = self.ran.len() + 1,
-            first_ms = self.first.map(|first| first.as_millis() as u64),
-            gap_ms = self.gap.as_millis() as u64,
+            id = self.call.request.metadata.id.as_str(),
+            server = run.target.server.as_str(),
+            attempts = self.ran_at.len() + 1,
+            first_ms = self.time_to_first.map(|first| first.as_millis() as u64),
+            gap_ms = self.longest_gap.as_millis() as u64,
             ms = self.call.arrived.elapsed().as_millis() as u64
         );
-        let departure = &self.context.departure;
-        departure.learn(&self.call.route, self.call.arrived.elapsed());
+        let shutdown = &self.context.shutdown;
+        shutdown.record_duration(&self.call.route, self.call.arrived.elapsed());
         if let (None, Some(first), Some(events)) = (
-            self.call.packet.metadata.after,
-            self.first,
+            self.call.request.metadata.after,
+            self.time_to_first,
             self.sequence.last(),
         ) {
             let time = self.call.arrived.elapsed().saturating_sub(first);
@@ -346,57 +353,57 @@
                 .learn(&self.call.route, answer);
         }
         meter::outcome("answered", self.call.arrived.elapsed());
-        meter::gap(self.gap);
+        meter::event_gap(self.longest_gap);
         if let Some(connection) = run.finish() {
-            self.context.sender.keep(connection);
+            self.context.sender.release(connection);
         }
     }
 
-    async fn resume(&mut self, lost: Next) -> Option<Box<Run>> {
+    async fn resume(&mut self, lost: LostRun) -> Option<Box<Run>> {
         if self.call.pass.repeats != Repeats::Resumes {
             return None;
         }
-        let mut next = None;
-        self.pick = self.context.rollouts.limit(&self.call.service);
-        self.onward(&mut next, lost);
+        let mut resumption = None;
+        self.selection = self.context.rollouts.select_resumed(&self.call.service);
+        self.record_loss(&mut resumption, lost);
         let mut declined = 0;
-        while !self.over() {
-            let (chosen, copy) = self.choose(&mut next)?;
+        while !self.timed_out() {
+            let (target, copy) = self.choose(&mut resumption)?;
             if !self.may_send(false, Purpose::Resume) {
                 return None;
             }
-            match self.start(&chosen, copy.as_ref()).await {
+            match self.start(&target, copy.as_ref()).await {
                 Start::Running { run, .. } => {
-                    self.unreachable = 0;
-                    let same = self.ran.last() == Some(&chosen.server);
+                    self.unreachable_in_row = 0;
+                    let same = self.ran_at.last() == Some(&target.server);
                     let from = match (copy.is_some(), same) {
                         (true, _) => "copy",
                         (false, true) => "same",
                         (false, false) => "anew",
                     };
-                    meter::resumed(from, self.heard.elapsed());
+                    meter::resumed(from, self.last_event.elapsed());
                     note!(
                         direct::RESUMED,
-                        id = self.call.packet.metadata.id.as_str(),
-                        server = chosen.server.as_str(),
+                        id = self.call.request.metadata.id.as_str(),
+                        server = target.server.as_str(),
                         last = self.sequence.last(),
                         from = from,
-                        attempts = self.ran.len() + 1,
-                        gap_ms = self.heard.elapsed().as_millis() as u64
+                        attempts = self.ran_at.len() + 1,
+                        gap_ms = self.last_event.elapsed().as_millis() as u64
                     );
                     return Some(run);
                 }
-                Start::Late => return None,
-                Start::Failed(_) => self.ran(&chosen),
-                Start::Lost(lost) => self.onward(&mut next, *lost),
+                Start::TimedOut => return None,
+                Start::Failed(_) => self.record_ran(&target),
+                Start::Lost(lost) => self.record_loss(&mut resumption, *lost),
                 Start::Unreachable => {
                     self.unsent += 1;
-                    self.unreachable().await;
+                    self.count_unreachable().await;
                 }
-                Start::Replaced => self.unreachable().await,
+                Start::Replaced => self.count_unreachable().await,
                 Start::Declined => {
                     declined += 1;
-                    if declined > DECLINED {
+                    if declined > MAX_DECLINED_SENDS {
                         return None;
                     }
                 }
@@ -405,46 +412,46 @@
         None
     }
 
-    /// Notes what a version did with the request.
-    fn judged(&self, chosen: &Chosen, time: Option<Duration>) {
+    /// Reports the result of the request at a version to its rollout.
+    fn report_result(&self, target: &Target, time: Option<Duration>) {
         let (service, route) = (&self.call.service, &self.call.route);
         self.context
             .rollouts
-            .ended(service, route, &chosen.version, time);
+            .record_result(service, route, &target.version, time);
     }
 
-    /// Takes a loss into what is left to try. A run that was lost before it gave an event has no
-    /// copy of its own; the one of the run before it still stands.
-    fn onward(&mut self, next: &mut Option<Resumption>, lost: Next) {
-        self.ran(&lost.server);
+    /// Determines the candidates after a loss. A run that was lost before its first event has no
+    /// copy of its own, so the candidates of the previous loss stay valid.
+    fn record_loss(&mut self, slot: &mut Option<Resumption>, lost: LostRun) {
+        self.record_ran(&lost.server);
         let server = lost.server.server.clone();
-        let again = self.lost.replace(server) == Some(lost.server.server.clone());
-        if again && let Some(onward) = next {
-            onward.skip_same();
+        let same_server = self.last_lost.replace(server) == Some(lost.server.server.clone());
+        if same_server && let Some(resumption) = slot {
+            resumption.skip_same();
             return;
         }
-        *next = Some(Resumption::new(lost, again));
+        *slot = Some(Resumption::new(lost, same_server));
     }
 }
 
-/// Notes that the caller went away, when the answer is dropped before it is complete.
-struct Leaving {
+/// Records that the caller disconnected when the response is dropped before it is complete.
+struct AbandonGuard {
     id: String,
     arrived: Instant,
     done: bool,
 }
 
-impl Leaving {
-    fn new(call: &Call) -> Leaving {
-        Leaving {
-            id: call.packet.metadata.id.clone(),
+impl AbandonGuard {
+    fn new(call: &Call) -> AbandonGuard {
+        AbandonGuard {
+            id: call.request.metadata.id.clone(),
             arrived: call.arrived,
             done: false,
         }
     }
 }
 
-impl Drop for Leaving {
+impl Drop for AbandonGuard {
     fn drop(&mut self) {
         if self.done {
             return;
--- a/components/gateway/src/stream/backup.rs
+++ b/components/gateway/src/stream/backup.rs
@@ -1,8 +1,8 @@
-//! Copies of a run's memory at other servers.
+//! Copies of a run's KV cache at other servers.
 //!
-//! A run's own server sends its memory on as it grows to the server that the request named. That
-//! server can be lost before the run is; the copy is then made anew, by asking the run's server,
-//! and kept up to date until the run ends.
+//! A run's server replicates its KV cache as it grows to the server that the request named. When
+//! that one is lost before the run ends, another copy is made by a call to the run's server and
+//! refreshed until the run ends.
 
 use std::{
     cell::RefCell,
@@ -29,8 +29,8 @@
 
 use crate::{
     fleet::{
-        Charge,
-        Chosen, //
+        InFlight,
+        Target, //
     },
     handle::Context, //
     protocol::{
@@ -39,32 +39,32 @@
     },
 };
 
-/// Time for one call that makes a copy: tens of milliseconds of transfer, behind others.
-const CALL: Duration = Duration::from_secs(2);
+/// Timeout of a call that makes a copy: tens of milliseconds of transfer, queued behind others.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Part of the time for which an unused copy is kept after which it is brought up to date.
-const REFRESH: f64 = 0.5;
+/// Share of the retention time of an unused copy after which it is refreshed.
+const REFRESH_SHARE: f64 = 0.5;
 
-/// Time before the next try after one that failed.
-const AGAIN: Duration = Duration::from_millis(500);
+/// Wait after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A copy, or what is to become one.
+/// A copy that exists or is being made.
 pub(super) struct Backup {
-    /// The server that holds it.
-    pub(super) holder: Chosen,
+    /// Server that holds it.
+    pub(super) holder: Target,
     /// Counts the memory at the holder.
-    _charge: Charge,
+    _in_flight: InFlight,
     kind: Kind,
 }
 
 enum Kind {
-    /// The run's server sends its memory there as it grows.
-    Running(KvCopy),
-    /// Made on request.
-    Asked(Rc<RefCell<Progress>>),
+    /// The run's server replicates its KV cache continuously.
+    Continuous(KvCopy),
+    /// Made by calls to the run's server.
+    OnRequest(Rc<RefCell<Progress>>),
 }
 
-/// How far a copy on request is.
+/// Progress of a copy that is made by calls.
 #[derive(Default)]
 struct Progress {
     copy: Option<KvCopy>,
@@ -81,45 +81,45 @@
 }
 
 impl Backup {
-    /// A copy that the run's server makes by itself.
-    pub(super) fn running(holder: Chosen, charge: Charge, id: &str) -> Backup {
+    /// Creates a copy that the run's server replicates continuously.
+    pub(super) fn continuous(holder: Target, in_flight: InFlight, id: &str) -> Backup {
         let copy = KvCopy {
             address: holder.address,
             name: id.to_string(),
         };
         Backup {
             holder,
-            _charge: charge,
-            kind: Kind::Running(copy),
+            _in_flight: in_flight,
+            kind: Kind::Continuous(copy),
         }
     }
 
-    /// A copy that is to be made on request.
-    pub(super) fn asked(holder: Chosen, charge: Charge) -> Backup {
+    /// Creates a copy that is made by calls.
+    pub(super) fn on_request(holder: Target, in_flight: InFlight) -> Backup {
         Backup {
             holder,
-            _charge: charge,
-            kind: Kind::Asked(Rc::default()),
+            _in_flight: in_flight,
+            kind: Kind::OnRequest(Rc::default()),
         }
     }
 
-    /// The copy, as far as there is one.
+    /// Returns the copy, if it exists yet.
     pub(super) fn copy(&self) -> Option<KvCopy> {
         match &self.kind {
-            Kind::Running(copy) => Some(copy.clone()),
-            Kind::Asked(progress) => progress.borrow().copy.clone(),
+            Kind::Continuous(copy) => Some(copy.clone()),
+            Kind::OnRequest(progress) => progress.borrow().copy.clone(),
         }
     }
 
-    /// Brings a copy on request up to date when it is time.
+    /// Refreshes a copy that is made by calls when it is due.
     pub(super) fn refresh<P: Protocol + 'static>(
         &self,
         context: &Rc<Context<P>>,
-        source: &Chosen,
+        source: &Target,
         id: &str,
         kept: Duration,
     ) {
-        let Kind::Asked(progress) = &self.kind else {
+        let Kind::OnRequest(progress) = &self.kind else {
             return;
         };
         let mut inner = progress.borrow_mut();
@@ -127,7 +127,7 @@
         if busy || inner.next.is_some_and(|next| next > Instant::now()) {
             return;
         }
-        let call = Call {
+        let call = CopyCall {
             context: context.clone(),
             source: source.clone(),
             holder: self.holder.clone(),
@@ -142,8 +142,8 @@
             };
             let mut inner = progress.borrow_mut();
             let wait = match &result {
-                Some(_) => call.kept.mul_f64(REFRESH),
-                None => AGAIN,
+                Some(_) => call.kept.mul_f64(REFRESH_SHARE),
+                None => RETRY_DELAY,
             };
             inner.next = Some(Instant::now() + wait);
             if result.is_some() {
@@ -154,22 +154,26 @@
 }
 
 /// One call that makes or refreshes a copy.
-struct Call<P> {
+struct CopyCall<P> {
     context: Rc<Context<P>>,
-    source: Chosen,
-    holder: Chosen,
+    source: Target,
+    holder: Target,
     id: String,
     kept: Duration,
 }
 
-impl<P: Protocol> Call<P> {
+impl<P: Protocol> CopyCall<P> {
     async fn run(&self) -> Option<KvCopy> {
         let began = Instant::now();
         let sender = &self.context.sender;
         let (head, body) = sender
             .protocol()
             .copy_request(&self.id, self.holder.address);
-        let answer = timeout(CALL, sender.call(&self.source, &Method::POST, head, body)).await;
+        let answer = timeout(
+            CALL_TIMEOUT,
+            sender.call(&self.source, &Method::POST, head, body),
+        )
+        .await;
         let answer = answer.ok().and_then(Result::ok);
         let name =
             answer.and_then(|(head, body): (_, Bytes)| sender.protocol().parse_copy(&head, &body));
--- a/components/gateway/src/stream/resumption.rs
+++ b/components/gateway/src/stream/resumption.rs
@@ -1,4 +1,4 @@
-//! Where a stream goes on after a loss.
+//! Candidates at which a stream is resumed after a loss.
 
 use std::time::Duration;
 
@@ -9,49 +9,49 @@
 };
 
 use crate::{
-    fleet::Chosen, //
+    fleet::Target, //
     protocol::KvCopy,
 };
 
-/// A run that was lost, and where its stream can go on.
-pub(super) struct Next {
+/// A lost run, and the copies from which its stream can be resumed.
+pub(super) struct LostRun {
     pub(super) loss: Loss,
-    /// Events that the run gave, and how long it ran.
+    /// Number of events that the run produced, and its age.
     pub(super) events: u64,
     pub(super) age: Duration,
-    pub(super) server: Chosen,
-    /// The copy from which it was to go on, if it gave no event: the copy may still be there.
-    pub(super) from: Option<KvCopy>,
-    /// The server that holds a copy of its memory, and the copy.
-    pub(super) held: Option<(Chosen, KvCopy)>,
+    pub(super) server: Target,
+    /// Copy from which the run was resumed, if it produced no event: the copy may still exist.
+    pub(super) resumed_from: Option<KvCopy>,
+    /// Server that holds a copy of the run's KV cache, and the copy.
+    pub(super) backup: Option<(Target, KvCopy)>,
 }
 
-/// What is left to try after a loss.
+/// Remaining candidates after a loss.
 pub(super) struct Resumption {
-    pub(super) next: Next,
-    left: &'static [Candidate],
+    pub(super) lost: LostRun,
+    candidates: &'static [Candidate],
 }
 
 impl Resumption {
-    /// `again` when the run before was lost at the same server.
-    pub(super) fn new(next: Next, again: bool) -> Resumption {
-        let read = next.events > 0 || next.age >= READING || next.from.is_some();
-        let worth = !again && read;
+    /// Creates the candidates; `same_server` if the previous run was lost at the same server.
+    pub(super) fn new(lost: LostRun, same_server: bool) -> Resumption {
+        let read = lost.events > 0 || lost.age >= READING || lost.resumed_from.is_some();
+        let worth = !same_server && read;
         Resumption {
-            left: next.loss.candidates(worth),
-            next,
+            candidates: lost.loss.candidates(worth),
+            lost,
         }
     }
 
     pub(super) fn skip_same(&mut self) {
-        if let [Candidate::Same, rest @ ..] = self.left {
-            self.left = rest;
+        if let [Candidate::Same, rest @ ..] = self.candidates {
+            self.candidates = rest;
         }
     }
 
     pub(super) fn take(&mut self) -> Option<Candidate> {
-        let (first, rest) = self.left.split_first()?;
-        self.left = rest;
+        let (first, rest) = self.candidates.split_first()?;
+        self.candidates = rest;
         Some(*first)
     }
 }
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -40,11 +40,11 @@
 use crate::{
     body::Body,
     fleet::{
-        Charge,
-        Chosen,
+        InFlight,
         Suspicion,
-        rounded,
-        suspicion, //
+        Target,
+        round_load,
+        suspicion_for, //
     },
     meter,
     protocol::{
@@ -53,48 +53,49 @@
         Protocol,
         Reply,
     },
-    refuse::COME_BACK,
+    refuse::DEFAULT_RETRY_AFTER,
     sender::Failure,
     stream::{
-        Next,
-        Story,
+        LostRun,
+        Session,
         backup::Backup, //
     },
 };
 
-/// Longest body of a failure that is read whole, in bytes.
+/// Maximum size of an error response that is read, in bytes.
 const MAX_FAILURE_BODY: usize = 64 * 1024;
 
-/// Longest wait for a server's next bytes before it is looked whether it is known to be over.
+/// Longest wait for a server's next bytes before its state is checked again.
 const MAX_FILL_WAIT: Duration = Duration::from_millis(400);
 
-/// Pace at which it is looked whether the copy's holder is still there.
+/// Interval at which the holder of the copy is checked.
 const BACKUP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time for the body of a failure.
+/// Timeout of the body of an error response.
 const FAILURE_BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A run that gives events.
+/// A run that produces events.
 pub(super) struct Run {
-    pub(super) chosen: Chosen,
+    pub(super) target: Target,
     connection: Connection,
-    charge: Charge,
-    held: Option<Backup>,
+    in_flight: InFlight,
+    backup: Option<Backup>,
     splitter: Splitter,
     silence: Silence,
     pub(super) began: Instant,
-    heard: Instant,
-    /// When its server last gave a sign of life.
-    sound: Instant,
-    /// When it was last seen to that there is a copy.
-    looked: Instant,
+    last_received: Instant,
+    /// When its server was last known to be alive.
+    last_alive: Instant,
+    /// When the copy was last checked.
+    copy_checked: Instant,
     events: u64,
     complete: bool,
-    /// The copy from which it was to go on; a server refuses it too when the copy isn't there.
+    /// Copy from which the run was to resume; a server also declines the request when the copy is
+    /// missing.
     copy: Option<KvCopy>,
 }
 
-/// What the next look at a run gave.
+/// Result of waiting for a run.
 pub(super) enum Step {
     /// Whole events, in order.
     Events(Bytes),
@@ -102,149 +103,153 @@
     End,
     /// The run is lost.
     Lost(Loss),
-    /// The time of the whole answer is over.
-    Late,
+    /// The deadline of the answer passed.
+    TimedOut,
 }
 
-/// What came of starting a run.
+/// Result of starting a run.
 pub(super) enum Start {
-    /// It answers.
+    /// The server answers with a stream.
     Running {
         run: Box<Run>,
         status: StatusCode,
         headers: HeaderMap,
     },
-    /// The server answered with a failure of its own.
+    /// The server answered with an error.
     Failed(Response<Body>),
     /// The server didn't run it.
     Declined,
-    /// The server can't be reached, and no byte left.
+    /// The server is unreachable, and no byte was sent.
     Unreachable,
-    /// The server is over: another one got the request at its address, and didn't run it.
+    /// The server is gone: another one got the request at its address, and didn't run it.
     Replaced,
     /// It may have run, or have begun to.
-    Lost(Box<Next>),
-    /// The time of the whole answer is over.
-    Late,
+    Lost(Box<LostRun>),
+    /// The deadline of the answer passed.
+    TimedOut,
 }
 
-/// What was waited for.
-enum Heard {
+/// Next piece of a run's answer.
+enum Received {
     Head(Head, Reply),
     Data(Bytes),
     End,
     Lost(Loss),
-    Late,
+    TimedOut,
 }
 
 impl Run {
-    /// Gives up the run; tells where its stream can go on.
-    pub(super) fn lost(mut self, loss: Loss) -> Next {
-        self.charge.end(Outcome::Failed);
-        Next {
+    /// Gives up the run and returns what is needed to resume its stream.
+    pub(super) fn into_lost(mut self, loss: Loss) -> LostRun {
+        self.in_flight.set_outcome(Outcome::Failed);
+        LostRun {
             loss,
             events: self.events,
             age: self.began.elapsed(),
-            server: self.chosen.clone(),
-            from: self.copy.take().filter(|_| self.events == 0),
-            held: self.held.take().and_then(|held| {
-                let copy = held.copy()?;
-                Some((held.holder, copy))
+            server: self.target.clone(),
+            resumed_from: self.copy.take().filter(|_| self.events == 0),
+            backup: self.backup.take().and_then(|backup| {
+                let copy = backup.copy()?;
+                Some((backup.holder, copy))
             }),
         }
     }
 
-    /// Ends the run after its whole answer; returns the connection.
+    /// Ends the run after its whole answer; returns the connection if it can be reused.
     pub(super) fn finish(mut self) -> Option<Connection> {
-        self.charge.end(Outcome::Served {
+        self.in_flight.set_outcome(Outcome::Served {
             time: self.began.elapsed(),
         });
         self.complete.then_some(self.connection)
     }
 
-    /// Takes what was read of the answer.
-    fn take<P: Protocol>(&mut self, story: &Story<P>, head: bool) -> Result<Option<Heard>, Error> {
+    /// Takes the next piece from the bytes that were read.
+    fn take<P: Protocol>(
+        &mut self,
+        session: &Session<P>,
+        head: bool,
+    ) -> Result<Option<Received>, Error> {
         if !head {
             return Ok(match self.connection.try_data()? {
-                Data::Bytes(bytes) => Some(Heard::Data(bytes)),
-                Data::End => Some(Heard::End),
+                Data::Bytes(bytes) => Some(Received::Data(bytes)),
+                Data::End => Some(Received::End),
                 Data::More => None,
             });
         }
         let Some(head) = self.connection.try_head()? else {
             return Ok(None);
         };
-        let packet = &story.call.packet;
-        let reply = story.context.sender.reply(packet, &head);
-        let reply = reply.ok_or(Error::Malformed("answer to another request"))?;
-        Ok(Some(Heard::Head(head, reply)))
+        let request = &session.call.request;
+        let reply = session.context.sender.match_reply(request, &head);
+        let reply = reply.ok_or(Error::Malformed("response to another request"))?;
+        Ok(Some(Received::Head(head, reply)))
     }
 }
 
-impl<P: Protocol + 'static> Story<P> {
+impl<P: Protocol + 'static> Session<P> {
     /// Waits for the next piece of a run's answer, or for a reason to give it up.
-    async fn listen(&self, run: &mut Run, head: bool) -> Heard {
+    async fn receive(&self, run: &mut Run, head: bool) -> Received {
         loop {
             match run.take(self, head) {
-                Ok(Some(heard)) => return heard,
+                Ok(Some(received)) => return received,
                 Ok(None) => {}
-                Err(Error::Closed) => return Heard::Lost(Loss::Closed),
-                Err(_) => return Heard::Lost(Loss::Malformed),
+                Err(Error::Closed) => return Received::Lost(Loss::Closed),
+                Err(_) => return Received::Lost(Loss::Malformed),
             }
-            if self.over() {
-                return Heard::Late;
+            if self.timed_out() {
+                return Received::TimedOut;
             }
-            if self.context.fleet.borrow().is_over(&run.chosen.server) {
-                return Heard::Lost(Loss::Dark);
+            if self.context.fleet.borrow().is_replaced(&run.target.server) {
+                return Received::Lost(Loss::Dark);
             }
-            self.doubt(run);
-            let silence = run.heard.elapsed();
+            self.check_suspicion(run);
+            let silence = run.last_received.elapsed();
             match run.silence.advise(silence) {
-                Advice::Lost => return Heard::Lost(Loss::Silent),
-                Advice::Leave => return Heard::Lost(Loss::Slow),
+                Advice::Lost => return Received::Lost(Loss::Silent),
+                Advice::Leave => return Received::Lost(Loss::Slow),
                 Advice::Wait(limit) => {
-                    let until = (run.heard + limit).min(self.call.until);
+                    let until = (run.last_received + limit).min(self.call.until);
                     let until = until.min(Instant::now() + MAX_FILL_WAIT);
-                    // A time-out is looked into at the next turn.
+                    // A timeout is handled in the next iteration.
                     if let Ok(Err(_)) = timeout_at(until, run.connection.fill()).await {
-                        return Heard::Lost(Loss::Reset);
+                        return Received::Lost(Loss::Reset);
                     }
                 }
                 Advice::Check => {
-                    let check = self.context.sender.check(&run.chosen);
+                    let check = self.context.sender.probe(&run.target);
                     tokio::select! {
                         biased;
                         filled = run.connection.fill() => {
                             if filled.is_err() {
-                                return Heard::Lost(Loss::Reset);
+                                return Received::Lost(Loss::Reset);
                             }
                         }
                         alive = check => {
                             if !alive {
-                                return Heard::Lost(Loss::Dark);
+                                return Received::Lost(Loss::Dark);
                             }
-                            run.sound = Instant::now();
-                            run.silence.alive(run.heard.elapsed());
+                            run.last_alive = Instant::now();
+                            run.silence.alive(run.last_received.elapsed());
                         }
                     }
                 }
                 Advice::Inquire => {
-                    let inquiry = self.context.sender.inquire(&run.chosen);
+                    let inquiry = self.context.sender.read_activity(&run.target);
                     tokio::select! {
                         biased;
                         filled = run.connection.fill() => {
                             if filled.is_err() {
-                                return Heard::Lost(Loss::Reset);
+                                return Received::Lost(Loss::Reset);
                             }
                         }
-                        said = inquiry => match said {
-                            None => return Heard::Lost(Loss::Dark),
-                            Some(said) if said.has_lost(&self.call.packet.metadata.id) => {
-                                return Heard::Lost(Loss::Mute);
+                        activity = inquiry => match activity {
+                            None => return Received::Lost(Loss::Dark),
+                            Some(activity) if activity.has_lost(&self.call.request.metadata.id) => {
+                                return Received::Lost(Loss::Mute);
                             }
                             Some(_) => {
-                                run.sound = Instant::now();
-                                run.silence.alive(run.heard.elapsed());
+                                run.last_alive = Instant::now();
+                                run.silence.alive(run.last_received.elapsed());
                             }
                         }
                     }
@@ -253,69 +258,75 @@
         }
     }
 
-    /// Takes note when others find the run's server dark after its last sign of life.
-    fn doubt(&self, run: &mut Run) {
-        let Some(age) = self.context.fleet.borrow().doubted(&run.chosen.server) else {
+    /// Shortens the patience with a run when its server was found unreachable after its last sign
+    /// of life.
+    fn check_suspicion(&self, run: &mut Run) {
+        let Some(age) = self
+            .context
+            .fleet
+            .borrow()
+            .suspected_for(&run.target.server)
+        else {
             return;
         };
-        if age < run.sound.elapsed() {
+        if age < run.last_alive.elapsed() {
             run.silence.doubt();
         }
     }
 
-    /// The next whole events of a run.
+    /// Returns the next whole events of a run.
     pub(super) async fn step(&mut self, run: &mut Run) -> Step {
         loop {
-            self.hold(run);
-            match self.cut(run) {
+            self.maintain_copy(run);
+            match self.take_events(run) {
                 Ok(out) if !out.is_empty() => return Step::Events(out),
                 Ok(_) => {}
-                Err(loss) => return self.broken(run, loss),
+                Err(loss) => return self.report_loss(run, loss),
             }
-            match self.listen(run, false).await {
-                Heard::Data(data) => run.splitter.push(&data),
-                Heard::End if run.splitter.torn() => return self.broken(run, Loss::Torn),
-                Heard::End => {
+            match self.receive(run, false).await {
+                Received::Data(data) => run.splitter.push(&data),
+                Received::End if run.splitter.torn() => return self.report_loss(run, Loss::Torn),
+                Received::End => {
                     run.complete = true;
                     return Step::End;
                 }
-                Heard::Head(..) => return self.broken(run, Loss::Malformed),
-                Heard::Late => return Step::Late,
-                Heard::Lost(loss) => return self.broken(run, loss),
+                Received::Head(..) => return self.report_loss(run, Loss::Malformed),
+                Received::TimedOut => return Step::TimedOut,
+                Received::Lost(loss) => return self.report_loss(run, loss),
             }
         }
     }
 
-    /// Sees to it that another server holds a copy of the run's memory.
-    fn hold(&self, run: &mut Run) {
-        if run.events == 0 || Instant::now() < run.looked + BACKUP_CHECK_INTERVAL {
+    /// Ensures that another server holds a copy of the run's KV cache.
+    fn maintain_copy(&self, run: &mut Run) {
+        if run.events == 0 || Instant::now() < run.copy_checked + BACKUP_CHECK_INTERVAL {
             return;
         }
-        run.looked = Instant::now();
-        let holds = |held: &Backup| self.context.fleet.borrow().usable(&held.holder.server);
-        if !run.held.as_ref().is_some_and(holds) {
-            let backup = self.backup(&run.chosen);
-            run.held = backup.map(|(holder, charge)| Backup::asked(holder, charge));
+        run.copy_checked = Instant::now();
+        let holds = |backup: &Backup| self.context.fleet.borrow().is_usable(&backup.holder.server);
+        if !run.backup.as_ref().is_some_and(holds) {
+            let backup = self.choose_backup(&run.target);
+            run.backup = backup.map(|(holder, in_flight)| Backup::on_request(holder, in_flight));
         }
-        if let Some(held) = &run.held {
-            let id = &self.call.packet.metadata.id;
-            held.refresh(&self.context, &run.chosen, id, self.call.copy_kept);
+        if let Some(backup) = &run.backup {
+            let id = &self.call.request.metadata.id;
+            backup.refresh(&self.context, &run.target, id, self.call.copy_kept);
         }
     }
 
-    /// Cuts whole events off what was read, and leaves out those that the caller has.
-    fn cut(&mut self, run: &mut Run) -> Result<Bytes, Loss> {
+    /// Takes the whole events that were read, without those that the caller already has.
+    fn take_events(&mut self, run: &mut Run) -> Result<Bytes, Loss> {
         let mut out = BytesMut::new();
         while let Some(event) = run.splitter.take().map_err(|_| Loss::Malformed)? {
             let now = Instant::now();
-            run.silence.heard(now - run.heard);
-            run.heard = now;
-            run.sound = now;
+            run.silence.heard(now - run.last_received);
+            run.last_received = now;
+            run.last_alive = now;
             if run.events == 0 {
-                run.charge.read(run.began.elapsed());
+                run.in_flight.prompt_processed(run.began.elapsed());
                 let mut fleet = self.context.fleet.borrow_mut();
-                fleet.alive(&run.chosen.server);
-                fleet.has_read(self.parts(), &run.chosen.server);
+                fleet.mark_alive(&run.target.server);
+                fleet.record_prompt(self.parts(), &run.target.server);
             }
             run.events += 1;
             let fresh = match event.id {
@@ -325,7 +336,7 @@
             match fresh {
                 Ok(true) => out.extend_from_slice(&event.bytes),
                 Ok(false) => {}
-                // What was cut before it is good; the rest comes from another run.
+                // The events before it are valid; the missing ones come from another run.
                 Err(_) if !out.is_empty() => break,
                 Err(_) => return Err(Loss::Gap),
             }
@@ -333,96 +344,103 @@
         Ok(out.freeze())
     }
 
-    fn broken(&self, run: &Run, loss: Loss) -> Step {
-        self.note(run, loss);
+    fn report_loss(&self, run: &Run, loss: Loss) -> Step {
+        self.log_loss(run, loss);
         Step::Lost(loss)
     }
 
-    fn note(&self, run: &Run, loss: Loss) {
+    fn log_loss(&self, run: &Run, loss: Loss) {
         meter::loss(loss.name());
         meter::send("lost");
-        let server = &run.chosen.server;
+        let server = &run.target.server;
         let mut fleet = self.context.fleet.borrow_mut();
         if loss.unreachable() {
-            fleet.lost(server, Suspicion::Dark);
+            fleet.suspect(server, Suspicion::Dark);
         } else if loss.at_once(run.events, run.began.elapsed()) {
-            fleet.lost(server, Suspicion::Broke);
+            fleet.suspect(server, Suspicion::Broke);
         }
         drop(fleet);
-        // If it crashed, what rests there is dead too, and would pass for a run that was lost.
-        self.context.sender.forget(run.chosen.address);
+        // If the server crashed, its idle connections are dead too, and a request on one would look
+        // like a lost run.
+        self.context.sender.disconnect(run.target.address);
         note!(
             direct::LOST,
-            id = self.call.packet.metadata.id.as_str(),
+            id = self.call.request.metadata.id.as_str(),
             server = server.as_str(),
-            data_centre = run.chosen.data_centre.as_str(),
+            data_centre = run.target.data_centre.as_str(),
             reason = loss.name(),
             events = run.events,
-            copy = run.held.as_ref().map(|held| held.holder.server.as_str()),
-            silence_ms = run.heard.elapsed().as_millis() as u64
+            copy = run
+                .backup
+                .as_ref()
+                .map(|backup| backup.holder.server.as_str()),
+            silence_ms = run.last_received.elapsed().as_millis() as u64
         );
     }
 
     /// Starts a run, and waits for the head of its answer.
-    pub(super) async fn start(&self, chosen: &Chosen, copy: Option<&KvCopy>) -> Start {
+    pub(super) async fn start(&self, target: &Target, copy: Option<&KvCopy>) -> Start {
         let began = Instant::now();
-        let mut work = self.work();
-        let known = self
+        let mut work = self.remaining_work();
+        let cached = self
             .context
             .fleet
             .borrow()
-            .known(self.parts(), &chosen.server);
-        // A copy of a run that gave no event yet may hold hardly any of the prompt.
+            .cached_tokens(self.parts(), &target.server);
+        // The copy of a run without events may hold hardly any of the prompt.
         work.unread = match copy {
             Some(_) if self.sequence.last().is_some() => 0,
-            _ => work.unread.saturating_sub(known),
+            _ => work.unread.saturating_sub(cached),
         };
         if self.sequence.last().is_none() {
-            self.context.queue.sent(&self.call.service, work);
+            self.context.queue.record_work(&self.call.service, work);
         }
-        let held = self
-            .backup(chosen)
-            .map(|(holder, charge)| Backup::running(holder, charge, &self.call.packet.metadata.id));
-        let mut charge = Charge::new(&self.context.fleet, &chosen.server, work);
+        let backup = self.choose_backup(target).map(|(holder, in_flight)| {
+            Backup::continuous(holder, in_flight, &self.call.request.metadata.id)
+        });
+        let mut in_flight = InFlight::new(&self.context.fleet, &target.server, work);
         let dispatch = Dispatch {
-            server: &chosen.server,
-            deadline: self.call.left(),
+            server: &target.server,
+            deadline: self.call.time_left(),
             team: self.call.team.as_ref(),
             after: self.sequence.last(),
-            backup: held.as_ref().map(|held| held.holder.address),
+            backup: backup.as_ref().map(|backup| backup.holder.address),
             copy,
         };
         note!(
             direct::SENT,
-            id = self.call.packet.metadata.id.as_str(),
-            server = chosen.server.as_str(),
-            data_centre = chosen.data_centre.as_str(),
-            load = rounded(chosen.why.load),
-            against = chosen.why.against,
-            among = chosen.why.among,
-            document = self.call.basis.document,
+            id = self.call.request.metadata.id.as_str(),
+            server = target.server.as_str(),
+            data_centre = target.data_centre.as_str(),
+            load = round_load(target.why.load),
+            against = target.why.against,
+            among = target.why.among,
+            document = self.call.document.version,
             prompt = self.parts().last().map(|(part, _)| *part),
-            attempt = self.ran.len() + 1,
+            attempt = self.ran_at.len() + 1,
             after = dispatch.after,
             left_ms = dispatch.deadline.map(|left| left.as_millis() as u64),
             copy = copy.is_some(),
-            backup = held.as_ref().map(|held| held.holder.server.as_str())
+            backup = backup.as_ref().map(|backup| backup.holder.server.as_str())
         );
         let sent = self
             .context
             .sender
-            .send(&self.call.packet, chosen, &dispatch);
+            .send(&self.call.request, target, &dispatch);
         let connection = match timeout_at(self.call.until, sent).await {
-            Err(_) => return Start::Late,
+            Err(_) => return Start::TimedOut,
             Ok(Err(Failure::Unsent(error))) => {
                 meter::send("unsent");
-                charge.end(Outcome::Failed);
-                let seen = suspicion(&error);
-                self.context.fleet.borrow_mut().lost(&chosen.server, seen);
+                in_flight.set_outcome(Outcome::Failed);
+                let suspicion = suspicion_for(&error);
+                self.context
+                    .fleet
+                    .borrow_mut()
+                    .suspect(&target.server, suspicion);
                 note!(
                     direct::DECLINED,
-                    id = self.call.packet.metadata.id.as_str(),
-                    server = chosen.server.as_str(),
+                    id = self.call.request.metadata.id.as_str(),
+                    server = target.server.as_str(),
                     reason = error.to_string().as_str()
                 );
                 return Start::Unreachable;
@@ -432,44 +450,50 @@
         let pass = &self.call.pass;
         let waited = self.sequence.last().is_some();
         let expected = (!waited).then(|| Expectation {
-            here: self.context.fleet.borrow().expected(chosen),
-            elsewhere: self.context.fleet.borrow().alone(chosen, work.unread),
+            here: self.context.fleet.borrow().expected_first_event(target),
+            elsewhere: self
+                .context
+                .fleet
+                .borrow()
+                .unloaded_first_event(target, work.unread),
             waited: self.call.arrived.elapsed(),
         });
         let mut run = Run {
-            chosen: chosen.clone(),
+            target: target.clone(),
             connection,
-            charge,
-            held,
+            in_flight,
+            backup,
             splitter: Splitter::default(),
             silence: Silence::new(pass.objective, pass.gap, Gaps::default(), expected),
             began,
-            heard: began,
-            sound: began,
-            looked: began,
+            last_received: began,
+            last_alive: began,
+            copy_checked: began,
             events: 0,
             complete: false,
             copy: copy.cloned(),
         };
-        match self.listen(&mut run, true).await {
-            Heard::Head(head, reply) => self.started(run, head, reply).await,
-            Heard::Late => Start::Late,
-            Heard::Lost(loss) => {
-                self.note(&run, loss);
-                Start::Lost(Box::new(run.lost(loss)))
+        match self.receive(&mut run, true).await {
+            Received::Head(head, reply) => self.handle_head(run, head, reply).await,
+            Received::TimedOut => Start::TimedOut,
+            Received::Lost(loss) => {
+                self.log_loss(&run, loss);
+                Start::Lost(Box::new(run.into_lost(loss)))
+            }
+            Received::Data(_) | Received::End => {
+                Start::Lost(Box::new(run.into_lost(Loss::Malformed)))
             }
-            Heard::Data(_) | Heard::End => Start::Lost(Box::new(run.lost(Loss::Malformed))),
         }
     }
 
-    async fn started(&self, mut run: Run, head: Head, reply: Reply) -> Start {
-        let id = self.call.packet.metadata.id.as_str();
-        let server = run.chosen.server.clone();
+    async fn handle_head(&self, mut run: Run, head: Head, reply: Reply) -> Start {
+        let id = self.call.request.metadata.id.as_str();
+        let server = run.target.server.clone();
         let status = head.status.as_u16();
         if reply.not_run {
             meter::send("declined");
-            run.charge.end(Outcome::Refused {
-                retry_after: reply.retry_after.unwrap_or(COME_BACK),
+            run.in_flight.set_outcome(Outcome::Refused {
+                retry_after: reply.retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
             });
             note!(
                 direct::DECLINED,
@@ -481,19 +505,19 @@
                 self.context
                     .fleet
                     .borrow_mut()
-                    .lost(&server, Suspicion::Full);
+                    .suspect(&server, Suspicion::Full);
             }
             if reply.misdirected {
                 let mut fleet = self.context.fleet.borrow_mut();
-                // Servers that were lost together come back together, under names that aren't known
-                // while the store is out.
-                fleet.lost(&server, Suspicion::Refused);
-                fleet.replaced(&server);
+                // Servers that failed together restart together, under names that are unknown while
+                // the store is unavailable.
+                fleet.suspect(&server, Suspicion::Refused);
+                fleet.mark_replaced(&server);
                 drop(fleet);
-                self.context.sender.forget(run.chosen.address);
+                self.context.sender.disconnect(run.target.address);
             }
-            if self.rest(&mut run).await.is_some() && !reply.misdirected {
-                self.context.sender.keep(run.connection);
+            if self.read_body(&mut run).await.is_some() && !reply.misdirected {
+                self.context.sender.release(run.connection);
             }
             return match reply.misdirected {
                 true => Start::Replaced,
@@ -515,7 +539,7 @@
             };
         }
         meter::send("failed");
-        run.charge.end(Outcome::Failed);
+        run.in_flight.set_outcome(Outcome::Failed);
         note!(
             direct::FAILED,
             id = id,
@@ -523,11 +547,11 @@
             status = status,
             signed = reply.signed
         );
-        let body = self.rest(&mut run).await;
+        let body = self.read_body(&mut run).await;
         let (Some(body), true) = (body, usable) else {
-            return Start::Lost(Box::new(run.lost(Loss::Malformed)));
+            return Start::Lost(Box::new(run.into_lost(Loss::Malformed)));
         };
-        self.context.sender.keep(run.connection);
+        self.context.sender.release(run.connection);
         let mut response = Response::new(Body::whole(body));
         *response.status_mut() = head.status;
         *response.headers_mut() = self
@@ -538,8 +562,8 @@
         Start::Failed(response)
     }
 
-    /// Reads the body of an answer that isn't a stream.
-    async fn rest(&self, run: &mut Run) -> Option<Bytes> {
+    /// Reads the body of an error response.
+    async fn read_body(&self, run: &mut Run) -> Option<Bytes> {
         let whole = run.connection.whole(MAX_FAILURE_BODY);
         let whole = timeout_at(Instant::now() + FAILURE_BODY_TIMEOUT, whole).await;
         whole.ok()?.ok()?.complete()
--- /dev/null
+++ b/components/gateway/src/stream/selection.rs
@@ -0,0 +1,190 @@
+//! Chooses the server of a stream, and the one that holds the copy of its KV cache.
+
+use answer::loss::Candidate;
+use environment::document::Repeats;
+use routing::placement::{
+    Request,
+    Versions,
+    Work, //
+};
+use tokio::time::Instant;
+
+use crate::{
+    cache_lookup, //
+    fleet::{
+        InFlight,
+        Target, //
+    },
+    protocol::{
+        KvCopy,
+        Protocol, //
+    },
+    stream::{
+        Session,
+        resumption::Resumption, //
+    },
+};
+
+/// Lower bound of the time to process a prompt, as a share of the estimate.
+const MIN_READING_SHARE: f64 = 0.75;
+
+/// Share of the engines' memory in use above which memory counts as scarce while streams wait. At a
+/// load of several times the capacity callers take all memory beyond it.
+const SCARCE_MEMORY_SHARE: f64 = 0.5;
+
+impl<P: Protocol + 'static> Session<P> {
+    pub(super) fn parts(&self) -> &[(u64, u32)] {
+        self.call.prompt().map_or(&[], |prompt| &prompt.parts)
+    }
+
+    /// Returns the work of the rest of the stream.
+    pub(super) fn remaining_work(&self) -> Work {
+        let Some(prompt) = self.call.prompt() else {
+            return Work {
+                requests: 1,
+                ..Work::default()
+            };
+        };
+        let answer = prompt
+            .expected_tokens
+            .unwrap_or(prompt.max_tokens)
+            .min(prompt.max_tokens);
+        Work {
+            requests: 1,
+            tokens: u64::from(prompt.tokens) + u64::from(answer),
+            unread: u64::from(prompt.tokens),
+        }
+    }
+
+    /// Chooses a server and the copy from which the run resumes: a remaining candidate after a
+    /// loss, or else the best server. Returns `None` when there is none, or the request may not be
+    /// sent again.
+    pub(super) fn choose(
+        &mut self,
+        slot: &mut Option<Resumption>,
+    ) -> Option<(Target, Option<KvCopy>)> {
+        let fleet = self.context.fleet.clone();
+        if let Some(resumption) = slot {
+            while let Some(candidate) = resumption.take() {
+                let (target, copy) = match candidate {
+                    Candidate::Same => (
+                        resumption.lost.server.clone(),
+                        resumption.lost.resumed_from.clone(),
+                    ),
+                    Candidate::Copy => match &resumption.lost.backup {
+                        Some((holder, copy)) => (holder.clone(), Some(copy.clone())),
+                        None => continue,
+                    },
+                    Candidate::Any => break,
+                };
+                // The server is tried even though it lost the run, as it may have lost only that
+                // run.
+                let available = match copy {
+                    Some(_) => fleet.borrow().is_usable(&target.server),
+                    None => fleet.borrow().accepts_work(&target.server),
+                };
+                if available && self.may_send_to(&target.server) {
+                    self.record_tried(&target);
+                    return Some((target, copy));
+                }
+            }
+        }
+        let home = self.context.settings.borrow().data_centre.clone();
+        let target = fleet
+            .borrow_mut()
+            .choose(&self.request(&home, self.remaining_work()))?;
+        if !self.may_send_to(&target.server) {
+            return None;
+        }
+        self.record_tried(&target);
+        Some((target, None))
+    }
+
+    fn record_tried(&mut self, target: &Target) {
+        if !self.tried.contains(&target.server) {
+            self.tried.push(target.server.clone());
+        }
+    }
+
+    fn request<'a>(&'a self, home: &'a str, work: Work) -> Request<'a> {
+        Request {
+            service: &self.call.service,
+            home,
+            work,
+            parts: self.parts(),
+            versions: self.selection.versions(),
+            avoid: &self.tried,
+            avoid_data_centre: None,
+        }
+    }
+
+    /// Chooses a server of another data centre for the copy of a run's KV cache.
+    pub(super) fn choose_backup(&self, target: &Target) -> Option<(Target, InFlight)> {
+        if self.call.pass.repeats != Repeats::Resumes || !self.call.backups {
+            return None;
+        }
+        // A copy saves processing the prompt only if the run is lost, while a slot certainly serves
+        // a waiting caller. When the memory suffices for both, a copy takes no caller's place:
+        // callers then wait for a slot, or for an engine that has prompts to process.
+        let service = &self.call.service;
+        let scarce = || self.context.fleet.borrow().memory_use(service) > SCARCE_MEMORY_SHARE;
+        if self.context.queue.is_under_pressure(service) && scarce() {
+            return None;
+        }
+        let home = self.context.settings.borrow().data_centre.clone();
+        let work = Work {
+            requests: 0,
+            unread: 0,
+            ..self.remaining_work()
+        };
+        let request = Request {
+            versions: Versions::Only(&target.version),
+            avoid_data_centre: Some(&target.data_centre),
+            ..self.request(&home, work)
+        };
+        let backup = self.context.fleet.borrow_mut().choose_backup(&request)?;
+        let in_flight = InFlight::new(&self.context.fleet, &backup.server, work);
+        Some((backup, in_flight))
+    }
+
+    /// Looks up which engine processed the prompt of a reconnecting caller, if no gateway knows.
+    pub(super) async fn cache_lookup(&self) {
+        let left = self.call.until.saturating_duration_since(Instant::now());
+        // Its gateway may have failed before the first event; a gateway that started long ago knows
+        // where the prompt was processed.
+        let timeout = self.call.pass.timeout.unwrap_or_default();
+        let waited = left < timeout / 2 && self.context.started.elapsed() < timeout;
+        let reconnected = self.call.request.metadata.after.is_some() || waited;
+        let Some(part) = self.parts().last().filter(|_| reconnected) else {
+            return;
+        };
+        if self.context.fleet.borrow().is_cached(*part) {
+            return;
+        }
+        cache_lookup::find_prompt(&self.context, &self.call.service, *part, left).await;
+        cache_lookup::wait_for_registration(&self.context, &self.call, *part, left).await;
+    }
+
+    /// Returns whether an attempt at a server is worthwhile: it has spare capacity, so that nothing
+    /// is taken from others, or the answer is expected to be complete in time.
+    pub(super) fn worth_trying(&self, target: &Target) -> bool {
+        if !target.why.full() {
+            return true;
+        }
+        let left = self.call.until.saturating_duration_since(Instant::now());
+        let after = self.sequence.last().unwrap_or(0);
+        let rest = self.context.outlook.borrow().rest(&self.call.route, after);
+        let Some(rest) = rest else {
+            return true;
+        };
+        let fleet = self.context.fleet.borrow();
+        let unread = self
+            .remaining_work()
+            .unread
+            .saturating_sub(fleet.cached_tokens(self.parts(), &target.server));
+        let reading = fleet
+            .unloaded_first_event(target, unread)
+            .mul_f64(MIN_READING_SHARE);
+        reading + rest <= left
+    }
+}
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -1,4 +1,4 @@
-//! What the platform's side tells the gateway.
+//! Updates that the platform's side passes to the gateway.
 
 use std::net::SocketAddr;
 
@@ -17,34 +17,34 @@
 
 use crate::document_cache::Snapshot;
 
-/// News for the gateway.
+/// A change that the gateway applies.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// A document.
+    /// A new version of the operator's document.
     Document(Snapshot),
-    /// A backend server registered, changed, or gave a sign of life.
+    /// A backend server registered, changed its registration, or renewed it.
     Server {
-        /// What it says.
+        /// The registration.
         registration: Registration,
-        /// Time after which it said so.
+        /// Earliest time at which it was written.
         since: Clock,
     },
-    /// A backend server left the register.
+    /// A backend server was removed from the registry.
     Deregistered(Server),
-    /// An operator ordered that a service's traffic moves, or withdrew the order.
+    /// An operator started or cancelled a rollout of a service.
     Rollout {
         /// The service.
         service: Service,
-        /// The order; none when it was withdrawn.
+        /// The order; `None` when it was cancelled.
         order: Option<Order>,
     },
-    /// A state of a move stands in the store.
+    /// A state of a rollout was written to the store.
     RolloutState {
         /// The service.
         service: Service,
-        /// Revision at which it was written.
+        /// Revision at which the state was written.
         at: Revision,
-        /// The version that the traffic moves to.
+        /// Version that is rolled out.
         to: Version,
         /// The state.
         state: State,
@@ -54,12 +54,12 @@
 /// A backend server as it registered itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registration {
-    /// Its name; a new one with each start, as a rule.
+    /// Its name, usually a new one with each start.
     pub server: Server,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// What it serves.
+    /// Service, version, location and capacity.
     pub facts: Facts,
-    /// It takes no new work.
+    /// Whether it is draining and takes no new work.
     pub leaving: bool,
 }
