--- a/components/gateway/src/settings.rs
+++ b/components/gateway/src/settings.rs
@@ -44,7 +44,7 @@
     /// Time within which a draining backend server must stop getting new work.
     pub drain: Duration,
     /// Maximum delay of a stream event between the backend server and the caller.
-    pub pass: Duration,
+    pub event_delay: Duration,
     /// Retries of a service that are allowed per request.
     pub retry_ratio: f64,
     /// Retries of a service that are allowed in each window on top of the ratio.
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -448,7 +448,7 @@
             grace: Duration::from_secs(8),
             revocation: Duration::from_secs(60),
             drain: Duration::from_secs(2),
-            pass: Duration::from_millis(100),
+            event_delay: Duration::from_millis(100),
             retry_ratio: 0.8,
             retry_slack: 150.0,
             retry_window: Duration::from_secs(10),
