--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -152,10 +152,10 @@
             let now = Instant::now();
             let confirmed = self.shared.fresh.borrow().confirmed();
             self.new_addresses |= self.table.grown();
-            let news = self.new_addresses
+            let has_news = self.new_addresses
                 || self.shared.fleet.borrow().has_changes()
                 || confirmed != self.last_claim;
-            let next_send = sent + self.table.pace(news, self.size);
+            let next_send = sent + self.table.pace(has_news, self.size);
             if now >= next_send {
                 self.size = self.send_beacons().await;
                 sent = now;
@@ -163,7 +163,7 @@
                 continue;
             }
             let wake = next_send.min(
-                now + if news {
+                now + if has_news {
                     POLL_INTERVAL
                 } else {
                     POLL_INTERVAL * 4
--- a/components/gateway/src/retry_budget.rs
+++ b/components/gateway/src/retry_budget.rs
@@ -49,8 +49,8 @@
         let known = live as f64 / self.max_gateways.max(live) as f64;
         let retries = self.budget(beacon::number(service));
         let own = retries.told(now, bound).totals;
-        let left = retries.retry(now, bound, known, purpose);
-        if !left {
+        let granted = retries.retry(now, bound, known, purpose);
+        if !granted {
             let others = retries.others(known);
             note!(
                 direct::SPENT,
@@ -63,7 +63,7 @@
                 known = known
             );
         }
-        left
+        granted
     }
 
     /// Returns the sends of this gateway for its peers.
@@ -86,14 +86,14 @@
     pub fn apply_sends(&mut self, peer: Incarnation, sends: &[Sends], near: bool) {
         let now = clock::now();
         for sent in sends {
-            let told = Told {
+            let sent_totals = Told {
                 totals: Totals {
                     requests: sent.requests,
                     retries: sent.retries,
                 },
                 retries: sent.total_retries,
             };
-            self.budget(sent.service).hear(now, peer, told, near);
+            self.budget(sent.service).hear(now, peer, sent_totals, near);
         }
         self.peers.insert(peer);
         self.max_gateways = self.max_gateways.max(self.peers.len() + 1);
