--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -30,19 +30,19 @@
     },
 };
 use gateway::{
-    Edge,
     Gateway,
+    Protocol,
     Settings,
     Update,
     clock,
-    document_cache::Edition,
-    edge::{
-        Ask,
-        Flaw,
-        Inquiry,
+    document_cache::Snapshot,
+    protocol::{
+        Activity,
+        Dispatch, //
+        HeaderError,
+        Metadata,
         Prompt,
         Reply,
-        Sending, //
     },
     settings::Bounds,
     update::Registration, //
@@ -81,11 +81,11 @@
     headers.get(name)?.to_str().ok()
 }
 
-fn number(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, Flaw> {
+fn number(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, HeaderError> {
     let Some(value) = text(headers, name) else {
         return Ok(None);
     };
-    value.parse().map(Some).map_err(|_| Flaw {
+    value.parse().map(Some).map_err(|_| HeaderError {
         field: name,
         message: "a whole number is accepted",
     })
@@ -100,96 +100,102 @@
     parts.collect()
 }
 
-impl Edge for Plain {
-    fn ask(&self, request: &Parts) -> Result<Ask, Flaw> {
+impl Protocol for Plain {
+    fn parse_request(&self, request: &Parts) -> Result<Metadata, HeaderError> {
         let headers = &request.headers;
         let tokens = number(headers, "tokens")?;
-        Ok(Ask {
+        Ok(Metadata {
             id: text(headers, "id").unwrap_or_default().to_string(),
             deadline: number(headers, "deadline")?.map(Duration::from_millis),
             key: text(headers, "key").map(str::to_string),
             after: number(headers, "after")?,
             prompt: tokens.map(|tokens| Prompt {
                 tokens: tokens as u32,
-                most: 100,
-                hint: None,
+                max_tokens: 100,
+                expected_tokens: None,
                 parts: parts(text(headers, "parts").unwrap_or_default()),
             }),
         })
     }
 
-    fn head(&self, request: &Parts, ask: &Ask, sending: &Sending<'_>, length: usize) -> Vec<u8> {
+    fn encode_request(
+        &self,
+        request: &Parts,
+        metadata: &Metadata,
+        dispatch: &Dispatch<'_>,
+        length: usize,
+    ) -> Vec<u8> {
         let mut head = format!("{} {} HTTP/1.1\r\n", request.method, request.uri);
-        head += &format!("id: {}\r\ncontent-length: {length}\r\n", ask.id);
-        head += &format!("server: {}\r\n", sending.server);
-        if let Some(left) = sending.deadline {
+        head += &format!("id: {}\r\ncontent-length: {length}\r\n", metadata.id);
+        head += &format!("server: {}\r\n", dispatch.server);
+        if let Some(left) = dispatch.deadline {
             head += &format!("deadline: {}\r\n", left.as_millis());
         }
-        if let Some(team) = sending.team {
+        if let Some(team) = dispatch.team {
             head += &format!("team: {team}\r\n");
         }
-        if let Some(after) = sending.after {
+        if let Some(after) = dispatch.after {
             head += &format!("after: {after}\r\n");
         }
-        if let Some(backup) = sending.backup {
+        if let Some(backup) = dispatch.backup {
             head += &format!("backup: {backup}\r\n");
         }
-        if let Some(copy) = sending.copy {
+        if let Some(copy) = dispatch.copy {
             head += &format!("copy: {}/{}\r\n", copy.address, copy.name);
         }
         head += "\r\n";
         head.into_bytes()
     }
 
-    fn reply(&self, head: &upstream::Head) -> Reply {
+    fn parse_reply(&self, head: &upstream::Head) -> Reply {
         let headers = &head.headers;
         Reply {
             id: text(headers, "id").map(str::to_string),
             signed: headers.contains_key("signed"),
             not_run: headers.contains_key("not-run"),
-            other: headers.contains_key("other"),
+            misdirected: headers.contains_key("other"),
             encoded: headers.contains_key("content-encoding"),
             retry_after: None,
         }
     }
 
-    fn copy(&self, id: &str, holder: SocketAddr) -> (Vec<u8>, Bytes) {
+    fn copy_request(&self, id: &str, holder: SocketAddr) -> (Vec<u8>, Bytes) {
         let head = format!("POST /copy HTTP/1.1\r\nid: {id}\r\nholder: {holder}\r\n\r\n");
         (head.into_bytes(), Bytes::new())
     }
 
-    fn copied(&self, head: &upstream::Head, body: &[u8]) -> Option<String> {
+    fn parse_copy(&self, head: &upstream::Head, body: &[u8]) -> Option<String> {
         let made = head.status.is_success();
         made.then(|| String::from_utf8_lossy(body).into_owned())
     }
 
-    fn inquiry(&self) -> Vec<u8> {
+    fn activity_request(&self) -> Vec<u8> {
         b"GET /runs HTTP/1.1\r\n\r\n".to_vec()
     }
 
-    fn inquired(&self, head: &upstream::Head, body: &[u8]) -> Option<Inquiry> {
+    fn parse_activity(&self, head: &upstream::Head, body: &[u8]) -> Option<Activity> {
         let text = String::from_utf8_lossy(body);
         let runs = text.lines().filter_map(|line| {
             let (id, events) = line.split_once(' ')?;
             Some((id.to_string(), events.parse().ok()?))
         });
-        head.status.is_success().then(|| Inquiry {
-            before: 0,
+        head.status.is_success().then(|| Activity {
+            queued: 0,
             runs: runs.collect(),
         })
     }
 
-    fn holdings(&self) -> Vec<u8> {
+    fn cache_request(&self) -> Vec<u8> {
         b"GET /held HTTP/1.1\r\n\r\n".to_vec()
     }
 
-    fn held(&self, head: &upstream::Head, body: &[u8]) -> Option<Vec<(u64, u32)>> {
+    fn parse_cache(&self, head: &upstream::Head, body: &[u8]) -> Option<Vec<(u64, u32)>> {
         head.status
             .is_success()
             .then(|| parts(&String::from_utf8_lossy(body)))
     }
 
-    fn headers(&self, mut headers: HeaderMap) -> HeaderMap {
+    fn response_headers(&self, mut headers: HeaderMap) -> HeaderMap {
         headers.remove("content-length");
         headers.remove("transfer-encoding");
         headers
@@ -442,7 +448,7 @@
             grace: Duration::from_secs(8),
             revocation: Duration::from_secs(60),
             drain: Duration::from_secs(2),
-            pass: Duration::from_millis(100),
+            event_delay: Duration::from_millis(100),
             retry_ratio: 0.8,
             retry_slack: 150.0,
             retry_window: Duration::from_secs(10),
@@ -573,8 +579,8 @@
     pub fn put(&self, version: u64, document: Document) {
         let index = Rc::new(Index::new(document));
         self.gateway
-            .learn(Update::Document(Edition { version, index }));
-        let mut fresh = self.gateway.fresh().borrow_mut();
+            .apply(Update::Document(Snapshot { version, index }));
+        let mut fresh = self.gateway.freshness().borrow_mut();
         fresh.learned(version);
         let at = clock::now();
         fresh.hear(
@@ -607,7 +613,7 @@
             slots,
             memory: if service == "draft" { 50_000 } else { 0 },
         };
-        self.gateway.learn(Update::Server {
+        self.gateway.apply(Update::Server {
             registration: Registration {
                 server: server.into(),
                 address,
