--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -42,7 +42,7 @@
 
 use upstream::{
     Connection,
-    Whole, //
+    Collected, //
 };
 
 use crate::{
@@ -350,11 +350,11 @@
     }
     context.fleet.borrow_mut().alive(&chosen.server);
     let body = match whole {
-        Whole::Complete(body) => {
+        Collected::Complete(body) => {
             context.sender.keep(connection);
             Body::whole(body)
         }
-        Whole::Longer(first) => rest(context, call, connection, first),
+        Collected::Longer(first) => rest(context, call, connection, first),
     };
     let mut response = Response::new(body);
     *response.status_mut() = status;
--- a/components/upstream/src/connection.rs
+++ b/components/upstream/src/connection.rs
@@ -71,19 +71,19 @@
 
 /// A body that was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Whole {
+pub enum Collected {
     /// All of it.
     Complete(Bytes),
     /// Its beginning; the rest comes by [`Connection::data`].
     Longer(Bytes),
 }
 
-impl Whole {
+impl Collected {
     /// The body, if it is complete.
     pub fn complete(self) -> Option<Bytes> {
         match self {
-            Whole::Complete(bytes) => Some(bytes),
-            Whole::Longer(_) => None,
+            Collected::Complete(bytes) => Some(bytes),
+            Collected::Longer(_) => None,
         }
     }
 }
@@ -295,18 +295,18 @@
     /// # Errors
     ///
     /// As [`Connection::data`].
-    pub async fn whole(&mut self, most: usize) -> Result<Whole, Error> {
+    pub async fn whole(&mut self, most: usize) -> Result<Collected, Error> {
         let Some(first) = self.data().await? else {
-            return Ok(Whole::Complete(Bytes::new()));
+            return Ok(Collected::Complete(Bytes::new()));
         };
         let mut whole = BytesMut::from(first);
         while let Some(data) = self.data().await? {
             whole.extend_from_slice(&data);
             if whole.len() > most {
-                return Ok(Whole::Longer(whole.freeze()));
+                return Ok(Collected::Longer(whole.freeze()));
             }
         }
-        Ok(Whole::Complete(whole.freeze()))
+        Ok(Collected::Complete(whole.freeze()))
     }
 
     /// Waits until the peer closes an idle connection or sends bytes that nobody asked for.
--- a/components/upstream/src/lib.rs
+++ b/components/upstream/src/lib.rs
@@ -14,7 +14,7 @@
 pub use connection::{
     Connection,
     Data,
-    Whole, //
+    Collected, //
 };
 pub use error::Error;
 pub use head::Head;
