--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -354,7 +354,7 @@
             context.sender.keep(connection);
             Body::whole(body)
         }
-        Collected::Longer(first) => rest(context, call, connection, first),
+        Collected::Partial(first) => rest(context, call, connection, first),
     };
     let mut response = Response::new(body);
     *response.status_mut() = status;
--- a/components/upstream/src/connection.rs
+++ b/components/upstream/src/connection.rs
@@ -75,7 +75,7 @@
     /// All of it.
     Complete(Bytes),
     /// Its beginning; the rest comes by [`Connection::data`].
-    Longer(Bytes),
+    Partial(Bytes),
 }
 
 impl Collected {
@@ -83,7 +83,7 @@
     pub fn complete(self) -> Option<Bytes> {
         match self {
             Collected::Complete(bytes) => Some(bytes),
-            Collected::Longer(_) => None,
+            Collected::Partial(_) => None,
         }
     }
 }
@@ -303,7 +303,7 @@
         while let Some(data) = self.data().await? {
             whole.extend_from_slice(&data);
             if whole.len() > most {
-                return Ok(Collected::Longer(whole.freeze()));
+                return Ok(Collected::Partial(whole.freeze()));
             }
         }
         Ok(Collected::Complete(whole.freeze()))
