--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -322,7 +322,7 @@
         Ok(answer) => answer,
         Err(error) => return lost(id, server, &error.to_string()),
     };
-    let whole = connection.whole(WHOLE).await;
+    let whole = connection.read_body(WHOLE).await;
     let status = head.status;
     if reply.not_run {
         // What the server says of itself stands, also when its text is cut off.
--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -133,7 +133,7 @@
             if let Some(reply) = self.reply(packet, &head) {
                 return Ok((head, reply));
             }
-            let body = connection.whole(STRAY).await?;
+            let body = connection.read_body(STRAY).await?;
             if body.complete().is_none() {
                 return Err(Error::Malformed("answer to another request"));
             }
@@ -168,7 +168,7 @@
         let mut connection = self.connect(chosen).await?;
         connection.write(method, head.into(), body).await?;
         let head = connection.head().await?;
-        let body = connection.whole(STRAY).await?;
+        let body = connection.read_body(STRAY).await?;
         let body = body.complete().ok_or(Error::Malformed("answer too long"))?;
         self.keep(connection);
         Ok((head, body))
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -532,7 +532,7 @@
 
     /// Reads the body of an answer that isn't a stream.
     async fn rest(&self, run: &mut Run) -> Option<Bytes> {
-        let whole = run.connection.whole(MAX_FAILURE_BODY);
+        let whole = run.connection.read_body(MAX_FAILURE_BODY);
         let whole = timeout_at(Instant::now() + FAILURE_BODY_TIMEOUT, whole).await;
         whole.ok()?.ok()?.complete()
     }
--- a/components/upstream/src/connection.rs
+++ b/components/upstream/src/connection.rs
@@ -295,7 +295,7 @@
     /// # Errors
     ///
     /// As [`Connection::data`].
-    pub async fn whole(&mut self, most: usize) -> Result<Collected, Error> {
+    pub async fn read_body(&mut self, most: usize) -> Result<Collected, Error> {
         let Some(first) = self.data().await? else {
             return Ok(Collected::Complete(Bytes::new()));
         };
