--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -168,7 +168,7 @@
             return Ok(match self.connection.try_data()? {
                 Data::Bytes(bytes) => Some(Heard::Data(bytes)),
                 Data::End => Some(Heard::End),
-                Data::More => None,
+                Data::Pending => None,
             });
         }
         let Some(head) = self.connection.try_head()? else {
--- a/components/upstream/src/connection.rs
+++ b/components/upstream/src/connection.rs
@@ -64,7 +64,7 @@
     /// Bytes of the body.
     Bytes(Bytes),
     /// More has to be read first.
-    More,
+    Pending,
     /// The body is complete.
     End,
 }
@@ -251,7 +251,7 @@
             match self.try_data()? {
                 Data::Bytes(bytes) => return Ok(Some(bytes)),
                 Data::End => return Ok(None),
-                Data::More => self.fill().await?,
+                Data::Pending => self.fill().await?,
             }
         }
     }
@@ -268,7 +268,7 @@
                 self.used = Instant::now();
                 Ok(Data::End)
             }
-            Step::More if !self.ended => Ok(Data::More),
+            Step::More if !self.ended => Ok(Data::Pending),
             Step::More if self.body == Body::Rest => {
                 self.body = Body::Done;
                 self.keep = false;
