--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -102,8 +102,8 @@
                 .await;
             match written {
                 // The server closed a connection that rested; a new one is as good as a first.
-                Err(_) if connection.sent() == 0 && connection.reused() => {}
-                Err(error) if connection.sent() == 0 => return Err(Failure::Unsent(error)),
+                Err(_) if connection.bytes_sent() == 0 && connection.reused() => {}
+                Err(error) if connection.bytes_sent() == 0 => return Err(Failure::Unsent(error)),
                 // An answer may have come before the connection broke.
                 Err(_) | Ok(()) => return Ok(connection),
             }
--- a/components/upstream/src/connection.rs
+++ b/components/upstream/src/connection.rs
@@ -124,7 +124,7 @@
 
     /// Bytes of the current request that were handed to the system. While it is 0, the peer can't
     /// have run the request.
-    pub fn sent(&self) -> usize {
+    pub fn bytes_sent(&self) -> usize {
         self.sent
     }
 
--- a/components/upstream/src/error.rs
+++ b/components/upstream/src/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 /// Why an exchange failed. Whether the request may have run is told by
-/// [`crate::Connection::sent`], not by the kind of error.
+/// [`crate::Connection::bytes_sent`], not by the kind of error.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// No connection came about.
