--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -102,7 +102,7 @@
                 .await;
             match written {
                 // The server closed a connection that rested; a new one is as good as a first.
-                Err(_) if connection.bytes_sent() == 0 && connection.reused() => {}
+                Err(_) if connection.bytes_sent() == 0 && connection.is_reused() => {}
                 Err(error) if connection.bytes_sent() == 0 => return Err(Failure::Unsent(error)),
                 // An answer may have come before the connection broke.
                 Err(_) | Ok(()) => return Ok(connection),
--- a/components/upstream/src/connection.rs
+++ b/components/upstream/src/connection.rs
@@ -129,7 +129,7 @@
     }
 
     /// Whether an earlier request went over this connection.
-    pub fn reused(&self) -> bool {
+    pub fn is_reused(&self) -> bool {
         self.exchanges > 1
     }
 
