--- a/components/upstream/src/connection.rs
+++ b/components/upstream/src/connection.rs
@@ -150,14 +150,14 @@
 
     /// Whether the connection can carry another request: the last answer is complete and the peer
     /// keeps it open.
-    pub fn reusable(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         self.keep && !self.ended && self.body == Body::Done && self.buffer.is_empty()
     }
 
     /// Looks whether an idle connection is still open and clean. Bytes that arrived meanwhile
     /// belong to no request; they would be taken for the next answer.
     pub fn clean(&mut self) -> bool {
-        if !self.reusable() {
+        if !self.is_reusable() {
             return false;
         }
         let mut byte = [0; 1];
--- a/components/upstream/src/pool.rs
+++ b/components/upstream/src/pool.rs
@@ -43,7 +43,7 @@
 
     /// Keeps a connection for the next request, if it can carry one.
     pub fn put(&mut self, connection: Connection) {
-        if !connection.reusable() {
+        if !connection.is_reusable() {
             return;
         }
         let idle = self.idle.entry(connection.address()).or_default();
