--- a/components/upstream/src/connection.rs
+++ b/components/upstream/src/connection.rs
@@ -156,7 +156,7 @@
 
     /// Looks whether an idle connection is still open and clean. Bytes that arrived meanwhile
     /// belong to no request; they would be taken for the next answer.
-    pub fn clean(&mut self) -> bool {
+    pub fn is_clean(&mut self) -> bool {
         if !self.is_reusable() {
             return false;
         }
--- a/components/upstream/src/pool.rs
+++ b/components/upstream/src/pool.rs
@@ -34,7 +34,7 @@
             if rested(&connection) {
                 continue;
             }
-            if connection.clean() {
+            if connection.is_clean() {
                 return Some(connection);
             }
         }
@@ -55,7 +55,7 @@
     /// Closes what rested too long or isn't clean.
     pub fn sweep(&mut self) {
         self.idle.retain(|_, idle| {
-            idle.retain_mut(|connection| !rested(connection) && connection.clean());
+            idle.retain_mut(|connection| !rested(connection) && connection.is_clean());
             !idle.is_empty()
         });
     }
