--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -197,7 +197,7 @@
 
     /// Closes idle connections to a server that is gone: its address may be another's soon.
     pub fn forget(&self, address: std::net::SocketAddr) {
-        self.pool.borrow_mut().forget(address);
+        self.pool.borrow_mut().remove(address);
     }
 
     async fn connect(&self, chosen: &Chosen) -> Result<Connection, Error> {
--- a/components/upstream/src/pool.rs
+++ b/components/upstream/src/pool.rs
@@ -61,7 +61,7 @@
     }
 
     /// Closes the idle connections to an address.
-    pub fn forget(&mut self, address: SocketAddr) {
+    pub fn remove(&mut self, address: SocketAddr) {
         self.idle.remove(&address);
     }
 
