--- a/components/entry/src/gates.rs
+++ b/components/entry/src/gates.rs
@@ -16,7 +16,7 @@
 };
 use gates::{
     Gates as Lines,
-    Refused, //
+    Rejection, //
 };
 pub(crate) use gates::{
     Permit, //
@@ -84,7 +84,7 @@
     }
 }
 
-fn refusal(refused: Refused) -> Problem {
+fn refusal(refused: Rejection) -> Problem {
     let message = match refused.reason {
         Reason::InFlight => "the team has as many requests in progress as it may",
         Reason::Rate => "the team sends more requests a second than it may",
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -76,7 +76,7 @@
 }
 
 /// What becomes of a request at its gate.
-type Admitted = Result<Permit, Refused>;
+type Admitted = Result<Permit, Rejection>;
 
 /// A request that was told to wait, and where it hears what becomes of it.
 type Queued = (Ticket, oneshot::Receiver<Admitted>);
@@ -105,7 +105,7 @@
 
 /// A request that isn't let in: it hasn't run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct Rejection {
     /// Why.
     pub reason: Reason,
     /// When to come back.
@@ -151,8 +151,8 @@
     ///
     /// # Errors
     ///
-    /// [`Refused`], at once or when its patience is over.
-    pub async fn admit(self: &Arc<Self>, request: Request<'_>) -> Result<Permit, Refused> {
+    /// [`Rejection`], at once or when its patience is over.
+    pub async fn admit(self: &Arc<Self>, request: Request<'_>) -> Result<Permit, Rejection> {
         let Some((ticket, outcome)) = self.arrive(&request)? else {
             return Ok(self.pass(request.service, Entrant::new(&request)));
         };
@@ -163,14 +163,14 @@
         };
         match outcome.await {
             Ok(outcome) => outcome,
-            Err(_) => Err(Refused {
+            Err(_) => Err(Rejection {
                 reason: Reason::Full,
                 retry_after: COME_BACK,
             }),
         }
     }
 
-    fn arrive(&self, request: &Request<'_>) -> Result<Option<Queued>, Refused> {
+    fn arrive(&self, request: &Request<'_>) -> Result<Option<Queued>, Rejection> {
         let arrival = Arrival {
             team: request.team,
             limit: request.limit,
@@ -205,7 +205,7 @@
             Verdict::Refuse {
                 reason,
                 retry_after,
-            } => Err(Refused {
+            } => Err(Rejection {
                 reason,
                 retry_after,
             }),
@@ -233,7 +233,7 @@
                     reason,
                     retry_after,
                     ..
-                } => Err(Refused {
+                } => Err(Rejection {
                     reason,
                     retry_after,
                 }),
--- a/components/gates/src/lib.rs
+++ b/components/gates/src/lib.rs
@@ -7,6 +7,6 @@
 pub use gates::{
     Gates,
     Permit,
-    Refused, //
+    Rejection, //
     Request,
 };
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -32,7 +32,7 @@
 use gates::{
     Gates,
     Permit,
-    Refused, //
+    Rejection, //
     Request,
 };
 use names::Service;
@@ -158,7 +158,7 @@
 ) -> Result<Place, Refusal> {
     let began = Instant::now();
     context.queue.know(call, work);
-    let mut refused = Refused {
+    let mut refused = Rejection {
         reason: Reason::Late,
         retry_after: POLL_INTERVAL,
     };
--- a/components/gateway/src/refuse.rs
+++ b/components/gateway/src/refuse.rs
@@ -6,7 +6,7 @@
     direct,
     note, //
 };
-use gates::Refused;
+use gates::Rejection;
 use http::{
     HeaderValue,
     Response,
@@ -60,7 +60,7 @@
     /// It can't be complete in the time that it has.
     Hopeless,
     /// There are more requests than can be served in time.
-    Busy(Refused),
+    Busy(Rejection),
     /// It would have to be sent once more, and the retries of its service are used up.
     Spent,
     /// The request was sent and came to no answer; it may have run.
