--- a/components/entry/src/callers/completions.rs
+++ b/components/entry/src/callers/completions.rs
@@ -164,7 +164,7 @@
             team: &ask.team,
             limit: limit(state, &held.document.limit(&ask.team)),
             cost: ask.max_tokens,
-            patience: state.settings.times.queue,
+            max_wait: state.settings.times.queue,
             objective: gates::objective(),
             lowest: gates::lowest(),
             resume: ask.mark.is_some(),
--- a/components/entry/src/callers/service.rs
+++ b/components/entry/src/callers/service.rs
@@ -94,7 +94,7 @@
             team: &team,
             limit: limit(state, &held.document.limit(&team)),
             cost: 1,
-            patience: state.settings.times.queue,
+            max_wait: state.settings.times.queue,
             objective: gates::objective(),
             lowest: gates::lowest(),
             resume: false,
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -93,7 +93,7 @@
     /// Expected work, in tokens.
     pub cost: u64,
     /// Longest wait.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// Time to the first token or byte above which it counts as late.
     pub objective: Duration,
     /// Part of the reported room that late first tokens may lower the concurrency to; 1 where the
@@ -175,7 +175,7 @@
             team: request.team,
             limit: request.limit,
             cost: request.cost,
-            patience: request.patience,
+            patience: request.max_wait,
             resume: request.resume,
         };
         let now = self.origin.elapsed();
