--- a/components/entry/src/callers/completions.rs
+++ b/components/entry/src/callers/completions.rs
@@ -166,7 +166,7 @@
             cost: ask.max_tokens,
             max_wait: state.settings.times.queue,
             objective: gates::objective(),
-            lowest: gates::lowest(),
+            min_concurrency_factor: gates::lowest(),
             resume: ask.mark.is_some(),
         };
         let pass = Arc::new(state.gates.admit(request).await?);
--- a/components/entry/src/callers/service.rs
+++ b/components/entry/src/callers/service.rs
@@ -96,7 +96,7 @@
             cost: 1,
             max_wait: state.settings.times.queue,
             objective: gates::objective(),
-            lowest: gates::lowest(),
+            min_concurrency_factor: gates::lowest(),
             resume: false,
         };
         let pass = state.gates.admit(request).await?;
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -98,7 +98,7 @@
     pub objective: Duration,
     /// Part of the reported room that late first tokens may lower the concurrency to; 1 where the
     /// reports already tell how late a first token would be.
-    pub lowest: f64,
+    pub min_concurrency_factor: f64,
     /// Goes on with an answer that has begun.
     pub resume: bool,
 }
@@ -186,7 +186,7 @@
             .or_insert_with(|| Line {
                 gate: Gate::new(Settings {
                     first: request.objective,
-                    lowest: request.lowest,
+                    lowest: request.min_concurrency_factor,
                     ..Settings::default()
                 }),
                 waiting: HashMap::new(),
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -179,7 +179,7 @@
             cost: work.tokens,
             max_wait: turn.patience,
             objective: call.pass.objective,
-            lowest: 1.0,
+            min_concurrency_factor: 1.0,
             resume: call.packet.ask.after.is_some(),
         });
         let _hurried = turn.in_time.then(|| Hurried::new(context, &call.service));
