--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -426,7 +426,7 @@
         if fresh == 0 {
             return;
         }
-        self.pass.first();
+        self.pass.record_first_output();
         self.pass.used(fresh);
         let target = &self.ask.target;
         let now = Instant::now();
--- a/components/entry/src/callers/service.rs
+++ b/components/entry/src/callers/service.rs
@@ -101,7 +101,7 @@
         };
         let pass = state.gates.admit(request).await?;
         let answer = calls::call(state, provision, &target.version, call).await;
-        pass.first();
+        pass.record_first_output();
         pass.used(1);
         answer
     }
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -315,7 +315,7 @@
 
 impl Permit {
     /// The first token or byte came.
-    pub fn first(&self) {
+    pub fn record_first_output(&self) {
         let mut first = self.first.lock().unwrap_or_else(PoisonError::into_inner);
         first.get_or_insert_with(|| self.entrant.arrived.elapsed());
     }
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -41,8 +41,8 @@
 };
 
 use upstream::{
-    Connection,
     Collected, //
+    Connection,
 };
 
 use crate::{
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -141,7 +141,7 @@
     /// The first event came. Where that can't have been in time, it says nothing of the engines.
     pub fn first(&self) {
         if self.in_time {
-            self.pass.first();
+            self.pass.record_first_output();
         }
     }
 }
--- a/components/upstream/src/lib.rs
+++ b/components/upstream/src/lib.rs
@@ -12,9 +12,9 @@
 pub mod pool;
 
 pub use connection::{
+    Collected, //
     Connection,
     Data,
-    Collected, //
 };
 pub use error::Error;
 pub use head::Head;
