--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -427,7 +427,7 @@
             return;
         }
         self.pass.record_first_output();
-        self.pass.used(fresh);
+        self.pass.record_tokens(fresh);
         let target = &self.ask.target;
         let now = Instant::now();
         match self.last {
--- a/components/entry/src/callers/service.rs
+++ b/components/entry/src/callers/service.rs
@@ -102,7 +102,7 @@
         let pass = state.gates.admit(request).await?;
         let answer = calls::call(state, provision, &target.version, call).await;
         pass.record_first_output();
-        pass.used(1);
+        pass.record_tokens(1);
         answer
     }
 }
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -321,7 +321,7 @@
     }
 
     /// Counts work done.
-    pub fn used(&self, tokens: u64) {
+    pub fn record_tokens(&self, tokens: u64) {
         self.used.fetch_add(tokens, Ordering::Relaxed);
     }
 }
