--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -1,4 +1,4 @@
-//! Gates and who waits at them.
+//! Admission gates of all services, and the requests that wait at each of them.
 
 use std::{
     collections::HashMap,
@@ -40,100 +40,100 @@
     time::Instant, //
 };
 
-/// When a request comes back whose gate went away.
-const COME_BACK: Duration = Duration::from_millis(50);
+/// Retry-After for a waiting request whose gate was dropped before it decided.
+const DROPPED_GATE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Gates by service.
+/// Admission gates, one per service, and their waiting requests.
 pub struct Gates {
-    held: Mutex<Held>,
+    state: Mutex<State>,
     origin: Instant,
 }
 
-struct Held {
-    gates: HashMap<Service, Line>,
+struct State {
+    gates: HashMap<Service, Queue>,
     rng: SmallRng,
 }
 
-/// One service's gate, and who waits at it.
-struct Line {
+/// Gate of one service, and the requests that wait at it.
+struct Queue {
     gate: Gate,
     waiting: HashMap<Ticket, Waiter>,
 }
 
-/// What a gate knows of a request.
-struct Entrant {
+/// What a gate needs to know about a request from its arrival to its end.
+struct Work {
     team: Team,
     priority: u8,
     cost: u64,
     arrived: Instant,
 }
 
-/// A request that waits. It is sent its pass: when its caller goes away in the same moment, the
-/// pass is dropped unread and gives its place back.
+/// A waiting request. The permit itself is sent through the channel: if the caller disconnects at
+/// the same moment, the unread permit is dropped and frees its slot.
 struct Waiter {
-    entrant: Entrant,
-    sender: oneshot::Sender<Admitted>,
+    work: Work,
+    sender: oneshot::Sender<Decision>,
 }
 
-/// What becomes of a request at its gate.
-type Admitted = Result<Permit, Rejection>;
+/// Decision on a request.
+type Decision = Result<Permit, Rejection>;
 
-/// A request that was told to wait, and where it hears what becomes of it.
-type Queued = (Ticket, oneshot::Receiver<Admitted>);
+/// Ticket of a queued request, and the channel on which its decision arrives.
+type Queued = (Ticket, oneshot::Receiver<Decision>);
 
-/// A request that wants in.
+/// A request that asks for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Service that it is for.
+    /// Service that receives the request.
     pub service: &'a Service,
-    /// Whose it is.
+    /// Team that sent the request.
     pub team: &'a Team,
     /// The team's limits.
     pub limit: Limit,
-    /// Expected work, in tokens.
+    /// Expected work in tokens.
     pub cost: u64,
-    /// Longest wait.
+    /// Longest time that the request may wait at the gate.
     pub max_wait: Duration,
-    /// Time to the first token or byte above which it counts as late.
+    /// Time to the first token or byte above which the request counts as late.
     pub objective: Duration,
-    /// Part of the reported room that late first tokens may lower the concurrency to; 1 where the
-    /// reports already tell how late a first token would be.
+    /// Lowest factor, from 0 to 1, by which late first tokens may reduce the concurrency below the
+    /// reported capacity. 1 where the reports already account for late first tokens.
     pub min_concurrency_factor: f64,
-    /// Goes on with an answer that has begun.
+    /// Whether the request continues a response that has already begun.
     pub resume: bool,
 }
 
-/// A request that isn't let in: it hasn't run.
+/// Rejection of a request, which hasn't run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// Why the request was rejected.
     pub reason: Reason,
-    /// When to come back.
+    /// Time after which the caller should retry.
     pub retry_after: Duration,
 }
 
-/// Leave to run; dropping it ends the request.
+/// Permission to run a request; dropping the permit ends the request and frees its slot.
 pub struct Permit {
     gates: Arc<Gates>,
     service: Service,
-    entrant: Entrant,
-    used: AtomicU64,
+    work: Work,
+    used_tokens: AtomicU64,
     admitted: Instant,
-    first: Mutex<Option<Duration>>,
+    first_output: Mutex<Option<Duration>>,
 }
 
-/// Takes a waiting request out when its caller went away.
-struct Waiting<'a> {
+/// Removes a waiting request from its gate when its caller disconnects.
+struct Guard<'a> {
     gates: &'a Gates,
     service: &'a Service,
     ticket: Ticket,
 }
 
 impl Gates {
-    /// No gates yet; times are counted from an origin.
+    /// Creates a set without gates. Gates count time from `origin`.
     pub fn new(origin: Instant) -> Arc<Gates> {
         Arc::new(Gates {
-            held: Mutex::new(Held {
+            state: Mutex::new(State {
                 gates: HashMap::new(),
                 rng: SmallRng::seed_from_u64(rand::random()),
             }),
@@ -141,31 +141,31 @@
         })
     }
 
-    /// The state, whose every change is a single step, so that a panic of another holder leaves it
-    /// whole.
-    fn held(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the state. A poisoned lock is safe to use: every change is a single step, so a panic
+    /// of another holder leaves the state consistent.
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets a request in, at once or after a wait.
+    /// Admits a request, immediately or after a wait.
     ///
     /// # Errors
     ///
-    /// [`Rejection`], at once or when its patience is over.
+    /// [`Rejection`] immediately, or once the request has waited for [`Request::max_wait`].
     pub async fn admit(self: &Arc<Self>, request: Request<'_>) -> Result<Permit, Rejection> {
-        let Some((ticket, outcome)) = self.arrive(&request)? else {
-            return Ok(self.pass(request.service, Entrant::new(&request)));
+        let Some((ticket, decision)) = self.arrive(&request)? else {
+            return Ok(self.permit(request.service, Work::new(&request)));
         };
-        let _waiting = Waiting {
+        let _guard = Guard {
             gates: self,
             service: request.service,
             ticket,
         };
-        match outcome.await {
-            Ok(outcome) => outcome,
+        match decision.await {
+            Ok(decision) => decision,
             Err(_) => Err(Rejection {
                 reason: Reason::Full,
-                retry_after: COME_BACK,
+                retry_after: DROPPED_GATE_RETRY_AFTER,
             }),
         }
     }
@@ -179,11 +179,11 @@
             resume: request.resume,
         };
         let now = self.origin.elapsed();
-        let mut held = self.held();
-        let Held { gates, rng } = &mut *held;
-        let line = gates
+        let mut state = self.lock();
+        let State { gates, rng } = &mut *state;
+        let queue = gates
             .entry(request.service.clone())
-            .or_insert_with(|| Line {
+            .or_insert_with(|| Queue {
                 gate: Gate::new(Settings {
                     first: request.objective,
                     lowest: request.min_concurrency_factor,
@@ -191,15 +191,15 @@
                 }),
                 waiting: HashMap::new(),
             });
-        match line.gate.arrive(now, &arrival, rng) {
+        match queue.gate.arrive(now, &arrival, rng) {
             Verdict::Admit => Ok(None),
             Verdict::Queue(ticket) => {
                 let (sender, receiver) = oneshot::channel();
                 let waiter = Waiter {
-                    entrant: Entrant::new(request),
+                    work: Work::new(request),
                     sender,
                 };
-                line.waiting.insert(ticket, waiter);
+                queue.waiting.insert(ticket, waiter);
                 Ok(Some((ticket, receiver)))
             }
             Verdict::Refuse {
@@ -212,23 +212,24 @@
         }
     }
 
-    fn pass(self: &Arc<Self>, service: &str, entrant: Entrant) -> Permit {
+    fn permit(self: &Arc<Self>, service: &str, work: Work) -> Permit {
         Permit {
             gates: self.clone(),
             service: service.to_string(),
-            entrant,
-            used: AtomicU64::new(0),
+            work,
+            used_tokens: AtomicU64::new(0),
             admitted: Instant::now(),
-            first: Mutex::new(None),
+            first_output: Mutex::new(None),
         }
     }
 
-    /// Releases what can go on at one service, and refuses what can't be in time.
+    /// Admits the waiting requests of a service that fit, and rejects those that would be late.
     fn release(self: &Arc<Self>, service: &str) {
-        // The lock is given back before anybody is told: a pass that nobody reads takes it again.
-        for (waiter, released) in self.released(service) {
-            let outcome = match released {
-                Released::Admit(_) => Ok(self.pass(service, waiter.entrant)),
+        // `take_released` frees the lock before any decision is sent: dropping an unread permit
+        // locks the state again.
+        for (waiter, released) in self.take_released(service) {
+            let decision = match released {
+                Released::Admit(_) => Ok(self.permit(service, waiter.work)),
                 Released::Refuse {
                     reason,
                     retry_after,
@@ -238,73 +239,75 @@
                     retry_after,
                 }),
             };
-            // The caller may have gone away in this moment.
-            let _ = waiter.sender.send(outcome);
+            // The caller may have just disconnected.
+            let _ = waiter.sender.send(decision);
         }
     }
 
-    fn released(&self, service: &str) -> Vec<(Waiter, Released)> {
+    fn take_released(&self, service: &str) -> Vec<(Waiter, Released)> {
         let now = self.origin.elapsed();
-        let mut held = self.held();
-        let Held { gates, rng } = &mut *held;
-        let Some(line) = gates.get_mut(service) else {
+        let mut state = self.lock();
+        let State { gates, rng } = &mut *state;
+        let Some(queue) = gates.get_mut(service) else {
             return Vec::new();
         };
-        let mut all = Vec::new();
-        for released in line.gate.tick(now, rng) {
+        let mut decided = Vec::new();
+        for released in queue.gate.tick(now, rng) {
             let (Released::Admit(ticket) | Released::Refuse { ticket, .. }) = &released;
-            if let Some(waiter) = line.waiting.remove(ticket) {
-                all.push((waiter, released));
+            if let Some(waiter) = queue.waiting.remove(ticket) {
+                decided.push((waiter, released));
             }
         }
-        all
+        decided
     }
 
-    /// Requests that wait at a service's gate.
+    /// Returns the number of requests that wait at the gate of a service.
     pub fn waiting(&self, service: &Service) -> usize {
-        let held = self.held();
-        held.gates
+        let state = self.lock();
+        state
+            .gates
             .get(service)
-            .map_or(0, |line| line.gate.waiting())
+            .map_or(0, |queue| queue.gate.waiting())
     }
 
-    /// Whether any request waits.
+    /// Whether any request waits at any gate.
     pub fn any_waiting(&self) -> bool {
-        let held = self.held();
-        held.gates.values().any(|line| !line.waiting.is_empty())
+        let state = self.lock();
+        state.gates.values().any(|queue| !queue.waiting.is_empty())
     }
 
-    /// Lets waiting requests go on where there is room, and refuses those whose patience is over.
+    /// Admits waiting requests where there is capacity, and rejects those that waited too long.
     pub fn tick(self: &Arc<Self>) {
         let services: Vec<Service> = {
-            let held = self.held();
-            let busy = held
+            let state = self.lock();
+            let queued = state
                 .gates
                 .iter()
-                .filter(|(_, line)| !line.waiting.is_empty());
-            busy.map(|(service, _)| service.clone()).collect()
+                .filter(|(_, queue)| !queue.waiting.is_empty());
+            queued.map(|(service, _)| service.clone()).collect()
         };
         for service in services {
             self.release(&service);
         }
     }
 
-    /// Takes what the servers of each service have room for; `None` where nothing is known, and
-    /// what has to be refused will be for want of a server. The second argument is the number of
-    /// this process's own requests in progress.
+    /// Updates the capacity of each service's gate from `report`, whose second argument is the
+    /// number of this process's own requests in progress. `None` stands for an unknown capacity
+    /// and leaves the gate as it is: requests that can't be served are then rejected for lack of a
+    /// server.
     pub fn report(&self, mut report: impl FnMut(&Service, u32) -> Option<Report>) {
-        let mut held = self.held();
-        for (service, line) in &mut held.gates {
-            if let Some(report) = report(service, line.gate.running()) {
-                line.gate.report(report);
+        let mut state = self.lock();
+        for (service, queue) in &mut state.gates {
+            if let Some(report) = report(service, queue.gate.running()) {
+                queue.gate.report(report);
             }
         }
     }
 }
 
-impl Entrant {
-    fn new(request: &Request<'_>) -> Entrant {
-        Entrant {
+impl Work {
+    fn new(request: &Request<'_>) -> Work {
+        Work {
             team: request.team.clone(),
             priority: request.limit.priority,
             cost: request.cost,
@@ -314,46 +317,52 @@
 }
 
 impl Permit {
-    /// The first token or byte came.
+    /// Records that the first token or byte arrived. Later calls have no effect.
     pub fn record_first_output(&self) {
-        let mut first = self.first.lock().unwrap_or_else(PoisonError::into_inner);
-        first.get_or_insert_with(|| self.entrant.arrived.elapsed());
+        let mut first_output = self
+            .first_output
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        first_output.get_or_insert_with(|| self.work.arrived.elapsed());
     }
 
-    /// Counts work done.
+    /// Adds tokens to the work that the request has used.
     pub fn record_tokens(&self, tokens: u64) {
-        self.used.fetch_add(tokens, Ordering::Relaxed);
+        self.used_tokens.fetch_add(tokens, Ordering::Relaxed);
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
         let done = Done {
-            priority: self.entrant.priority,
-            cost: self.entrant.cost,
-            used: self.used.load(Ordering::Relaxed),
+            priority: self.work.priority,
+            cost: self.work.cost,
+            used: self.used_tokens.load(Ordering::Relaxed),
             time: self.admitted.elapsed(),
-            first: *self.first.lock().unwrap_or_else(PoisonError::into_inner),
+            first: *self
+                .first_output
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
         };
         {
-            let mut held = self.gates.held();
-            if let Some(line) = held.gates.get_mut(&self.service) {
-                line.gate.finish(&self.entrant.team, &done);
+            let mut state = self.gates.lock();
+            if let Some(queue) = state.gates.get_mut(&self.service) {
+                queue.gate.finish(&self.work.team, &done);
             }
         }
         self.gates.release(&self.service);
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for Guard<'_> {
     fn drop(&mut self) {
-        let mut held = self.gates.held();
-        let Some(line) = held.gates.get_mut(self.service) else {
+        let mut state = self.gates.lock();
+        let Some(queue) = state.gates.get_mut(self.service) else {
             return;
         };
-        // A ticket that was released already isn't there any more.
-        if line.waiting.remove(&self.ticket).is_some() {
-            line.gate.cancel(self.ticket);
+        // A ticket that was already released is no longer in the map.
+        if queue.waiting.remove(&self.ticket).is_some() {
+            queue.gate.cancel(self.ticket);
         }
     }
 }
--- a/components/gates/src/lib.rs
+++ b/components/gates/src/lib.rs
@@ -1,6 +1,6 @@
-//! The driver of the decisions in the `admission` crate: a gate for each service, and the requests
-//! that wait at it. Whoever drives a gate reports what its servers have room for, and calls
-//! [`Gates::tick`] while requests wait.
+//! Runs the admission decisions of the `admission` crate: one gate per service, and the requests
+//! that wait at it. The owner of a [`Gates`] passes the capacity of the backend servers to
+//! [`Gates::report`], and calls [`Gates::tick`] while requests wait.
 
 mod gates;
 
