--- a/components/upstream/src/body.rs
+++ b/components/upstream/src/body.rs
@@ -1,4 +1,4 @@
-//! Where an answer's body ends.
+//! Decoding of response bodies.
 
 use bytes::{
     Buf,
@@ -8,73 +8,77 @@
 
 use crate::Error;
 
-/// Longest line of a chunk's size or of a trailer, in bytes.
-const LINE: usize = 4096;
+/// Longest chunk size line or trailer line.
+const MAX_LINE_BYTES: usize = 4096;
 
-/// How the end of a body is told.
+/// How a response marks the end of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
-    /// There is no body.
+    /// The response has no body.
     Empty,
-    /// It has this many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// It comes in chunks.
+    /// The body uses the chunked transfer encoding.
     Chunked,
-    /// It ends with the connection.
+    /// The body ends when the connection closes.
     UntilClose,
 }
 
-/// How far the body was read.
+/// Incremental decoder of a body; each variant is what it expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Body {
-    /// Nothing is under way.
+pub(crate) enum Decoder {
+    /// Nothing: the body is complete, or no exchange is in progress.
     Done,
-    /// This many bytes are left.
-    Left(u64),
-    /// The size of the next chunk comes next.
-    Size,
-    /// This many bytes of a chunk are left.
-    Chunk(u64),
-    /// The line end behind a chunk comes next.
+    /// This many more bytes of a body with a known length.
+    Remaining(u64),
+    /// The size line of the next chunk.
+    ChunkSize,
+    /// This many more bytes of the current chunk.
+    ChunkData(u64),
+    /// The line end after a chunk.
     ChunkEnd,
-    /// Trailers come next.
+    /// Trailers, and the empty line that ends them.
     Trailers,
-    /// All bytes until the connection ends.
-    Rest,
+    /// All bytes until the connection closes.
+    UntilClose,
 }
 
-/// What a look at the buffer gave.
+/// Result of decoding the buffered bytes.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Step {
     /// Bytes of the body.
     Data(Bytes),
-    /// More has to be read first.
-    More,
+    /// More bytes have to be read from the connection first.
+    Pending,
     /// The body is complete.
     End,
 }
 
-impl Body {
-    pub(crate) fn new(framing: Framing) -> Body {
+impl Decoder {
+    pub(crate) fn new(framing: Framing) -> Decoder {
         match framing {
-            Framing::Empty | Framing::Length(0) => Body::Done,
-            Framing::Length(length) => Body::Left(length),
-            Framing::Chunked => Body::Size,
-            Framing::UntilClose => Body::Rest,
+            Framing::Empty | Framing::Length(0) => Decoder::Done,
+            Framing::Length(length) => Decoder::Remaining(length),
+            Framing::Chunked => Decoder::ChunkSize,
+            Framing::UntilClose => Decoder::UntilClose,
         }
     }
 
-    /// Takes what the buffer has of the body. Data of several chunks comes in one piece, so that
-    /// an event which the peer wrote in two chunks costs one step.
-    pub(crate) fn take(&mut self, buffer: &mut BytesMut) -> Result<Step, Error> {
+    /// Decodes the buffered part of the body. Joins the data of several chunks, so that an event
+    /// that the server wrote in two chunks is returned in one step.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Malformed`] when a chunk or trailer is invalid.
+    pub(crate) fn decode(&mut self, buffer: &mut BytesMut) -> Result<Step, Error> {
         let mut data = BytesMut::new();
         loop {
             match self.step(buffer) {
-                Ok(Step::Data(piece)) if data.is_empty() && buffer.is_empty() => {
-                    return Ok(Step::Data(piece));
+                Ok(Step::Data(chunk)) if data.is_empty() && buffer.is_empty() => {
+                    return Ok(Step::Data(chunk));
                 }
-                Ok(Step::Data(piece)) => data.extend_from_slice(&piece),
-                // What came before a fault is good; the fault is found again at the next call.
+                Ok(Step::Data(chunk)) => data.extend_from_slice(&chunk),
+                // Data before an error is valid; the next call returns the error.
                 _ if !data.is_empty() => return Ok(Step::Data(data.freeze())),
                 step => return step,
             }
@@ -84,67 +88,69 @@
     fn step(&mut self, buffer: &mut BytesMut) -> Result<Step, Error> {
         loop {
             match *self {
-                Body::Done => return Ok(Step::End),
-                Body::Rest if buffer.is_empty() => return Ok(Step::More),
-                Body::Rest => return Ok(Step::Data(buffer.split().freeze())),
-                Body::Left(left) => {
-                    let Some(piece) = piece(buffer, left) else {
-                        return Ok(Step::More);
+                Decoder::Done => return Ok(Step::End),
+                Decoder::UntilClose if buffer.is_empty() => return Ok(Step::Pending),
+                Decoder::UntilClose => return Ok(Step::Data(buffer.split().freeze())),
+                Decoder::Remaining(remaining) => {
+                    let Some(data) = split_data(buffer, remaining) else {
+                        return Ok(Step::Pending);
                     };
-                    let left = left - piece.len() as u64;
-                    *self = if left == 0 {
-                        Body::Done
+                    let remaining = remaining - data.len() as u64;
+                    *self = if remaining == 0 {
+                        Decoder::Done
                     } else {
-                        Body::Left(left)
+                        Decoder::Remaining(remaining)
                     };
-                    return Ok(Step::Data(piece));
+                    return Ok(Step::Data(data));
                 }
-                Body::Chunk(left) => {
-                    let Some(piece) = piece(buffer, left) else {
-                        return Ok(Step::More);
+                Decoder::ChunkData(remaining) => {
+                    let Some(data) = split_data(buffer, remaining) else {
+                        return Ok(Step::Pending);
                     };
-                    let left = left - piece.len() as u64;
-                    *self = if left == 0 {
-                        Body::ChunkEnd
+                    let remaining = remaining - data.len() as u64;
+                    *self = if remaining == 0 {
+                        Decoder::ChunkEnd
                     } else {
-                        Body::Chunk(left)
+                        Decoder::ChunkData(remaining)
                     };
-                    return Ok(Step::Data(piece));
+                    return Ok(Step::Data(data));
                 }
-                Body::ChunkEnd => {
+                Decoder::ChunkEnd => {
                     if buffer.len() < 2 {
-                        return Ok(Step::More);
+                        return Ok(Step::Pending);
                     }
                     if &buffer[..2] != b"\r\n" {
-                        return Err(Error::Malformed("chunk end"));
+                        return Err(Error::Malformed("invalid chunk end"));
                     }
                     buffer.advance(2);
-                    *self = Body::Size;
+                    *self = Decoder::ChunkSize;
                 }
-                Body::Size => match httparse::parse_chunk_size(buffer) {
+                Decoder::ChunkSize => match httparse::parse_chunk_size(buffer) {
                     Ok(httparse::Status::Complete((length, size))) => {
                         buffer.advance(length);
                         *self = if size == 0 {
-                            Body::Trailers
+                            Decoder::Trailers
                         } else {
-                            Body::Chunk(size)
+                            Decoder::ChunkData(size)
                         };
                     }
-                    Ok(httparse::Status::Partial) if buffer.len() <= LINE => return Ok(Step::More),
+                    Ok(httparse::Status::Partial) if buffer.len() <= MAX_LINE_BYTES => {
+                        return Ok(Step::Pending);
+                    }
                     Ok(httparse::Status::Partial) | Err(_) => {
-                        return Err(Error::Malformed("chunk size"));
+                        return Err(Error::Malformed("invalid chunk size"));
                     }
                 },
-                Body::Trailers => {
+                Decoder::Trailers => {
                     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
-                        if buffer.len() > LINE {
-                            return Err(Error::Malformed("trailers"));
+                        if buffer.len() > MAX_LINE_BYTES {
+                            return Err(Error::Malformed("trailer line too long"));
                         }
-                        return Ok(Step::More);
+                        return Ok(Step::Pending);
                     };
                     buffer.advance(end + 2);
                     if end == 0 {
-                        *self = Body::Done;
+                        *self = Decoder::Done;
                     }
                 }
             }
@@ -152,11 +158,12 @@
     }
 }
 
-fn piece(buffer: &mut BytesMut, left: u64) -> Option<Bytes> {
+/// Splits off up to `remaining` bytes; `None` when the buffer is empty.
+fn split_data(buffer: &mut BytesMut, remaining: u64) -> Option<Bytes> {
     if buffer.is_empty() {
         return None;
     }
-    let length = usize::try_from(left)
+    let length = usize::try_from(remaining)
         .unwrap_or(usize::MAX)
         .min(buffer.len());
     Some(buffer.split_to(length).freeze())
--- a/components/upstream/src/connection.rs
+++ b/components/upstream/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend server.
+//! A connection to a backend server.
 
 use std::{
     io,
@@ -28,58 +28,58 @@
     Error,
     Head,
     body::{
-        Body,
+        Decoder,
         Step, //
     },
     head, //
 };
 
-/// Bytes that are read at a time.
-const READ: usize = 8 * 1024;
+/// Buffer space reserved for each read.
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Bytes of an answer that are kept while the request is still being written.
-const AHEAD: usize = 64 * 1024;
+/// Most bytes of an early response buffered while the request is still being written.
+const MAX_EARLY_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// A connection that carries one exchange at a time.
+/// HTTP/1.1 connection that carries one exchange at a time.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     address: SocketAddr,
     buffer: BytesMut,
-    body: Body,
+    decoder: Decoder,
     method: Method,
-    sent: usize,
-    keep: bool,
+    bytes_sent: usize,
+    keep_alive: bool,
     exchanges: u32,
-    opened: Instant,
-    used: Instant,
-    rest: Option<Duration>,
-    /// The peer sends no more.
-    ended: bool,
+    opened_at: Instant,
+    last_used: Instant,
+    idle_timeout: Option<Duration>,
+    /// Whether the server closed its sending side.
+    eof: bool,
 }
 
-/// What a look at an answer's body gave.
+/// Result of decoding the buffered part of a response body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Data {
     /// Bytes of the body.
     Bytes(Bytes),
-    /// More has to be read first.
+    /// More bytes have to be read with [`Connection::fill`] first.
     Pending,
     /// The body is complete.
     End,
 }
 
-/// A body that was read.
+/// Body returned by [`Connection::read_body`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Collected {
-    /// All of it.
+    /// The whole body.
     Complete(Bytes),
-    /// Its beginning; the rest comes by [`Connection::data`].
+    /// The beginning of a body that exceeds the limit; [`Connection::data`] returns the rest.
     Partial(Bytes),
 }
 
 impl Collected {
-    /// The body, if it is complete.
+    /// Returns the body if it is complete.
     pub fn complete(self) -> Option<Bytes> {
         match self {
             Collected::Complete(bytes) => Some(bytes),
@@ -93,9 +93,10 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Connect`] when the peer refuses, [`Error::Timeout`] when it doesn't answer.
-    pub async fn open(address: SocketAddr, within: Duration) -> Result<Connection, Error> {
-        let stream = match timeout(within, TcpStream::connect(address)).await {
+    /// [`Error::Connect`] when the server refuses the connection, [`Error::Timeout`] when it isn't
+    /// established within `connect_timeout`.
+    pub async fn open(address: SocketAddr, connect_timeout: Duration) -> Result<Connection, Error> {
+        let stream = match timeout(connect_timeout, TcpStream::connect(address)).await {
             Ok(stream) => stream.map_err(Error::Connect)?,
             Err(_) => return Err(Error::Timeout),
         };
@@ -105,57 +106,58 @@
             stream,
             address,
             buffer: BytesMut::new(),
-            body: Body::Done,
+            decoder: Decoder::Done,
             method: Method::GET,
-            sent: 0,
-            keep: true,
+            bytes_sent: 0,
+            keep_alive: true,
             exchanges: 0,
-            opened: now,
-            used: now,
-            rest: None,
-            ended: false,
+            opened_at: now,
+            last_used: now,
+            idle_timeout: None,
+            eof: false,
         })
     }
 
-    /// The peer's address.
+    /// Returns the server's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes of the current request that were handed to the system. While it is 0, the peer can't
-    /// have run the request.
+    /// Returns the number of bytes of the current request that were handed to the operating system.
+    /// While it is 0, the server can't have run the request.
     pub fn bytes_sent(&self) -> usize {
-        self.sent
+        self.bytes_sent
     }
 
-    /// Whether an earlier request went over this connection.
+    /// Whether the connection carried an earlier request.
     pub fn is_reused(&self) -> bool {
         self.exchanges > 1
     }
 
-    /// When the connection was last in use.
-    pub fn used(&self) -> Instant {
-        self.used
+    /// Returns when the connection was last used.
+    pub fn last_used(&self) -> Instant {
+        self.last_used
     }
 
-    /// When the connection was opened.
-    pub fn opened(&self) -> Instant {
-        self.opened
+    /// Returns when the connection was opened.
+    pub fn opened_at(&self) -> Instant {
+        self.opened_at
     }
 
-    /// How long the peer keeps the connection open without a request, as it said.
-    pub fn rest(&self) -> Option<Duration> {
-        self.rest
+    /// Returns how long the server keeps an idle connection open, where its `Keep-Alive` header
+    /// says so.
+    pub fn idle_timeout(&self) -> Option<Duration> {
+        self.idle_timeout
     }
 
-    /// Whether the connection can carry another request: the last answer is complete and the peer
-    /// keeps it open.
+    /// Whether the connection can carry another request: the last response is complete and the
+    /// server keeps the connection open.
     pub fn is_reusable(&self) -> bool {
-        self.keep && !self.ended && self.body == Body::Done && self.buffer.is_empty()
+        self.keep_alive && !self.eof && self.decoder == Decoder::Done && self.buffer.is_empty()
     }
 
-    /// Looks whether an idle connection is still open and clean. Bytes that arrived meanwhile
-    /// belong to no request; they would be taken for the next answer.
+    /// Checks whether an idle connection is still open and has received nothing. Bytes that arrived
+    /// while it was idle belong to no request and would be mistaken for the next response.
     pub fn is_clean(&mut self) -> bool {
         if !self.is_reusable() {
             return false;
@@ -167,15 +169,16 @@
         }
     }
 
-    /// Writes a request. An answer that comes early is kept for [`Connection::head`]; the rest of
-    /// the request is written all the same, as the peer may read on after it.
+    /// Writes a request. Buffers a response that arrives early for [`Connection::head`], and still
+    /// writes the rest of the request, as the server may keep reading after it has responded.
     ///
     /// # Errors
     ///
-    /// [`Error::Broken`] when the connection breaks; an answer may have come before.
+    /// [`Error::Broken`] when the connection breaks, [`Error::Closed`] when the server closes it. A
+    /// response may have arrived before either.
     pub async fn write(&mut self, method: &Method, head: Bytes, body: Bytes) -> Result<(), Error> {
         self.method = method.clone();
-        self.sent = 0;
+        self.bytes_sent = 0;
         self.exchanges += 1;
         let mut data = head.chain(body);
         while data.has_remaining() {
@@ -183,14 +186,14 @@
             let count = data.chunks_vectored(&mut slices);
             match self.stream.try_write_vectored(&slices[..count]) {
                 Ok(written) => {
-                    self.sent += written;
+                    self.bytes_sent += written;
                     data.advance(written);
                     continue;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err(error.into()),
             }
-            if self.buffer.len() >= AHEAD {
+            if self.buffer.len() >= MAX_EARLY_RESPONSE_BYTES {
                 self.stream.writable().await?;
                 continue;
             }
@@ -199,7 +202,7 @@
                 ready = self.stream.writable() => ready?,
                 read = read(&self.stream, &mut self.buffer) => {
                     if read? == 0 {
-                        self.ended = true;
+                        self.eof = true;
                         return Err(Error::Closed);
                     }
                 }
@@ -208,7 +211,7 @@
         Ok(())
     }
 
-    /// Reads the head of the answer.
+    /// Reads the head of the response.
     ///
     /// # Errors
     ///
@@ -222,22 +225,22 @@
         }
     }
 
-    /// Takes the head of the answer from what was read; `None` when it isn't whole.
+    /// Parses the response head from the buffered bytes; `None` when it is incomplete.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`], or [`Error::Closed`] when no more can come.
+    /// [`Error::Malformed`], or [`Error::Closed`] when the server sends no more.
     pub fn try_head(&mut self) -> Result<Option<Head>, Error> {
-        let Some(head) = head::take(&mut self.buffer, &self.method)? else {
-            return match self.ended {
+        let Some(head) = head::parse(&mut self.buffer, &self.method)? else {
+            return match self.eof {
                 true => Err(Error::Closed),
                 false => Ok(None),
             };
         };
-        self.keep = head.keep;
-        self.body = Body::new(head.framing);
-        self.rest = rest(&head).or(self.rest);
-        self.used = Instant::now();
+        self.keep_alive = head.keep_alive;
+        self.decoder = Decoder::new(head.framing);
+        self.idle_timeout = keep_alive_timeout(&head).or(self.idle_timeout);
+        self.last_used = Instant::now();
         Ok(Some(head))
     }
 
@@ -245,7 +248,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Connection::head`]. A body without a length that ends with a reset isn't complete.
+    /// As [`Connection::head`]. A body without a length is incomplete if the connection is reset.
     pub async fn data(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             match self.try_data()? {
@@ -256,69 +259,70 @@
         }
     }
 
-    /// Takes bytes of the body from what was read.
+    /// Decodes the buffered part of the body.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`], or [`Error::Closed`] when the connection ended too early.
+    /// [`Error::Malformed`], or [`Error::Closed`] when the connection ended before the body did.
     pub fn try_data(&mut self) -> Result<Data, Error> {
-        match self.body.take(&mut self.buffer)? {
+        match self.decoder.decode(&mut self.buffer)? {
             Step::Data(data) => Ok(Data::Bytes(data)),
             Step::End => {
-                self.used = Instant::now();
+                self.last_used = Instant::now();
                 Ok(Data::End)
             }
-            Step::More if !self.ended => Ok(Data::Pending),
-            Step::More if self.body == Body::Rest => {
-                self.body = Body::Done;
-                self.keep = false;
+            Step::Pending if !self.eof => Ok(Data::Pending),
+            Step::Pending if self.decoder == Decoder::UntilClose => {
+                self.decoder = Decoder::Done;
+                self.keep_alive = false;
                 Ok(Data::End)
             }
-            Step::More => Err(Error::Closed),
+            Step::Pending => Err(Error::Closed),
         }
     }
 
-    /// Reads more from the peer. A read that is given up loses nothing.
+    /// Reads more bytes from the server into the buffer. Cancel safe: a dropped call loses no bytes.
     ///
     /// # Errors
     ///
-    /// [`Error::Broken`]; the peer's orderly end is told by the next look at the answer.
+    /// [`Error::Broken`]. An orderly close isn't an error here: the next [`Connection::try_head`] or
+    /// [`Connection::try_data`] accounts for it.
     pub async fn fill(&mut self) -> Result<(), Error> {
         if read(&self.stream, &mut self.buffer).await? == 0 {
-            self.ended = true;
+            self.eof = true;
         }
         Ok(())
     }
 
-    /// Reads a whole body, or the beginning of one that is longer than `most` bytes.
+    /// Reads a whole body, or the beginning of one that is longer than `limit` bytes.
     ///
     /// # Errors
     ///
     /// As [`Connection::data`].
-    pub async fn read_body(&mut self, most: usize) -> Result<Collected, Error> {
+    pub async fn read_body(&mut self, limit: usize) -> Result<Collected, Error> {
         let Some(first) = self.data().await? else {
             return Ok(Collected::Complete(Bytes::new()));
         };
-        let mut whole = BytesMut::from(first);
+        let mut collected = BytesMut::from(first);
         while let Some(data) = self.data().await? {
-            whole.extend_from_slice(&data);
-            if whole.len() > most {
-                return Ok(Collected::Partial(whole.freeze()));
+            collected.extend_from_slice(&data);
+            if collected.len() > limit {
+                return Ok(Collected::Partial(collected.freeze()));
             }
         }
-        Ok(Collected::Complete(whole.freeze()))
+        Ok(Collected::Complete(collected.freeze()))
     }
 
-    /// Waits until the peer closes an idle connection or sends bytes that nobody asked for.
-    pub async fn disturbed(&self) {
-        // An error is a disruption as well.
+    /// Waits until the server closes an idle connection or sends unsolicited bytes.
+    pub async fn wait_readable(&self) {
+        // An error ends the wait as well.
         let _ = self.stream.readable().await;
     }
 }
 
 async fn read(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     loop {
-        buffer.reserve(READ);
+        buffer.reserve(READ_BUFFER_BYTES);
         match stream.try_read_buf(buffer) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             result => return result,
@@ -327,12 +331,12 @@
     }
 }
 
-/// The time that the peer gives in `Keep-Alive`.
-fn rest(head: &Head) -> Option<Duration> {
-    let name = HeaderName::from_static("keep-alive");
-    let value = head.headers.get(name)?.to_str().ok()?;
-    for word in value.split(',') {
-        let Some((name, seconds)) = word.split_once('=') else {
+/// Returns the timeout announced in the `Keep-Alive` header.
+fn keep_alive_timeout(head: &Head) -> Option<Duration> {
+    let header = HeaderName::from_static("keep-alive");
+    let value = head.headers.get(header)?.to_str().ok()?;
+    for parameter in value.split(',') {
+        let Some((name, seconds)) = parameter.split_once('=') else {
             continue;
         };
         if name.trim().eq_ignore_ascii_case("timeout") {
--- a/components/upstream/src/error.rs
+++ b/components/upstream/src/error.rs
@@ -1,24 +1,24 @@
-//! Why an exchange with a backend server failed.
+//! Errors of an exchange with a backend server.
 
 use std::io;
 
-/// Why an exchange failed. Whether the request may have run is told by
-/// [`crate::Connection::bytes_sent`], not by the kind of error.
+/// Error of an exchange with a backend server. [`crate::Connection::bytes_sent`] tells whether the
+/// request may have run; the kind of error doesn't.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection came about.
+    /// The connection couldn't be established.
     #[error("can't connect: {0}")]
     Connect(io::Error),
-    /// The connection broke.
+    /// Reading or writing failed.
     #[error("connection broke: {0}")]
     Broken(#[from] io::Error),
-    /// The peer closed the connection before the answer was complete.
-    #[error("connection closed before the answer was complete")]
+    /// The server closed the connection before the response was complete.
+    #[error("connection closed before the response was complete")]
     Closed,
-    /// What came isn't an answer in the protocol.
-    #[error("not an HTTP answer: {0}")]
+    /// The received bytes aren't a valid HTTP response.
+    #[error("invalid HTTP response: {0}")]
     Malformed(&'static str),
-    /// Nothing came for too long.
-    #[error("no answer in time")]
+    /// The server didn't respond in time.
+    #[error("no response in time")]
     Timeout,
 }
--- a/components/upstream/src/head.rs
+++ b/components/upstream/src/head.rs
@@ -1,4 +1,4 @@
-//! Heads of answers.
+//! Response heads: status line and headers.
 
 use bytes::{
     Buf,
@@ -23,36 +23,36 @@
     body::Framing, //
 };
 
-/// Longest head that is read, in bytes. A peer that sends more is not speaking HTTP.
-const LONGEST: usize = 64 * 1024;
+/// Longest accepted head. A server that sends more isn't speaking HTTP.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Most headers in a head.
-const HEADERS: usize = 64;
+/// Most headers accepted in a head.
+const MAX_HEADERS: usize = 64;
 
-/// Status line and headers of an answer.
+/// Status and headers of a response.
 #[derive(Clone, Debug)]
 pub struct Head {
     /// Status code.
     pub status: StatusCode,
-    /// Headers as they came.
+    /// Headers as received.
     pub headers: HeaderMap,
-    /// Whether the peer keeps the connection open after this answer.
-    pub(crate) keep: bool,
+    /// Whether the server keeps the connection open after this response.
+    pub(crate) keep_alive: bool,
     pub(crate) framing: Framing,
 }
 
 impl Head {
-    /// Reads the head at the beginning of an answer to a `GET` or `POST`; `None` when it isn't whole.
+    /// Parses the head of a response to a `GET` or `POST` request; `None` when it is incomplete.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] when it is no head of an answer.
+    /// [`Error::Malformed`] when the bytes aren't a valid response head.
     pub fn parse(bytes: &[u8]) -> Result<Option<Head>, Error> {
-        take(&mut BytesMut::from(bytes), &Method::GET)
+        parse(&mut BytesMut::from(bytes), &Method::GET)
     }
 
-    /// Length of the body in bytes, where the head tells it.
-    pub fn length(&self) -> Option<u64> {
+    /// Returns the length of the body in bytes, where the head states it.
+    pub fn body_length(&self) -> Option<u64> {
         match self.framing {
             Framing::Empty => Some(0),
             Framing::Length(length) => Some(length),
@@ -60,55 +60,55 @@
         }
     }
 
-    /// Whether the peer keeps the connection open after this answer.
-    pub fn keeps(&self) -> bool {
-        self.keep
+    /// Whether the server keeps the connection open after this response.
+    pub fn keep_alive(&self) -> bool {
+        self.keep_alive
     }
 }
 
-/// Takes a head off the front of a buffer; `None` when it isn't whole yet.
-pub(crate) fn take(buffer: &mut BytesMut, method: &Method) -> Result<Option<Head>, Error> {
+/// Parses a head and removes it from the front of the buffer; `None` when it is incomplete.
+pub(crate) fn parse(buffer: &mut BytesMut, method: &Method) -> Result<Option<Head>, Error> {
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
-        let mut answer = httparse::Response::new(&mut headers);
-        let length = match answer.parse(buffer) {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut response = httparse::Response::new(&mut headers);
+        let length = match response.parse(buffer) {
             Ok(httparse::Status::Complete(length)) => length,
-            Ok(httparse::Status::Partial) if buffer.len() > LONGEST => {
+            Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
                 return Err(Error::Malformed("head too long"));
             }
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(Error::Malformed("head can't be parsed")),
+            Err(_) => return Err(Error::Malformed("invalid head")),
         };
-        let status = answer.code.unwrap_or_default();
+        let status = response.code.unwrap_or_default();
         if (100..200).contains(&status) && status != 101 {
-            // Interim answers say nothing about the request.
+            // Interim responses don't tell how the request ends.
             buffer.advance(length);
             continue;
         }
-        let head = build(&answer, method)?;
+        let head = build(&response, method)?;
         buffer.advance(length);
         return Ok(Some(head));
     }
 }
 
-fn build(answer: &httparse::Response<'_, '_>, method: &Method) -> Result<Head, Error> {
-    let status = answer.code.unwrap_or_default();
-    let status = StatusCode::from_u16(status).map_err(|_| Error::Malformed("status"))?;
-    let mut headers = HeaderMap::with_capacity(answer.headers.len());
-    for header in answer.headers.iter() {
+fn build(response: &httparse::Response<'_, '_>, method: &Method) -> Result<Head, Error> {
+    let status = response.code.unwrap_or_default();
+    let status = StatusCode::from_u16(status).map_err(|_| Error::Malformed("invalid status"))?;
+    let mut headers = HeaderMap::with_capacity(response.headers.len());
+    for header in response.headers.iter() {
         let name = HeaderName::from_bytes(header.name.as_bytes())
-            .map_err(|_| Error::Malformed("header name"))?;
+            .map_err(|_| Error::Malformed("invalid header name"))?;
         let value = HeaderValue::from_maybe_shared(Bytes::copy_from_slice(header.value))
-            .map_err(|_| Error::Malformed("header value"))?;
+            .map_err(|_| Error::Malformed("invalid header value"))?;
         headers.append(name, value);
     }
     let framing = framing(status, &headers, method)?;
-    let modern = answer.version == Some(1);
-    let keep = framing != Framing::UntilClose && keeps(&headers, modern);
+    let is_http11 = response.version == Some(1);
+    let keep_alive = framing != Framing::UntilClose && keeps_alive(&headers, is_http11);
     Ok(Head {
         status,
         headers,
-        keep,
+        keep_alive,
         framing,
     })
 }
@@ -121,40 +121,46 @@
         return Ok(Framing::Empty);
     }
     if let Some(encoding) = headers.get(TRANSFER_ENCODING) {
-        // A body under two framings can be cut in two places; which one was meant can't be known.
+        // The two framings may end the body in different places, and nothing tells which is right.
         if headers.contains_key(CONTENT_LENGTH) {
-            return Err(Error::Malformed("both a length and chunks"));
+            return Err(Error::Malformed(
+                "both Content-Length and Transfer-Encoding",
+            ));
         }
         if encoding.as_bytes().eq_ignore_ascii_case(b"chunked") {
             return Ok(Framing::Chunked);
         }
-        return Err(Error::Malformed("transfer encoding"));
+        return Err(Error::Malformed("unsupported transfer encoding"));
     }
     let mut lengths = headers.get_all(CONTENT_LENGTH).iter();
     let Some(first) = lengths.next() else {
         return Ok(Framing::UntilClose);
     };
     if lengths.any(|other| other != first) {
-        return Err(Error::Malformed("two lengths"));
+        return Err(Error::Malformed("conflicting Content-Length headers"));
     }
     let text = first.to_str().unwrap_or_default();
     if text.is_empty() || !text.bytes().all(|digit| digit.is_ascii_digit()) {
-        return Err(Error::Malformed("length"));
+        return Err(Error::Malformed("invalid Content-Length"));
     }
-    let length = text.parse().map_err(|_| Error::Malformed("length"))?;
+    let length = text
+        .parse()
+        .map_err(|_| Error::Malformed("invalid Content-Length"))?;
     Ok(Framing::Length(length))
 }
 
-fn keeps(headers: &HeaderMap, modern: bool) -> bool {
-    let mut keep = modern;
+/// Whether the server keeps the connection open: by default in HTTP/1.1, only if it says
+/// so in HTTP/1.0.
+fn keeps_alive(headers: &HeaderMap, is_http11: bool) -> bool {
+    let mut keep_alive = is_http11;
     for value in headers.get_all(CONNECTION) {
-        for word in value.to_str().unwrap_or_default().split(',') {
-            let word = word.trim();
-            if word.eq_ignore_ascii_case("close") {
+        for option in value.to_str().unwrap_or_default().split(',') {
+            let option = option.trim();
+            if option.eq_ignore_ascii_case("close") {
                 return false;
             }
-            keep |= word.eq_ignore_ascii_case("keep-alive");
+            keep_alive |= option.eq_ignore_ascii_case("keep-alive");
         }
     }
-    keep
+    keep_alive
 }
--- a/components/upstream/src/lib.rs
+++ b/components/upstream/src/lib.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 connections to backend servers.
 //!
-//! A client library hides what a call that may run at most once depends on: whether a byte of the
-//! request left, whether bytes that belong to no request arrived on an idle connection, and which
-//! of two answers on one connection is ours. [`Connection`] shows all three. Parsing of heads and
-//! chunk sizes is `httparse`'s.
+//! Calls that may run at most once depend on details that HTTP client libraries hide: whether any
+//! byte of the request was sent, whether unsolicited bytes arrived on an idle connection, and which
+//! of two responses on one connection belongs to the request. [`Connection`] exposes all three.
+//! `httparse` parses the heads and chunk sizes.
 
 mod body;
 mod connection;
--- a/components/upstream/src/pool.rs
+++ b/components/upstream/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections, by address.
+//! Pool of idle connections.
 
 use std::{
     collections::HashMap,
@@ -10,28 +10,29 @@
 
 use crate::Connection;
 
-/// How long a connection rests before it is given up, where the peer doesn't say.
-const REST: Duration = Duration::from_secs(4);
+/// Time after which an idle connection is closed, where the server announces none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Part of the time that the peer gives after which a connection isn't used any more: a request
-/// that crosses the peer's close is lost without a trace of whether it ran.
-const MARGIN: f64 = 0.6;
+/// Fraction of the server's announced idle timeout during which a connection may be reused. When a
+/// request crosses the server's close, nothing shows whether it ran.
+const REUSE_FRACTION: f64 = 0.6;
 
-/// Idle connections that are kept for one address.
-const MOST: usize = 16;
+/// Most idle connections kept for one address.
+const MAX_IDLE_PER_ADDRESS: usize = 16;
 
-/// Connections that wait for the next request.
+/// Idle connections by server address, reused for later requests.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: HashMap<SocketAddr, Vec<Connection>>,
 }
 
 impl Pool {
-    /// Takes the connection that was used last, if one is clean.
+    /// Returns the most recently used connection to an address that is still clean; closes expired
+    /// and unclean ones that come before it.
     pub fn take(&mut self, address: SocketAddr) -> Option<Connection> {
         let idle = self.idle.get_mut(&address)?;
         while let Some(mut connection) = idle.pop() {
-            if rested(&connection) {
+            if expired(&connection) {
                 continue;
             }
             if connection.is_clean() {
@@ -41,42 +42,46 @@
         None
     }
 
-    /// Keeps a connection for the next request, if it can carry one.
+    /// Keeps a connection for a later request. Closes it instead if it isn't reusable or the
+    /// address has enough idle connections.
     pub fn put(&mut self, connection: Connection) {
         if !connection.is_reusable() {
             return;
         }
         let idle = self.idle.entry(connection.address()).or_default();
-        if idle.len() < MOST {
+        if idle.len() < MAX_IDLE_PER_ADDRESS {
             idle.push(connection);
         }
     }
 
-    /// Closes what rested too long or isn't clean.
+    /// Closes connections that were idle for too long or aren't clean.
     pub fn sweep(&mut self) {
         self.idle.retain(|_, idle| {
-            idle.retain_mut(|connection| !rested(connection) && connection.is_clean());
+            idle.retain_mut(|connection| !expired(connection) && connection.is_clean());
             !idle.is_empty()
         });
     }
 
-    /// Closes the idle connections to an address.
+    /// Closes all idle connections to an address.
     pub fn remove(&mut self, address: SocketAddr) {
         self.idle.remove(&address);
     }
 
-    /// Number of idle connections.
+    /// Returns the number of idle connections.
     pub fn len(&self) -> usize {
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// Whether no connection is kept.
+    /// Whether the pool holds no connections.
     pub fn is_empty(&self) -> bool {
         self.idle.is_empty()
     }
 }
 
-fn rested(connection: &Connection) -> bool {
-    let rest = connection.rest().map_or(REST, |rest| rest.mul_f64(MARGIN));
-    Instant::now() - connection.used() > rest
+/// Whether a connection was idle for longer than its server allows.
+fn expired(connection: &Connection) -> bool {
+    let timeout = connection
+        .idle_timeout()
+        .map_or(DEFAULT_IDLE_TIMEOUT, |time| time.mul_f64(REUSE_FRACTION));
+    Instant::now() - connection.last_used() > timeout
 }
