--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A gateway with stand-ins for backend servers, on loopback.
+//! Test harness: a gateway and fake backend servers on the loopback interface.
 
-#![allow(dead_code, reason = "each test file uses a part of this")]
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 use std::{
     cell::RefCell,
@@ -70,10 +70,10 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Host that the document's routes are for.
+/// Host that the document's routes match.
 pub const HOST: &str = "desk.example";
 
-/// Headers as plain as can be.
+/// Edge that uses unprefixed header names.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Plain;
 
@@ -91,8 +91,8 @@
     })
 }
 
-/// Reads parts of prompts, such as `77:100,78:20`.
-fn parts(text: &str) -> Vec<(u64, u32)> {
+/// Parses prompt parts as `id:size`, such as `77:100,78:20`.
+fn parse_parts(text: &str) -> Vec<(u64, u32)> {
     let parts = text.split(',').filter_map(|part| {
         let (id, size) = part.split_once(':')?;
         Some((id.parse().ok()?, size.parse().ok()?))
@@ -113,7 +113,7 @@
                 tokens: tokens as u32,
                 most: 100,
                 hint: None,
-                parts: parts(text(headers, "parts").unwrap_or_default()),
+                parts: parse_parts(text(headers, "parts").unwrap_or_default()),
             }),
         })
     }
@@ -186,7 +186,7 @@
     fn held(&self, head: &upstream::Head, body: &[u8]) -> Option<Vec<(u64, u32)>> {
         head.status
             .is_success()
-            .then(|| parts(&String::from_utf8_lossy(body)))
+            .then(|| parse_parts(&String::from_utf8_lossy(body)))
     }
 
     fn headers(&self, mut headers: HeaderMap) -> HeaderMap {
@@ -196,38 +196,38 @@
     }
 }
 
-/// A request as a backend server or a caller got it.
+/// HTTP message as a backend server or a caller received it.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// First line.
-    pub first: String,
-    /// Headers, names in lower case.
+    /// Request line or status line.
+    pub start_line: String,
+    /// Headers, with lower-case names.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Decoded body.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Value of a header.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| known == name);
         found.map(|(_, value)| value.as_str())
     }
 
-    /// Status of an answer.
+    /// Returns the status of a response.
     pub fn status(&self) -> u16 {
-        let status = self.first.split(' ').nth(1);
+        let status = self.start_line.split(' ').nth(1);
         status.and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// Reads a message; an error when it ends before it is complete.
-pub async fn read(stream: &mut TcpStream) -> io::Result<Message> {
+/// Reads a message; fails when the connection closes before it is complete.
+pub async fn read_message(stream: &mut TcpStream) -> io::Result<Message> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await?);
@@ -235,7 +235,7 @@
     let head = String::from_utf8_lossy(&head).into_owned();
     let mut lines = head.lines();
     let mut message = Message {
-        first: lines.next().unwrap_or_default().to_string(),
+        start_line: lines.next().unwrap_or_default().to_string(),
         ..Message::default()
     };
     for line in lines {
@@ -245,7 +245,7 @@
         }
     }
     if message.header("transfer-encoding") == Some("chunked") {
-        while let Some(chunk) = chunk(stream).await? {
+        while let Some(chunk) = read_chunk(stream).await? {
             message.body.extend_from_slice(&chunk);
         }
         return Ok(message);
@@ -258,7 +258,7 @@
 }
 
 /// Reads a chunk; `None` for the last one.
-pub async fn chunk(stream: &mut TcpStream) -> io::Result<Option<Vec<u8>>> {
+pub async fn read_chunk(stream: &mut TcpStream) -> io::Result<Option<Vec<u8>>> {
     let mut line = Vec::new();
     while !line.ends_with(b"\r\n") {
         line.push(stream.read_u8().await?);
@@ -271,75 +271,75 @@
     Ok((length > 0).then_some(chunk))
 }
 
-/// One event of a stream, as a chunk.
-pub fn event(id: u64) -> String {
+/// Encodes an event of a stream as a chunk.
+pub fn event_chunk(id: u64) -> String {
     let event = format!("id: {id}\ndata: piece {id}\n\n");
     format!("{:x}\r\n{event}\r\n", event.len())
 }
 
-/// Head of a stream.
+/// Formats the response head of a stream.
 pub fn stream_head(id: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nid: {id}\r\nsigned: 1\r\ntransfer-encoding: chunked\r\n\r\n")
 }
 
-/// A whole answer.
-pub fn answer(id: &str, status: u16, body: &str) -> String {
+/// Formats a signed response.
+pub fn response(id: &str, status: u16, body: &str) -> String {
     format!(
         "HTTP/1.1 {status} x\r\nid: {id}\r\nsigned: 1\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// A backend server whose behaviour the test gives.
+/// Fake backend server that handles requests as the test defines.
 pub struct Backend {
-    /// Its address.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// What it was sent.
-    pub seen: Rc<RefCell<Vec<Message>>>,
+    /// Requests that it received.
+    pub requests: Rc<RefCell<Vec<Message>>>,
     stop: CancellationToken,
-    deaf: CancellationToken,
+    stop_accepting: CancellationToken,
 }
 
 impl Backend {
-    /// Starts a server that handles each request of each connection with `work`, which returns
-    /// whether the connection goes on.
-    pub async fn start<F>(work: impl Fn(Message, Line) -> F + 'static) -> Backend
+    /// Starts a server that handles each request with `handler`, which returns whether to keep the
+    /// connection open.
+    pub async fn start<F>(handler: impl Fn(Message, Connection) -> F + 'static) -> Backend
     where
         F: Future<Output = bool> + 'static,
     {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let seen: Rc<RefCell<Vec<Message>>> = Rc::default();
-        let (stop, deaf) = (CancellationToken::new(), CancellationToken::new());
-        let closed = deaf.clone();
-        let (work, log, ended) = (Rc::new(work), seen.clone(), stop.clone());
+        let requests: Rc<RefCell<Vec<Message>>> = Rc::default();
+        let (stop, stop_accepting) = (CancellationToken::new(), CancellationToken::new());
+        let closed = stop_accepting.clone();
+        let (handler, log, stopped) = (Rc::new(handler), requests.clone(), stop.clone());
         spawn_local(async move {
             loop {
                 let accepted = tokio::select! {
-                    () = ended.cancelled() => return,
+                    () = stopped.cancelled() => return,
                     () = closed.cancelled() => return,
                     accepted = listener.accept() => accepted,
                 };
                 let Ok((mut stream, _)) = accepted else {
                     return;
                 };
-                let (work, log, ended) = (work.clone(), log.clone(), ended.clone());
+                let (handler, log, stopped) = (handler.clone(), log.clone(), stopped.clone());
                 spawn_local(async move {
                     let serve = async {
-                        while let Ok(message) = read(&mut stream).await {
+                        while let Ok(message) = read_message(&mut stream).await {
                             log.borrow_mut().push(message.clone());
-                            let line = Line(Rc::new(RefCell::new(Some(stream))));
-                            if !work(message, line.clone()).await {
+                            let connection = Connection(Rc::new(RefCell::new(Some(stream))));
+                            if !handler(message, connection.clone()).await {
                                 return;
                             }
-                            let Some(back) = line.0.borrow_mut().take() else {
+                            let Some(returned) = connection.0.borrow_mut().take() else {
                                 return;
                             };
-                            stream = back;
+                            stream = returned;
                         }
                     };
                     tokio::select! {
-                        () = ended.cancelled() => {}
+                        () = stopped.cancelled() => {}
                         () = serve => {}
                     }
                 });
@@ -347,45 +347,45 @@
         });
         Backend {
             address,
-            seen,
+            requests,
             stop,
-            deaf,
+            stop_accepting,
         }
     }
 
-    /// Takes no new connection any more; those that are open stay so.
-    pub fn deafen(&self) {
-        self.deaf.cancel();
+    /// Closes the port; open connections stay open.
+    pub fn stop_accepting(&self) {
+        self.stop_accepting.cancel();
     }
 
-    /// Stops the server: its connections break and its port is closed.
+    /// Stops the server: closes its connections and its port.
     pub fn kill(&self) {
         self.stop.cancel();
     }
 
-    /// Number of requests that it got.
-    pub fn count(&self) -> usize {
-        self.seen.borrow().len()
+    /// Returns the number of requests received.
+    pub fn request_count(&self) -> usize {
+        self.requests.borrow().len()
     }
 }
 
-/// The connection of a request.
+/// Connection on which a request arrived.
 #[derive(Clone)]
-pub struct Line(Rc<RefCell<Option<TcpStream>>>);
+pub struct Connection(Rc<RefCell<Option<TcpStream>>>);
 
-impl Line {
-    /// Writes bytes as they are.
+impl Connection {
+    /// Writes text without framing.
     pub async fn write(&self, bytes: &str) {
         let taken = self.0.borrow_mut().take();
         if let Some(mut stream) = taken {
-            // The gateway may have left; the test sees that elsewhere.
+            // The gateway may have closed the connection; tests detect that in other ways.
             let _ = stream.write_all(bytes.as_bytes()).await;
             *self.0.borrow_mut() = Some(stream);
         }
     }
 
-    /// Waits until the other side closes the connection; `false` when it sends something.
-    pub async fn closed(&self) -> bool {
+    /// Waits until the gateway closes the connection; returns `false` if it sends anything instead.
+    pub async fn wait_closed(&self) -> bool {
         let taken = self.0.borrow_mut().take();
         let Some(mut stream) = taken else {
             return false;
@@ -394,7 +394,7 @@
         matches!(stream.read(&mut byte).await, Ok(0) | Err(_))
     }
 
-    /// Breaks the connection with a reset.
+    /// Resets the connection.
     pub fn reset(&self) {
         if let Some(stream) = self.0.borrow_mut().take() {
             let _ = stream.set_zero_linger();
@@ -402,32 +402,32 @@
     }
 }
 
-/// Gives events at a pace until an id, then the end.
-pub async fn events(line: &Line, first: u64, last: u64, pace: Duration) {
+/// Writes the events `first` to `last`, `interval` apart, and ends the stream.
+pub async fn write_events(connection: &Connection, first: u64, last: u64, interval: Duration) {
     for id in first..=last {
-        line.write(&event(id)).await;
-        tokio::time::sleep(pace).await;
+        connection.write(&event_chunk(id)).await;
+        tokio::time::sleep(interval).await;
     }
-    line.write("0\r\n\r\n").await;
+    connection.write("0\r\n\r\n").await;
 }
 
-/// A gateway that runs.
+/// Running gateway.
 pub struct Harness {
-    /// It.
+    /// The gateway.
     pub gateway: Rc<Gateway<Plain>>,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the platform asks.
+    /// Address of the readiness endpoint.
     pub ready: SocketAddr,
-    /// Where other gateways send beacons.
+    /// Address for other gateways' beacons.
     pub peers: SocketAddr,
-    /// Tells it to stop.
+    /// Stops the gateway when cancelled.
     pub stop: CancellationToken,
-    /// Set when it has stopped.
+    /// Cancelled once the gateway has stopped.
     pub stopped: CancellationToken,
 }
 
-/// Settings with free ports.
+/// Returns settings with ephemeral ports.
 pub fn settings() -> Settings {
     let free = "127.0.0.1:0".parse().expect("an address");
     Settings {
@@ -454,7 +454,7 @@
     }
 }
 
-/// How the requests of a route are passed through.
+/// Builds the pass-through rules of a route.
 pub fn pass(repeats: Repeats, stream: bool) -> Pass {
     Pass {
         repeats,
@@ -502,8 +502,8 @@
     }
 }
 
-/// A document with the routes `safe`, `unsafe` (service `ledger`) and `stream` (service `draft`).
-/// The key `k` is team `t`'s.
+/// Builds a document with the routes `safe` and `unsafe` to the service `ledger`, and `stream` to
+/// the service `draft`. The key `k` belongs to team `t`.
 pub fn document() -> Document {
     let engine = Engine {
         slots: 8,
@@ -547,9 +547,9 @@
         let ready = listeners.ready.local_addr().expect("bound");
         let peers = listeners.peers.local_addr().expect("bound");
         let (stop, stopped) = (CancellationToken::new(), CancellationToken::new());
-        let (runs, told, done) = (gateway.clone(), stop.clone(), stopped.clone());
+        let (running, shutdown, done) = (gateway.clone(), stop.clone(), stopped.clone());
         spawn_local(async move {
-            runs.run(listeners, told).await;
+            running.run(listeners, shutdown).await;
             done.cancel();
         });
         Harness {
@@ -562,15 +562,15 @@
         }
     }
 
-    /// Starts a gateway that knows a document.
-    pub fn with(document: Document) -> Harness {
+    /// Starts a gateway with a document in force.
+    pub fn with_document(document: Document) -> Harness {
         let harness = Harness::start(settings());
-        harness.put(1, document);
+        harness.put_document(1, document);
         harness
     }
 
-    /// Puts a document in force.
-    pub fn put(&self, version: u64, document: Document) {
+    /// Puts a version of the document in force.
+    pub fn put_document(&self, version: u64, document: Document) {
         let index = Rc::new(Index::new(document));
         self.gateway
             .learn(Update::Document(Edition { version, index }));
@@ -586,12 +586,12 @@
         );
     }
 
-    /// Registers a backend server.
+    /// Registers a backend server with 8 slots.
     pub fn register(&self, server: &str, service: &str, data_centre: &str, address: SocketAddr) {
         self.register_slots(server, service, data_centre, address, 8);
     }
 
-    /// Registers a backend server that runs a number of requests at once.
+    /// Registers a backend server that runs up to `slots` requests at once.
     pub fn register_slots(
         &self,
         server: &str,
@@ -618,31 +618,37 @@
         });
     }
 
-    /// Sends a request on a new connection.
-    pub async fn ask(&self, id: &str, path: &str, more: &str) -> (TcpStream, io::Result<Message>) {
-        let mut stream = self.connect(id, path, more).await;
-        let answer = read(&mut stream).await;
-        (stream, answer)
-    }
-
-    /// Sends a request on a new connection, without waiting for the answer.
-    pub async fn connect(&self, id: &str, path: &str, more: &str) -> TcpStream {
-        let mut stream = TcpStream::connect(self.callers).await.expect("it listens");
-        let request = request(id, path, more);
+    /// Sends a request on a new connection and reads the response.
+    pub async fn request(
+        &self,
+        id: &str,
+        path: &str,
+        headers: &str,
+    ) -> (TcpStream, io::Result<Message>) {
+        let mut stream = self.send(id, path, headers).await;
+        let response = read_message(&mut stream).await;
+        (stream, response)
+    }
+
+    /// Sends a request on a new connection without waiting for the response.
+    pub async fn send(&self, id: &str, path: &str, headers: &str) -> TcpStream {
+        let mut stream = TcpStream::connect(self.callers).await.expect("connected");
+        let request = format_request(id, path, headers);
         stream
             .write_all(request.as_bytes())
             .await
-            .expect("it reads");
+            .expect("request written");
         stream
     }
 }
 
-/// A request with the key of team `t`.
-pub fn request(id: &str, path: &str, more: &str) -> String {
-    format!("POST {path} HTTP/1.1\r\nhost: {HOST}\r\nid: {id}\r\nkey: k\r\n{more}\r\n")
+/// Formats a request with the key of team `t`. `headers` are further header lines, each ending with
+/// CRLF.
+pub fn format_request(id: &str, path: &str, headers: &str) -> String {
+    format!("POST {path} HTTP/1.1\r\nhost: {HOST}\r\nid: {id}\r\nkey: k\r\n{headers}\r\n")
 }
 
-/// Runs a test on one thread, as the gateway does.
+/// Runs a test on a single thread, as the gateway runs.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/components/gateway/tests/departure.rs
+++ b/components/gateway/tests/departure.rs
@@ -1,4 +1,4 @@
-//! An entry that stops, while its balancer still sends it callers.
+//! Tests of a gateway that stops while the load balancer still sends it callers.
 
 mod common;
 
@@ -9,9 +9,9 @@
     Harness,
     Message,
     document,
-    events,
     settings,
     stream_head, //
+    write_events,
 };
 use gateway::settings::Settings;
 use rstest::rstest;
@@ -20,79 +20,87 @@
     sleep, //
 };
 
-/// Time in which the balancer takes out an entry that stops.
-const BALANCER: Duration = Duration::from_millis(2600);
+/// Time within which the load balancer removes a stopping gateway.
+const BALANCER_REMOVAL_DELAY: Duration = Duration::from_millis(2600);
 
-/// An engine whose streams take about a second.
+/// Starts an engine whose streams take about a second.
 async fn engine() -> Backend {
-    Backend::start(|message, line| async move {
-        line.write(&stream_head(message.header("id").unwrap_or_default()))
+    Backend::start(|message, connection| async move {
+        connection
+            .write(&stream_head(message.header("id").unwrap_or_default()))
             .await;
-        events(&line, 1, 50, Duration::from_millis(20)).await;
+        write_events(&connection, 1, 50, Duration::from_millis(20)).await;
         true
     })
     .await
 }
 
-fn stopping_within(grace: Duration) -> (Settings, Harness) {
+fn start_with_grace(grace: Duration) -> (Settings, Harness) {
     let mut settings = settings();
     settings.bounds.grace = grace;
     let harness = Harness::start(settings.clone());
-    harness.put(1, document());
+    harness.put_document(1, document());
     (settings, harness)
 }
 
-fn retry_after(answer: &Message) -> Duration {
-    let seconds = answer.header("retry-after").expect("it says when");
+fn retry_after(response: &Message) -> Duration {
+    let seconds = response.header("retry-after").expect("retry-after header");
     Duration::from_secs_f64(seconds.parse().expect("seconds"))
 }
 
-/// Guards against a stream lost to two refusals: its caller comes back to the same entry, the only
-/// one of the data centre, which the balancer hasn't taken out yet.
+/// Guards against a stream lost to two refusals: the caller retries at the same gateway, the only
+/// one of the data centre, because the load balancer hasn't removed it yet.
 #[rstest]
-#[case::the_last_one(false)]
-#[case::with_a_neighbour(true)]
-fn a_refused_caller_is_told_when_another_entry_can_be_reached(#[case] neighbour: bool) {
+#[case::last_gateway(false)]
+#[case::with_another_gateway(true)]
+fn retry_after_lasts_until_another_gateway_is_reachable(#[case] with_other: bool) {
     common::run(async move {
-        let (mut settings, harness) = stopping_within(Duration::from_secs(5));
+        let (mut settings, harness) = start_with_grace(Duration::from_secs(5));
         let backend = engine().await;
         harness.register("s1", "draft", "a", backend.address);
         settings.seeds = vec![harness.peers];
-        let _other = neighbour.then(|| Harness::start(settings));
+        let _other = with_other.then(|| Harness::start(settings));
         sleep(Duration::from_millis(1200)).await;
         harness.stop.cancel();
         let stopped = Instant::now();
         sleep(Duration::from_millis(20)).await;
-        let (_, answer) = harness.ask("r1", "/stream/x", "tokens: 10\r\n").await;
-        let answer = answer.expect("an answer");
-        assert_eq!(answer.status(), 503);
-        let again = retry_after(&answer);
-        match neighbour {
-            true => assert_eq!(again, Duration::from_millis(100)),
+        let (_, response) = harness.request("r1", "/stream/x", "tokens: 10\r\n").await;
+        let response = response.expect("a response");
+        assert_eq!(response.status(), 503);
+        let delay = retry_after(&response);
+        match with_other {
+            true => assert_eq!(delay, Duration::from_millis(100)),
             false => {
-                let most = BALANCER + Duration::from_millis(10);
-                let said = stopped.elapsed() + again;
-                assert!(said >= BALANCER && again <= most, "{again:?}");
+                let limit = BALANCER_REMOVAL_DELAY + Duration::from_millis(10);
+                let total = stopped.elapsed() + delay;
+                assert!(
+                    total >= BALANCER_REMOVAL_DELAY && delay <= limit,
+                    "{delay:?}"
+                );
             }
         }
     });
 }
 
-/// Guards against the refusal of streams that usually fit the rest of the grace time, at the only entry
-/// of a data centre.
+/// Guards against refusing streams that usually end within the remaining grace time, at the only
+/// gateway of a data centre.
 #[test]
-fn the_last_entry_of_a_data_centre_takes_what_fits() {
+fn the_last_gateway_of_a_data_centre_accepts_streams_that_fit() {
     common::run(async {
-        let (_, harness) = stopping_within(Duration::from_millis(2000));
+        let (_, harness) = start_with_grace(Duration::from_millis(2000));
         let backend = engine().await;
         harness.register("s1", "draft", "a", backend.address);
-        let (_, usual) = harness.ask("r1", "/stream/x", "tokens: 10\r\n").await;
-        assert_eq!(usual.expect("a whole answer").status(), 200);
+        let (_, first) = harness.request("r1", "/stream/x", "tokens: 10\r\n").await;
+        assert_eq!(first.expect("a complete response").status(), 200);
         harness.stop.cancel();
         sleep(Duration::from_millis(20)).await;
-        let (_, answer) = harness.ask("r2", "/stream/x", "tokens: 10\r\n").await;
-        let answer = answer.expect("a whole answer");
-        assert_eq!(answer.status(), 200);
-        assert!(answer.text().ends_with("piece 50\n\n"), "{}", answer.text());
+        let (_, response) = harness.request("r2", "/stream/x", "tokens: 10\r\n").await;
+        let response = response.expect("a complete response");
+        assert_eq!(response.status(), 200);
+        assert!(
+            response.text().ends_with("piece 50\n\n"),
+            "{}",
+            response.text()
+        );
     });
 }
--- a/components/gateway/tests/divided.rs
+++ b/components/gateway/tests/divided.rs
@@ -1,4 +1,5 @@
-//! Lookups of prompts in a fleet of many entries, each of which asks its part of the engines.
+//! Tests of prompt lookups in a fleet of many gateways, each of which queries its share of the
+//! engines.
 
 mod common;
 
@@ -7,10 +8,10 @@
 use common::{
     Backend,
     Harness,
-    answer,
     document,
-    events,
+    response,
     stream_head, //
+    write_events,
 };
 use spread::beacon::{
     self,
@@ -30,41 +31,43 @@
     },
 };
 
-/// Peers: so many that the engines are divided.
-const PEERS: u64 = 11;
+/// Number of peers, enough for the engines to be divided among the gateways.
+const PEER_COUNT: u64 = 11;
 
-const ENGINES: usize = 24;
+const ENGINE_COUNT: usize = 24;
 
-const PART: u64 = 77;
+/// Identifier of the prompt part that callers look for.
+const PART_ID: u64 = 77;
 
-/// A caller that has four events, and wants the rest.
-const BACK: &str = "tokens: 5020\r\nafter: 4\r\nparts: 1:20,77:5000\r\n";
+/// Headers of a caller that received four events and requests the rest.
+const RESUME_HEADERS: &str = "tokens: 5020\r\nafter: 4\r\nparts: 1:20,77:5000\r\n";
 
-/// An engine whose cache holds a prompt, or nothing.
-async fn engine(held: &'static str) -> Backend {
-    Backend::start(move |message, line| async move {
+/// Starts an engine whose cache holds the prompt parts `cached`.
+async fn engine(cached: &'static str) -> Backend {
+    Backend::start(move |message, connection| async move {
         let id = message.header("id").unwrap_or_default();
-        if message.first.contains("/held") {
-            line.write(&answer(id, 200, held)).await;
+        if message.start_line.contains("/held") {
+            connection.write(&response(id, 200, cached)).await;
             return true;
         }
-        line.write(&stream_head(id)).await;
-        events(&line, 5, 8, Duration::from_millis(5)).await;
+        connection.write(&stream_head(id)).await;
+        write_events(&connection, 5, 8, Duration::from_millis(5)).await;
         true
     })
     .await
 }
 
-/// An engine that fails what it is sent.
+/// Starts an engine that responds to all requests with an error.
 async fn failing_engine() -> Backend {
-    Backend::start(|message, line| async move {
+    Backend::start(|message, connection| async move {
         let id = message.header("id").unwrap_or_default();
-        line.write(&answer(id, 500, "failed")).await;
+        connection.write(&response(id, 500, "failed")).await;
         true
     })
     .await
 }
 
+/// Gateway under test, its engines, and sockets that stand for its peers.
 struct Fleet {
     harness: Harness,
     engines: Vec<Backend>,
@@ -73,32 +76,32 @@
 }
 
 impl Fleet {
-    /// One gateway among many entries, and engines that say what they hold.
-    async fn start(held: &'static str) -> Fleet {
+    /// Starts a gateway with many peers, and engines with the prompt parts `cached`.
+    async fn start(cached: &'static str) -> Fleet {
         let mut engines = Vec::new();
-        for _ in 0..ENGINES {
-            engines.push(engine(held).await);
+        for _ in 0..ENGINE_COUNT {
+            engines.push(engine(cached).await);
         }
-        Fleet::with(engines).await
+        Fleet::with_engines(engines).await
     }
 
-    /// One gateway among many entries before engines.
-    async fn with(engines: Vec<Backend>) -> Fleet {
-        let harness = Harness::with(document());
+    /// Starts a gateway with many peers and the given engines.
+    async fn with_engines(engines: Vec<Backend>) -> Fleet {
+        let harness = Harness::with_document(document());
         for (number, engine) in engines.iter().enumerate() {
             harness.register(&name(number), "draft", "a", engine.address);
         }
         let mut peers = Vec::new();
-        for number in 1..=PEERS {
+        for number in 1..=PEER_COUNT {
             let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
-            let beacon = Message::Beacon(Box::new(fleet_beacon(number)));
+            let beacon = Message::Beacon(Box::new(peer_beacon(number)));
             send(&socket, &harness, beacon).await;
             peers.push(socket);
         }
         let peer = peers.remove(0);
-        // Behind its second beacon to this peer it has counted all of them.
+        // After its second beacon to this peer, the gateway has counted all peers.
         for _ in 0..3 {
-            hear(&peer, |message| matches!(message, Message::Beacon(_))).await;
+            receive(&peer, |message| matches!(message, Message::Beacon(_))).await;
         }
         Fleet {
             harness,
@@ -108,36 +111,36 @@
         }
     }
 
-    /// Returns when the gateway has heard all that was sent to it before.
-    async fn heard_in_order(&self) {
-        let behind = Beacon {
+    /// Waits until the gateway has received all messages sent so far.
+    async fn sync(&self) {
+        let last = Beacon {
             sequence: 2,
             stamp: 1234,
-            ..fleet_beacon(2)
+            ..peer_beacon(2)
         };
         let other = &self.others[0];
-        send(other, &self.harness, Message::Beacon(Box::new(behind))).await;
+        send(other, &self.harness, Message::Beacon(Box::new(last))).await;
         let echoed = |message: &Message| match message {
             Message::Beacon(beacon) => beacon.echo.is_some_and(|echo| echo.stamp == 1234),
             _ => false,
         };
-        hear(other, echoed).await;
+        receive(other, echoed).await;
     }
 
-    /// Engines that were asked what they hold, or that ran a request.
-    fn asked(&self) -> Vec<usize> {
-        let asked = |number: &usize| self.engines[*number].count() > 0;
-        (0..ENGINES).filter(asked).collect()
+    /// Returns the engines that received any request, including cache queries.
+    fn queried(&self) -> Vec<usize> {
+        let queried = |number: &usize| self.engines[*number].request_count() > 0;
+        (0..ENGINE_COUNT).filter(queried).collect()
     }
 }
 
-fn fleet_beacon(number: Incarnation) -> Beacon {
+fn peer_beacon(number: Incarnation) -> Beacon {
     Beacon {
         incarnation: number,
         sequence: 1,
         data_centre: "a".into(),
         pace_ms: 10_000,
-        peers: PEERS as u32,
+        peers: PEER_COUNT as u32,
         ..Beacon::default()
     }
 }
@@ -151,12 +154,12 @@
     from.send_to(&bytes, harness.peers).await.expect("sent");
 }
 
-/// The next message of a kind that a peer hears.
-async fn hear(peer: &UdpSocket, wanted: impl Fn(&Message) -> bool) -> Message {
+/// Receives datagrams until one is `wanted`.
+async fn receive(peer: &UdpSocket, wanted: impl Fn(&Message) -> bool) -> Message {
     let mut bytes = [0; 2048];
     loop {
-        let heard = timeout(Duration::from_secs(5), peer.recv(&mut bytes));
-        let length = heard.await.expect("in time").expect("a datagram");
+        let datagram = timeout(Duration::from_secs(5), peer.recv(&mut bytes));
+        let length = datagram.await.expect("in time").expect("a datagram");
         let message = postcard::from_bytes(&bytes[..length]).expect("a message");
         if wanted(&message) {
             return message;
@@ -164,61 +167,61 @@
     }
 }
 
-/// Guards against a hundred entries that each ask all engines, which keeps the engines from their work.
+/// Guards against a hundred gateways that each query all engines and so slow the engines down.
 #[test]
-fn a_caller_that_comes_back_has_each_entry_ask_its_part() {
+fn a_resumed_request_makes_each_gateway_query_its_share() {
     common::run(async {
         let fleet = Fleet::start("").await;
         let lookup = |message: &Message| matches!(message, Message::Lookup(_));
-        let asked = fleet.harness.ask("r1", "/stream/x", BACK);
-        let (heard, (_, answer)) = tokio::join!(hear(&fleet.peer, lookup), asked);
-        assert_eq!(heard, Message::Lookup(beacon::number("draft")));
-        assert_eq!(answer.expect("a whole answer").status(), 200);
-        let asked = fleet.asked();
-        assert!(asked.len() <= ENGINES / 4, "{asked:?} were asked");
+        let request = fleet.harness.request("r1", "/stream/x", RESUME_HEADERS);
+        let (message, (_, response)) = tokio::join!(receive(&fleet.peer, lookup), request);
+        assert_eq!(message, Message::Lookup(beacon::number("draft")));
+        assert_eq!(response.expect("a complete response").status(), 200);
+        let queried = fleet.queried();
+        assert!(queried.len() <= ENGINE_COUNT / 4, "queried: {queried:?}");
     });
 }
 
-/// Guards against prompts that are read anew though a peer has asked the engine that holds them.
+/// Guards against processing a prompt again although a peer has already found the engine that has
+/// it cached.
 #[test]
-fn a_caller_gets_to_the_engine_that_a_peer_has_asked() {
+fn a_resumed_request_goes_to_the_engine_that_a_peer_found() {
     common::run(async {
         let fleet = Fleet::start("").await;
         let read = Read {
-            part: PART,
+            part: PART_ID,
             server: beacon::number(&name(17)),
         };
         send(&fleet.peer, &fleet.harness, Message::Held(vec![read])).await;
-        let behind = Beacon {
+        let last = Beacon {
             sequence: 2,
             stamp: 1234,
-            ..fleet_beacon(1)
+            ..peer_beacon(1)
         };
-        send(
-            &fleet.peer,
-            &fleet.harness,
-            Message::Beacon(Box::new(behind)),
-        )
-        .await;
+        send(&fleet.peer, &fleet.harness, Message::Beacon(Box::new(last))).await;
         let echoed = |message: &Message| match message {
             Message::Beacon(beacon) => beacon.echo.is_some_and(|echo| echo.stamp == 1234),
             _ => false,
         };
-        hear(&fleet.peer, echoed).await;
-        let (_, answer) = fleet.harness.ask("r1", "/stream/x", BACK).await;
-        assert_eq!(answer.expect("a whole answer").status(), 200);
-        assert_eq!(fleet.asked(), vec![17]);
+        receive(&fleet.peer, echoed).await;
+        let (_, response) = fleet
+            .harness
+            .request("r1", "/stream/x", RESUME_HEADERS)
+            .await;
+        assert_eq!(response.expect("a complete response").status(), 200);
+        assert_eq!(fleet.queried(), vec![17]);
     });
 }
 
-/// Guards against prompts that are sent behind one another: what an entry sends, its data centre hears with
-/// no wait for the next beacon, and it doesn't send there itself.
+/// Guards against gateways that send prompts to the same engine. A gateway announces each send to
+/// its data centre without waiting for the next beacon, and avoids the engines that others
+/// announced.
 #[test]
-fn entries_of_a_data_centre_hear_at_once_what_is_sent() {
+fn sends_are_announced_to_the_data_centre_immediately() {
     common::run(async {
         let fleet = Fleet::start("").await;
-        // Elsewhere all engines but one have a prompt to read.
-        let loads = (0..ENGINES)
+        // A peer announces that all engines but one have a prompt to process.
+        let loads = (0..ENGINE_COUNT)
             .filter(|number| *number != 5)
             .map(|number| Load {
                 server: beacon::number(&name(number)),
@@ -226,71 +229,72 @@
                 tokens: 6000,
                 unread: 5000,
             });
-        let told = Message::Loads(Loads {
+        let loads = Message::Loads(Loads {
             incarnation: 1,
             sequence: 1,
             loads: loads.collect(),
             sends: Vec::new(),
         });
-        send(&fleet.peer, &fleet.harness, told).await;
-        fleet.heard_in_order().await;
-        let sent = Load {
+        send(&fleet.peer, &fleet.harness, loads).await;
+        fleet.sync().await;
+        let expected = Load {
             server: beacon::number(&name(5)),
             requests: 1,
             tokens: 5020,
             unread: 5020,
         };
         let is_loads = |message: &Message| match message {
-            Message::Loads(told) => told.loads.iter().any(|load| is_same(load, &sent)),
+            Message::Loads(received) => received.loads.iter().any(|load| is_same(load, &expected)),
             _ => false,
         };
-        let first = "tokens: 5020\r\nparts: 1:20,78:5000\r\n";
-        let asked = fleet.harness.ask("r1", "/stream/x", first);
-        let (_, (_, answer)) = tokio::join!(hear(&fleet.peer, is_loads), asked);
-        assert_eq!(answer.expect("a whole answer").status(), 200);
-        assert_eq!(fleet.asked(), vec![5]);
+        let headers = "tokens: 5020\r\nparts: 1:20,78:5000\r\n";
+        let request = fleet.harness.request("r1", "/stream/x", headers);
+        let (_, (_, response)) = tokio::join!(receive(&fleet.peer, is_loads), request);
+        assert_eq!(response.expect("a complete response").status(), 200);
+        assert_eq!(fleet.queried(), vec![5]);
     });
 }
 
-/// Whether two loads are of the same requests that are still to be read.
+/// Whether two loads have the same server, requests and unprocessed tokens.
 fn is_same(one: &Load, other: &Load) -> bool {
     (one.server, one.requests, one.unread) == (other.server, other.requests, other.unread)
 }
 
-/// Guards against retries beyond the bound: those of the own data centre are known with no wait for the next
-/// beacon.
+/// Guards against retries beyond the limit. Gateways announce their retries to their data centre
+/// without waiting for the next beacon.
 #[test]
-fn entries_of_a_data_centre_hear_at_once_of_retries() {
+fn retries_are_announced_to_the_data_centre_immediately() {
     common::run(async {
         let mut engines = Vec::new();
-        for _ in 0..ENGINES {
+        for _ in 0..ENGINE_COUNT {
             engines.push(failing_engine().await);
         }
-        let fleet = Fleet::with(engines).await;
-        let spent = Sends {
+        let fleet = Fleet::with_engines(engines).await;
+        let retries = Sends {
             service: beacon::number("draft"),
             requests: 100,
             retries: 10_000,
             total_retries: 10_000,
         };
-        let told = Message::Loads(Loads {
+        let loads = Message::Loads(Loads {
             incarnation: 1,
             sequence: 1,
             loads: Vec::new(),
-            sends: vec![spent],
+            sends: vec![retries],
         });
-        send(&fleet.peer, &fleet.harness, told).await;
-        fleet.heard_in_order().await;
-        let first = "tokens: 5020\r\nparts: 1:20,78:5000\r\n";
-        let _ = fleet.harness.ask("r1", "/stream/x", first).await;
-        let sends: usize = fleet.engines.iter().map(Backend::count).sum();
+        send(&fleet.peer, &fleet.harness, loads).await;
+        fleet.sync().await;
+        let headers = "tokens: 5020\r\nparts: 1:20,78:5000\r\n";
+        let _ = fleet.harness.request("r1", "/stream/x", headers).await;
+        let sends: usize = fleet.engines.iter().map(Backend::request_count).sum();
         assert_eq!(sends, 1);
     });
 }
 
-/// Guards against engines that nobody asks: each entry asks its part when a peer looks for a prompt, once.
+/// Guards against engines that no gateway queries: when a peer looks up a prompt, each gateway
+/// queries its share of the engines, once.
 #[test]
-fn an_entry_asks_its_part_when_a_peer_wants_it() {
+fn a_gateway_queries_its_share_when_a_peer_looks_up_a_prompt() {
     common::run(async {
         let fleet = Fleet::start("77:5000").await;
         let service = beacon::number("draft");
@@ -298,24 +302,24 @@
             send(&fleet.peer, &fleet.harness, Message::Lookup(service)).await;
         }
         let held = |message: &Message| matches!(message, Message::Held(_));
-        let mine = (0..ENGINES).filter(|number| fleet.engines[*number].count() > 0);
-        let told = timeout(Duration::from_secs(1), hear(&fleet.peer, held)).await;
-        let mine: Vec<_> = mine.collect();
-        match told {
+        let share = (0..ENGINE_COUNT).filter(|number| fleet.engines[*number].request_count() > 0);
+        let reply = timeout(Duration::from_secs(1), receive(&fleet.peer, held)).await;
+        let share: Vec<_> = share.collect();
+        match reply {
             Ok(Message::Held(reads)) => {
-                let servers = mine.iter().map(|number| beacon::number(&name(*number)));
+                let servers = share.iter().map(|number| beacon::number(&name(*number)));
                 let mut servers: Vec<_> = servers.collect();
                 let mut read: Vec<_> = reads.iter().map(|read| read.server).collect();
                 servers.sort_unstable();
                 read.sort_unstable();
                 assert_eq!(read, servers);
-                assert!(reads.iter().all(|read| read.part == PART));
+                assert!(reads.iter().all(|read| read.part == PART_ID));
             }
-            other => assert!(mine.is_empty(), "{other:?} of {mine:?}"),
+            other => assert!(share.is_empty(), "{other:?}, queried: {share:?}"),
         }
         sleep(Duration::from_millis(50)).await;
-        let counts = fleet.engines.iter().map(Backend::count);
+        let counts = fleet.engines.iter().map(Backend::request_count);
         assert!(counts.max() <= Some(1));
-        assert!(mine.len() <= ENGINES / 4, "{mine:?} were asked");
+        assert!(share.len() <= ENGINE_COUNT / 4, "queried: {share:?}");
     });
 }
--- a/components/gateway/tests/plain.rs
+++ b/components/gateway/tests/plain.rs
@@ -1,4 +1,4 @@
-//! Requests whose answer comes as a whole, through the gateway.
+//! Tests of requests with complete, non-streamed responses.
 
 mod common;
 
@@ -10,11 +10,11 @@
 
 use common::{
     Backend,
+    Connection,
     Harness,
-    Line,
     Message,
-    answer,
     document, //
+    response,
 };
 use rstest::rstest;
 use tokio::time::{
@@ -22,64 +22,64 @@
     sleep, //
 };
 
-/// What a server does to the first request that it gets; it answers all others.
+/// What a server does with its first request. It answers all later ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// Says that it is full.
+    /// Declines the request because it is full.
     Full,
-    /// Another server stands at the address.
-    Other,
-    /// Runs it, and the connection is reset.
+    /// Reports that a different server now has the address.
+    Replaced,
+    /// Runs the request and resets the connection.
     Reset,
-    /// Runs it, and the answer breaks off.
-    Short,
-    /// Sends bytes that are no answer.
-    Spoilt,
-    /// Answers without its signature.
+    /// Runs the request and sends an incomplete response.
+    Truncated,
+    /// Sends bytes that aren't an HTTP response.
+    Garbage,
+    /// Responds without a signature.
     Unsigned,
-    /// Answers with an encoding that nobody asked for.
+    /// Responds with a content encoding that wasn't requested.
     Encoded,
-    /// Answers with a failure of its own.
+    /// Responds with an error of its own.
     Failure,
-    /// Says nothing.
+    /// Doesn't respond.
     Hang,
 }
 
-async fn faulty(fault: Fault) -> Backend {
+async fn faulty_server(fault: Fault) -> Backend {
     let first = Rc::new(Cell::new(true));
-    Backend::start(move |message, line| {
+    Backend::start(move |message, connection| {
         let first = first.clone();
         async move {
             let id = message.header("id").unwrap_or_default().to_string();
             if !first.replace(false) {
-                line.write(&answer(&id, 200, "fine")).await;
+                connection.write(&response(&id, 200, "fine")).await;
                 return true;
             }
-            act(fault, &id, &line).await
+            inject(fault, &id, &connection).await
         }
     })
     .await
 }
 
-async fn act(fault: Fault, id: &str, line: &Line) -> bool {
+async fn inject(fault: Fault, id: &str, connection: &Connection) -> bool {
     let text = match fault {
         Fault::Full => {
             format!("HTTP/1.1 503 x\r\nid: {id}\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n")
         }
-        Fault::Other => {
+        Fault::Replaced => {
             "HTTP/1.1 421 x\r\nnot-run: 1\r\nother: 1\r\ncontent-length: 0\r\n\r\n".to_string()
         }
         Fault::Reset => {
-            line.reset();
+            connection.reset();
             return false;
         }
-        Fault::Short => {
-            let whole = answer(id, 200, "fine");
-            line.write(&whole[..whole.len() - 2]).await;
+        Fault::Truncated => {
+            let full = response(id, 200, "fine");
+            connection.write(&full[..full.len() - 2]).await;
             return false;
         }
-        Fault::Spoilt => {
-            line.write("\x01\x02 this is no answer\r\n\r\n").await;
+        Fault::Garbage => {
+            connection.write("\x01\x02 this is no answer\r\n\r\n").await;
             return false;
         }
         Fault::Unsigned => format!("HTTP/1.1 200 OK\r\nid: {id}\r\ncontent-length: 4\r\n\r\nfine"),
@@ -87,29 +87,29 @@
             "HTTP/1.1 200 OK\r\nid: {id}\r\nsigned: 1\r\ncontent-encoding: gzip\r\n\
              content-length: 4\r\n\r\nfine"
         ),
-        Fault::Failure => answer(id, 500, "broken"),
+        Fault::Failure => response(id, 500, "broken"),
         Fault::Hang => {
             sleep(Duration::from_secs(30)).await;
             return false;
         }
     };
-    line.write(&text).await;
+    connection.write(&text).await;
     true
 }
 
-/// A payout reaches a server that fails it in some way. The caller must not be told that it has not
-/// run when it may have, and no other server may get it unless this one has said that it didn't run.
+/// A non-repeatable call reaches a faulty server. The gateway must not report the call as not run
+/// if it may have run, and must not send it to another server unless the first one has declined it.
 #[rstest]
 #[case::full(Fault::Full, 503)]
-#[case::another_server(Fault::Other, 200)]
+#[case::replaced(Fault::Replaced, 200)]
 #[case::reset(Fault::Reset, 502)]
-#[case::short(Fault::Short, 502)]
-#[case::spoilt(Fault::Spoilt, 502)]
+#[case::truncated(Fault::Truncated, 502)]
+#[case::garbage(Fault::Garbage, 502)]
 #[case::unsigned(Fault::Unsigned, 502)]
 #[case::encoded(Fault::Encoded, 502)]
 #[case::failure(Fault::Failure, 500)]
 #[case::hang(Fault::Hang, 504)]
-fn a_call_that_may_not_be_repeated_runs_at_most_once(#[case] fault: Fault, #[case] status: u16) {
+fn a_non_repeatable_call_runs_at_most_once(#[case] fault: Fault, #[case] status: u16) {
     common::run(async move {
         let mut document = document();
         for rule in &mut document.routes {
@@ -117,196 +117,217 @@
             pass.attempts = 1;
             pass.timeout = Some(Duration::from_millis(300));
         }
-        let (one, two) = (faulty(fault).await, faulty(fault).await);
-        let harness = Harness::with(document);
+        let (one, two) = (faulty_server(fault).await, faulty_server(fault).await);
+        let harness = Harness::with_document(document);
         harness.register("s1", "ledger", "a", one.address);
         harness.register("s2", "ledger", "a", two.address);
-        let (_, told) = harness.ask("r1", "/unsafe/x", "").await;
-        let told = told.expect("an answer");
-        let sent = one.count() + two.count();
+        let (_, response) = harness.request("r1", "/unsafe/x", "").await;
+        let response = response.expect("a response");
+        let sent = one.request_count() + two.request_count();
         match fault {
-            // Neither of two servers that are over has run it.
-            Fault::Other => assert!(told.status() == 503 && sent == 2, "{told:?}"),
-            _ => assert!(told.status() == status && sent == 1, "{told:?}"),
+            // Both servers were replaced, so neither has run the call.
+            Fault::Replaced => assert!(response.status() == 503 && sent == 2, "{response:?}"),
+            _ => assert!(response.status() == status && sent == 1, "{response:?}"),
         }
-        assert_eq!(told.header("retry-after").is_some(), told.status() == 503);
+        assert_eq!(
+            response.header("retry-after").is_some(),
+            response.status() == 503
+        );
     });
 }
 
-/// The same faults of one server meet a look-up, which may be repeated. Its caller should notice
-/// none of them while another server is well.
+/// A repeatable call reaches a server with the same faults. The caller must not notice them while
+/// another server is healthy.
 #[rstest]
 #[case(Fault::Full)]
-#[case(Fault::Other)]
+#[case(Fault::Replaced)]
 #[case(Fault::Reset)]
-#[case(Fault::Short)]
-#[case(Fault::Spoilt)]
+#[case(Fault::Truncated)]
+#[case(Fault::Garbage)]
 #[case(Fault::Unsigned)]
 #[case(Fault::Encoded)]
 #[case(Fault::Failure)]
 #[case(Fault::Hang)]
-fn a_lookup_is_answered_by_another_server(#[case] fault: Fault) {
+fn a_repeatable_call_is_retried_at_another_server(#[case] fault: Fault) {
     common::run(async move {
         let mut document = document();
         for rule in &mut document.routes {
             let pass = rule.pass.as_mut().expect("passed through");
             pass.objective = Duration::from_millis(200);
         }
-        let bad = faulty(fault).await;
-        let harness = Harness::with(document);
+        let bad = faulty_server(fault).await;
+        let harness = Harness::with_document(document);
         harness.register("s1", "ledger", "a", bad.address);
-        let mut asked = harness.connect("r1", "/safe/x", "").await;
+        let mut caller = harness.send("r1", "/safe/x", "").await;
         sleep(Duration::from_millis(5)).await;
-        let good = Backend::start(|message, line| async move {
-            line.write(&answer(
-                message.header("id").unwrap_or_default(),
-                200,
-                "fine",
-            ))
-            .await;
+        let good = Backend::start(|message, connection| async move {
+            connection
+                .write(&response(
+                    message.header("id").unwrap_or_default(),
+                    200,
+                    "fine",
+                ))
+                .await;
             true
         })
         .await;
         harness.register("s2", "ledger", "a", good.address);
-        let began = Instant::now();
-        let (_, second) = harness.ask("r2", "/safe/x", "").await;
-        assert_eq!(second.expect("an answer").status(), 200);
-        assert!(began.elapsed() < Duration::from_secs(1));
-        // The first one met the fault before there was a second server, unless it waits for it.
-        let first = common::read(&mut asked).await.expect("an answer");
+        let started = Instant::now();
+        let (_, second) = harness.request("r2", "/safe/x", "").await;
+        assert_eq!(second.expect("a response").status(), 200);
+        assert!(started.elapsed() < Duration::from_secs(1));
+        // The first request fails before the second server registers, unless its server hangs.
+        let first = common::read_message(&mut caller).await.expect("a response");
         if fault == Fault::Hang {
             assert_eq!(first.status(), 200, "{first:?}");
         }
     });
 }
 
-/// A server sends a second answer to a request, late: it stands on the connection where the next
-/// request's answer is expected. Taken for it, a caller would read another's balance.
+/// Guards against a caller that receives another caller's data: a late second response to an
+/// earlier request arrives on the connection ahead of the response to the next one.
 #[test]
-fn an_answer_to_another_request_is_read_over() {
+fn a_response_to_another_request_is_skipped() {
     common::run(async {
-        let server = Backend::start(|message, line| async move {
+        let server = Backend::start(|message, connection| async move {
             let id = message.header("id").unwrap_or_default();
             if id == "r2" {
-                line.write(&answer("r1", 200, "balance of another")).await;
+                connection
+                    .write(&response("r1", 200, "balance of another"))
+                    .await;
             }
-            line.write(&answer(id, 200, &format!("balance of {id}")))
+            connection
+                .write(&response(id, 200, &format!("balance of {id}")))
                 .await;
             true
         })
         .await;
-        let harness = Harness::with(document());
+        let harness = Harness::with_document(document());
         harness.register("s1", "ledger", "a", server.address);
         for id in ["r1", "r2", "r3"] {
-            let (_, told) = harness.ask(id, "/unsafe/x", "").await;
-            assert_eq!(told.expect("an answer").text(), format!("balance of {id}"));
+            let (_, response) = harness.request(id, "/unsafe/x", "").await;
+            assert_eq!(
+                response.expect("a response").text(),
+                format!("balance of {id}")
+            );
         }
     });
 }
 
-/// A server sends bytes behind a complete answer. They belong to no request, and must not stand at
-/// the beginning of the next answer.
+/// A server sends extra bytes after a complete response. They belong to no request and must not be
+/// parsed as the beginning of the next response.
 #[test]
-fn bytes_behind_an_answer_belong_to_no_request() {
+fn extra_bytes_after_a_response_are_discarded() {
     common::run(async {
-        let server = Backend::start(|message, line| async move {
+        let server = Backend::start(|message, connection| async move {
             let id = message.header("id").unwrap_or_default();
-            let whole = answer(id, 200, "fine");
-            line.write(&format!("{whole}{}", answer("", 200, "extra")))
+            let full = response(id, 200, "fine");
+            connection
+                .write(&format!("{full}{}", response("", 200, "extra")))
                 .await;
             true
         })
         .await;
-        let harness = Harness::with(document());
+        let harness = Harness::with_document(document());
         harness.register("s1", "ledger", "a", server.address);
         for id in ["r1", "r2", "r3"] {
-            let (_, told) = harness.ask(id, "/unsafe/x", "").await;
-            assert_eq!(told.expect("an answer").text(), "fine");
+            let (_, response) = harness.request(id, "/unsafe/x", "").await;
+            assert_eq!(response.expect("a response").text(), "fine");
             sleep(Duration::from_millis(10)).await;
         }
     });
 }
 
-/// An answer has no length and ends with its connection. It is complete when the connection ends in
-/// order, and not when it is reset.
+/// A response without a length ends with its connection. It is complete if the connection is closed
+/// in order, and incomplete if it is reset.
 #[rstest]
-#[case::in_order(false, 200)]
+#[case::closed(false, 200)]
 #[case::reset(true, 502)]
-fn an_answer_without_a_length_ends_with_its_connection(#[case] reset: bool, #[case] status: u16) {
+fn a_response_without_a_length_ends_with_its_connection(#[case] reset: bool, #[case] status: u16) {
     common::run(async move {
-        let server = Backend::start(move |message, line| async move {
+        let server = Backend::start(move |message, connection| async move {
             let id = message.header("id").unwrap_or_default();
-            line.write(&format!(
-                "HTTP/1.1 200 OK\r\nid: {id}\r\nsigned: 1\r\n\r\nfine"
-            ))
-            .await;
+            connection
+                .write(&format!(
+                    "HTTP/1.1 200 OK\r\nid: {id}\r\nsigned: 1\r\n\r\nfine"
+                ))
+                .await;
             sleep(Duration::from_millis(20)).await;
             if reset {
-                line.reset();
+                connection.reset();
             }
             false
         })
         .await;
-        let harness = Harness::with(document());
+        let harness = Harness::with_document(document());
         harness.register("s1", "ledger", "a", server.address);
-        let (_, told) = harness.ask("r1", "/unsafe/x", "").await;
-        assert_eq!(told.expect("an answer").status(), status);
+        let (_, response) = harness.request("r1", "/unsafe/x", "").await;
+        assert_eq!(response.expect("a response").status(), status);
     });
 }
 
-/// An answer is longer than what is kept in memory. It is passed on as it comes; when its server
-/// breaks off, the caller must see that something is missing.
+/// A response exceeds the gateway's buffer and is streamed to the caller. If the server closes the
+/// connection early, the caller must see an incomplete response.
 #[rstest]
-#[case::whole(1 << 20, true)]
-#[case::cut(1 << 20, false)]
-fn a_long_answer_is_passed_on_as_it_comes(#[case] length: usize, #[case] whole: bool) {
+#[case::complete(1 << 20, true)]
+#[case::truncated(1 << 20, false)]
+fn a_long_response_is_streamed(#[case] length: usize, #[case] complete: bool) {
     common::run(async move {
-        let server = Backend::start(move |message, line| async move {
+        let server = Backend::start(move |message, connection| async move {
             let id = message.header("id").unwrap_or_default();
             let body = "x".repeat(length);
-            let text = answer(id, 200, &body);
-            let cut = if whole { text.len() } else { text.len() - 1000 };
-            line.write(&text[..cut]).await;
-            whole
+            let text = response(id, 200, &body);
+            let sent = if complete {
+                text.len()
+            } else {
+                text.len() - 1000
+            };
+            connection.write(&text[..sent]).await;
+            complete
         })
         .await;
-        let harness = Harness::with(document());
+        let harness = Harness::with_document(document());
         harness.register("s1", "ledger", "a", server.address);
-        let (_, told) = harness.ask("r1", "/safe/x", "").await;
-        match whole {
-            true => assert_eq!(told.expect("a whole answer").body.len(), length),
-            false => assert!(told.is_err()),
+        let (_, response) = harness.request("r1", "/safe/x", "").await;
+        match complete {
+            true => assert_eq!(response.expect("a complete response").body.len(), length),
+            false => assert!(response.is_err()),
         }
     });
 }
 
-/// What goes to the server: the caller's method, path and body as they are, the time that is left,
-/// the team of the key and not the key.
+/// The server receives the caller's method, path and body unchanged, the remaining time, and the
+/// team of the key instead of the key.
 #[test]
-fn the_server_gets_what_the_caller_sent_and_the_team() {
+fn the_server_receives_the_request_and_the_team() {
     common::run(async {
-        let server = Backend::start(|message, line| async move {
-            line.write(&answer(
-                message.header("id").unwrap_or_default(),
-                200,
-                "fine",
-            ))
-            .await;
+        let server = Backend::start(|message, connection| async move {
+            connection
+                .write(&response(
+                    message.header("id").unwrap_or_default(),
+                    200,
+                    "fine",
+                ))
+                .await;
             true
         })
         .await;
-        let harness = Harness::with(document());
+        let harness = Harness::with_document(document());
         harness.register("s1", "ledger", "a", server.address);
-        let more = "deadline: 5000\r\ncontent-length: 7\r\n\r\namount=";
-        let mut caller = harness.connect("r1", "/unsafe/pay?n=5", more).await;
-        let _ = common::read(&mut caller).await;
-        let seen: Message = server.seen.borrow()[0].clone();
-        assert_eq!(seen.first, "POST /unsafe/pay?n=5 HTTP/1.1");
-        assert_eq!(seen.header("team"), Some("t"));
-        assert_eq!(seen.header("key"), None);
-        assert_eq!(seen.header("server"), Some("s1"));
-        let left: u64 = seen.header("deadline").unwrap_or("0").parse().unwrap_or(0);
-        assert!((4000..=5000).contains(&left), "{left}");
-        assert_eq!(seen.body.len(), 7);
+        let headers = "deadline: 5000\r\ncontent-length: 7\r\n\r\namount=";
+        let mut caller = harness.send("r1", "/unsafe/pay?n=5", headers).await;
+        let _ = common::read_message(&mut caller).await;
+        let received: Message = server.requests.borrow()[0].clone();
+        assert_eq!(received.start_line, "POST /unsafe/pay?n=5 HTTP/1.1");
+        assert_eq!(received.header("team"), Some("t"));
+        assert_eq!(received.header("key"), None);
+        assert_eq!(received.header("server"), Some("s1"));
+        let remaining: u64 = received
+            .header("deadline")
+            .unwrap_or("0")
+            .parse()
+            .unwrap_or(0);
+        assert!((4000..=5000).contains(&remaining), "{remaining}");
+        assert_eq!(received.body.len(), 7);
     });
 }
--- a/components/gateway/tests/register.rs
+++ b/components/gateway/tests/register.rs
@@ -1,4 +1,4 @@
-//! Registers of large fleets of servers.
+//! Test of the registration of a large fleet of backend servers.
 
 mod common;
 
@@ -16,23 +16,23 @@
 };
 use tokio::time::Instant;
 
-const SERVERS: u32 = 30_000;
+const SERVER_COUNT: u32 = 30_000;
 
-/// Longest time for all of them, on a busy machine too.
-const LIMIT: Duration = Duration::from_secs(10);
+/// Longest time for registering all servers, also on a busy machine.
+const MAX_REGISTRATION_TIME: Duration = Duration::from_secs(10);
 
-/// Guards against a first reading whose time grows with the square of the servers, which keeps all callers
-/// waiting for seconds after a restart.
+/// Guards against an initial load that takes time quadratic in the number of servers: after a
+/// restart, all callers would wait for seconds.
 #[test]
-fn a_large_register_is_taken_in_time() {
+fn a_large_fleet_is_registered_in_time() {
     common::run(async {
-        let harness = Harness::with(document());
-        let began = Instant::now();
-        for number in 0..SERVERS {
+        let harness = Harness::with_document(document());
+        let started = Instant::now();
+        for number in 0..SERVER_COUNT {
             let address = SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + number), 8000));
             harness.register(&format!("s{number}"), "draft", "a", address);
         }
-        let took = began.elapsed();
-        assert!(took < LIMIT, "{took:?}");
+        let elapsed = started.elapsed();
+        assert!(elapsed < MAX_REGISTRATION_TIME, "{elapsed:?}");
     });
 }
--- a/components/gateway/tests/unreachable.rs
+++ b/components/gateway/tests/unreachable.rs
@@ -1,4 +1,5 @@
-//! Many servers that can't be reached, as after a move of traffic or in the data centre that fails.
+//! Tests with many unreachable backend servers, as after a traffic move or in a failing data
+//! centre.
 
 mod common;
 
@@ -11,9 +12,9 @@
     Backend,
     Harness,
     document,
-    events,
     settings,
     stream_head, //
+    write_events,
 };
 use gateway::{
     Update,
@@ -26,34 +27,38 @@
 use names::Clock;
 use routing::placement::Facts;
 
-const PACE: Duration = Duration::from_millis(10);
+/// Time between two events of an engine.
+const EVENT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Servers that refuse connections: fewer than a stream tries, more than the retries that there are.
-const REFUSING: u16 = 6;
+/// Number of servers that refuse connections or decline requests: fewer than a stream tries, and
+/// more than the available retries.
+const FAILING_COUNT: u16 = 6;
 
-/// A gateway that has one retry left for each service.
-fn scarce() -> Harness {
+/// Starts a gateway with one retry left for each service.
+fn start_with_one_retry() -> Harness {
     let mut settings = settings();
     settings.bounds.retry_ratio = 0.0;
     settings.bounds.retry_slack = 2.0;
     let harness = Harness::start(settings);
-    harness.put(1, document());
+    harness.put_document(1, document());
     harness
 }
 
-/// A server that stands at the address of another one, and says so.
-async fn over() -> Backend {
-    Backend::start(|message, line| async move {
+/// Starts a server that declines all requests because it replaced another one at its address.
+async fn replaced_server() -> Backend {
+    Backend::start(|message, connection| async move {
         let id = message.header("id").unwrap_or_default();
         let head = format!("HTTP/1.1 421 x\r\nid: {id}\r\nnot-run: 1\r\nother: 1\r\n");
-        line.write(&(head + "content-length: 0\r\n\r\n")).await;
+        connection
+            .write(&(head + "content-length: 0\r\n\r\n"))
+            .await;
         true
     })
     .await
 }
 
-/// An address at which nothing listens.
-fn nowhere() -> SocketAddr {
+/// Returns an address on which nothing listens.
+fn closed_address() -> SocketAddr {
     let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     socket.local_addr().expect("bound")
 }
@@ -77,87 +82,92 @@
     });
 }
 
-/// Guards against connections that were refused, and reached no server, using up the retries of the
-/// whole service: answers that break off elsewhere then can't go on.
+/// Guards against refused connections, which reach no server, using up the retries of the whole
+/// service: streams that break off elsewhere then couldn't be resumed.
 #[test]
-fn refused_connections_are_no_retries() {
+fn refused_connections_do_not_count_as_retries() {
     common::run(async {
-        let harness = scarce();
-        for number in 0..REFUSING {
+        let harness = start_with_one_retry();
+        for number in 0..FAILING_COUNT {
             let server = format!("refusing-{number}");
-            harness.register(&server, "draft", "a", nowhere());
+            harness.register(&server, "draft", "a", closed_address());
         }
-        let busy = Backend::start(|message, line| async move {
+        let healthy = Backend::start(|message, connection| async move {
             let id = message.header("id").unwrap_or_default();
-            line.write(&stream_head(id)).await;
-            events(&line, 1, 5, PACE).await;
+            connection.write(&stream_head(id)).await;
+            write_events(&connection, 1, 5, EVENT_INTERVAL).await;
             true
         })
         .await;
-        // Work elsewhere makes it the last choice.
-        harness.register_slots("served", "draft", "b", busy.address, 1);
-        let (_, letter) = harness.ask("r1", "/stream/x", "tokens: 10\r\n").await;
-        let letter = letter.expect("a whole answer");
-        assert_eq!(letter.status(), 200, "{}", letter.text());
-        assert!(letter.text().ends_with("piece 5\n\n"), "{}", letter.text());
+        // A single slot in another data centre makes it the last choice.
+        harness.register_slots("served", "draft", "b", healthy.address, 1);
+        let (_, response) = harness.request("r1", "/stream/x", "tokens: 10\r\n").await;
+        let response = response.expect("a complete response");
+        assert_eq!(response.status(), 200, "{}", response.text());
+        assert!(
+            response.text().ends_with("piece 5\n\n"),
+            "{}",
+            response.text()
+        );
     });
 }
 
-/// Guards against requests that go round among servers which stand at others' addresses: each of them gets
-/// the request, so that each send counts.
+/// Guards against requests that are passed around among servers that replaced others at their
+/// addresses. Each of these servers receives the request, so each send counts as a retry.
 #[test]
-fn a_server_that_answers_for_another_bears_a_retry() {
+fn a_send_to_a_replaced_server_counts_as_a_retry() {
     common::run(async {
-        let harness = scarce();
+        let harness = start_with_one_retry();
         let mut servers = Vec::new();
-        for number in 0..REFUSING {
-            let server = over().await;
-            harness.register(&format!("over-{number}"), "draft", "a", server.address);
+        for number in 0..FAILING_COUNT {
+            let server = replaced_server().await;
+            harness.register(&format!("replaced-{number}"), "draft", "a", server.address);
             servers.push(server);
         }
-        let (_, refusal) = harness.ask("r1", "/stream/x", "tokens: 10\r\n").await;
-        let refusal = refusal.expect("an answer");
-        assert_eq!(refusal.status(), 503);
-        assert!(refusal.text().contains("not_run"), "{}", refusal.text());
-        let arrivals: usize = servers.iter().map(Backend::count).sum();
-        assert_eq!(arrivals, 2, "a send and a retry");
+        let (_, response) = harness.request("r1", "/stream/x", "tokens: 10\r\n").await;
+        let response = response.expect("a response");
+        assert_eq!(response.status(), 503);
+        assert!(response.text().contains("not_run"), "{}", response.text());
+        let sends: usize = servers.iter().map(Backend::request_count).sum();
+        assert_eq!(sends, 2, "one send and one retry");
     });
 }
 
-/// Guards against a data centre whose engines came back under names that aren't known yet, as the store
-/// is out: each entry sent a request to each of them, though others answer elsewhere.
+/// The engines of a data centre restart under names that aren't known yet because the store is
+/// down. Guards against each gateway sending a request to each of them while engines elsewhere
+/// respond.
 #[test]
-fn a_data_centre_whose_servers_are_over_is_left_after_two_of_them() {
+fn a_data_centre_is_avoided_after_two_replaced_servers() {
     common::run(async {
-        let harness = Harness::with(document());
+        let harness = Harness::with_document(document());
         let mut servers = Vec::new();
-        for number in 0..REFUSING {
-            let server = over().await;
-            harness.register(&format!("over-{number}"), "draft", "a", server.address);
+        for number in 0..FAILING_COUNT {
+            let server = replaced_server().await;
+            harness.register(&format!("replaced-{number}"), "draft", "a", server.address);
             servers.push(server);
         }
-        let good = Backend::start(|message, line| async move {
+        let healthy = Backend::start(|message, connection| async move {
             let id = message.header("id").unwrap_or_default();
-            line.write(&stream_head(id)).await;
-            events(&line, 1, 5, PACE).await;
+            connection.write(&stream_head(id)).await;
+            write_events(&connection, 1, 5, EVENT_INTERVAL).await;
             true
         })
         .await;
-        // The last choice while nothing speaks against the others.
-        harness.register_slots("good", "draft", "b", good.address, 1);
-        let (_, letter) = harness.ask("r1", "/stream/x", "tokens: 10\r\n").await;
-        assert_eq!(letter.expect("a whole answer").status(), 200);
-        let arrivals: usize = servers.iter().map(Backend::count).sum();
-        assert_eq!(arrivals, 2);
+        // It is the last choice until other servers have declined.
+        harness.register_slots("good", "draft", "b", healthy.address, 1);
+        let (_, response) = harness.request("r1", "/stream/x", "tokens: 10\r\n").await;
+        assert_eq!(response.expect("a complete response").status(), 200);
+        let sends: usize = servers.iter().map(Backend::request_count).sum();
+        assert_eq!(sends, 2);
     });
 }
 
-/// Guards against streams that look for a server among those of the version that the traffic has
-/// left, one after the other, as that was right when they came.
+/// Guards against a stream that keeps the version that was valid on its arrival, and tries the
+/// servers of that version one after the other although a move has taken the traffic away from it.
 #[test]
-fn a_stream_that_is_lost_when_a_move_ends_goes_on_at_the_new_version() {
+fn a_stream_lost_at_the_end_of_a_move_resumes_at_the_new_version() {
     common::run(async {
-        let harness = scarce();
+        let harness = start_with_one_retry();
         let old = Backend::start(|_, _| std::future::pending::<bool>()).await;
         register(&harness, "old", "v1", old.address);
         let order = Order {
@@ -169,20 +179,20 @@
             service: "draft".into(),
             order: Some(order),
         });
-        let mut caller = harness.connect("r1", "/stream/x", "tokens: 10\r\n").await;
-        while old.count() == 0 {
-            tokio::time::sleep(PACE).await;
+        let mut caller = harness.send("r1", "/stream/x", "tokens: 10\r\n").await;
+        while old.request_count() == 0 {
+            tokio::time::sleep(EVENT_INTERVAL).await;
         }
-        let new = Backend::start(|message, line| async move {
+        let new = Backend::start(|message, connection| async move {
             let id = message.header("id").unwrap_or_default();
-            line.write(&stream_head(id)).await;
-            events(&line, 1, 5, PACE).await;
+            connection.write(&stream_head(id)).await;
+            write_events(&connection, 1, 5, EVENT_INTERVAL).await;
             true
         })
         .await;
         register(&harness, "new", "v2", new.address);
-        for number in 0..REFUSING * 3 {
-            register(&harness, &format!("old-{number}"), "v1", nowhere());
+        for number in 0..FAILING_COUNT * 3 {
+            register(&harness, &format!("old-{number}"), "v1", closed_address());
         }
         harness.gateway.learn(Update::Standing {
             service: "draft".into(),
@@ -191,30 +201,46 @@
             state: State::Done,
         });
         old.kill();
-        let letter = common::read(&mut caller).await.expect("a whole answer");
-        assert_eq!(letter.status(), 200, "{}", letter.text());
-        assert!(letter.text().ends_with("piece 5\n\n"), "{}", letter.text());
+        let response = common::read_message(&mut caller)
+            .await
+            .expect("a complete response");
+        assert_eq!(response.status(), 200, "{}", response.text());
+        assert!(
+            response.text().ends_with("piece 5\n\n"),
+            "{}",
+            response.text()
+        );
     });
 }
 
-/// Guards against requests that try one server after the other until their time is over, when none
-/// can be reached: they are told so at once, as not run.
+/// Guards against requests that try one server after the other until their deadline when none can
+/// be reached. They must be refused immediately as not run.
 #[test]
-fn a_request_is_refused_at_once_when_no_server_can_be_reached() {
+fn a_request_is_refused_immediately_when_no_server_is_reachable() {
     common::run(async {
-        let harness = Harness::with(document());
-        for number in 0..REFUSING {
-            harness.register(&format!("refusing-{number}"), "draft", "a", nowhere());
-            harness.register(&format!("refusing+{number}"), "ledger", "a", nowhere());
+        let harness = Harness::with_document(document());
+        for number in 0..FAILING_COUNT {
+            harness.register(
+                &format!("refusing-{number}"),
+                "draft",
+                "a",
+                closed_address(),
+            );
+            harness.register(
+                &format!("refusing+{number}"),
+                "ledger",
+                "a",
+                closed_address(),
+            );
         }
         for path in ["/stream/x", "/safe/x", "/unsafe/x"] {
-            let asked = tokio::time::Instant::now();
-            let (_, refusal) = harness.ask("r1", path, "tokens: 10\r\n").await;
-            let refusal = refusal.expect("an answer");
-            assert_eq!(refusal.status(), 503, "{path}");
-            assert!(refusal.text().contains("not_run"), "{}", refusal.text());
-            assert!(refusal.header("retry-after").is_some(), "{path}");
-            assert!(asked.elapsed() < Duration::from_secs(1), "{path}");
+            let started = tokio::time::Instant::now();
+            let (_, response) = harness.request("r1", path, "tokens: 10\r\n").await;
+            let response = response.expect("a response");
+            assert_eq!(response.status(), 503, "{path}");
+            assert!(response.text().contains("not_run"), "{}", response.text());
+            assert!(response.header("retry-after").is_some(), "{path}");
+            assert!(started.elapsed() < Duration::from_secs(1), "{path}");
         }
     });
 }
--- a/components/upstream/src/connection.rs
+++ b/components/upstream/src/connection.rs
@@ -281,12 +281,13 @@
         }
     }
 
-    /// Reads more bytes from the server into the buffer. Cancel safe: a dropped call loses no bytes.
+    /// Reads more bytes from the server into the buffer. Cancel safe: a dropped call loses no
+    /// bytes.
     ///
     /// # Errors
     ///
-    /// [`Error::Broken`]. An orderly close isn't an error here: the next [`Connection::try_head`] or
-    /// [`Connection::try_data`] accounts for it.
+    /// [`Error::Broken`]. An orderly close isn't an error here: the next [`Connection::try_head`]
+    /// or [`Connection::try_data`] accounts for it.
     pub async fn fill(&mut self) -> Result<(), Error> {
         if read(&self.stream, &mut self.buffer).await? == 0 {
             self.eof = true;
