--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -40,7 +40,7 @@
     time::Instant, //
 };
 
-/// Retry-After for a waiting request whose gate was dropped before it decided.
+/// Retry-After for a waiting request whose gate was dropped without a decision.
 const DROPPED_GATE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Admission gates, one per service, and their waiting requests.
--- a/components/gateway/tests/callers.rs
+++ b/components/gateway/tests/callers.rs
@@ -161,11 +161,12 @@
         let mut bytes = Vec::new();
         let read = timeout(Duration::from_secs(2), caller.read_to_end(&mut bytes)).await;
         assert!(read.is_ok(), "closed");
-        let seen = server.requests.borrow();
+        let requests = server.requests.borrow();
         assert!(
-            seen.iter()
+            requests
+                .iter()
                 .all(|message| message.header("id") == Some("r1")),
-            "{seen:?}"
+            "{requests:?}"
         );
     });
 }
--- a/components/gateway/tests/streams.rs
+++ b/components/gateway/tests/streams.rs
@@ -215,7 +215,7 @@
 #[test]
 fn after_a_crash_a_stream_resumes_from_the_copy() {
     common::run(async {
-        let work = |message: Message, connection: Connection| async move {
+        let handler = |message: Message, connection: Connection| async move {
             connection
                 .write(&stream_head(message.header("id").unwrap_or_default()))
                 .await;
@@ -230,7 +230,7 @@
             connection.write("0\r\n\r\n").await;
             true
         };
-        let (one, two) = (Backend::start(work).await, Backend::start(work).await);
+        let (one, two) = (Backend::start(handler).await, Backend::start(handler).await);
         let harness = Harness::with_document(document());
         harness.register("s1", "draft", "a", one.address);
         harness.register("s2", "draft", "b", two.address);
@@ -267,7 +267,7 @@
     common::run(async {
         let resumes = Rc::new(Cell::new(0));
         let counted = resumes.clone();
-        let work = move |message: Message, connection: Connection| {
+        let handler = move |message: Message, connection: Connection| {
             let counted = counted.clone();
             async move {
                 let after = after(&message);
@@ -288,8 +288,8 @@
                 true
             }
         };
-        let one = Backend::start(work.clone()).await;
-        let two = Backend::start(work).await;
+        let one = Backend::start(handler.clone()).await;
+        let two = Backend::start(handler).await;
         let harness = Harness::with_document(document());
         harness.register("s1", "draft", "a", one.address);
         harness.register("s2", "draft", "b", two.address);
@@ -324,7 +324,7 @@
 #[test]
 fn a_lost_copy_is_replaced() {
     common::run(async {
-        let work = |message: Message, connection: Connection| async move {
+        let handler = |message: Message, connection: Connection| async move {
             if message.start_line.starts_with("POST /copy") {
                 connection
                     .write("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nh7")
@@ -340,9 +340,9 @@
             true
         };
         let servers = [
-            Backend::start(work).await,
-            Backend::start(work).await,
-            Backend::start(work).await,
+            Backend::start(handler).await,
+            Backend::start(handler).await,
+            Backend::start(handler).await,
         ];
         let harness = Harness::with_document(document());
         let names = ["s1", "s2", "s3"];
@@ -455,7 +455,7 @@
 #[test]
 fn a_resumed_request_goes_to_the_server_that_processed_its_prompt() {
     common::run(async {
-        let work = |message: Message, connection: Connection| async move {
+        let handler = |message: Message, connection: Connection| async move {
             connection
                 .write(&stream_head(message.header("id").unwrap_or_default()))
                 .await;
@@ -465,7 +465,7 @@
         };
         let mut servers = Vec::new();
         for _ in 0..8 {
-            servers.push(Backend::start(work).await);
+            servers.push(Backend::start(handler).await);
         }
         let harness = Harness::with_document(document());
         for (number, server) in servers.iter().enumerate() {
@@ -494,8 +494,10 @@
 /// Returns the index of the server that received a request.
 fn receiver(servers: &[Backend], id: &str) -> Option<usize> {
     let received = |server: &Backend| {
-        let seen = server.requests.borrow();
-        seen.iter().any(|message| message.header("id") == Some(id))
+        let requests = server.requests.borrow();
+        requests
+            .iter()
+            .any(|message| message.header("id") == Some(id))
     };
     servers.iter().position(received)
 }
@@ -594,8 +596,10 @@
         harness.register("s1", "draft", "a", near.address);
         harness.register("s2", "draft", "b", far.address);
         let runs = |backend: &Backend| {
-            let seen = backend.requests.borrow();
-            let runs = seen.iter().filter(|message| message.header("id").is_some());
+            let requests = backend.requests.borrow();
+            let runs = requests
+                .iter()
+                .filter(|message| message.header("id").is_some());
             runs.count()
         };
         let headers = "tokens: 9020\r\nafter: 3\r\nparts: 1:20,77:9000\r\n";
@@ -658,7 +662,7 @@
 #[test]
 fn a_waiting_stream_leaves_a_server_that_another_stream_found_unreachable() {
     common::run(async {
-        let work = |message: Message, connection: Connection| async move {
+        let handler = |message: Message, connection: Connection| async move {
             let id = message.header("id").unwrap_or_default();
             if message.header("server") == Some("s2") {
                 connection.write(&stream_head(id)).await;
@@ -671,7 +675,7 @@
             }
             std::future::pending::<bool>().await
         };
-        let (one, two) = (Backend::start(work).await, Backend::start(work).await);
+        let (one, two) = (Backend::start(handler).await, Backend::start(handler).await);
         let mut document = document();
         // By itself, the second stream would be checked after a quarter of this time.
         document.routes[2].pass.as_mut().expect("passed").objective = Duration::from_secs(20);
--- a/components/gateway/tests/unreachable.rs
+++ b/components/gateway/tests/unreachable.rs
@@ -32,7 +32,7 @@
 
 /// Number of servers that refuse connections or decline requests: fewer than a stream tries, and
 /// more than the available retries.
-const FAILING_COUNT: u16 = 6;
+const FAILING_SERVER_COUNT: u16 = 6;
 
 /// Starts a gateway with one retry left for each service.
 fn start_with_one_retry() -> Harness {
@@ -88,7 +88,7 @@
 fn refused_connections_do_not_count_as_retries() {
     common::run(async {
         let harness = start_with_one_retry();
-        for number in 0..FAILING_COUNT {
+        for number in 0..FAILING_SERVER_COUNT {
             let server = format!("refusing-{number}");
             harness.register(&server, "draft", "a", closed_address());
         }
@@ -119,7 +119,7 @@
     common::run(async {
         let harness = start_with_one_retry();
         let mut servers = Vec::new();
-        for number in 0..FAILING_COUNT {
+        for number in 0..FAILING_SERVER_COUNT {
             let server = replaced_server().await;
             harness.register(&format!("replaced-{number}"), "draft", "a", server.address);
             servers.push(server);
@@ -141,7 +141,7 @@
     common::run(async {
         let harness = Harness::with_document(document());
         let mut servers = Vec::new();
-        for number in 0..FAILING_COUNT {
+        for number in 0..FAILING_SERVER_COUNT {
             let server = replaced_server().await;
             harness.register(&format!("replaced-{number}"), "draft", "a", server.address);
             servers.push(server);
@@ -191,7 +191,7 @@
         })
         .await;
         register(&harness, "new", "v2", new.address);
-        for number in 0..FAILING_COUNT * 3 {
+        for number in 0..FAILING_SERVER_COUNT * 3 {
             register(&harness, &format!("old-{number}"), "v1", closed_address());
         }
         harness.gateway.learn(Update::Standing {
@@ -219,7 +219,7 @@
 fn a_request_is_refused_immediately_when_no_server_is_reachable() {
     common::run(async {
         let harness = Harness::with_document(document());
-        for number in 0..FAILING_COUNT {
+        for number in 0..FAILING_SERVER_COUNT {
             harness.register(
                 &format!("refusing-{number}"),
                 "draft",
--- a/components/upstream/src/pool.rs
+++ b/components/upstream/src/pool.rs
@@ -13,8 +13,8 @@
 /// Time after which an idle connection is closed, where the server announces none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Fraction of the server's announced idle timeout during which a connection may be reused. When a
-/// request crosses the server's close, nothing shows whether it ran.
+/// Fraction of the server's announced idle timeout during which a connection may be reused. Later,
+/// a request could cross the server's close, and nothing would show whether it ran.
 const REUSE_FRACTION: f64 = 0.6;
 
 /// Most idle connections kept for one address.
