--- a/components/upstream/src/body.rs
+++ b/components/upstream/src/body.rs
@@ -120,7 +120,7 @@
                         return Ok(Step::Pending);
                     }
                     if &buffer[..2] != b"\r\n" {
-                        return Err(Error::Malformed("invalid chunk end"));
+                        return Err(Error::Malformed("chunk end"));
                     }
                     buffer.advance(2);
                     *self = Decoder::ChunkSize;
@@ -138,13 +138,13 @@
                         return Ok(Step::Pending);
                     }
                     Ok(httparse::Status::Partial) | Err(_) => {
-                        return Err(Error::Malformed("invalid chunk size"));
+                        return Err(Error::Malformed("chunk size"));
                     }
                 },
                 Decoder::Trailers => {
                     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
                         if buffer.len() > MAX_LINE_BYTES {
-                            return Err(Error::Malformed("trailer line too long"));
+                            return Err(Error::Malformed("trailers"));
                         }
                         return Ok(Step::Pending);
                     };
