--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -426,8 +426,8 @@
         if fresh == 0 {
             return;
         }
-        self.pass.first();
-        self.pass.used(fresh);
+        self.pass.record_first_output();
+        self.pass.record_tokens(fresh);
         let target = &self.ask.target;
         let now = Instant::now();
         match self.last {
--- a/components/entry/src/callers/service.rs
+++ b/components/entry/src/callers/service.rs
@@ -94,15 +94,15 @@
             team: &team,
             limit: limit(state, &held.document.limit(&team)),
             cost: 1,
-            patience: state.settings.times.queue,
+            max_wait: state.settings.times.queue,
             objective: gates::objective(),
-            lowest: gates::lowest(),
+            min_concurrency_factor: gates::lowest(),
             resume: false,
         };
         let pass = state.gates.admit(request).await?;
         let answer = calls::call(state, provision, &target.version, call).await;
-        pass.first();
-        pass.used(1);
+        pass.record_first_output();
+        pass.record_tokens(1);
         answer
     }
 }
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -41,8 +41,8 @@
 };
 
 use upstream::{
+    Collected, //
     Connection,
-    Whole, //
 };
 
 use crate::{
@@ -332,7 +332,7 @@
         Ok(answer) => answer,
         Err(error) => return lost_attempt(id, server, &error.to_string()),
     };
-    let whole = connection.whole(MAX_BUFFERED_RESPONSE).await;
+    let whole = connection.read_body(MAX_BUFFERED_RESPONSE).await;
     let status = head.status;
     if reply.not_run {
         // The server's statement in the head holds even when the body is cut off.
@@ -360,11 +360,11 @@
     }
     context.fleet.borrow_mut().mark_alive(&target.server);
     let body = match whole {
-        Whole::Complete(body) => {
+        Collected::Complete(body) => {
             context.sender.release(connection);
             Body::whole(body)
         }
-        Whole::Longer(first) => long_body(context, call, connection, first),
+        Collected::Partial(first) => long_body(context, call, connection, first),
     };
     let mut response = Response::new(body);
     *response.status_mut() = status;
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -33,7 +33,7 @@
 use gates::{
     Gates,
     Permit,
-    Refused, //
+    Rejection, //
     Request,
 };
 use names::Service;
@@ -143,7 +143,7 @@
     /// information on the engines.
     pub fn record_first_event(&self) {
         if self.in_time {
-            self.permit.first();
+            self.permit.record_first_output();
         }
     }
 }
@@ -160,7 +160,7 @@
 ) -> Result<Admission, Refusal> {
     let began = Instant::now();
     context.queue.init_size(call, work);
-    let mut refused = Refused {
+    let mut refused = Rejection {
         reason: Reason::Late,
         retry_after: POLL_INTERVAL,
     };
@@ -179,9 +179,9 @@
             team: &team,
             limit: turn.limit,
             cost: work.tokens,
-            patience: turn.patience,
+            max_wait: turn.patience,
             objective: call.pass.objective,
-            lowest: 1.0,
+            min_concurrency_factor: 1.0,
             resume: call.request.metadata.after.is_some(),
         });
         let _guard = turn
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -173,7 +173,7 @@
             return Ok(match self.connection.try_data()? {
                 Data::Bytes(bytes) => Some(Received::Data(bytes)),
                 Data::End => Some(Received::End),
-                Data::More => None,
+                Data::Pending => None,
             });
         }
         let Some(head) = self.connection.try_head()? else {
@@ -564,7 +564,7 @@
 
     /// Reads the body of an error response.
     async fn read_body(&self, run: &mut Run) -> Option<Bytes> {
-        let whole = run.connection.whole(MAX_FAILURE_BODY);
+        let whole = run.connection.read_body(MAX_FAILURE_BODY);
         let whole = timeout_at(Instant::now() + FAILURE_BODY_TIMEOUT, whole).await;
         whole.ok()?.ok()?.complete()
     }
