--- a/components/gateway/src/moving.rs
+++ b/components/gateway/src/moving.rs
@@ -15,11 +15,11 @@
 };
 use moves::{
     Side,
-    brief::{
-        Brief,
+    rollout::{
+        Constraint,
         Exposure,
-        Limit,
         Order,
+        Rollout,
         State, //
     },
     times::Histogram, //
@@ -56,7 +56,7 @@
 /// Moves that are under way, and those that were.
 #[derive(Default)]
 pub struct Moving {
-    briefs: RefCell<HashMap<Service, Brief>>,
+    briefs: RefCell<HashMap<Service, Rollout>>,
     /// Times to the first event, or of a plain answer, by route.
     usual: RefCell<HashMap<Route, Histogram>>,
     /// This entry's place among all, and their number.
@@ -68,16 +68,16 @@
 /// The versions that a request may go to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pick {
-    limit: Option<(Limit, Version)>,
+    limit: Option<(Constraint, Version)>,
 }
 
 impl Pick {
     /// The versions, for a placement.
     pub fn versions(&self) -> Versions<'_> {
         match &self.limit {
-            None | Some((Limit::Any, _)) => Versions::Any,
-            Some((Limit::Only, version)) => Versions::Only(version),
-            Some((Limit::Not, version)) => Versions::Not(version),
+            None | Some((Constraint::Any, _)) => Versions::Any,
+            Some((Constraint::OnlyNew, version)) => Versions::Only(version),
+            Some((Constraint::ExcludeNew, version)) => Versions::Not(version),
         }
     }
 }
@@ -113,7 +113,7 @@
             revision = order.revision,
             within_ms = order.within.as_millis() as u64
         );
-        briefs.insert(service.clone(), Brief::new(order, exposure, clock::now()));
+        briefs.insert(service.clone(), Rollout::new(order, exposure, clock::now()));
     }
 
     /// Takes the state that stands in the store, written at a revision.
@@ -126,7 +126,7 @@
         if at < brief.order().revision || brief.order().to != *to {
             return;
         }
-        if !brief.stands(state) {
+        if !brief.set_stored_state(state) {
             return;
         }
         note!(
@@ -134,8 +134,8 @@
             service = service.as_str(),
             version = to.as_str(),
             state = name(state),
-            against = brief.against(),
-            sampled = brief.sampled()
+            against = brief.log_likelihood_ratio(),
+            sampled = brief.samples_sent()
         );
     }
 
@@ -148,9 +148,9 @@
         };
         let started = self.started.get().unwrap_or(now);
         let limit = match brief.state(now) {
-            State::Running if now.saturating_sub(started) < SETTLE => Limit::Not,
+            State::Running if now.saturating_sub(started) < SETTLE => Constraint::ExcludeNew,
             _ => {
-                brief.stand(self.entries.get());
+                brief.observe_entries(self.entries.get());
                 let draw = rand::random();
                 brief.pick(now, beacon::number(route), draw)
             }
@@ -164,7 +164,7 @@
     pub fn limit(&self, service: &Service) -> Pick {
         let briefs = self.briefs.borrow();
         let limit = briefs.get(service).map(|brief| {
-            let limit = brief.limit(clock::now());
+            let limit = brief.constraint(clock::now());
             (limit, brief.order().to.clone())
         });
         Pick { limit }
@@ -194,7 +194,7 @@
         }
         let before = brief.vetoed();
         let bad = slow || time.is_none();
-        brief.ended(clock::now(), beacon::number(route), side, bad);
+        brief.record_end(clock::now(), beacon::number(route), side, bad);
         if brief.vetoed() && !before {
             vetoed(service, brief);
         }
@@ -226,7 +226,7 @@
         let now = clock::now();
         let briefs = self.briefs.borrow();
         let due = briefs.iter().filter_map(|(service, brief)| {
-            let state = brief.due(now)?;
+            let state = brief.state_to_store(now)?;
             Some(Report {
                 service: service.clone(),
                 order: brief.order().clone(),
@@ -243,9 +243,12 @@
     pub fn tell(&self, beacon: &mut Beacon) {
         let now = clock::now();
         for (service, brief) in self.briefs.borrow().iter() {
-            if brief.state(now) == State::Running || brief.due(now).is_some() || brief.vetoed() {
+            if brief.state(now) == State::Running
+                || brief.state_to_store(now).is_some()
+                || brief.vetoed()
+            {
                 let number = beacon::number(service);
-                beacon.moves.push((number, brief.tell(now)));
+                beacon.moves.push((number, brief.progress(now)));
             }
         }
     }
@@ -261,7 +264,7 @@
                 continue;
             };
             let before = brief.vetoed();
-            brief.hear(now, beacon.incarnation, tale.clone());
+            brief.merge(now, beacon.incarnation, tale.clone());
             if brief.vetoed() && !before {
                 vetoed(service, brief);
             }
@@ -283,13 +286,13 @@
     }
 }
 
-fn vetoed(service: &Service, brief: &Brief) {
+fn vetoed(service: &Service, brief: &Rollout) {
     note!(
         event::FOUND_BAD,
         service = service.as_str(),
         version = brief.order().to.as_str(),
-        against = brief.against(),
-        sampled = brief.sampled()
+        against = brief.log_likelihood_ratio(),
+        sampled = brief.samples_sent()
     );
 }
 
--- a/components/gateway/src/settings.rs
+++ b/components/gateway/src/settings.rs
@@ -6,7 +6,7 @@
 };
 
 use admission::Bound;
-use moves::brief::Exposure;
+use moves::rollout::Exposure;
 use names::{
     DataCentre,
     Host, //
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use moves::brief::{
+use moves::rollout::{
     Order,
     State, //
 };
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -51,7 +51,7 @@
     HeaderMap,
     request::Parts, //
 };
-use moves::brief::Exposure;
+use moves::rollout::Exposure;
 use routing::placement::Facts;
 use spread::fresh::Claim;
 use tokio::{
--- a/components/gateway/tests/unreachable.rs
+++ b/components/gateway/tests/unreachable.rs
@@ -19,7 +19,7 @@
     Update,
     update::Registration, //
 };
-use moves::brief::{
+use moves::rollout::{
     Order,
     State, //
 };
--- a/components/moves/src/lib.rs
+++ b/components/moves/src/lib.rs
@@ -6,11 +6,10 @@
 //! with the old one over the same time. An entry whose judge trips stops sending traffic to the
 //! new version at once and spreads a [`outcome::Veto`]. One entry writes the outcome.
 //!
-//! A move that must be over within seconds goes another way, see [`brief`].
+//! A move that must be over within seconds goes another way, see [`rollout`].
 //!
 //! Everything here is plain state: an event and a time go in, actions come out.
 
-pub mod brief;
 pub mod evidence;
 pub mod history;
 pub mod judge;
@@ -18,6 +17,7 @@
 pub mod outcome;
 pub mod plan;
 pub mod rank;
+pub mod rollout;
 pub mod share;
 pub mod sketch;
 pub mod step;
--- a/components/moves/src/brief.rs
+++ b/components/moves/src/rollout.rs
@@ -81,10 +81,10 @@
 const LEAST_ROUTES: usize = 2;
 
 /// Number of a route: a hash of its name.
-pub type Number = u32;
+pub type RouteId = u32;
 
 /// Number of another entry's run.
-pub type Peer = u64;
+pub type PeerId = u64;
 
 /// A move that an operator ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -119,13 +119,13 @@
 
 /// Which versions a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Limit {
+pub enum Constraint {
     /// All: the move is long done, and servers of later versions may come without another one.
     Any,
     /// The new one only.
-    Only,
+    OnlyNew,
     /// Any but the new one.
-    Not,
+    ExcludeNew,
 }
 
 /// Requests of a route within a slot of time.
@@ -154,11 +154,11 @@
 }
 
 /// What one entry counted, by slot and route.
-pub type Counts = BTreeMap<(u8, Number), Count>;
+pub type Counts = BTreeMap<(u8, RouteId), Count>;
 
 /// What an entry tells the others of a move.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tale {
+pub struct Progress {
     /// Number of the order.
     pub revision: Revision,
     /// Time since the order, as far as it is known there.
@@ -173,7 +173,7 @@
 
 /// One entry's part in one move.
 #[derive(Clone, Debug)]
-pub struct Brief {
+pub struct Rollout {
     order: Order,
     exposure: Exposure,
     /// When the order was given, as far as is known.
@@ -181,18 +181,18 @@
     own: Counts,
     /// Requests of the service that came here since.
     requests: u32,
-    peers: HashMap<Peer, Tale>,
+    peers: HashMap<PeerId, Progress>,
     /// Most entries that were seen to share the bound.
     entries: usize,
     vetoed: bool,
     /// The state that stands in the store.
-    stands: Option<State>,
+    stored_state: Option<State>,
 }
 
-impl Brief {
+impl Rollout {
     /// Begins to take part in a move whose order was learned at `now`.
-    pub fn new(order: Order, exposure: Exposure, now: Clock) -> Brief {
-        Brief {
+    pub fn new(order: Order, exposure: Exposure, now: Clock) -> Rollout {
+        Rollout {
             order,
             exposure,
             began: now,
@@ -201,7 +201,7 @@
             peers: HashMap::new(),
             entries: 1,
             vetoed: false,
-            stands: None,
+            stored_state: None,
         }
     }
 
@@ -212,18 +212,19 @@
 
     /// Notes how many entries share the bound. An entry that loses sight of its peers must not take
     /// their part, so the most that were seen count.
-    pub fn stand(&mut self, entries: usize) {
+    pub fn observe_entries(&mut self, entries: usize) {
         self.entries = self.entries.max(entries);
     }
 
     /// Takes the state that stands in the store for this order; tells whether it is news.
-    pub fn stands(&mut self, state: State) -> bool {
-        self.stands.replace(state) != Some(state)
+    pub fn set_stored_state(&mut self, state: State) -> bool {
+        self.stored_state.replace(state) != Some(state)
     }
 
     /// Whether the new version is bad as far as is known.
     pub fn vetoed(&self) -> bool {
-        self.stands == Some(State::Reverted) || self.vetoed && self.stands != Some(State::Done)
+        self.stored_state == Some(State::Reverted)
+            || self.vetoed && self.stored_state != Some(State::Done)
     }
 
     /// Where the move stands at this entry.
@@ -231,7 +232,7 @@
         if self.vetoed() {
             return State::Reverted;
         }
-        if self.stands == Some(State::Done) || self.moved(now) {
+        if self.stored_state == Some(State::Done) || self.switched(now) {
             return State::Done;
         }
         match self.elapsed(now) < REPORTED {
@@ -245,7 +246,7 @@
         elapsed / self.order.within.as_secs_f64().max(f64::MIN_POSITIVE)
     }
 
-    fn moved(&self, now: Clock) -> bool {
+    fn switched(&self, now: Clock) -> bool {
         let elapsed = self.elapsed(now);
         let (first, last) = MOVED;
         if elapsed < first || elapsed < last && !self.rest_fits(elapsed) {
@@ -253,7 +254,7 @@
         }
         let late = ((elapsed - first) / (REPORTED - first)).clamp(0.0, 1.0);
         let (least, most) = LEAN;
-        self.against() < least + (most - least) * late
+        self.log_likelihood_ratio() < least + (most - least) * late
     }
 
     /// Whether all requests that are still to come could go to a bad version within the bound.
@@ -262,39 +263,39 @@
         let requests = f64::from(self.requests) + peers.sum::<f64>();
         let all = requests / elapsed.max(f64::MIN_POSITIVE);
         let bound = self.exposure.share * all + self.exposure.slack;
-        all - requests + f64::from(self.sampled()) <= FILLED * bound
+        all - requests + f64::from(self.samples_sent()) <= FILLED * bound
     }
 
     /// The versions for a request that isn't counted, such as one that goes on after a loss.
-    pub fn limit(&self, now: Clock) -> Limit {
+    pub fn constraint(&self, now: Clock) -> Constraint {
         match self.state(now) {
-            State::Done if self.over(now) => Limit::Any,
-            State::Done => Limit::Only,
-            State::Running | State::Reverted => Limit::Not,
+            State::Done if self.expired(now) => Constraint::Any,
+            State::Done => Constraint::OnlyNew,
+            State::Running | State::Reverted => Constraint::ExcludeNew,
         }
     }
 
-    fn over(&self, now: Clock) -> bool {
-        self.stands == Some(State::Done) && self.elapsed(now) >= OVER
+    fn expired(&self, now: Clock) -> bool {
+        self.stored_state == Some(State::Done) && self.elapsed(now) >= OVER
     }
 
     /// Picks the versions for a new request of a route, and counts it. `draw` is a random number
     /// from 0 to 1.
-    pub fn pick(&mut self, now: Clock, route: Number, draw: f64) -> Limit {
+    pub fn pick(&mut self, now: Clock, route: RouteId, draw: f64) -> Constraint {
         self.requests = self.requests.saturating_add(1);
-        let limit = match self.state(now) {
-            State::Running if self.samples(now, route, draw) => Limit::Only,
-            _ => self.limit(now),
+        let constraint = match self.state(now) {
+            State::Running if self.takes_sample(now, route, draw) => Constraint::OnlyNew,
+            _ => self.constraint(now),
         };
-        if limit == Limit::Only {
+        if constraint == Constraint::OnlyNew {
             self.cell(now, route).new += 1;
         }
-        limit
+        constraint
     }
 
     /// Whether this entry has a sample left for a route. Each route has its part, as a fault may
     /// show on a rare one only; the part of a place that is left over is used with its probability.
-    fn samples(&self, now: Clock, route: Number, draw: f64) -> bool {
+    fn takes_sample(&self, now: Clock, route: RouteId, draw: f64) -> bool {
         let time = (self.elapsed(now) / MOVED.0).clamp(0.0, 1.0);
         let (of_share, of_slack) = USED;
         let flat = of_slack * self.exposure.slack / self.entries as f64;
@@ -307,15 +308,15 @@
     }
 
     /// What all entries counted.
-    fn all(&self) -> impl Iterator<Item = &Counts> {
+    fn all_counts(&self) -> impl Iterator<Item = &Counts> {
         let peers = self.peers.values().map(|told| &told.counts);
         peers.chain([&self.own])
     }
 
     /// Number of routes that requests came on, with one that comes now.
-    fn routes(&self, route: Number) -> usize {
+    fn routes(&self, route: RouteId) -> usize {
         let known = self
-            .all()
+            .all_counts()
             .flat_map(|counts| counts.keys().map(|(_, route)| *route));
         let mut routes: Vec<_> = known.chain([route]).collect();
         routes.sort_unstable();
@@ -324,7 +325,7 @@
     }
 
     /// Notes the end of a request: whether it failed or was several times slower than usual.
-    pub fn ended(&mut self, now: Clock, route: Number, side: Side, bad: bool) {
+    pub fn record_end(&mut self, now: Clock, route: RouteId, side: Side, bad: bool) {
         let cell = self.cell(now, route);
         match side {
             Side::New => {
@@ -336,10 +337,10 @@
                 cell.old_bad += u32::from(bad);
             }
         }
-        self.judge();
+        self.update_veto();
     }
 
-    fn cell(&mut self, now: Clock, route: Number) -> &mut Count {
+    fn cell(&mut self, now: Clock, route: RouteId) -> &mut Count {
         let slot = (self.elapsed(now) * f64::from(SLOTS)).min(f64::from(SLOTS - 1)) as u8;
         let known = self.own.keys().any(|(_, known)| *known == route);
         let mut routes: Vec<_> = self.own.keys().map(|(_, route)| *route).collect();
@@ -354,8 +355,8 @@
     }
 
     /// What is told to the other entries.
-    pub fn tell(&self, now: Clock) -> Tale {
-        Tale {
+    pub fn progress(&self, now: Clock) -> Progress {
+        Progress {
             revision: self.order.revision,
             elapsed: now.saturating_sub(self.began),
             vetoed: self.vetoed(),
@@ -365,25 +366,25 @@
     }
 
     /// Takes what another entry tells. What it counted stays when it is gone.
-    pub fn hear(&mut self, now: Clock, peer: Peer, tale: Tale) {
-        if tale.revision != self.order.revision {
+    pub fn merge(&mut self, now: Clock, peer: PeerId, progress: Progress) {
+        if progress.revision != self.order.revision {
             return;
         }
-        self.began = self.began.min(now.saturating_sub(tale.elapsed));
-        self.vetoed |= tale.vetoed;
-        self.peers.insert(peer, tale);
-        self.judge();
+        self.began = self.began.min(now.saturating_sub(progress.elapsed));
+        self.vetoed |= progress.vetoed;
+        self.peers.insert(peer, progress);
+        self.update_veto();
     }
 
-    fn judge(&mut self) {
-        self.vetoed |= self.against() >= TRIP;
+    fn update_veto(&mut self) {
+        self.vetoed |= self.log_likelihood_ratio() >= TRIP;
     }
 
     /// How strongly what all entries counted speaks against the new version: the highest log
     /// likelihood ratio over the routes, and over the times at which a fault may have begun.
-    pub fn against(&self) -> f64 {
-        let mut routes: BTreeMap<Option<Number>, [Count; SLOTS as usize]> = BTreeMap::new();
-        for counts in self.all() {
+    pub fn log_likelihood_ratio(&self) -> f64 {
+        let mut routes: BTreeMap<Option<RouteId>, [Count; SLOTS as usize]> = BTreeMap::new();
+        for counts in self.all_counts() {
             for ((slot, route), count) in counts {
                 let slot = usize::from(*slot).min(SLOTS as usize - 1);
                 for key in [None, Some(*route)] {
@@ -391,32 +392,32 @@
                 }
             }
         }
-        let tests = routes.values().map(against);
+        let tests = routes.values().map(log_likelihood_ratio);
         tests.fold(0.0, f64::max)
     }
 
     /// Samples that all entries sent to the new version.
-    pub fn sampled(&self) -> u32 {
-        self.all()
+    pub fn samples_sent(&self) -> u32 {
+        self.all_counts()
             .flat_map(|counts| counts.values())
             .map(|count| count.new)
             .sum()
     }
 
     /// The state that this entry should write into the store, if any stands there that differs.
-    pub fn due(&self, now: Clock) -> Option<State> {
-        if matches!(self.stands, Some(State::Done | State::Reverted)) {
+    pub fn state_to_store(&self, now: Clock) -> Option<State> {
+        if matches!(self.stored_state, Some(State::Done | State::Reverted)) {
             return None;
         }
         let due = match self.state(now) {
             State::Done if self.elapsed(now) < REPORTED => State::Running,
             state => state,
         };
-        (self.stands != Some(due)).then_some(due)
+        (self.stored_state != Some(due)).then_some(due)
     }
 }
 
-fn against(slots: &[Count; SLOTS as usize]) -> f64 {
+fn log_likelihood_ratio(slots: &[Count; SLOTS as usize]) -> f64 {
     let mut all = Count::default();
     slots.iter().for_each(|count| all.add(count));
     let (least, most) = USUAL;
--- a/components/moves/tests/brief.rs
+++ b/components/moves/tests/rollout.rs
@@ -4,11 +4,11 @@
 
 use moves::{
     Side,
-    brief::{
-        Brief,
+    rollout::{
+        Constraint,
         Exposure,
-        Limit,
         Order,
+        Rollout,
         State, //
     },
 };
@@ -60,7 +60,7 @@
 /// Several entries, each with its own clock's origin.
 struct Play {
     rng: StdRng,
-    entries: Vec<Brief>,
+    entries: Vec<Rollout>,
     now: Duration,
     /// Requests under way: when each ends, its entry, route, side, and whether it is bad.
     running: Vec<(Duration, usize, u32, Side, bool)>,
@@ -108,7 +108,7 @@
             self.running = left;
             let over: Vec<_> = over;
             for (_, entry, route, side, bad) in over {
-                self.entries[entry].ended(now, route, side, bad);
+                self.entries[entry].record_end(now, route, side, bad);
             }
             if step.is_multiple_of(TOLD) {
                 self.tell();
@@ -120,11 +120,11 @@
         let entry = self.rng.random_range(0..self.entries.len());
         let route = u32::from(self.rng.random_bool(self.rare)) + 1;
         let draw = self.rng.random_range(0.0..1.0);
-        let limit = self.entries[entry].pick(self.now, route, draw);
+        let constraint = self.entries[entry].pick(self.now, route, draw);
         self.requests += 1;
-        let side = match limit {
-            Limit::Only => Side::New,
-            Limit::Not | Limit::Any => Side::Old,
+        let side = match constraint {
+            Constraint::OnlyNew => Side::New,
+            Constraint::ExcludeNew | Constraint::Any => Side::Old,
         };
         self.exposed += u32::from(side == Side::New);
         let fault = self.fault;
@@ -137,11 +137,11 @@
     }
 
     fn tell(&mut self) {
-        let tales: Vec<_> = self.entries.iter().map(|e| e.tell(self.now)).collect();
+        let updates: Vec<_> = self.entries.iter().map(|e| e.progress(self.now)).collect();
         for (place, entry) in self.entries.iter_mut().enumerate() {
-            for (peer, tale) in tales.iter().enumerate() {
+            for (peer, progress) in updates.iter().enumerate() {
                 if peer != place {
-                    entry.hear(self.now, peer as u64, tale.clone());
+                    entry.merge(self.now, peer as u64, progress.clone());
                 }
             }
         }
@@ -156,10 +156,10 @@
     }
 }
 
-fn entry(entries: usize, now: Duration) -> Brief {
-    let mut brief = Brief::new(order(), EXPOSURE, now);
-    brief.stand(entries);
-    brief
+fn entry(entries: usize, now: Duration) -> Rollout {
+    let mut rollout = Rollout::new(order(), EXPOSURE, now);
+    rollout.observe_entries(entries);
+    rollout
 }
 
 /// The new version is as good as the old one. The operator wants all traffic on it by the time that
@@ -228,56 +228,56 @@
     let mut play = Play::new(1, 5, 6.0, NONE);
     play.until(Duration::from_secs(8));
     let mut anew = entry(5, play.now);
-    let tale = play.entries[0].tell(play.now);
-    assert_eq!(tale.elapsed, Duration::from_secs(8));
-    anew.hear(play.now, 1, tale);
-    assert_eq!(anew.tell(play.now).elapsed, Duration::from_secs(8));
+    let progress = play.entries[0].progress(play.now);
+    assert_eq!(progress.elapsed, Duration::from_secs(8));
+    anew.merge(play.now, 1, progress);
+    assert_eq!(anew.progress(play.now).elapsed, Duration::from_secs(8));
     for _ in 0..4 {
-        play.entries[0].ended(play.now, 1, Side::New, true);
+        play.entries[0].record_end(play.now, 1, Side::New, true);
     }
     assert_eq!(play.entries[0].state(play.now), State::Reverted);
-    anew.hear(play.now, 1, play.entries[0].tell(play.now));
-    assert_eq!(anew.pick(play.now, 1, 0.0), Limit::Not);
-    assert_eq!(anew.due(play.now), Some(State::Reverted));
+    anew.merge(play.now, 1, play.entries[0].progress(play.now));
+    assert_eq!(anew.pick(play.now, 1, 0.0), Constraint::ExcludeNew);
+    assert_eq!(anew.state_to_store(play.now), Some(State::Reverted));
 }
 
 /// Another entry ended the move, and this one couldn't hear it but reads it from the store.
 #[rstest]
-#[case::done(State::Done, Limit::Only)]
-#[case::reverted(State::Reverted, Limit::Not)]
-fn what_stands_in_the_store_is_followed(#[case] state: State, #[case] limit: Limit) {
-    let mut brief = entry(5, Duration::ZERO);
-    assert!(brief.stands(state));
-    assert!(!brief.stands(state));
+#[case::done(State::Done, Constraint::OnlyNew)]
+#[case::reverted(State::Reverted, Constraint::ExcludeNew)]
+fn what_stands_in_the_store_is_followed(#[case] state: State, #[case] constraint: Constraint) {
+    let mut rollout = entry(5, Duration::ZERO);
+    assert!(rollout.set_stored_state(state));
+    assert!(!rollout.set_stored_state(state));
     let now = Duration::from_secs(1);
-    assert_eq!(brief.pick(now, 1, 0.0), limit);
-    assert_eq!(brief.limit(now), limit);
-    assert_eq!(brief.due(now), None);
+    assert_eq!(rollout.pick(now, 1, 0.0), constraint);
+    assert_eq!(rollout.constraint(now), constraint);
+    assert_eq!(rollout.state_to_store(now), None);
 }
 
 /// A move was done long ago, and an operator releases another version without a move. Its servers must
 /// get work beside those of the version that was moved to.
 #[test]
 fn a_move_that_is_long_done_limits_nothing() {
-    let mut brief = entry(5, Duration::ZERO);
-    brief.stands(State::Done);
+    let mut rollout = entry(5, Duration::ZERO);
+    rollout.set_stored_state(State::Done);
     let within = order().within;
-    assert_eq!(brief.limit(within), Limit::Only);
-    assert_eq!(brief.limit(within * 2), Limit::Any);
-    assert_eq!(brief.pick(within * 2, 1, 0.0), Limit::Any);
+    assert_eq!(rollout.constraint(within), Constraint::OnlyNew);
+    assert_eq!(rollout.constraint(within * 2), Constraint::Any);
+    assert_eq!(rollout.pick(within * 2, 1, 0.0), Constraint::Any);
     let mut reverted = entry(5, Duration::ZERO);
-    reverted.stands(State::Reverted);
-    assert_eq!(reverted.limit(within * 2), Limit::Not);
+    reverted.set_stored_state(State::Reverted);
+    assert_eq!(reverted.constraint(within * 2), Constraint::ExcludeNew);
 }
 
 /// A cut keeps an entry from its peers. If it took their part of the samples, all entries that are
 /// cut off together would send the new version several times the bound.
 #[test]
 fn an_entry_alone_keeps_to_its_part() {
-    let mut brief = entry(10, Duration::ZERO);
-    brief.stand(1);
+    let mut rollout = entry(10, Duration::ZERO);
+    rollout.observe_entries(1);
     let now = Duration::from_secs(9);
-    let sent = (0..100).filter(|_| brief.pick(now, 1, 0.99) == Limit::Only);
+    let sent = (0..100).filter(|_| rollout.pick(now, 1, 0.99) == Constraint::OnlyNew);
     let sent = sent.count() as f64;
     assert!(
         sent <= EXPOSURE.slack / 10.0 + EXPOSURE.share * 100.0,
@@ -288,10 +288,10 @@
 /// An entry tells of an order that is over. It says nothing about the one that is under way.
 #[test]
 fn what_was_counted_for_another_order_is_left_out() {
-    let mut brief = entry(2, Duration::ZERO);
-    let mut tale = entry(2, Duration::ZERO).tell(Duration::from_secs(5));
-    tale.revision = 6;
-    tale.vetoed = true;
-    brief.hear(Duration::from_secs(1), 1, tale);
-    assert_eq!(brief.state(Duration::from_secs(1)), State::Running);
+    let mut rollout = entry(2, Duration::ZERO);
+    let mut progress = entry(2, Duration::ZERO).progress(Duration::from_secs(5));
+    progress.revision = 6;
+    progress.vetoed = true;
+    rollout.merge(Duration::from_secs(1), 1, progress);
+    assert_eq!(rollout.state(Duration::from_secs(1)), State::Running);
 }
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -9,7 +9,7 @@
     time::Duration, //
 };
 
-use moves::brief::Tale;
+use moves::rollout::Progress;
 use names::{
     DataCentre,
     Host,
@@ -73,7 +73,7 @@
     /// Requests that wait there and can still be in time, by service.
     pub hurries: Vec<(Number, u32)>,
     /// Moves between versions: the service, and what was counted.
-    pub moves: Vec<(Number, Tale)>,
+    pub moves: Vec<(Number, Progress)>,
     /// Some other peers' addresses.
     pub known: Vec<SocketAddr>,
     /// Peers that the sender hears.
