--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -384,7 +384,7 @@
             Action::Finish(finish) => {
                 let usage = self.usage();
                 let count = self.kept.len();
-                self.witness.ended(&self.state, Ending::Whole, count);
+                self.witness.ended(&self.state, Ending::Completed, count);
                 self.book(true, count);
                 pieces.push(Piece::Finish(finish, usage));
             }
@@ -400,7 +400,7 @@
                 );
                 let ending = match reason {
                     Interruption::TooManyEpochs | Interruption::Deadline => Ending::Failed,
-                    _ => Ending::Excused,
+                    _ => Ending::Inconclusive,
                 };
                 let count = self.kept.len();
                 self.witness.ended(&self.state, ending, count);
--- a/components/entry/src/moves.rs
+++ b/components/entry/src/moves.rs
@@ -89,7 +89,7 @@
             take(&state, &held.document);
             // A veto may come before the document that holds its move.
             for (name, veto) in &vetoes {
-                on(&state, name, Event::Heard(Fact::Veto(Veto::clone(veto))));
+                on(&state, name, Event::Received(Fact::Veto(Veto::clone(veto))));
             }
             state.book.set_levels(&held.document);
         }
@@ -117,7 +117,7 @@
     }
     if matches!(key, Key::Record(..)) {
         if let Ok(record) = serde_json::from_slice(&fact.body) {
-            let answer = Answer::Standing {
+            let answer = Answer::Current {
                 revision: fact.weight,
                 record: Some(record),
             };
@@ -129,7 +129,7 @@
         return;
     };
     vetoes.insert(name.clone(), veto.clone());
-    on(state, name, Event::Heard(Fact::Veto(veto)));
+    on(state, name, Event::Received(Fact::Veto(veto)));
 }
 
 /// Tells every entry that a move's new version is bad.
@@ -163,7 +163,7 @@
                 host: state.settings.name.clone(),
                 incarnation: state.hello.incarnation,
             },
-            home: state.settings.data_centre.clone(),
+            data_centre: state.settings.data_centre.clone(),
         };
         let wall = SystemTime::now();
         let (mover, actions) = Mover::new(owner, plan.clone(), routes, state.now(), wall);
@@ -252,6 +252,6 @@
         Action::Publish(Fact::Veto(veto)) => tell(state, name, &veto),
         // The pick reads share and concentration from the mover; the old version's servers stay
         // in the document.
-        Action::Share(_) | Action::Concentrate(_) | Action::Warm(_) | Action::Publish(_) => {}
+        Action::Share(_) | Action::Concentrate(_) | Action::KeepWarm(_) | Action::Publish(_) => {}
     }
 }
--- a/components/entry/src/moves/log.rs
+++ b/components/entry/src/moves/log.rs
@@ -7,7 +7,7 @@
 /// Logs a notice of a mover.
 pub(super) fn log(name: &Move, notice: &Notice) {
     match notice {
-        Notice::Tripped(veto) => {
+        Notice::Vetoed(veto) => {
             let finding = &veto.finding;
             events::emit!(
                 logged::TRIPPED,
--- a/components/entry/src/moves/movers.rs
+++ b/components/entry/src/moves/movers.rs
@@ -117,7 +117,7 @@
         to: plan.to.clone(),
         permille: mover.level().permille(),
         by: plan.by,
-        against: mover.verdict().against,
+        against: mover.verdict().e_value,
         state: state.to_lowercase(),
         reason,
         routes: routes
--- a/components/entry/src/moves/store.rs
+++ b/components/entry/src/moves/store.rs
@@ -51,7 +51,7 @@
         revision => Expect::Revision(revision),
     };
     let answer = match state.platform.put(&key, &value, expect, None).await {
-        Ok(Write::Done { revision }) => Answer::Standing {
+        Ok(Write::Done { revision }) => Answer::Current {
             revision,
             record: Some(record),
         },
@@ -64,13 +64,13 @@
 
 fn standing(entry: Option<store::store::Entry>) -> Answer {
     let Some(entry) = entry else {
-        return Answer::Standing {
+        return Answer::Current {
             revision: 0,
             record: None,
         };
     };
     match serde_json::from_str(&entry.value) {
-        Ok(record) => Answer::Standing {
+        Ok(record) => Answer::Current {
             revision: entry.revision,
             record: Some(record),
         },
@@ -83,7 +83,7 @@
 /// Only the entry that wrote the record, and those that read it, know that it stands. The others
 /// would each write it again when their turn comes.
 fn tell_record(state: &State, name: &Move, answer: &Answer) {
-    let Answer::Standing {
+    let Answer::Current {
         revision,
         record: Some(record),
     } = answer
--- a/components/measure/src/moves/fleet.rs
+++ b/components/measure/src/moves/fleet.rs
@@ -95,8 +95,11 @@
                 host: format!("entry-{entry}"),
                 incarnation: 1,
             };
-            let home = "a".into();
-            let owner = Owner { source, home };
+            let data_centre = "a".into();
+            let owner = Owner {
+                source,
+                data_centre,
+            };
             let start = wall(0.0);
             let (mover, _) = Mover::new(owner, plan(), routes.clone(), Duration::ZERO, start);
             fleet.movers.push(mover);
@@ -167,7 +170,7 @@
         let ending = if fate.fails {
             Ending::Failed
         } else {
-            Ending::Whole
+            Ending::Completed
         };
         let event = Event::Finished {
             pick: pick.clone(),
@@ -201,7 +204,7 @@
         self.letters = waiting;
         let arrived: Vec<Letter> = arrived;
         for letter in arrived {
-            self.on(letter.to, Event::Heard(letter.fact), now, rng);
+            self.on(letter.to, Event::Received(letter.fact), now, rng);
         }
     }
 
@@ -222,21 +225,21 @@
                     self.revision += 1;
                     self.record = Some(record);
                 }
-                let answer = Answer::Standing {
+                let answer = Answer::Current {
                     revision: self.revision,
                     record: self.record.clone(),
                 };
                 self.on(entry, Event::Stored(answer), now, rng);
             }
             Action::Read => {
-                let answer = Answer::Standing {
+                let answer = Answer::Current {
                     revision: self.revision,
                     record: self.record.clone(),
                 };
                 self.on(entry, Event::Stored(answer), now, rng);
             }
             Action::Concentrate(replicas) => self.replicas[entry] = replicas,
-            Action::Share(_) | Action::Warm(_) | Action::Notice(_) => {}
+            Action::Share(_) | Action::KeepWarm(_) | Action::Notice(_) => {}
         }
     }
 
--- a/components/models/src/moves.rs
+++ b/components/models/src/moves.rs
@@ -191,7 +191,7 @@
                 host: format!("entry-{index}"),
                 incarnation,
             },
-            home: "a".into(),
+            data_centre: "a".into(),
         };
         let at = Duration::from_secs(time);
         let (mut mover, _) = Mover::new(owner, plan(), vec!["chat".into()], at, wall(time));
@@ -311,7 +311,7 @@
             Step::Burst(index) => self.burst(state, index, time),
             Step::Hear(index, number) => {
                 let fact = state.facts[number].clone();
-                self.on(state, index, Event::Heard(fact), time);
+                self.on(state, index, Event::Received(fact), time);
             }
             Step::Take(index) => self.serve(state, index),
             Step::Lose(index) => {
@@ -337,7 +337,7 @@
             }
             Step::Sync(index) => {
                 for fact in state.entries[1 - index].mover.facts() {
-                    self.on(state, index, Event::Heard(fact), time);
+                    self.on(state, index, Event::Received(fact), time);
                 }
                 self.on(state, index, Event::Synced, time);
             }
@@ -375,7 +375,7 @@
             state.first = state.first.take().or(record.outcome.clone());
             state.record = Some(record);
         }
-        state.entries[index].answer = Some(Answer::Standing {
+        state.entries[index].answer = Some(Answer::Current {
             revision: state.revision,
             record: state.record.clone(),
         });
--- a/components/moves/src/evidence.rs
+++ b/components/moves/src/evidence.rs
@@ -246,10 +246,10 @@
 
     /// Sums the cells of all sources.
     ///
-    /// A data centre's sum counts only where none of its entries is known one by one: `home` is
+    /// A data centre's sum counts only where none of its entries is known one by one: `data_centre` is
     /// the data centre whose entries are.
-    pub fn total(&self, home: &DataCentre) -> Cells {
-        let own = Source::Centre(home.clone());
+    pub fn total(&self, data_centre: &DataCentre) -> Cells {
+        let own = Source::Centre(data_centre.clone());
         let mut total = Cells::new();
         for (source, cells) in &self.sources {
             if *source == own {
@@ -263,8 +263,8 @@
     }
 
     /// Sums one cell over all sources, like [`Evidence::total`].
-    pub fn total_of(&self, home: &DataCentre, key: &Key) -> Pair {
-        let own = Source::Centre(home.clone());
+    pub fn total_of(&self, data_centre: &DataCentre, key: &Key) -> Pair {
+        let own = Source::Centre(data_centre.clone());
         let mut total = Pair::default();
         for (source, cells) in &self.sources {
             if *source == own {
--- a/components/moves/src/history.rs
+++ b/components/moves/src/history.rs
@@ -5,13 +5,13 @@
 //! not be taken back for that.
 
 /// Factor between the old version's rate and what counts as no worse.
-const MARGIN: f64 = 1.5;
+const BASELINE_MARGIN: f64 = 1.5;
 
 /// Fewest requests of a slot for its own rate to count.
-const ENOUGH: u32 = 50;
+const MIN_SLOT_REQUESTS: u32 = 50;
 
 /// Highest rate that can be a yardstick; above it nothing would count as worse.
-const HIGHEST: f64 = 0.6;
+const MAX_BASELINE_RATE: f64 = 0.6;
 
 /// Events among requests of the old version, by slot.
 #[derive(Clone, Debug, Default)]
@@ -26,7 +26,7 @@
     pub fn add(&mut self, events: u32, requests: u32) {
         self.events = self.events.saturating_add(events);
         self.requests = self.requests.saturating_add(requests);
-        if requests < ENOUGH {
+        if requests < MIN_SLOT_REQUESTS {
             return;
         }
         let events = f64::from(events);
@@ -35,12 +35,12 @@
     }
 
     /// Rate up to which the new version is no worse; none without a past.
-    pub fn yardstick(&self) -> Option<f64> {
+    pub fn baseline_rate(&self) -> Option<f64> {
         if self.requests == 0 {
             return None;
         }
         let events = f64::from(self.events);
         let high = (events + 2.0 + 2.0 * (events + 1.0).sqrt()) / f64::from(self.requests);
-        Some((MARGIN * high.max(self.highest)).min(HIGHEST))
+        Some((BASELINE_MARGIN * high.max(self.highest)).min(MAX_BASELINE_RATE))
     }
 }
--- a/components/moves/src/judge.rs
+++ b/components/moves/src/judge.rs
@@ -38,10 +38,10 @@
 /// Evidence at which the new version is taken back.
 ///
 /// A good version reaches it with a probability of at most 1 in 500 in the eyes of one entry.
-pub const TRIP: f64 = 500.0;
+pub const VETO_THRESHOLD: f64 = 500.0;
 
 /// Evidence at which the share stops growing for the time being.
-pub const LEAN: f64 = 4.0;
+pub const HOLD_THRESHOLD: f64 = 4.0;
 
 /// How many times as often a bad version is taken to fail or be slow.
 const RATIOS: [f64; 4] = [2.0, 4.0, 12.0, 64.0];
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     /// The e-value: how strongly the evidence speaks against the new version.
-    pub against: f64,
+    pub e_value: f64,
     /// The test that contributed most, if any event was seen.
     pub finding: Option<Finding>,
 }
@@ -171,7 +171,7 @@
 
     /// Adds events that arose while the new version had all traffic.
     fn compare_with_past(&mut self, slot: u16, (events, requests): (u32, u32)) {
-        let Some(rate) = self.history.yardstick() else {
+        let Some(rate) = self.history.baseline_rate() else {
             return;
         };
         let fine = f64::from(requests.saturating_sub(events));
@@ -184,7 +184,7 @@
     }
 
     /// The e-value, averaged over ratios and times of onset.
-    fn against(&self) -> f64 {
+    fn e_value(&self) -> f64 {
         let Some(first) = self.slots.iter().position(|slot| slot[0] != 0.0) else {
             return 1.0;
         };
@@ -281,7 +281,7 @@
 pub fn assess<'a>(total: &Cells, deaths: impl Iterator<Item = &'a Death>) -> Verdict {
     let deaths: Vec<_> = deaths.collect();
     let mut verdict = Verdict {
-        against: 0.0,
+        e_value: 0.0,
         finding: None,
     };
     let mut most = 0.0;
@@ -300,10 +300,10 @@
         }
         family.take(total);
         for (route, series, weight) in family.tests() {
-            let against = weight * series.against();
-            verdict.against += against;
-            if series.new.0 > 0 && against > most {
-                most = against;
+            let contribution = weight * series.e_value();
+            verdict.e_value += contribution;
+            if series.new.0 > 0 && contribution > most {
+                most = contribution;
                 verdict.finding = Some(Finding {
                     metric,
                     route: route.cloned(),
@@ -343,7 +343,7 @@
 }
 
 /// Highest share that the evidence carries, while nothing speaks against the new version.
-pub fn carried(total: &Cells, routes: &[Route]) -> Level {
+pub fn supported_level(total: &Cells, routes: &[Route]) -> Level {
     let mut by_route = BTreeMap::<&Route, u32>::new();
     let mut ended = 0.0;
     for (key, pair) in total {
--- a/components/moves/src/mover.rs
+++ b/components/moves/src/mover.rs
@@ -34,7 +34,7 @@
     },
     judge::{
         self,
-        TRIP,
+        VETO_THRESHOLD,
         Verdict, //
     },
     outcome::{
@@ -75,7 +75,7 @@
     /// The entry, which counts under this name.
     pub source: Source,
     /// Its data centre.
-    pub home: DataCentre,
+    pub data_centre: DataCentre,
 }
 
 /// State of one move at one entry.
@@ -88,22 +88,22 @@
     evidence: Evidence,
     total: Cells,
     limits: BTreeMap<Route, Limit>,
-    failing: BTreeSet<u32>,
-    changed: BTreeSet<Key>,
+    failed_hashes: BTreeSet<u32>,
+    changed_cells: BTreeSet<Key>,
     /// When a time until the first token, and one between tokens, was last counted at the full share.
-    first_at: Option<SystemTime>,
-    between_at: Option<SystemTime>,
+    first_counted_at: Option<SystemTime>,
+    between_counted_at: Option<SystemTime>,
     /// Something was heard that speaks against the new version and hasn't been judged.
     unjudged: bool,
 
     level: Level,
-    stepped: Clock,
-    ready: Option<(u32, u32)>,
-    concentrated: Option<u32>,
+    level_changed_at: Clock,
+    ready_replicas: Option<(u32, u32)>,
+    concentration: Option<u32>,
     overload: bool,
     synced: bool,
-    full: Option<SystemTime>,
-    late: bool,
+    full_at: Option<SystemTime>,
+    late_noticed: bool,
 
     veto: Option<Veto>,
     dropped: Option<(Side, Reason)>,
@@ -111,11 +111,11 @@
 
     rank: u32,
     revision: Option<Revision>,
-    due: Option<Clock>,
-    asked: Option<Clock>,
-    read: Clock,
-    told: Clock,
-    told_times: Clock,
+    write_due: Option<Clock>,
+    store_call_at: Option<Clock>,
+    read_at: Clock,
+    cells_published_at: Clock,
+    times_published_at: Clock,
 }
 
 impl Mover {
@@ -138,31 +138,31 @@
             evidence: Evidence::default(),
             total: Cells::new(),
             limits: BTreeMap::new(),
-            failing: BTreeSet::new(),
-            changed: BTreeSet::new(),
-            first_at: None,
-            between_at: None,
+            failed_hashes: BTreeSet::new(),
+            changed_cells: BTreeSet::new(),
+            first_counted_at: None,
+            between_counted_at: None,
             unjudged: false,
             level: Level::ZERO,
-            stepped: now,
-            ready: None,
-            concentrated: None,
+            level_changed_at: now,
+            ready_replicas: None,
+            concentration: None,
             overload: false,
             synced: false,
-            full: None,
-            late: false,
+            full_at: None,
+            late_noticed: false,
             veto: None,
             dropped: None,
             outcome: None,
             rank: 0,
             revision: None,
-            due: None,
-            asked: Some(now),
-            read: now,
-            told: now,
-            told_times: now,
+            write_due: None,
+            store_call_at: Some(now),
+            read_at: now,
+            cells_published_at: now,
+            times_published_at: now,
         };
-        (mover, vec![Action::Warm(true), Action::Read])
+        (mover, vec![Action::KeepWarm(true), Action::Read])
     }
 
     /// Takes in an event.
@@ -177,7 +177,7 @@
             Event::Planned { plan, routes } => self.replan(plan, routes),
             Event::Dropped(side) => self.dropped = Some((side, Reason::Dropped)),
             Event::Synced => self.synced = true,
-            Event::Ready { old, new } => self.ready = Some((old, new)),
+            Event::Ready { old, new } => self.ready_replicas = Some((old, new)),
             Event::Rank(rank) => self.rank = rank,
             Event::Overload(overload) => self.overload = overload,
             Event::First { pick, time, late } => {
@@ -193,7 +193,7 @@
                     self.judge(wall, &mut actions);
                 }
             }
-            Event::Heard(fact) => self.hear(fact, &mut actions),
+            Event::Received(fact) => self.hear(fact, &mut actions),
             Event::Stored(answer) => self.stored(answer, &mut actions),
             Event::Tick => {
                 if self.unjudged {
@@ -227,7 +227,7 @@
 
     /// How many replicas of the new version get its traffic; all of them when none.
     pub fn concentration(&self) -> Option<u32> {
-        self.concentrated
+        self.concentration
     }
 
     /// Whether this entry knows what its peers know, so that a peer may rely on its facts.
@@ -263,7 +263,7 @@
     /// Sum over the entries of this data centre, for the other data centres.
     pub fn summary(&self) -> Fact {
         Fact::Cells {
-            source: Source::Centre(self.owner.home.clone()),
+            source: Source::Centre(self.owner.data_centre.clone()),
             cells: self.evidence.summary(),
         }
     }
@@ -292,7 +292,7 @@
         self.plan = plan;
         self.routes = routes;
         self.dropped = None;
-        self.late = false;
+        self.late_noticed = false;
     }
 
     fn hear(&mut self, fact: Fact, actions: &mut Vec<Action>) {
@@ -314,7 +314,7 @@
                 }
                 self.evidence.merge_cells(&source, &cells);
                 for key in cells.keys() {
-                    let sum = self.evidence.total_of(&self.owner.home, key);
+                    let sum = self.evidence.total_of(&self.owner.data_centre, key);
                     let against = sum.new.against();
                     let before = self.total.insert(key.clone(), sum);
                     let before = before.map_or(0, |pair| pair.new.against());
@@ -365,18 +365,18 @@
         };
         actions.push(Action::Publish(Fact::Outcome(outcome.clone())));
         actions.push(Action::Notice(notice));
-        actions.push(Action::Warm(false));
+        actions.push(Action::KeepWarm(false));
         self.outcome = Some(outcome);
     }
 
     fn stored(&mut self, answer: Answer, actions: &mut Vec<Action>) {
-        let Answer::Standing { revision, record } = answer else {
+        let Answer::Current { revision, record } = answer else {
             return;
         };
         // A record without an outcome says nothing of a veto that only the entries know yet, so
         // an entry that was restarted still has to hear a peer before it sends any traffic.
         self.revision = Some(revision);
-        self.asked = None;
+        self.store_call_at = None;
         let Some(record) = record else {
             return;
         };
@@ -393,7 +393,7 @@
             return;
         }
         let verdict = self.verdict();
-        if verdict.against < TRIP {
+        if verdict.e_value < VETO_THRESHOLD {
             return;
         }
         let Some(finding) = verdict.finding else {
@@ -406,6 +406,6 @@
         };
         self.veto = Some(veto.clone());
         actions.push(Action::Publish(Fact::Veto(veto.clone())));
-        actions.push(Action::Notice(Notice::Tripped(veto)));
+        actions.push(Action::Notice(Notice::Vetoed(veto)));
     }
 }
--- a/components/moves/src/mover/count.rs
+++ b/components/moves/src/mover/count.rs
@@ -73,7 +73,7 @@
         let Some(slow) = self.exceeds(pick, time, late, limit) else {
             return;
         };
-        if pick.level == Level::FULL && !apart(&mut self.first_at, wall) {
+        if pick.level == Level::FULL && !apart(&mut self.first_counted_at, wall) {
             return;
         }
         self.count(pick, |tally| {
@@ -93,16 +93,16 @@
         out: &mut Vec<Action>,
     ) {
         match ending {
-            Ending::Excused => {}
+            Ending::Inconclusive => {}
             Ending::Failed => self.failed(pick, wall, out),
-            Ending::Whole => self.count(pick, |tally| tally.requests += 1),
+            Ending::Completed => self.count(pick, |tally| tally.requests += 1),
         }
     }
 
     fn failed(&mut self, pick: &Pick, wall: SystemTime, out: &mut Vec<Action>) {
         // The pick's hash is small for the new version; the other half is as good for both.
         let hash = (pick.hash & u64::from(u32::MAX)) as u32;
-        if self.failing.contains(&hash) {
+        if self.failed_hashes.contains(&hash) {
             return;
         }
         self.remember(hash);
@@ -118,9 +118,9 @@
 
     /// Remembers a failing request. The smallest hashes stay, as in the sketches of the cells.
     pub(super) fn remember(&mut self, hash: u32) {
-        self.failing.insert(hash);
-        if self.failing.len() > REMEMBERED {
-            self.failing.pop_last();
+        self.failed_hashes.insert(hash);
+        if self.failed_hashes.len() > REMEMBERED {
+            self.failed_hashes.pop_last();
         }
     }
 
@@ -140,7 +140,7 @@
         let Some(slow) = self.exceeds(pick, time, late, limit) else {
             return;
         };
-        if pick.level == Level::FULL && !apart(&mut self.between_at, wall) {
+        if pick.level == Level::FULL && !apart(&mut self.between_counted_at, wall) {
             return;
         }
         self.count(pick, |tally| {
@@ -180,25 +180,27 @@
         };
         change(self.evidence.cell(&self.owner.source, &key).side(pick.side));
         change(self.total.entry(key.clone()).or_default().side(pick.side));
-        self.changed.insert(key);
+        self.changed_cells.insert(key);
     }
 
     pub(super) fn tell(&mut self, now: Clock, wall: SystemTime, actions: &mut Vec<Action>) {
         if self.outcome.is_some() {
             return;
         }
-        if now.saturating_sub(self.told) >= CELLS_EVERY && !self.changed.is_empty() {
-            self.told = now;
+        if now.saturating_sub(self.cells_published_at) >= CELLS_EVERY
+            && !self.changed_cells.is_empty()
+        {
+            self.cells_published_at = now;
             let source = self.owner.source.clone();
             let mut cells = Cells::new();
-            for key in std::mem::take(&mut self.changed) {
+            for key in std::mem::take(&mut self.changed_cells) {
                 let pair = self.evidence.cell(&source, &key).clone();
                 cells.insert(key, pair);
             }
             actions.push(Action::Publish(Fact::Cells { source, cells }));
         }
-        if now.saturating_sub(self.told_times) >= TIMES_EVERY {
-            self.told_times = now;
+        if now.saturating_sub(self.times_published_at) >= TIMES_EVERY {
+            self.times_published_at = now;
             actions.push(Action::Publish(Fact::Began(self.ramp.began())));
             self.tell_times(actions);
             self.set_limits(wall);
--- a/components/moves/src/mover/settle.rs
+++ b/components/moves/src/mover/settle.rs
@@ -10,7 +10,7 @@
 use crate::{
     judge::{
         self,
-        LEAN, //
+        HOLD_THRESHOLD, //
     },
     mover::Mover,
     outcome::{
@@ -53,20 +53,20 @@
         let level = self.wanted(now, wall);
         if level != self.level {
             self.level = level;
-            self.stepped = now;
+            self.level_changed_at = now;
             actions.push(Action::Share(level));
         }
-        if level == Level::FULL && self.full.is_none() {
-            self.full = Some(wall);
+        if level == Level::FULL && self.full_at.is_none() {
+            self.full_at = Some(wall);
         }
         let concentrated = self.replicas();
-        if concentrated != self.concentrated {
-            self.concentrated = concentrated;
+        if concentrated != self.concentration {
+            self.concentration = concentrated;
             actions.push(Action::Concentrate(concentrated));
         }
         let moving = self.veto.is_none() && self.outcome.is_none() && self.dropped.is_none();
-        if moving && wall > self.plan.by && level < Level::FULL && !self.late {
-            self.late = true;
+        if moving && wall > self.plan.by && level < Level::FULL && !self.late_noticed {
+            self.late_noticed = true;
             actions.push(Action::Notice(Notice::Late));
         }
         self.keep_record(now, wall, actions);
@@ -84,28 +84,28 @@
             Some(Side::Old) => return Level::ZERO,
             None => {}
         }
-        let (_, ready) = self.ready.unwrap_or_default();
+        let (_, ready) = self.ready_replicas.unwrap_or_default();
         if !self.synced || ready == 0 || self.level == Level::FULL {
             return self.level;
         }
-        let latest = self.ramp.latest(wall);
-        let earliest = self.ramp.earliest(wall);
-        if self.level >= earliest {
+        let lower_bound = self.ramp.lower_bound(wall);
+        let upper_bound = self.ramp.upper_bound(wall);
+        if self.level >= upper_bound {
             return self.level;
         }
-        let dwell = match self.level < latest {
+        let dwell = match self.level < lower_bound {
             true => CATCH_UP,
             false => self.dwell(),
         };
-        if now.saturating_sub(self.stepped) < dwell {
+        if now.saturating_sub(self.level_changed_at) < dwell {
             return self.level;
         }
-        let carried = judge::carried(&self.total, &self.routes);
-        let wanted = earliest.min(carried.max(latest).max(Level::ZERO.next()));
+        let supported_level = judge::supported_level(&self.total, &self.routes);
+        let wanted = upper_bound.min(supported_level.max(lower_bound).max(Level::ZERO.next()));
         if wanted <= self.level {
             return self.level;
         }
-        if latest < Level::FULL && self.verdict().against >= LEAN {
+        if lower_bound < Level::FULL && self.verdict().e_value >= HOLD_THRESHOLD {
             return self.level;
         }
         self.level.next()
@@ -120,7 +120,7 @@
     /// old version's replicas have with all traffic. Spread thin over all replicas, a fault that
     /// shows only under load would stay hidden until most traffic has moved.
     fn replicas(&self) -> Option<u32> {
-        let (old, new) = self.ready?;
+        let (old, new) = self.ready_replicas?;
         if self.level == Level::ZERO || self.level == Level::FULL {
             return None;
         }
@@ -135,19 +135,22 @@
         let ended = self.ended(wall);
         let begun = self.revision.is_some_and(|revision| revision > 0);
         if !self.synced || (ended.is_none() && begun) {
-            self.due = None;
+            self.write_due = None;
             self.read_again(now, actions);
             return;
         }
-        let due = *self.due.get_or_insert(now);
+        let due = *self.write_due.get_or_insert(now);
         if now < due + RANK_WAIT * self.rank {
             return;
         }
         let pause = RETRY * (self.rank + 1);
-        if self.asked.is_some_and(|asked| now < asked + pause) {
+        if self
+            .store_call_at
+            .is_some_and(|requested| now < requested + pause)
+        {
             return;
         }
-        self.asked = Some(now);
+        self.store_call_at = Some(now);
         let record = Box::new(self.record(ended, wall));
         let expect = self.revision.unwrap_or(0);
         actions.push(Action::Write { record, expect });
@@ -159,8 +162,8 @@
     /// it. The others would go on with a move whose record says that it was reverted.
     fn read_again(&mut self, now: Clock, actions: &mut Vec<Action>) {
         let reads = self.rank < READERS || !self.synced;
-        if reads && now >= self.read + READ_EVERY {
-            self.read = now;
+        if reads && now >= self.read_at + READ_EVERY {
+            self.read_at = now;
             actions.push(Action::Read);
         }
     }
@@ -177,7 +180,7 @@
             };
             return Some((end, reason.clone()));
         }
-        let watched = self.full? + self.plan.watch;
+        let watched = self.full_at? + self.plan.watch;
         (wall >= watched).then_some((End::Done, Reason::Watched))
     }
 
@@ -191,7 +194,7 @@
             outcome: ended.map(|(end, reason)| Outcome {
                 end,
                 reason,
-                full: self.full,
+                full: self.full_at,
                 at: wall,
                 by: self.owner.source.clone(),
             }),
--- a/components/moves/src/plan.rs
+++ b/components/moves/src/plan.rs
@@ -17,19 +17,19 @@
 ///
 /// A document with a time in the past would otherwise switch all traffic within a second, before
 /// any evidence of a fault can arrive.
-const SHORTEST: Duration = Duration::from_secs(60);
+const MIN_SPAN: Duration = Duration::from_secs(60);
 
 /// Longest time that is kept free before the operator's time.
-const LONGEST_MARGIN: Duration = Duration::from_secs(300);
+const MAX_MARGIN: Duration = Duration::from_secs(300);
 
 /// Number of slots into which a move's time is cut, see [`Ramp::slot`].
 pub const SLOTS: u32 = 40;
 
 /// Parts of the ramp, in thousandths, at which the upper bound reaches each level.
-const EARLIEST: [u64; Level::COUNT] = [0, 0, 50, 100, 250, 400, 550, 650, 800, 900];
+const UPPER_BOUND_PERMILLE: [u64; Level::COUNT] = [0, 0, 50, 100, 250, 400, 550, 650, 800, 900];
 
 /// Parts of the ramp, in thousandths, at which the lower bound reaches each level.
-const LATEST: [u64; Level::COUNT] = [0, 0, 150, 250, 350, 450, 600, 750, 900, 1000];
+const LOWER_BOUND_PERMILLE: [u64; Level::COUNT] = [0, 0, 150, 250, 350, 450, 600, 750, 900, 1000];
 
 /// Bounds of a move's share over time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -43,9 +43,9 @@
     /// Lays the ramp from `began`, the time when the move began, to shortly before `plan.by`.
     pub fn new(plan: &Plan, began: SystemTime) -> Self {
         let began = plan.start.unwrap_or(began);
-        let asked = plan.by.duration_since(began).unwrap_or_default();
-        let margin = (asked / 20).min(LONGEST_MARGIN);
-        let span = (asked - margin).max(SHORTEST);
+        let requested = plan.by.duration_since(began).unwrap_or_default();
+        let margin = (requested / 20).min(MAX_MARGIN);
+        let span = (requested - margin).max(MIN_SPAN);
         Self {
             began,
             full: began + span,
@@ -65,17 +65,17 @@
 
     /// Length of the ramp.
     pub fn span(&self) -> Duration {
-        self.full.duration_since(self.began).unwrap_or(SHORTEST)
+        self.full.duration_since(self.began).unwrap_or(MIN_SPAN)
     }
 
     /// Upper bound of the share.
-    pub fn earliest(&self, wall: SystemTime) -> Level {
-        self.level(wall, &EARLIEST)
+    pub fn upper_bound(&self, wall: SystemTime) -> Level {
+        self.level(wall, &UPPER_BOUND_PERMILLE)
     }
 
     /// Lower bound of the share while nothing speaks against the new version.
-    pub fn latest(&self, wall: SystemTime) -> Level {
-        self.level(wall, &LATEST)
+    pub fn lower_bound(&self, wall: SystemTime) -> Level {
+        self.level(wall, &LOWER_BOUND_PERMILLE)
     }
 
     /// Number of the slot of time that `wall` falls into.
@@ -95,7 +95,7 @@
         };
         let part = elapsed.as_secs_f64() / self.span().as_secs_f64() * 1000.0;
         Level::all()
-            .filter(|level| parts[level.rung()] as f64 <= part)
+            .filter(|level| parts[level.index()] as f64 <= part)
             .last()
             .unwrap_or(Level::ZERO)
     }
--- a/components/moves/src/rank.rs
+++ b/components/moves/src/rank.rs
@@ -14,7 +14,7 @@
 ///
 /// A list may name many entries that are gone or that serve another environment. Each place waits
 /// 5 s longer than the one before, so without a bound an outcome could stay unwritten for minutes.
-pub const LAST: u32 = 11;
+pub const MAX_RANK: u32 = 11;
 
 /// Place of an entry in the order of who writes the record of a move, 0 first.
 ///
@@ -27,5 +27,5 @@
         .into_iter()
         .filter(|host| (weight(host), *host) < mine);
     let ahead = u32::try_from(ahead.count()).unwrap_or(u32::MAX);
-    ahead.min(LAST)
+    ahead.min(MAX_RANK)
 }
--- a/components/moves/src/share.rs
+++ b/components/moves/src/share.rs
@@ -9,7 +9,7 @@
 };
 
 /// Shares of the ladder in thousandths.
-const LADDER: [u32; 10] = [0, 10, 20, 50, 100, 200, 350, 500, 750, 1000];
+const LEVELS_PERMILLE: [u32; 10] = [0, 10, 20, 50, 100, 200, 350, 500, 750, 1000];
 
 /// A rung of the ladder: the new version's share of the traffic.
 #[derive(
@@ -31,30 +31,30 @@
     pub const ZERO: Self = Self(0);
 
     /// All traffic for the new version.
-    pub const FULL: Self = Self(LADDER.len() as u8 - 1);
+    pub const FULL: Self = Self(LEVELS_PERMILLE.len() as u8 - 1);
 
     /// Number of rungs.
-    pub const COUNT: usize = LADDER.len();
+    pub const COUNT: usize = LEVELS_PERMILLE.len();
 
     /// Returns every level from [`Level::ZERO`] to [`Level::FULL`].
     pub fn all() -> impl Iterator<Item = Self> {
-        (0..LADDER.len() as u8).map(Self)
+        (0..LEVELS_PERMILLE.len() as u8).map(Self)
     }
 
     /// Returns the highest level whose share is at most `permille`.
     pub fn at_most(permille: u32) -> Self {
-        let above = LADDER.iter().position(|share| *share > permille);
-        Self(above.unwrap_or(LADDER.len()).max(1) as u8 - 1)
+        let above = LEVELS_PERMILLE.iter().position(|share| *share > permille);
+        Self(above.unwrap_or(LEVELS_PERMILLE.len()).max(1) as u8 - 1)
     }
 
     /// Position on the ladder.
-    pub fn rung(self) -> usize {
-        usize::from(self.0).min(LADDER.len() - 1)
+    pub fn index(self) -> usize {
+        usize::from(self.0).min(LEVELS_PERMILLE.len() - 1)
     }
 
     /// Share in thousandths.
     pub fn permille(self) -> u32 {
-        LADDER[self.rung()]
+        LEVELS_PERMILLE[self.index()]
     }
 
     /// Share between 0 and 1.
--- a/components/moves/src/sketch.rs
+++ b/components/moves/src/sketch.rs
@@ -12,7 +12,7 @@
 };
 
 /// Most hashes that are kept; from here on failures are counted without regard to retries.
-pub const KEPT: usize = 24;
+pub const CAPACITY: usize = 24;
 
 /// The smallest hashes of the requests that failed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -22,14 +22,14 @@
     /// Adds a request; tells whether the set changed.
     pub fn add(&mut self, hash: u32) -> bool {
         let added = self.0.insert(hash);
-        if self.0.len() > KEPT {
+        if self.0.len() > CAPACITY {
             return self.0.pop_last() != Some(hash);
         }
         added
     }
 
     /// Tells whether the set holds a request.
-    pub fn holds(&self, hash: u32) -> bool {
+    pub fn contains(&self, hash: u32) -> bool {
         self.0.contains(&hash)
     }
 
@@ -47,9 +47,9 @@
 
     /// Number of distinct requests, given how often a failure was counted.
     pub fn distinct(&self, counted: u32) -> u32 {
-        if self.0.len() < KEPT {
+        if self.0.len() < CAPACITY {
             return self.0.len() as u32;
         }
-        counted.max(KEPT as u32)
+        counted.max(CAPACITY as u32)
     }
 }
--- a/components/moves/src/step.rs
+++ b/components/moves/src/step.rs
@@ -52,13 +52,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// It got its answer.
-    Whole,
+    Completed,
     /// The version failed it: an error, a broken or stalled stream.
     Failed,
     /// Something else ended it: the caller, a refusal, a lost host, a server's death.
     ///
     /// A death ends many requests at once and is counted once, by [`Event::Died`].
-    Excused,
+    Inconclusive,
 }
 
 /// Something that entries tell one another. Facts may be lost, repeated and reordered.
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
     /// What stands under the move's key, after a read, a write or a conflict.
-    Standing {
+    Current {
         /// Revision of the key; 0 when there is none.
         revision: Revision,
         /// The record, if there is one.
@@ -165,7 +165,7 @@
     /// A backend server died, or a death is explained better than before.
     Died(Death),
     /// Another entry told something.
-    Heard(Fact),
+    Received(Fact),
     /// The store answered.
     Stored(Answer),
     /// Time passed; wanted about once a second.
@@ -180,7 +180,7 @@
     /// Send the new version's traffic to this many of its replicas; to all when none.
     Concentrate(Option<u32>),
     /// Keep the old version's replicas ready, or no longer.
-    Warm(bool),
+    KeepWarm(bool),
     /// Tell the other entries.
     Publish(Fact),
     /// Read the move's record.
@@ -200,7 +200,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// This entry found the new version bad.
-    Tripped(Veto),
+    Vetoed(Veto),
     /// The operator's time passed and the traffic hasn't moved whole.
     Late,
     /// The move has ended, and this entry wrote so.
--- a/components/moves/tests/bench/mod.rs
+++ b/components/moves/tests/bench/mod.rs
@@ -115,7 +115,7 @@
     pub fn start(&mut self, entry: usize) {
         let owner = Owner {
             source: source(entry),
-            home: "a".into(),
+            data_centre: "a".into(),
         };
         let at = Duration::from_secs(self.now);
         let (mover, actions) = Mover::new(owner, plan(), routes(), at, wall(self.now));
@@ -161,7 +161,7 @@
     }
 
     fn answer(&mut self, entry: usize) {
-        let answer = Answer::Standing {
+        let answer = Answer::Current {
             revision: self.revision,
             record: self.record.clone(),
         };
@@ -178,8 +178,8 @@
                 if to == from || self.cut_off.contains(&from) || self.cut_off.contains(&to) {
                     continue;
                 }
-                self.on(to, Event::Heard(fact.clone()));
-                self.on(to, Event::Heard(fact.clone()));
+                self.on(to, Event::Received(fact.clone()));
+                self.on(to, Event::Received(fact.clone()));
             }
         }
         for entry in 0..self.movers.len() {
@@ -190,7 +190,7 @@
     /// Hands all that one entry knows to another.
     pub fn sync(&mut self, from: usize, to: usize) {
         for fact in self.movers[from].facts() {
-            self.on(to, Event::Heard(fact));
+            self.on(to, Event::Received(fact));
         }
         self.on(to, Event::Synced);
     }
@@ -226,7 +226,7 @@
         };
         let ending = match fate {
             Fate::Failed => Ending::Failed,
-            _ => Ending::Whole,
+            _ => Ending::Completed,
         };
         let pick = pick.clone();
         let time = Duration::from_millis(first);
--- a/components/moves/tests/evidence.rs
+++ b/components/moves/tests/evidence.rs
@@ -13,7 +13,7 @@
         Source, //
     },
     sketch::{
-        KEPT,
+        CAPACITY,
         Sketch, //
     }, //
 };
@@ -110,5 +110,5 @@
         sketch.add(hash);
     }
     assert_eq!(sketch.distinct(104), 104);
-    assert!(sketch.holds(KEPT as u32 - 1) && !sketch.holds(KEPT as u32));
+    assert!(sketch.contains(CAPACITY as u32 - 1) && !sketch.contains(CAPACITY as u32));
 }
--- a/components/moves/tests/judge.rs
+++ b/components/moves/tests/judge.rs
@@ -7,7 +7,7 @@
         Key, //
     },
     judge::{
-        TRIP,
+        VETO_THRESHOLD,
         assess, //
     },
 };
@@ -41,11 +41,11 @@
     for slot in 0..20 {
         add(&mut cells, slot, 350, 7, 13);
     }
-    assert!(assess(&cells, [].into_iter()).against < 1.0);
+    assert!(assess(&cells, [].into_iter()).e_value < 1.0);
     for slot in 20..23 {
         add(&mut cells, slot, 350, 20, 5);
     }
-    assert!(assess(&cells, [].into_iter()).against >= TRIP);
+    assert!(assess(&cells, [].into_iter()).e_value >= VETO_THRESHOLD);
 }
 
 /// One number after another, evenly spread.
@@ -79,7 +79,7 @@
                 u32::from(!new),
             );
             if new {
-                highest = highest.max(assess(&cells, [].into_iter()).against);
+                highest = highest.max(assess(&cells, [].into_iter()).e_value);
             }
         }
         over += u32::from(highest >= LIMIT);
--- a/components/moves/tests/plan.rs
+++ b/components/moves/tests/plan.rs
@@ -21,11 +21,13 @@
     let ramp = Ramp::new(&plan(), wall(0));
     let mut lines = Vec::new();
     for second in (0..=3600).step_by(300) {
-        let earliest = ramp.earliest(wall(second));
-        let latest = ramp.latest(wall(second));
-        assert!(latest <= earliest);
-        let (earliest, latest) = (earliest.permille(), latest.permille());
-        lines.push(format!("{second} s: {latest} to {earliest} per mille"));
+        let upper_bound = ramp.upper_bound(wall(second));
+        let lower_bound = ramp.lower_bound(wall(second));
+        assert!(lower_bound <= upper_bound);
+        let (upper_bound, lower_bound) = (upper_bound.permille(), lower_bound.permille());
+        lines.push(format!(
+            "{second} s: {lower_bound} to {upper_bound} per mille"
+        ));
     }
     assert!(ramp.full() < wall(3600));
     insta::assert_snapshot!(lines.join("\n"));
@@ -41,7 +43,7 @@
     plan.by = wall(by);
     let ramp = Ramp::new(&plan, wall(5));
     assert_eq!(ramp.span(), Duration::from_secs(60));
-    assert!(ramp.latest(wall(30)) < Level::FULL);
+    assert!(ramp.lower_bound(wall(30)) < Level::FULL);
 }
 
 #[test]
@@ -49,8 +51,8 @@
     let mut plan = plan();
     plan.start = Some(wall(100));
     let ramp = Ramp::new(&plan, wall(0));
-    assert_eq!(ramp.earliest(wall(99)), Level::ZERO);
-    assert!(ramp.earliest(wall(100)) > Level::ZERO);
+    assert_eq!(ramp.upper_bound(wall(99)), Level::ZERO);
+    assert!(ramp.upper_bound(wall(100)) > Level::ZERO);
 }
 
 #[test]
--- a/components/moves/tests/rank.rs
+++ b/components/moves/tests/rank.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use moves::rank::{
-    LAST,
+    MAX_RANK,
     rank, //
 };
 use names::Host;
@@ -16,12 +16,12 @@
 /// each outcome; if none took it, every outcome would come late.
 #[test]
 fn entries_that_know_each_other_take_different_places() {
-    let hosts = hosts(LAST as usize + 1);
+    let hosts = hosts(MAX_RANK as usize + 1);
     for number in 0..100 {
         let name = format!("move-{number}");
         let mut places: Vec<_> = hosts.iter().map(|own| rank(own, &hosts, &name)).collect();
         places.sort_unstable();
-        assert_eq!(places, (0..=LAST).collect::<Vec<_>>());
+        assert_eq!(places, (0..=MAX_RANK).collect::<Vec<_>>());
     }
 }
 
@@ -57,6 +57,6 @@
     let hosts = hosts(340);
     let name = "drafting-2".to_string();
     let places = hosts.iter().map(|own| rank(own, &hosts, &name));
-    assert_eq!(places.max(), Some(LAST));
+    assert_eq!(places.max(), Some(MAX_RANK));
     assert_eq!(rank(&hosts[0], [], &name), 0);
 }
