--- a/components/answer/src/events.rs
+++ b/components/answer/src/events.rs
@@ -9,7 +9,7 @@
 };
 
 /// Longest event that is kept until it is whole, in bytes.
-const LONGEST: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event as it came.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
         came: u64,
     },
     /// An event is longer than any that is known to be sent.
-    Long,
+    TooLong,
 }
 
 /// Cuts a stream into events.
@@ -49,7 +49,7 @@
     }
 
     /// Whether an event has begun and isn't whole.
-    pub fn torn(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -57,13 +57,13 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Long`] for an event that doesn't end.
+    /// [`Fault::TooLong`] for an event that doesn't end.
     pub fn take(&mut self) -> Result<Option<Event>, Fault> {
         let start = self.searched.saturating_sub(3);
         let Some(end) = end(&self.buffer[start..]) else {
             self.searched = self.buffer.len();
-            if self.buffer.len() > LONGEST {
-                return Err(Fault::Long);
+            if self.buffer.len() > MAX_EVENT_BYTES {
+                return Err(Fault::TooLong);
             }
             return Ok(None);
         };
@@ -123,7 +123,7 @@
     /// # Errors
     ///
     /// [`Fault::Gap`] when events before it are missing.
-    pub fn take(&mut self, id: u64) -> Result<bool, Fault> {
+    pub fn accept(&mut self, id: u64) -> Result<bool, Fault> {
         let Some(last) = self.last else {
             self.last = Some(id);
             return Ok(true);
--- a/components/answer/src/finish.rs
+++ b/components/answer/src/finish.rs
@@ -18,7 +18,7 @@
 
 impl Finish {
     /// Whether the text is whole.
-    pub fn whole(self) -> bool {
+    pub fn is_complete(self) -> bool {
         match self {
             Finish::Stop | Finish::Length => true,
             Finish::Broken(_) => false,
--- a/components/answer/src/loss.rs
+++ b/components/answer/src/loss.rs
@@ -30,7 +30,7 @@
 }
 
 /// Age from which on a run that gave no event may have read some of its prompt.
-pub const READING: Duration = Duration::from_millis(250);
+pub const MIN_PREFILL_AGE: Duration = Duration::from_millis(250);
 
 /// Where a stream can go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,14 +60,14 @@
 
     /// Whether the loss shows that the server can't be reached. A connection that breaks doesn't:
     /// servers lose single answers, and the next connection tells.
-    pub fn unreachable(self) -> bool {
+    pub fn is_unreachable(self) -> bool {
         self == Loss::Dark
     }
 
     /// Whether the server broke the run off as soon as it had it, when it lasted `age` and gave
     /// `events`. A server that does so to one run does so to the next, as a rule.
-    pub fn at_once(self, events: u64, age: Duration) -> bool {
-        matches!(self, Loss::Closed | Loss::Reset) && events == 0 && age < READING
+    pub fn is_immediate(self, events: u64, age: Duration) -> bool {
+        matches!(self, Loss::Closed | Loss::Reset) && events == 0 && age < MIN_PREFILL_AGE
     }
 
     /// Name for logs.
--- a/components/answer/src/pointer.rs
+++ b/components/answer/src/pointer.rs
@@ -2,7 +2,7 @@
 //!
 //! Two sidecars in two data centres hold each pointer, chosen by rendezvous hashing of the request,
 //! so every entry knows whom to ask. Pointers are soft state: a lost one costs latency, as the
-//! answer is then begun again, and a stale one is found out by the [`crate::mark::Mark`].
+//! answer is then begun again, and a stale one is found out by the [`crate::position::Position`].
 
 use std::{
     cmp::Reverse,
@@ -78,16 +78,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Pointers held; beyond, the one that was put longest ago goes.
-    pub most: usize,
+    pub max_pointers: usize,
     /// Time after its last put at which a pointer expires.
-    pub keep: Duration,
+    pub ttl: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            most: 10_000,
-            keep: Duration::from_secs(3600),
+            max_pointers: 10_000,
+            ttl: Duration::from_secs(3600),
         }
     }
 }
@@ -96,20 +96,20 @@
 #[derive(Debug)]
 pub struct Table {
     settings: Settings,
-    pointers: HashMap<Request, Held>,
+    pointers: HashMap<Request, Slot>,
     /// Requests in the order of their puts; a put again leaves an outdated line behind.
-    order: VecDeque<Line>,
+    order: VecDeque<Put>,
     puts: u64,
 }
 
 #[derive(Debug)]
-struct Held {
+struct Slot {
     pointer: Pointer,
     put: u64,
 }
 
 #[derive(Debug)]
-struct Line {
+struct Put {
     put: u64,
     time: Clock,
     request: Request,
@@ -130,38 +130,38 @@
     /// message doesn't bring back a run that was replaced; of equal epochs the later put stays.
     pub fn put(&mut self, now: Clock, request: Request, pointer: Pointer) {
         self.expire(now);
-        let held = self.pointers.get(&request);
-        if held.is_some_and(|held| held.pointer.epoch > pointer.epoch) {
+        let slot = self.pointers.get(&request);
+        if slot.is_some_and(|slot| slot.pointer.epoch > pointer.epoch) {
             return;
         }
         self.puts += 1;
         let put = self.puts;
-        self.order.push_back(Line {
+        self.order.push_back(Put {
             put,
             time: now,
             request: request.clone(),
         });
-        self.pointers.insert(request, Held { pointer, put });
-        while self.pointers.len() > self.settings.most {
-            self.drop_first();
+        self.pointers.insert(request, Slot { pointer, put });
+        while self.pointers.len() > self.settings.max_pointers {
+            self.evict_oldest();
         }
         // Puts again leave lines behind; two a pointer bound the queue.
-        if self.order.len() > self.settings.most.saturating_mul(2) {
+        if self.order.len() > self.settings.max_pointers.saturating_mul(2) {
             let pointers = &self.pointers;
-            self.order.retain(|line| current(pointers, line));
+            self.order.retain(|put_entry| current(pointers, put_entry));
         }
     }
 
     /// The pointer of a request.
     pub fn get(&mut self, now: Clock, request: &str) -> Option<&Pointer> {
         self.expire(now);
-        self.pointers.get(request).map(|held| &held.pointer)
+        self.pointers.get(request).map(|slot| &slot.pointer)
     }
 
     /// Drops the pointer of a run that ended, unless another run took its place.
     pub fn remove(&mut self, request: &str, nonce: Nonce) {
-        let held = self.pointers.get(request);
-        if held.is_some_and(|held| held.pointer.nonce == nonce) {
+        let slot = self.pointers.get(request);
+        if slot.is_some_and(|slot| slot.pointer.nonce == nonce) {
             self.pointers.remove(request);
         }
     }
@@ -177,26 +177,26 @@
     }
 
     fn expire(&mut self, now: Clock) {
-        while let Some(line) = self.order.front() {
-            if line.time + self.settings.keep > now {
+        while let Some(put_entry) = self.order.front() {
+            if put_entry.time + self.settings.ttl > now {
                 return;
             }
-            self.drop_first();
+            self.evict_oldest();
         }
     }
 
-    fn drop_first(&mut self) {
-        let Some(line) = self.order.pop_front() else {
+    fn evict_oldest(&mut self) {
+        let Some(put_entry) = self.order.pop_front() else {
             return;
         };
-        if current(&self.pointers, &line) {
-            self.pointers.remove(&line.request);
+        if current(&self.pointers, &put_entry) {
+            self.pointers.remove(&put_entry.request);
         }
     }
 }
 
 /// Whether a line of the order is of the put that is held.
-fn current(pointers: &HashMap<Request, Held>, line: &Line) -> bool {
-    let held = pointers.get(&line.request);
-    held.is_some_and(|held| held.put == line.put)
+fn current(pointers: &HashMap<Request, Slot>, put_entry: &Put) -> bool {
+    let slot = pointers.get(&put_entry.request);
+    slot.is_some_and(|slot| slot.put == put_entry.put)
 }
--- a/components/answer/src/mark.rs
+++ b/components/answer/src/position.rs
@@ -19,7 +19,7 @@
 
 /// A number of tokens and the digest of their text.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct Position {
     /// Number of tokens, which is the index of the next one.
     pub next: Index,
     /// Chained digest of these tokens.
@@ -33,7 +33,7 @@
 )]
 pub struct Malformed;
 
-impl Mark {
+impl Position {
     /// Goes on by one token.
     pub fn push(&mut self, token: &str) {
         self.digest = xxh3_64_with_seed(token.as_bytes(), self.digest);
@@ -42,19 +42,19 @@
 }
 
 /// The id of the last token that the mark covers: its index, a dash, and the digest.
-impl fmt::Display for Mark {
+impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}-{:016x}", self.next.saturating_sub(1), self.digest)
     }
 }
 
-impl FromStr for Mark {
+impl FromStr for Position {
     type Err = Malformed;
 
-    fn from_str(text: &str) -> Result<Mark, Malformed> {
+    fn from_str(text: &str) -> Result<Position, Malformed> {
         let (index, digest) = text.trim().split_once('-').ok_or(Malformed)?;
         let index: Index = index.parse().map_err(|_| Malformed)?;
-        Ok(Mark {
+        Ok(Position {
             next: index.checked_add(1).ok_or(Malformed)?,
             digest: u64::from_str_radix(digest, 16).map_err(|_| Malformed)?,
         })
--- a/components/answer/src/resume.rs
+++ b/components/answer/src/resume.rs
@@ -32,7 +32,7 @@
         Cursor,
         Verdict, //
     },
-    mark::Mark,
+    position::Position,
     threshold::Threshold, //
 };
 use attempt::{
@@ -58,9 +58,9 @@
     threshold: Threshold,
     cursor: Cursor,
     /// Digest of what was taken.
-    mark: Mark,
+    position: Position,
     /// What the caller had when it came; tokens up to there are kept and not delivered.
-    had: Mark,
+    had: Position,
     attempts: Vec<Attempt>,
     owner: Option<Epoch>,
     next_epoch: Epoch,
@@ -82,8 +82,8 @@
             settings,
             threshold,
             cursor: Cursor::default(),
-            mark: Mark::default(),
-            had: Mark::default(),
+            position: Position::default(),
+            had: Position::default(),
             attempts: Vec::new(),
             owner: None,
             next_epoch: FIRST_EPOCH,
@@ -103,15 +103,15 @@
         }
         match event {
             Event::Begin { from } => self.begin(now, from, actions),
-            Event::Return { mark } => {
-                self.had = mark;
+            Event::Return { position } => {
+                self.had = position;
                 self.start(now, Cause::First, actions);
             }
             Event::Found {
                 epoch,
                 server,
-                mark,
-            } => self.adopt(now, epoch, server, mark, actions),
+                position,
+            } => self.adopt(now, epoch, server, position, actions),
             Event::Placed { epoch, server } => self.placed(now, epoch, server, actions),
             Event::NoPlace { epoch, retry_after } => {
                 self.unplaced(now, epoch, retry_after, actions);
@@ -182,10 +182,10 @@
         now: Clock,
         epoch: Epoch,
         server: Server,
-        mark: Mark,
+        position: Position,
         actions: &mut Vec<Action>,
     ) {
-        self.had = mark;
+        self.had = position;
         self.next_epoch = epoch + 1;
         self.started = 1;
         let mut attempt = Attempt::new(epoch, 0, now);
@@ -320,7 +320,7 @@
                 tokens: kept,
             });
             index = self.cursor.next();
-            if index == self.had.next && self.mark != self.had {
+            if index == self.had.next && self.position != self.had {
                 self.rewind(actions);
             }
         }
@@ -335,14 +335,14 @@
 
     fn advance(&mut self, tokens: &[String]) {
         for token in tokens {
-            self.mark.push(token);
+            self.position.push(token);
         }
         self.cursor.advance(tokens.len());
     }
 
     /// What the caller has is of another text: it gets this one from its beginning.
     fn rewind(&mut self, actions: &mut Vec<Action>) {
-        self.had = Mark::default();
+        self.had = Position::default();
         actions.push(Action::Restart {
             kept: self.cursor.next(),
         });
@@ -359,7 +359,7 @@
         if self.attempt(epoch).is_none() {
             return;
         }
-        if !finish.whole() || total < self.cursor.next() {
+        if !finish.is_complete() || total < self.cursor.next() {
             self.lose(now, epoch, actions);
             return;
         }
@@ -379,7 +379,7 @@
     /// Dials anew to an epoch's sidecar, at once the first time, later after a pause.
     fn redial(&mut self, now: Clock, epoch: Epoch, actions: &mut Vec<Action>) {
         let from = self.cursor.next();
-        let most = self.settings.most_attaches;
+        let most = self.settings.max_attaches;
         let pause = self.settings.dial_pause;
         let Some(attempt) = self.attempt(epoch) else {
             return;
@@ -424,21 +424,21 @@
 
     /// Starts the next epoch when none is left.
     fn replace(&mut self, now: Clock, actions: &mut Vec<Action>) {
-        if self.started >= self.settings.most_epochs {
-            let pause = self.settings.first;
+        if self.started >= self.settings.max_epochs {
+            let pause = self.settings.first_token_timeout;
             self.interrupt(Interruption::TooManyEpochs, pause, actions);
             return;
         }
         if !self.settings.continues && self.cursor.next() > 0 {
             let delivered = self.cursor.next() > self.had.next;
             if self.settings.streamed && delivered {
-                let pause = self.settings.first;
+                let pause = self.settings.first_token_timeout;
                 self.interrupt(Interruption::NotContinuable, pause, actions);
                 return;
             }
             self.cursor = Cursor::default();
-            self.mark = Mark::default();
-            self.had = Mark::default();
+            self.position = Position::default();
+            self.had = Position::default();
             self.owner = None;
             actions.push(Action::Restart { kept: 0 });
         }
--- a/components/answer/src/resume/message.rs
+++ b/components/answer/src/resume/message.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     Finish,
-    mark::Mark,
+    position::Position,
     threshold, //
 };
 
@@ -33,17 +33,17 @@
     /// Gaps between tokens that the entry has seen in this pool.
     pub pool: threshold::Gaps,
     /// Silence before a first token, from the placing on, after which an engine is suspected.
-    pub first: Duration,
+    pub first_token_timeout: Duration,
     /// Time at which the answer is given up.
     pub deadline: Clock,
     /// Epochs that one answer may start, without those of wrong suspicions.
-    pub most_epochs: u32,
+    pub max_epochs: u32,
     /// Replicas that may refuse in a row before the answer is given up or pauses.
-    pub most_refusals: u32,
+    pub max_refusals: u32,
     /// Longest time that an answer which has run goes on asking replicas that refuse.
-    pub hold: Duration,
+    pub refusal_timeout: Duration,
     /// Times that a link is dialled anew without a token in between, until its epoch counts as lost.
-    pub most_attaches: u32,
+    pub max_attaches: u32,
     /// Pause before the second dial in a row; it doubles with each further one.
     pub dial_pause: Duration,
 }
@@ -56,12 +56,12 @@
             resumable: true,
             suspicion: threshold::Settings::default(),
             pool: threshold::Gaps::default(),
-            first: Duration::from_millis(2500),
+            first_token_timeout: Duration::from_millis(2500),
             deadline: Clock::from_secs(3600),
-            most_epochs: 8,
-            most_refusals: 4,
-            hold: Duration::from_secs(20),
-            most_attaches: 4,
+            max_epochs: 8,
+            max_refusals: 4,
+            refusal_timeout: Duration::from_secs(20),
+            max_attaches: 4,
             dial_pause: Duration::from_millis(100),
         }
     }
@@ -79,7 +79,7 @@
     /// The caller came back, and no pointer names a generation of its request.
     Return {
         /// What the caller has.
-        mark: Mark,
+        position: Position,
     },
     /// The caller asked, and a pointer names a running generation.
     Found {
@@ -88,7 +88,7 @@
         /// Where it runs.
         server: Server,
         /// What the caller has; the default is nothing.
-        mark: Mark,
+        position: Position,
     },
     /// The epoch's generation was handed to a replica.
     Placed {
--- a/components/answer/src/resume/refusal.rs
+++ b/components/answer/src/resume/refusal.rs
@@ -54,11 +54,11 @@
         self.started -= 1;
         self.refusals.row += 1;
         let since = *self.refusals.since.get_or_insert(now);
-        if self.refusals.row < self.settings.most_refusals {
+        if self.refusals.row < self.settings.max_refusals {
             self.replace(now, actions);
             return;
         }
-        if self.started == 0 || now.saturating_sub(since) >= self.settings.hold {
+        if self.started == 0 || now.saturating_sub(since) >= self.settings.refusal_timeout {
             self.interrupt(Interruption::Refused, retry_after, actions);
             return;
         }
--- a/components/answer/src/resume/suspicion.rs
+++ b/components/answer/src/resume/suspicion.rs
@@ -124,7 +124,7 @@
     /// When the last of the live epochs is overdue.
     fn suspicion_due(&self) -> Option<Clock> {
         let startable = self.settings.continues || self.cursor.next() == 0;
-        if !startable || self.started >= self.settings.most_epochs {
+        if !startable || self.started >= self.settings.max_epochs {
             return None;
         }
         let last = self.attempts.iter().map(|attempt| self.due(attempt)).max();
@@ -138,7 +138,7 @@
         if attempt.spoke {
             return attempt.heard + self.threshold.limit();
         }
-        attempt.heard + self.settings.first
+        attempt.heard + self.settings.first_token_timeout
     }
 
     fn hedge(&mut self, now: Clock, actions: &mut Vec<Action>) {
--- a/components/answer/src/silence.rs
+++ b/components/answer/src/silence.rs
@@ -61,14 +61,14 @@
     /// Wait until a time since the last sign of life.
     Wait(Duration),
     /// Ask the server for a new connection.
-    Check,
+    Connect,
     /// Ask the server what it runs.
-    Inquire,
+    QueryServer,
     /// Take the run for lost.
     Lost,
     /// Begin anew elsewhere: the server is much slower than expected, and another one can still
     /// give the first event in time.
-    Leave,
+    Relocate,
 }
 
 /// What is expected of a run before its first event.
@@ -84,7 +84,7 @@
 
 /// The silence of one run.
 #[derive(Clone, Debug)]
-pub struct Silence {
+pub struct Detector {
     threshold: Threshold,
     gap: Duration,
     /// Silence at which a run without an event is looked into.
@@ -99,7 +99,7 @@
     doubted: bool,
 }
 
-impl Silence {
+impl Detector {
     /// A run whose first event is due within `objective` and whose gaps must stay under `gap`.
     /// `expected` is `None` when the caller has events already and waits for the next one.
     pub fn new(
@@ -107,7 +107,7 @@
         gap: Option<Duration>,
         usual: Gaps,
         expected: Option<Expectation>,
-    ) -> Silence {
+    ) -> Detector {
         let gap = gap.unwrap_or(GAP);
         let settings = Settings {
             lowest: gap.mul_f64(SOON),
@@ -121,7 +121,7 @@
             }
             None => gap.mul_f64(SOON),
         };
-        Silence {
+        Detector {
             threshold: Threshold::new(settings, usual),
             gap,
             first,
@@ -136,12 +136,12 @@
     /// Notes that somebody else found the server or its data centre dark. Before its first event a
     /// run gives no rhythm to go by, so that it would be looked into seconds later than the others
     /// there, and its prompt be read elsewhere too late.
-    pub fn doubt(&mut self) {
+    pub fn suspect(&mut self) {
         self.doubted = true;
     }
 
     /// Notes an event, `gap` after the one before it or after the run's start.
-    pub fn heard(&mut self, gap: Duration) {
+    pub fn record_event(&mut self, gap: Duration) {
         if self.begun {
             self.threshold.learn(gap);
         }
@@ -151,7 +151,7 @@
     }
 
     /// Notes that the server was alive at a silence.
-    pub fn alive(&mut self, silence: Duration) {
+    pub fn record_alive(&mut self, silence: Duration) {
         self.doubted = false;
         let soon = self.begun || silence < REPORTED;
         self.checked = silence + if soon { PACE } else { PACE_FIRST };
@@ -173,10 +173,10 @@
         }
         let leave = self.leave.filter(|_| !self.begun);
         if leave.is_some_and(|leave| silence >= leave) {
-            return Advice::Leave;
+            return Advice::Relocate;
         }
         if self.doubted {
-            return Advice::Check;
+            return Advice::Connect;
         }
         let lost = leave.map_or(lost, |leave| leave.min(lost));
         let look = match self.begun {
@@ -186,8 +186,8 @@
         let look = look.max(self.checked);
         if silence >= look {
             return match self.begun || silence < REPORTED {
-                true => Advice::Check,
-                false => Advice::Inquire,
+                true => Advice::Connect,
+                false => Advice::QueryServer,
             };
         }
         Advice::Wait(look.min(lost))
--- a/components/answer/tests/log.rs
+++ b/components/answer/tests/log.rs
@@ -12,9 +12,9 @@
         Log,
         TOKEN_OVERHEAD, //
     },
-    mark::{
+    position::{
         Malformed,
-        Mark, //
+        Position, //
     }, //
 };
 use names::Index;
@@ -116,29 +116,29 @@
 
 #[test]
 fn a_mark_survives_its_text() {
-    let mut mark = Mark::default();
+    let mut position = Position::default();
     for word in words(13) {
-        mark.push(&word);
+        position.push(&word);
     }
-    let text = mark.to_string();
+    let text = position.to_string();
     assert!(text.starts_with("12-"), "{text}");
-    assert_eq!(text.parse(), Ok(mark));
+    assert_eq!(text.parse(), Ok(position));
 }
 
 /// Two texts of equal length must not have equal marks, also where one only cuts its words
 /// differently: a caller would be given the rest of another text.
 #[test]
 fn marks_tell_texts_apart() {
-    let mark = |words: &[&str]| {
-        let mut mark = Mark::default();
+    let position = |words: &[&str]| {
+        let mut position = Position::default();
         for word in words {
-            mark.push(word);
+            position.push(word);
         }
-        mark
+        position
     };
-    assert_ne!(mark(&["a", "b"]), mark(&["a", "c"]));
-    assert_ne!(mark(&["ab", ""]), mark(&["a", "b"]));
-    assert_ne!(mark(&["a", "b"]), mark(&["b", "a"]));
+    assert_ne!(position(&["a", "b"]), position(&["a", "c"]));
+    assert_ne!(position(&["ab", ""]), position(&["a", "b"]));
+    assert_ne!(position(&["a", "b"]), position(&["b", "a"]));
 }
 
 #[rstest]
@@ -150,5 +150,5 @@
 #[case::too_long("12-11112222333344445")]
 #[case::overflow("18446744073709551615-00")]
 fn other_texts_are_no_marks(#[case] text: &str) {
-    assert_eq!(text.parse::<Mark>(), Err(Malformed));
+    assert_eq!(text.parse::<Position>(), Err(Malformed));
 }
--- a/components/answer/tests/pointer.rs
+++ b/components/answer/tests/pointer.rs
@@ -117,8 +117,8 @@
 #[test]
 fn pointers_expire_after_their_last_put() {
     let settings = Settings {
-        most: 10,
-        keep: SECOND * 10,
+        max_pointers: 10,
+        ttl: SECOND * 10,
     };
     let mut table = Table::new(settings);
     table.put(SECOND, "old".into(), pointer(1, 1));
@@ -134,8 +134,8 @@
 #[test]
 fn a_full_table_drops_the_oldest() {
     let settings = Settings {
-        most: 3,
-        keep: SECOND * 10,
+        max_pointers: 3,
+        ttl: SECOND * 10,
     };
     let mut table = Table::new(settings);
     for nonce in 0..50 {
--- a/components/answer/tests/resume.rs
+++ b/components/answer/tests/resume.rs
@@ -8,7 +8,7 @@
 use answer::{
     Breakage,
     Finish,
-    mark::Mark,
+    position::Position,
     resume::{
         Action,
         Event,
@@ -34,7 +34,7 @@
             ..threshold::Settings::default()
         },
         deadline: SECOND * 60,
-        most_epochs: 4,
+        max_epochs: 4,
         ..Settings::default()
     }
 }
@@ -89,20 +89,20 @@
     Event::LinkLost { epoch }
 }
 
-fn mark(words: &str) -> Mark {
-    let mut mark = Mark::default();
+fn position(words: &str) -> Position {
+    let mut position = Position::default();
     for word in words.split(' ') {
-        mark.push(word);
+        position.push(word);
     }
-    mark
+    position
 }
 
-fn found(epoch: Epoch, mark: Mark) -> Event {
+fn found(epoch: Epoch, position: Position) -> Event {
     let server = format!("s{epoch}");
     Event::Found {
         epoch,
         server,
-        mark,
+        position,
     }
 }
 
@@ -240,23 +240,23 @@
     (1060, Event::CallerGone), (1070, tokens(1, 1, "b")),
 ])]
 #[case::a_retry_finds_its_text("found", vec![
-    (0, found(3, mark("a b"))), (5, Event::Attached { epoch: 3 }), (6, tokens(3, 0, "a b c")),
+    (0, found(3, position("a b"))), (5, Event::Attached { epoch: 3 }), (6, tokens(3, 0, "a b c")),
     (7, end(3, 3)),
 ])]
 #[case::a_retry_finds_another_text("found_other", vec![
-    (0, found(3, mark("a x"))), (5, Event::Attached { epoch: 3 }), (6, tokens(3, 0, "a b c")),
+    (0, found(3, position("a x"))), (5, Event::Attached { epoch: 3 }), (6, tokens(3, 0, "a b c")),
     (7, end(3, 3)),
 ])]
 #[case::a_retry_finds_a_shorter_text("found_shorter", vec![
-    (0, found(3, mark("a b c"))), (5, Event::Attached { epoch: 3 }), (6, tokens(3, 0, "a b")),
+    (0, found(3, position("a b c"))), (5, Event::Attached { epoch: 3 }), (6, tokens(3, 0, "a b")),
     (7, end(3, 2)),
 ])]
 #[case::the_found_run_is_gone("found_gone", vec![
-    (0, found(3, mark("a b"))), (5, Event::AttachMissed { epoch: 3 }), (6, placed(4)),
+    (0, found(3, position("a b"))), (5, Event::AttachMissed { epoch: 3 }), (6, placed(4)),
     (50, tokens(4, 0, "a b c")), (51, end(4, 3)),
 ])]
 #[case::a_retry_finds_no_pointer("return", vec![
-    (0, Event::Return { mark: mark("a b") }), (1, placed(1)), (50, tokens(1, 0, "a")),
+    (0, Event::Return { position: position("a b") }), (1, placed(1)), (50, tokens(1, 0, "a")),
     (60, tokens(1, 1, "y")), (70, tokens(1, 2, "z")), (71, end(1, 3)),
 ])]
 #[case::a_retry_gives_an_index_only("index_only", vec![
@@ -281,7 +281,7 @@
     (22, placed(2)), (80, tokens(2, 0, "b c")), (81, end(2, 2)),
 ])]
 #[case::retry_before_its_place_is_reached("plain_found", true, vec![
-    (0, found(1, mark("a b"))), (1, Event::Attached { epoch: 1 }), (2, tokens(1, 0, "a")),
+    (0, found(1, position("a b"))), (1, Event::Attached { epoch: 1 }), (2, tokens(1, 0, "a")),
     (3, broken(1, 1, Breakage::EngineDied)), (4, placed(2)), (80, tokens(2, 0, "x y z")), (81, end(2, 3)),
 ])]
 fn engines_without_continuation(
--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -12,8 +12,8 @@
 
 use answer::{
     Finish,
-    mark::Mark,
     pointer::Pointer,
+    position::Position,
     resume::{
         Action,
         Event,
@@ -102,7 +102,7 @@
     /// The caller named the request, so that it can come back for it.
     pub(crate) resumable: bool,
     /// What the caller has already.
-    pub(crate) mark: Option<Mark>,
+    pub(crate) mark: Option<Position>,
 }
 
 impl Ask {
@@ -115,9 +115,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Piece {
     /// Further tokens, each with the mark after it.
-    Tokens(Vec<(Mark, String)>),
+    Tokens(Vec<(Position, String)>),
     /// What was sent so far is void; these are the first tokens of the answer that counts.
-    Restart(Vec<(Mark, String)>),
+    Restart(Vec<(Position, String)>),
     /// The answer is whole.
     Finish(Finish, Usage),
     /// The answer ends here.
@@ -138,7 +138,7 @@
     resume: Resume,
     attempts: HashMap<Epoch, Arc<Attempt>>,
     /// Every token of the answer so far, with the mark after it.
-    kept: Vec<(Mark, String)>,
+    kept: Vec<(Position, String)>,
     events: mpsc::Sender<Event>,
     begun: Instant,
     /// The epoch that the holders were told of.
@@ -205,9 +205,9 @@
         streamed: ask.streamed,
         resumable: ask.resumable,
         pool: state.gaps.get(&ask.target.service, &ask.target.version),
-        first: state.settings.times.first,
+        first_token_timeout: state.settings.times.first,
         deadline: now + state.settings.times.answer,
-        most_epochs: state.settings.limits.epochs,
+        max_epochs: state.settings.limits.epochs,
         ..Settings::default()
     }
 }
@@ -217,7 +217,7 @@
     async fn first(&mut self) -> Event {
         let mark = self.ask.mark;
         let begin = match mark {
-            Some(mark) => Event::Return { mark },
+            Some(mark) => Event::Return { position: mark },
             None => Event::Begin { from: 0 },
         };
         if !self.ask.resumable {
@@ -248,7 +248,7 @@
         Event::Found {
             epoch: found.epoch,
             server: found.server,
-            mark: mark.unwrap_or_default(),
+            position: mark.unwrap_or_default(),
         }
     }
 
@@ -411,7 +411,7 @@
         None
     }
 
-    fn keep(&mut self, tokens: Vec<String>) -> Vec<(Mark, String)> {
+    fn keep(&mut self, tokens: Vec<String>) -> Vec<(Position, String)> {
         let mut mark = self.kept.last().map(|(mark, _)| *mark).unwrap_or_default();
         let from = self.kept.len();
         for token in tokens {
--- a/components/entry/src/callers/completions.rs
+++ b/components/entry/src/callers/completions.rs
@@ -5,7 +5,7 @@
     sync::Arc, //
 };
 
-use answer::mark::Mark;
+use answer::position::Position;
 use contract::{
     outcome::Reason,
     poison::Verdict, //
@@ -126,7 +126,7 @@
         };
         let key = header(req, "idempotency-key");
         let mark = match header(req, "last-event-id") {
-            Some(text) => Some(text.parse::<Mark>().map_err(|error| {
+            Some(text) => Some(text.parse::<Position>().map_err(|error| {
                 Problem::invalid("Last-Event-ID", format!("`{text}`: {error}"))
             })?),
             None => None,
@@ -248,7 +248,7 @@
     xxh3_64(&bytes[..bytes.len().min(PREFIX)])
 }
 
-fn push(text: &mut String, tokens: &[(Mark, String)]) {
+fn push(text: &mut String, tokens: &[(Position, String)]) {
     for (_, token) in tokens {
         text.push_str(token);
     }
@@ -304,7 +304,7 @@
     }
 }
 
-fn token_event(kind: Kind, id: &str, model: &str, token: (Mark, String)) -> SseEvent {
+fn token_event(kind: Kind, id: &str, model: &str, token: (Position, String)) -> SseEvent {
     let (mark, text) = token;
     let chunk = shape::chunk(kind, id, model, &text, None);
     SseEvent::default()
--- a/components/gateway/src/stream/resumption.rs
+++ b/components/gateway/src/stream/resumption.rs
@@ -5,7 +5,7 @@
 use answer::loss::{
     Candidate,
     Loss,
-    READING, //
+    MIN_PREFILL_AGE, //
 };
 
 use crate::{
@@ -35,7 +35,7 @@
 impl Resumption {
     /// `again` when the run before was lost at the same server.
     pub(super) fn new(next: Next, again: bool) -> Resumption {
-        let read = next.events > 0 || next.age >= READING || next.from.is_some();
+        let read = next.events > 0 || next.age >= MIN_PREFILL_AGE || next.from.is_some();
         let worth = !again && read;
         Resumption {
             left: next.loss.candidates(worth),
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -7,8 +7,8 @@
     loss::Loss,
     silence::{
         Advice,
-        Expectation,
-        Silence, //
+        Detector,
+        Expectation, //
     },
     threshold::Gaps, //
 };
@@ -81,7 +81,7 @@
     charge: Charge,
     held: Option<Backup>,
     splitter: Splitter,
-    silence: Silence,
+    silence: Detector,
     pub(super) began: Instant,
     heard: Instant,
     /// When its server last gave a sign of life.
@@ -201,7 +201,7 @@
             let silence = run.heard.elapsed();
             match run.silence.advise(silence) {
                 Advice::Lost => return Heard::Lost(Loss::Silent),
-                Advice::Leave => return Heard::Lost(Loss::Slow),
+                Advice::Relocate => return Heard::Lost(Loss::Slow),
                 Advice::Wait(limit) => {
                     let until = (run.heard + limit).min(self.call.until);
                     let until = until.min(Instant::now() + MAX_FILL_WAIT);
@@ -210,7 +210,7 @@
                         return Heard::Lost(Loss::Reset);
                     }
                 }
-                Advice::Check => {
+                Advice::Connect => {
                     let check = self.context.sender.check(&run.chosen);
                     tokio::select! {
                         biased;
@@ -224,11 +224,11 @@
                                 return Heard::Lost(Loss::Dark);
                             }
                             run.sound = Instant::now();
-                            run.silence.alive(run.heard.elapsed());
+                            run.silence.record_alive(run.heard.elapsed());
                         }
                     }
                 }
-                Advice::Inquire => {
+                Advice::QueryServer => {
                     let inquiry = self.context.sender.inquire(&run.chosen);
                     tokio::select! {
                         biased;
@@ -244,7 +244,7 @@
                             }
                             Some(_) => {
                                 run.sound = Instant::now();
-                                run.silence.alive(run.heard.elapsed());
+                                run.silence.record_alive(run.heard.elapsed());
                             }
                         }
                     }
@@ -259,7 +259,7 @@
             return;
         };
         if age < run.sound.elapsed() {
-            run.silence.doubt();
+            run.silence.suspect();
         }
     }
 
@@ -274,7 +274,9 @@
             }
             match self.listen(run, false).await {
                 Heard::Data(data) => run.splitter.push(&data),
-                Heard::End if run.splitter.torn() => return self.broken(run, Loss::Torn),
+                Heard::End if run.splitter.has_partial_event() => {
+                    return self.broken(run, Loss::Torn);
+                }
                 Heard::End => {
                     run.complete = true;
                     return Step::End;
@@ -308,7 +310,7 @@
         let mut out = BytesMut::new();
         while let Some(event) = run.splitter.take().map_err(|_| Loss::Malformed)? {
             let now = Instant::now();
-            run.silence.heard(now - run.heard);
+            run.silence.record_event(now - run.heard);
             run.heard = now;
             run.sound = now;
             if run.events == 0 {
@@ -319,7 +321,7 @@
             }
             run.events += 1;
             let fresh = match event.id {
-                Some(id) => self.sequence.take(id),
+                Some(id) => self.sequence.accept(id),
                 None => Ok(true),
             };
             match fresh {
@@ -343,9 +345,9 @@
         meter::send("lost");
         let server = &run.chosen.server;
         let mut fleet = self.context.fleet.borrow_mut();
-        if loss.unreachable() {
+        if loss.is_unreachable() {
             fleet.lost(server, Suspicion::Dark);
-        } else if loss.at_once(run.events, run.began.elapsed()) {
+        } else if loss.is_immediate(run.events, run.began.elapsed()) {
             fleet.lost(server, Suspicion::Broke);
         }
         drop(fleet);
@@ -442,7 +444,7 @@
             charge,
             held,
             splitter: Splitter::default(),
-            silence: Silence::new(pass.objective, pass.gap, Gaps::default(), expected),
+            silence: Detector::new(pass.objective, pass.gap, Gaps::default(), expected),
             began,
             heard: began,
             sound: began,
--- a/components/measure/src/resumes.rs
+++ b/components/measure/src/resumes.rs
@@ -102,7 +102,7 @@
     for wait in [1000, 1900, 2200, 2500, 3000, 4000] {
         let wait = Duration::from_millis(wait);
         let settings = Settings {
-            first: wait,
+            first_token_timeout: wait,
             ..Settings::default()
         };
         let sound = outcomes(&settings, Fault::None, seeds);
@@ -169,7 +169,7 @@
     };
     let timeout = Settings {
         suspicion: certain,
-        first: NEVER,
+        first_token_timeout: NEVER,
         ..Settings::default()
     };
     let again = Settings {
--- a/components/models/src/answer.rs
+++ b/components/models/src/answer.rs
@@ -25,7 +25,7 @@
         Fault,
         Log, //
     },
-    mark::Mark,
+    position::Position,
     resume::{
         Action,
         Cause,
@@ -143,7 +143,7 @@
 struct Caller {
     at: usize,
     text: Vec<String>,
-    mark: Mark,
+    mark: Position,
     ending: Option<Ending>,
 }
 
@@ -275,12 +275,12 @@
                 highest: Duration::ZERO,
                 ..threshold::Settings::default()
             },
-            first: Duration::ZERO,
+            first_token_timeout: Duration::ZERO,
             dial_pause: Duration::ZERO,
-            most_epochs: self.epochs,
+            max_epochs: self.epochs,
             // Time stands still here, so an answer that is refused ends at once instead of pausing.
-            hold: Duration::ZERO,
-            most_attaches: 1,
+            refusal_timeout: Duration::ZERO,
+            max_attaches: 1,
             ..Settings::default()
         };
         Resume::new(settings, Duration::ZERO)
@@ -335,7 +335,7 @@
                 state.kept.truncate(kept as usize);
                 if here {
                     world.caller.text.clear();
-                    world.caller.mark = Mark::default();
+                    world.caller.mark = Position::default();
                     let kept = state.kept.clone();
                     world.caller.take(&kept);
                 }
--- a/components/models/src/answer/steps.rs
+++ b/components/models/src/answer/steps.rs
@@ -8,7 +8,7 @@
 use answer::{
     Finish,
     log::Log,
-    mark::Mark,
+    position::Position,
     resume::{
         Cause,
         Event,
@@ -293,7 +293,7 @@
         world.entries[1].resume = Some(self.resume());
         let mut mark = world.caller.mark;
         let Some(generation) = world.generations.get(&FOUND) else {
-            self.handle(world, 1, Event::Return { mark });
+            self.handle(world, 1, Event::Return { position: mark });
             return;
         };
         if self.variant == Variant::IndexOnly {
@@ -310,7 +310,7 @@
         let event = Event::Found {
             epoch,
             server,
-            mark,
+            position: mark,
         };
         self.handle(world, 1, event);
     }
@@ -428,8 +428,8 @@
     Generation { server: 0, log }
 }
 
-fn marked(words: &[String]) -> Mark {
-    let mut mark = Mark::default();
+fn marked(words: &[String]) -> Position {
+    let mut mark = Position::default();
     for word in words {
         mark.push(word);
     }
