--- a/components/entry/src/moves.rs
+++ b/components/entry/src/moves.rs
@@ -233,7 +233,7 @@
         let Some(mover) = movers.get_mut(name) else {
             return;
         };
-        mover.on(event, state.now(), SystemTime::now())
+        mover.handle(event, state.now(), SystemTime::now())
     };
     for action in actions {
         act(state, name, action);
--- a/components/measure/src/moves/fleet.rs
+++ b/components/measure/src/moves/fleet.rs
@@ -210,7 +210,7 @@
 
     fn on(&mut self, entry: usize, event: Event, now: f64, rng: &mut StdRng) {
         let at = Duration::from_secs_f64(now);
-        let actions = self.movers[entry].on(event, at, wall(now));
+        let actions = self.movers[entry].handle(event, at, wall(now));
         for action in actions {
             self.act(entry, action, now, rng);
         }
--- a/components/models/src/moves.rs
+++ b/components/models/src/moves.rs
@@ -195,10 +195,10 @@
         };
         let at = Duration::from_secs(time);
         let (mut mover, _) = Mover::new(owner, plan(), vec!["chat".into()], at, wall(time));
-        mover.on(Event::Rank(index as u32), at, wall(time));
-        mover.on(Event::Ready { old: 2, new: 2 }, at, wall(time));
+        mover.handle(Event::Rank(index as u32), at, wall(time));
+        mover.handle(Event::Ready { old: 2, new: 2 }, at, wall(time));
         if self.variant == Variant::HastyRestart {
-            mover.on(Event::Synced, at, wall(time));
+            mover.handle(Event::Synced, at, wall(time));
         }
         Entry {
             level: mover.level(),
@@ -215,7 +215,7 @@
 
     fn on(self, state: &mut State, index: usize, event: Event, time: u64) {
         let at = Duration::from_secs(time);
-        let actions = state.entries[index].mover.on(event, at, wall(time));
+        let actions = state.entries[index].mover.handle(event, at, wall(time));
         for action in actions {
             self.act(state, index, action);
         }
--- a/components/moves/src/mover.rs
+++ b/components/moves/src/mover.rs
@@ -119,9 +119,9 @@
 }
 
 impl Mover {
-    /// Begins to take part in a move. The actions are to be carried out like those of [`on`].
+    /// Begins to take part in a move. The actions are to be carried out like those of [`handle`].
     ///
-    /// [`on`]: Self::on
+    /// [`handle`]: Self::handle
     pub fn new(
         owner: Owner,
         plan: Plan,
@@ -166,7 +166,7 @@
     }
 
     /// Takes in an event.
-    pub fn on(&mut self, event: Event, now: Clock, wall: SystemTime) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event, now: Clock, wall: SystemTime) -> Vec<Action> {
         let mut actions = Vec::new();
         // Requests come by the hundred a second; unless one trips, they change no share.
         let frequent = matches!(
--- a/components/moves/tests/bench/mod.rs
+++ b/components/moves/tests/bench/mod.rs
@@ -133,7 +133,7 @@
 
     pub fn on(&mut self, entry: usize, event: Event) {
         let at = Duration::from_secs(self.now);
-        for action in self.movers[entry].on(event, at, wall(self.now)) {
+        for action in self.movers[entry].handle(event, at, wall(self.now)) {
             self.act(entry, action);
         }
     }
--- a/components/moves/tests/mover.rs
+++ b/components/moves/tests/mover.rs
@@ -487,7 +487,7 @@
     }
     let now = Duration::from_secs(bench.now + 1);
     let mut bytes = 0;
-    for action in bench.movers[0].on(Event::Tick, now, wall(bench.now + 1)) {
+    for action in bench.movers[0].handle(Event::Tick, now, wall(bench.now + 1)) {
         if let Action::Publish(fact @ Fact::Cells { .. }) = action {
             bytes += postcard::to_stdvec(&fact)
                 .expect("a fact can be encoded")
