--- a/components/moves/src/evidence.rs
+++ b/components/moves/src/evidence.rs
@@ -1,9 +1,9 @@
-//! What the entries saw of two versions, in a form that gossip may repeat, reorder and lose.
+//! Observations of the two versions, in a form that gossip may repeat, reorder and lose.
 //!
-//! Each entry counts in cells of its own, whose counters only grow. Copies of a cell merge to the
-//! larger of each counter: commutative, associative, idempotent. Between data centres travel sums
-//! over the entries of one data centre; a sum that misses an entry is smaller in some counter, so
-//! that the larger one is never more than what happened.
+//! Each entry counts in its own cells, whose counters only grow. Copies of a cell merge to the
+//! larger value of each counter, which is commutative, associative and idempotent. Data centres
+//! exchange sums over their entries; a sum that misses an entry is smaller in some counter, so the
+//! larger value never exceeds what happened.
 
 use std::collections::BTreeMap;
 
@@ -27,24 +27,24 @@
     times::Histogram, //
 };
 
-/// Who counted.
+/// Origin of counts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Source {
     /// One run of an entry. A restarted entry counts from 0 under a new incarnation.
     Entry {
         /// Host of the entry.
         host: Host,
-        /// Number of the run.
+        /// Incarnation of the entry.
         incarnation: u64,
     },
     /// Sum over the entries of a data centre.
     Centre(DataCentre),
 }
 
-/// Which requests a cell counts.
+/// Identifies the requests that a cell counts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// Slot of time in which the version was picked.
+    /// Time slot in which the version was picked.
     pub slot: u16,
     /// Share under which the version was picked.
     pub level: Level,
@@ -55,23 +55,23 @@
 /// Counts of one version. Counters only grow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tally {
-    /// Requests that came to an end which says something about the version.
+    /// Completed requests whose end is attributable to the version.
     pub requests: u32,
-    /// Requests that failed by the version's fault.
+    /// Requests that failed because of the version.
     pub failed: u32,
-    /// First tokens that were waited for.
+    /// First tokens that were awaited.
     pub firsts: u32,
-    /// First tokens that came later than the limit.
+    /// First tokens that arrived after the limit.
     pub slow_first: u32,
-    /// Answers whose time between tokens is known.
+    /// Answers with a measured time between tokens.
     pub betweens: u32,
-    /// Answers whose time between tokens was over the limit.
+    /// Answers whose time between tokens exceeded the limit.
     pub slow_between: u32,
-    /// The requests that failed.
+    /// Sketch of the failed requests.
     pub failures: Sketch,
 }
 
-/// Counts of both versions over the same requests' time, route and share.
+/// Counts of both versions for the same slot, share and route.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Pair {
     /// The version that the traffic leaves.
@@ -80,7 +80,7 @@
     pub new: Tally,
 }
 
-/// Histograms of one route and version.
+/// Latency histograms of one route and version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Times {
     /// From a request's arrival to its first token or byte.
@@ -89,43 +89,43 @@
     pub between: Histogram,
 }
 
-/// Why a backend server died.
+/// Cause of a backend server's death.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Cause {
-    /// Nothing explains it but the version.
+    /// No cause other than the version is known.
     Unexplained,
-    /// Too much was asked of it.
+    /// The server was overloaded.
     Overload,
     /// Its host, rack or data centre was lost.
     HostLoss,
-    /// A request that brings down servers of any version.
+    /// A request that crashes servers of any version.
     Poison,
 }
 
-/// Death of a backend server. Entries that saw the same death name it alike.
+/// Death of a backend server. All entries that observe the same death identify it alike.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Death {
     /// The backend server.
     pub server: Server,
-    /// Which of its runs ended.
+    /// Incarnation of the server that died.
     pub incarnation: u64,
     /// Version that it ran.
     pub side: Side,
-    /// Slot of time of the death.
+    /// Time slot of the death.
     pub slot: u16,
-    /// Share at the death.
+    /// Share of the new version at the death.
     pub level: Level,
-    /// The best explanation known; a later one replaces [`Cause::Unexplained`].
+    /// Best known cause; any other cause replaces [`Cause::Unexplained`].
     pub cause: Cause,
 }
 
 /// Cells of one source.
 pub type Cells = BTreeMap<Key, Pair>;
 
-/// Most deaths that a move remembers. Many more than any judgement needs.
-const DEATHS: usize = 256;
+/// Maximum number of deaths kept per move, well above what a verdict needs.
+const MAX_DEATHS: usize = 256;
 
-/// All that is known of both versions.
+/// Everything known about both versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Evidence {
     sources: BTreeMap<Source, Cells>,
@@ -134,7 +134,7 @@
 }
 
 impl Tally {
-    /// Takes in a copy of the same tally.
+    /// Merges a copy of the same tally.
     pub fn merge(&mut self, other: &Self) {
         self.requests = self.requests.max(other.requests);
         self.failed = self.failed.max(other.failed);
@@ -156,20 +156,20 @@
         self.failures.merge(&other.failures);
     }
 
-    /// Number of events that speak against the version.
-    pub fn against(&self) -> u32 {
+    /// Returns the number of events that speak against the version.
+    pub fn events_against(&self) -> u32 {
         let slow = self.slow_first.saturating_add(self.slow_between);
         slow.saturating_add(self.distinct_failures())
     }
 
-    /// Number of distinct requests that failed.
+    /// Returns the number of distinct failed requests.
     pub fn distinct_failures(&self) -> u32 {
         self.failures.distinct(self.failed)
     }
 }
 
 impl Pair {
-    /// Counts of one version.
+    /// Returns the counts of one version.
     pub fn side(&mut self, side: Side) -> &mut Tally {
         match side {
             Side::Old => &mut self.old,
@@ -185,7 +185,7 @@
 }
 
 impl Evidence {
-    /// Gives the cell of a source for counting.
+    /// Returns the cell of a source, created if absent.
     pub fn cell(&mut self, source: &Source, key: &Key) -> &mut Pair {
         if !self.sources.contains_key(source) {
             self.sources.insert(source.clone(), Cells::new());
@@ -197,36 +197,36 @@
         cells.get_mut(key).expect("the cell was added")
     }
 
-    /// Takes in cells of a source, which may be old, repeated or incomplete.
+    /// Merges cells of a source, which may be outdated, repeated or incomplete.
     pub fn merge_cells(&mut self, source: &Source, cells: &Cells) {
         for (key, pair) in cells {
-            let mine = self.cell(source, key);
-            mine.old.merge(&pair.old);
-            mine.new.merge(&pair.new);
+            let own = self.cell(source, key);
+            own.old.merge(&pair.old);
+            own.new.merge(&pair.new);
         }
     }
 
-    /// Gives the histograms of a source for counting.
+    /// Returns the histograms of a source, created if absent.
     pub fn times(&mut self, source: &Source, route: &Route, side: Side) -> &mut Times {
         let of_source = self.times.entry(source.clone()).or_default();
         of_source.entry((route.clone(), side)).or_default()
     }
 
-    /// Takes in histograms of a source.
+    /// Merges histograms of a source.
     pub fn merge_times(&mut self, source: &Source, route: &Route, side: Side, times: &Times) {
-        let mine = self.times(source, route, side);
-        mine.first.merge(&times.first);
-        mine.between.merge(&times.between);
+        let own = self.times(source, route, side);
+        own.first.merge(&times.first);
+        own.between.merge(&times.between);
     }
 
-    /// Takes in a death; tells whether anything new was learned.
+    /// Merges a death and returns whether it added information.
     pub fn merge_death(&mut self, death: &Death) -> bool {
-        let name = (death.server.clone(), death.incarnation);
-        let Some(known) = self.deaths.get_mut(&name) else {
-            if self.deaths.len() >= DEATHS {
+        let identity = (death.server.clone(), death.incarnation);
+        let Some(known) = self.deaths.get_mut(&identity) else {
+            if self.deaths.len() >= MAX_DEATHS {
                 return false;
             }
-            self.deaths.insert(name, death.clone());
+            self.deaths.insert(identity, death.clone());
             return true;
         };
         let merged = (
@@ -239,15 +239,15 @@
         changed
     }
 
-    /// Deaths known so far.
+    /// Iterates over the known deaths.
     pub fn deaths(&self) -> impl Iterator<Item = &Death> {
         self.deaths.values()
     }
 
     /// Sums the cells of all sources.
     ///
-    /// A data centre's sum counts only where none of its entries is known one by one: `data_centre` is
-    /// the data centre whose entries are.
+    /// A data centre's sum counts only where its entries aren't known individually: `data_centre`
+    /// is the one whose entries are.
     pub fn total(&self, data_centre: &DataCentre) -> Cells {
         let own = Source::Centre(data_centre.clone());
         let mut total = Cells::new();
@@ -277,18 +277,18 @@
         total
     }
 
-    /// Cells by source.
+    /// Iterates over the cells by source.
     pub fn sources(&self) -> impl Iterator<Item = (&Source, &Cells)> {
         self.sources.iter()
     }
 
-    /// Histograms of a source.
+    /// Iterates over the histograms of a source.
     pub fn times_of(&self, source: &Source) -> impl Iterator<Item = (&Route, Side, &Times)> {
         let of_source = self.times.get(source).into_iter().flatten();
         of_source.map(|((route, side), times)| (route, *side, times))
     }
 
-    /// Sums the cells of the entries known one by one, for the other data centres.
+    /// Sums the cells of the individually known entries, for the other data centres.
     pub fn summary(&self) -> Cells {
         let mut total = Cells::new();
         for (source, cells) in &self.sources {
--- a/components/moves/src/history.rs
+++ b/components/moves/src/history.rs
@@ -1,28 +1,28 @@
-//! What the old version did before, as the yardstick once the new one has all the traffic.
+//! Baseline rates from the old version's past, used once the new version has all traffic.
 //!
-//! With all traffic on the new version nothing can be compared over the same time. The old
-//! version's past takes its place, with a margin: rates change over a day, and a good version must
-//! not be taken back for that.
+//! With all traffic on the new version the two can no longer be compared over the same time. The
+//! old version's past takes its place, with a margin: rates change over a day, and a good version
+//! must not be reverted for that.
 
-/// Factor between the old version's rate and what counts as no worse.
+/// Factor on the old version's rate up to which the new version counts as no worse.
 const BASELINE_MARGIN: f64 = 1.5;
 
-/// Fewest requests of a slot for its own rate to count.
+/// Minimum requests of a slot for its own rate to count.
 const MIN_SLOT_REQUESTS: u32 = 50;
 
-/// Highest rate that can be a yardstick; above it nothing would count as worse.
+/// Upper bound of the baseline rate; above it nothing would count as worse.
 const MAX_BASELINE_RATE: f64 = 0.6;
 
-/// Events among requests of the old version, by slot.
+/// Events and requests of the old version, accumulated by slot.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     events: u32,
     requests: u32,
-    highest: f64,
+    highest_slot_rate: f64,
 }
 
 impl History {
-    /// Adds what happened in a slot.
+    /// Adds the counts of one slot.
     pub fn add(&mut self, events: u32, requests: u32) {
         self.events = self.events.saturating_add(events);
         self.requests = self.requests.saturating_add(requests);
@@ -31,16 +31,16 @@
         }
         let events = f64::from(events);
         let low = (events - 2.0 * events.sqrt()) / f64::from(requests);
-        self.highest = self.highest.max(low);
+        self.highest_slot_rate = self.highest_slot_rate.max(low);
     }
 
-    /// Rate up to which the new version is no worse; none without a past.
+    /// Returns the rate up to which the new version is no worse, or `None` without history.
     pub fn baseline_rate(&self) -> Option<f64> {
         if self.requests == 0 {
             return None;
         }
         let events = f64::from(self.events);
         let high = (events + 2.0 + 2.0 * (events + 1.0).sqrt()) / f64::from(self.requests);
-        Some((BASELINE_MARGIN * high.max(self.highest)).min(MAX_BASELINE_RATE))
+        Some((BASELINE_MARGIN * high.max(self.highest_slot_rate)).min(MAX_BASELINE_RATE))
     }
 }
--- a/components/moves/src/judge.rs
+++ b/components/moves/src/judge.rs
@@ -1,15 +1,16 @@
-//! Sequential tests of the new version against the old one, valid at any peek.
+//! Sequential tests of the new version against the old one, valid whenever they are evaluated.
 //!
-//! While both versions get traffic, each request falls to the new one by its hash with the
-//! probability of the share `s`, whatever the request is like. If the new version is no worse, a
-//! request that fails is thus one of the new version's with probability `s`. If it fails `r` times
-//! as often, with probability `r s / (r s + 1 - s)`. The product of these ratios over all events is
-//! an e-process: under a good version it exceeds `1 / a` ever, at any peek, with probability at
-//! most `a` (Ville's inequality). Overloads, noise and lost hosts hit both versions by the share
-//! and leave it unmoved, without any model of how rates change over time.
+//! While both versions get traffic, each request goes to the new one by its hash with the
+//! probability of the share `s`, independent of the request's properties. If the new version is no
+//! worse, a failed request is thus one of the new version's with probability `s`. If it fails `r`
+//! times as often, that probability is `r s / (r s + 1 - s)`. The product of these ratios over all
+//! events is an e-process: under a good version it ever exceeds `1 / a` with probability at most
+//! `a`, however often it is evaluated (Ville's inequality). Overloads, noise and lost hosts affect
+//! both versions in proportion to the share and leave it unchanged, without any model of how rates
+//! change over time.
 //!
-//! The same holds for requests slower than a limit that is taken from the old version. Averages of
-//! e-processes are e-processes, so tests, ratios and possible times of onset are averaged.
+//! The same holds for requests slower than a limit derived from the old version. Averages of
+//! e-processes are e-processes, so tests, ratios and possible onset times are averaged.
 
 use std::collections::BTreeMap;
 
@@ -35,28 +36,28 @@
     },
 };
 
-/// Evidence at which the new version is taken back.
+/// E-value at which the new version is reverted.
 ///
-/// A good version reaches it with a probability of at most 1 in 500 in the eyes of one entry.
+/// A good version reaches it with a probability of at most 1 in 500 at any one entry.
 pub const VETO_THRESHOLD: f64 = 500.0;
 
-/// Evidence at which the share stops growing for the time being.
+/// E-value at which the share stops growing until the value falls.
 pub const HOLD_THRESHOLD: f64 = 4.0;
 
-/// How many times as often a bad version is taken to fail or be slow.
+/// Assumed ratios of a bad version's failure or slowness rate to the old version's.
 const RATIOS: [f64; 4] = [2.0, 4.0, 12.0, 64.0];
 
-/// Weight of an onset at the very beginning; later ones share the rest.
-const WEIGHT_AT_ONCE: f64 = 0.4;
+/// Weight of an onset in the first slot; later onsets share the rest.
+const FIRST_SLOT_ONSET_WEIGHT: f64 = 0.4;
 
-/// Requests of the new version that must have come to a good end before it gets the full share;
-/// smaller shares ask for less in proportion.
+/// Successful requests of the new version required for the full share; smaller shares require
+/// proportionally fewer.
 const REQUESTS_FOR_FULL: f64 = 1000.0;
 
-/// Requests of the new version that each route must have seen before the full share.
+/// Requests of the new version required on each route for the full share.
 const REQUESTS_PER_ROUTE: u32 = 20;
 
-/// What a test looks at.
+/// Quantity that a test compares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Metric {
@@ -66,16 +67,16 @@
     SlowFirst,
     /// Times between tokens over the limit.
     SlowBetween,
-    /// Backend servers that died without another explanation.
+    /// Backend servers that died without another known cause.
     Died,
 }
 
 /// Result of the strongest test.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Finding {
-    /// What the test looked at.
+    /// The compared quantity.
     pub metric: Metric,
-    /// The route, or none when all routes are taken together.
+    /// The route, or `None` for all routes together.
     pub route: Option<Route>,
     /// Events of the new version.
     pub new: u32,
@@ -87,12 +88,12 @@
     pub of_old: u32,
 }
 
-/// What the evidence says.
+/// Result of assessing the evidence.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
-    /// The e-value: how strongly the evidence speaks against the new version.
+    /// E-value against the new version.
     pub e_value: f64,
-    /// The test that contributed most, if any event was seen.
+    /// The test with the largest contribution, if any event of the new version was seen.
     pub finding: Option<Finding>,
 }
 
@@ -104,7 +105,7 @@
 ];
 
 impl Metric {
-    /// Events and requests that a tally has for this metric.
+    /// Returns the events and requests of a tally for this metric.
     fn count(self, tally: &Tally) -> (u32, u32) {
         match self {
             Self::Failed => (tally.distinct_failures(), tally.requests),
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Weight of the test over all routes among all tests.
+    /// Returns the weight of the metric among all tests.
     fn weight(self) -> f64 {
         match self {
             Self::Failed => 0.5,
@@ -124,7 +125,7 @@
     }
 }
 
-/// One test's evidence: log likelihood ratios by slot and assumed ratio.
+/// Evidence of one test: log likelihood ratios by slot and assumed ratio.
 struct Series {
     slots: Vec<[f64; RATIOS.len()]>,
     history: History,
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Adds events that arose while both versions had traffic.
+    /// Adds events from a time when both versions had traffic.
     fn compare(&mut self, slot: u16, level: Level, new: u32, old: u32) {
         if new == 0 && old == 0 {
             return;
@@ -164,31 +165,31 @@
         let share = level.share();
         let sums = &mut self.slots[usize::from(slot)];
         for (sum, ratio) in sums.iter_mut().zip(RATIOS) {
-            let whole = ratio * share + 1.0 - share;
-            *sum += f64::from(new) * (ratio / whole).ln() - f64::from(old) * whole.ln();
+            let normalizer = ratio * share + 1.0 - share;
+            *sum += f64::from(new) * (ratio / normalizer).ln() - f64::from(old) * normalizer.ln();
         }
     }
 
-    /// Adds events that arose while the new version had all traffic.
+    /// Adds events from a time when the new version had all traffic.
     fn compare_with_past(&mut self, slot: u16, (events, requests): (u32, u32)) {
         let Some(rate) = self.history.baseline_rate() else {
             return;
         };
-        let fine = f64::from(requests.saturating_sub(events));
+        let good = f64::from(requests.saturating_sub(events));
         let sums = &mut self.slots[usize::from(slot)];
         for (sum, ratio) in sums.iter_mut().zip(RATIOS) {
             let worse = (ratio * rate).min((1.0 + rate) / 2.0);
             *sum += f64::from(events) * (worse / rate).ln();
-            *sum += fine * ((1.0 - worse) / (1.0 - rate)).ln();
+            *sum += good * ((1.0 - worse) / (1.0 - rate)).ln();
         }
     }
 
-    /// The e-value, averaged over ratios and times of onset.
+    /// Returns the e-value, averaged over assumed ratios and onset times.
     fn e_value(&self) -> f64 {
         let Some(first) = self.slots.iter().position(|slot| slot[0] != 0.0) else {
             return 1.0;
         };
-        let later = (1.0 - WEIGHT_AT_ONCE) / f64::from(SLOTS - 1);
+        let later = (1.0 - FIRST_SLOT_ONSET_WEIGHT) / f64::from(SLOTS - 1);
         let mut sums = [0.0; RATIOS.len()];
         let mut total = 0.0;
         for (slot, values) in self.slots.iter().enumerate().rev() {
@@ -198,7 +199,9 @@
             let mean = sums.iter().map(|sum| sum.min(600.0).exp()).sum::<f64>();
             let mean = mean / RATIOS.len() as f64;
             match slot {
-                _ if slot == first => return total + mean * (WEIGHT_AT_ONCE + later * slot as f64),
+                _ if slot == first => {
+                    return total + mean * (FIRST_SLOT_ONSET_WEIGHT + later * slot as f64);
+                }
                 _ => total += mean * later,
             }
         }
@@ -206,7 +209,7 @@
     }
 }
 
-/// All tests of one metric: over all routes, and by route.
+/// All tests of one metric: one over all routes, and one per route.
 struct Family<'a> {
     metric: Metric,
     all: Series,
@@ -234,7 +237,7 @@
         family
     }
 
-    fn take(&mut self, total: &'a Cells) {
+    fn add_cells(&mut self, total: &'a Cells) {
         self.all.close_history();
         for series in self.routes.values_mut() {
             series.close_history();
@@ -245,14 +248,14 @@
             let Some(series) = self.routes.get_mut(&key.route) else {
                 continue;
             };
-            Self::weigh(self.metric, series, key.slot, key.level, pair);
+            Self::add_pair(self.metric, series, key.slot, key.level, pair);
         }
         for ((slot, level), pair) in &all {
-            Self::weigh(self.metric, &mut self.all, *slot, *level, pair);
+            Self::add_pair(self.metric, &mut self.all, *slot, *level, pair);
         }
     }
 
-    fn weigh(metric: Metric, series: &mut Series, slot: u16, level: Level, pair: &Pair) {
+    fn add_pair(metric: Metric, series: &mut Series, slot: u16, level: Level, pair: &Pair) {
         let new = metric.count(&pair.new);
         series.new = (series.new.0 + new.0, series.new.1 + new.1);
         if level == Level::FULL {
@@ -262,7 +265,7 @@
         }
     }
 
-    /// Each test with its weight among all tests.
+    /// Iterates over the tests with their weights.
     fn tests(&self) -> impl Iterator<Item = (Option<&Route>, &Series, f64)> {
         let weight = self.metric.weight();
         let parts = if self.routes.len() > 1 { 2.0 } else { 1.0 };
@@ -277,7 +280,7 @@
     }
 }
 
-/// Judges the new version by all evidence known.
+/// Assesses the new version by all known evidence.
 pub fn assess<'a>(total: &Cells, deaths: impl Iterator<Item = &'a Death>) -> Verdict {
     let deaths: Vec<_> = deaths.collect();
     let mut verdict = Verdict {
@@ -289,16 +292,16 @@
         if metric == Metric::Died && deaths.is_empty() {
             continue;
         }
-        // Without an event of the new version nothing can speak against it.
+        // Without an event of the new version no evidence can speak against it.
         let mut new = total.values().map(|pair| metric.count(&pair.new).0);
         if metric != Metric::Died && new.all(|events| events == 0) {
             continue;
         }
         let mut family = Family::new(metric, total);
         if metric == Metric::Died {
-            take_deaths(&mut family.all, &deaths);
+            add_deaths(&mut family.all, &deaths);
         }
-        family.take(total);
+        family.add_cells(total);
         for (route, series, weight) in family.tests() {
             let contribution = weight * series.e_value();
             verdict.e_value += contribution;
@@ -318,7 +321,7 @@
     verdict
 }
 
-fn take_deaths(series: &mut Series, deaths: &[&Death]) {
+fn add_deaths(series: &mut Series, deaths: &[&Death]) {
     for death in deaths {
         if death.cause != Cause::Unexplained {
             continue;
@@ -334,7 +337,7 @@
         let new = u32::from(death.side == Side::New);
         series.new.0 += new;
         if death.level == Level::FULL {
-            // The requests of the slot are weighed with the cells; only the event is added here.
+            // The requests of the slot are added with the cells; only the event is added here.
             series.compare_with_past(death.slot, (new, 0));
         } else if death.level != Level::ZERO {
             series.compare(death.slot, death.level, new, 1 - new);
@@ -342,7 +345,8 @@
     }
 }
 
-/// Highest share that the evidence carries, while nothing speaks against the new version.
+/// Returns the highest share that the evidence supports while none of it speaks against the new
+/// version.
 pub fn supported_level(total: &Cells, routes: &[Route]) -> Level {
     let mut by_route = BTreeMap::<&Route, u32>::new();
     let mut ended = 0.0;
@@ -350,15 +354,15 @@
         *by_route.entry(&key.route).or_default() += pair.new.requests;
         ended += f64::from(pair.new.requests);
     }
-    let reached = (ended / REQUESTS_FOR_FULL * 1000.0) as u32;
-    let level = Level::at_most(reached);
+    let supported_permille = (ended / REQUESTS_FOR_FULL * 1000.0) as u32;
+    let level = Level::at_most(supported_permille);
     if level < Level::FULL {
         return level;
     }
-    let missing = routes
+    let undertested = routes
         .iter()
         .any(|route| by_route.get(route).copied().unwrap_or(0) < REQUESTS_PER_ROUTE);
-    if missing {
+    if undertested {
         return Level::at_most(999);
     }
     Level::FULL
--- a/components/moves/src/lib.rs
+++ b/components/moves/src/lib.rs
@@ -1,14 +1,14 @@
-//! Traffic moves between versions: plan, evidence, veto, outcome.
+//! Gradual traffic moves between versions of a service: plan, evidence, veto, outcome.
 //!
-//! A move's [`plan::Ramp`] says between which bounds the new version's share of the traffic lies
-//! at a wall-clock time. Each entry's [`Mover`] takes its share from the ramp and from the
-//! [`evidence::Evidence`] that all entries gossip, and [`judge::assess`] compares the new version
-//! with the old one over the same time. An entry whose judge trips stops sending traffic to the
-//! new version at once and spreads a [`outcome::Veto`]. One entry writes the outcome.
+//! A move's [`plan::Ramp`] bounds the new version's share of the traffic over wall-clock time. Each
+//! entry's [`Mover`] derives its share from the ramp and from the [`evidence::Evidence`] that the
+//! entries gossip, and [`judge::assess`] compares the new version with the old one over the same
+//! time. An entry whose evidence reaches the threshold stops sending traffic to the new version at
+//! once and publishes an [`outcome::Veto`]. One entry writes the outcome.
 //!
-//! A move that must be over within seconds goes another way, see [`rollout`].
+//! Moves that must finish within seconds use [`rollout`] instead.
 //!
-//! Everything here is plain state: an event and a time go in, actions come out.
+//! All types are plain state machines without I/O: an event and a time go in, actions come out.
 
 pub mod evidence;
 pub mod history;
--- a/components/moves/src/mover.rs
+++ b/components/moves/src/mover.rs
@@ -1,10 +1,10 @@
-//! One entry's part in one move.
+//! State machine of one move at one entry.
 //!
 //! The share is the smaller of what the ramp and what the evidence allow, and grows by one level at
-//! a time. It falls only when the move ends. A veto, an entry's own or another's, sends all new
-//! requests to the old version at once, without the store. The store decides between done and
-//! reverted where entries that couldn't hear one another saw it differently: its record is written
-//! once, and every entry that learns of it follows it.
+//! a time. It falls only when the move ends. A veto from any entry sends all new requests to the
+//! old version at once, without the store. The store decides between done and reverted when entries
+//! that couldn't communicate disagree: its record is written once, and every entry that reads it
+//! follows it.
 
 use std::{
     collections::{
@@ -62,17 +62,17 @@
 mod count;
 mod settle;
 
-/// Limits beyond which a request of a route is slow.
+/// Latency limits of a route above which a request is slow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Limit {
     first: Option<Duration>,
     between: Option<Duration>,
 }
 
-/// Whose mover it is.
+/// The entry that runs a mover.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Owner {
-    /// The entry, which counts under this name.
+    /// Source under which the entry counts.
     pub source: Source,
     /// Its data centre.
     pub data_centre: DataCentre,
@@ -90,10 +90,11 @@
     limits: BTreeMap<Route, Limit>,
     failed_hashes: BTreeSet<u32>,
     changed_cells: BTreeSet<Key>,
-    /// When a time until the first token, and one between tokens, was last counted at the full share.
+    /// Time of the last counted first-token sample at the full share.
     first_counted_at: Option<SystemTime>,
+    /// Time of the last counted sample of the time between tokens at the full share.
     between_counted_at: Option<SystemTime>,
-    /// Something was heard that speaks against the new version and hasn't been judged.
+    /// Received facts speak against the new version and haven't been assessed yet.
     unjudged: bool,
 
     level: Level,
@@ -119,7 +120,7 @@
 }
 
 impl Mover {
-    /// Begins to take part in a move. The actions are to be carried out like those of [`handle`].
+    /// Starts a move at this entry. The actions are to be carried out like those of [`handle`].
     ///
     /// [`handle`]: Self::handle
     pub fn new(
@@ -165,10 +166,11 @@
         (mover, vec![Action::KeepWarm(true), Action::Read])
     }
 
-    /// Takes in an event.
+    /// Processes an event.
     pub fn handle(&mut self, event: Event, now: Clock, wall: SystemTime) -> Vec<Action> {
         let mut actions = Vec::new();
-        // Requests come by the hundred a second; unless one trips, they change no share.
+        // Requests arrive at hundreds per second; they can't change the share unless one causes a
+        // veto.
         let frequent = matches!(
             event,
             Event::First { .. } | Event::Between { .. } | Event::Finished { .. }
@@ -193,14 +195,14 @@
                     self.judge(wall, &mut actions);
                 }
             }
-            Event::Received(fact) => self.hear(fact, &mut actions),
-            Event::Stored(answer) => self.stored(answer, &mut actions),
+            Event::Received(fact) => self.receive(fact, &mut actions),
+            Event::Stored(answer) => self.receive_stored(answer, &mut actions),
             Event::Tick => {
                 if self.unjudged {
                     self.unjudged = false;
                     self.judge(wall, &mut actions);
                 }
-                self.tell(now, wall, &mut actions);
+                self.publish(now, wall, &mut actions);
             }
         }
         if !frequent || !actions.is_empty() {
@@ -220,47 +222,47 @@
         }
     }
 
-    /// The new version's share of new requests.
+    /// Returns the new version's share of new requests.
     pub fn level(&self) -> Level {
         self.level
     }
 
-    /// How many replicas of the new version get its traffic; all of them when none.
+    /// Returns how many replicas of the new version receive its traffic; `None` means all.
     pub fn concentration(&self) -> Option<u32> {
         self.concentration
     }
 
-    /// Whether this entry knows what its peers know, so that a peer may rely on its facts.
+    /// Returns whether this entry has its peers' facts, so that a peer may rely on its own.
     pub fn is_synced(&self) -> bool {
         self.synced
     }
 
-    /// The move as the document has it.
+    /// Returns the move as configured in the document.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// The veto, once one is known.
+    /// Returns the veto, if one is known.
     pub fn veto(&self) -> Option<&Veto> {
         self.veto.as_ref()
     }
 
-    /// The outcome, once it is known.
+    /// Returns the outcome, if it is known.
     pub fn outcome(&self) -> Option<&Outcome> {
         self.outcome.as_ref()
     }
 
-    /// Counts of all entries, as far as they are known here.
+    /// Returns the known counts of all entries.
     pub fn total(&self) -> &Cells {
         &self.total
     }
 
-    /// What the evidence says now.
+    /// Assesses the current evidence.
     pub fn verdict(&self) -> Verdict {
         judge::assess(&self.total, self.evidence.deaths())
     }
 
-    /// Sum over the entries of this data centre, for the other data centres.
+    /// Returns the sum over the entries of this data centre, for the other data centres.
     pub fn summary(&self) -> Fact {
         Fact::Cells {
             source: Source::Centre(self.owner.data_centre.clone()),
@@ -268,7 +270,7 @@
         }
     }
 
-    /// Everything known, for a peer that has just come up.
+    /// Returns all known facts, for a peer that has just started.
     pub fn facts(&self) -> Vec<Fact> {
         let mut facts = vec![Fact::Began(self.ramp.began())];
         facts.extend(self.veto.clone().map(Fact::Veto));
@@ -295,7 +297,7 @@
         self.late_noticed = false;
     }
 
-    fn hear(&mut self, fact: Fact, actions: &mut Vec<Action>) {
+    fn receive(&mut self, fact: Fact, actions: &mut Vec<Action>) {
         match fact {
             Fact::Began(began) if began < self.ramp.began() => {
                 self.ramp = Ramp::new(&self.plan, began);
@@ -305,8 +307,8 @@
                 if source == self.owner.source {
                     return;
                 }
-                // A request that failed at another entry isn't counted again when its caller sends
-                // it to this one.
+                // A request that failed at another entry isn't counted again when its caller
+                // retries it here.
                 for pair in cells.values() {
                     for tally in [&pair.old, &pair.new] {
                         tally.failures.hashes().for_each(|hash| self.remember(hash));
@@ -315,10 +317,10 @@
                 self.evidence.merge_cells(&source, &cells);
                 for key in cells.keys() {
                     let sum = self.evidence.total_of(&self.owner.data_centre, key);
-                    let against = sum.new.against();
+                    let events_against = sum.new.events_against();
                     let before = self.total.insert(key.clone(), sum);
-                    let before = before.map_or(0, |pair| pair.new.against());
-                    self.unjudged |= against > before;
+                    let before = before.map_or(0, |pair| pair.new.events_against());
+                    self.unjudged |= events_against > before;
                 }
             }
             Fact::Times {
@@ -332,12 +334,12 @@
                 }
             }
             Fact::Death(death) => self.unjudged |= self.evidence.merge_death(&death),
-            Fact::Veto(veto) => self.take_veto(veto, actions),
-            Fact::Outcome(outcome) => self.take_outcome(outcome, actions),
+            Fact::Veto(veto) => self.adopt_veto(veto, actions),
+            Fact::Outcome(outcome) => self.adopt_outcome(outcome, actions),
         }
     }
 
-    fn take_veto(&mut self, veto: Veto, actions: &mut Vec<Action>) {
+    fn adopt_veto(&mut self, veto: Veto, actions: &mut Vec<Action>) {
         let done = self.outcome.as_ref().is_some_and(|o| o.end == End::Done);
         if done && self.veto.is_none() {
             actions.push(Action::Notice(Notice::Overruled(veto.clone())));
@@ -349,7 +351,7 @@
         self.veto = Some(first);
     }
 
-    fn take_outcome(&mut self, outcome: Outcome, actions: &mut Vec<Action>) {
+    fn adopt_outcome(&mut self, outcome: Outcome, actions: &mut Vec<Action>) {
         if self.outcome.is_some() {
             return;
         }
@@ -369,12 +371,12 @@
         self.outcome = Some(outcome);
     }
 
-    fn stored(&mut self, answer: Answer, actions: &mut Vec<Action>) {
+    fn receive_stored(&mut self, answer: Answer, actions: &mut Vec<Action>) {
         let Answer::Current { revision, record } = answer else {
             return;
         };
-        // A record without an outcome says nothing of a veto that only the entries know yet, so
-        // an entry that was restarted still has to hear a peer before it sends any traffic.
+        // A record without an outcome doesn't exclude a veto that only the entries know yet, so a
+        // restarted entry still needs a peer's facts before it sends any traffic.
         self.revision = Some(revision);
         self.store_call_at = None;
         let Some(record) = record else {
@@ -384,7 +386,7 @@
             self.ramp = Ramp::new(&self.plan, record.began);
         }
         if let Some(outcome) = record.outcome {
-            self.take_outcome(outcome, actions);
+            self.adopt_outcome(outcome, actions);
         }
     }
 
--- a/components/moves/src/mover/count.rs
+++ b/components/moves/src/mover/count.rs
@@ -1,4 +1,4 @@
-//! Counting this entry's own requests, and telling the others.
+//! Counts this entry's own requests and publishes the counts to the other entries.
 
 use std::time::{
     Duration,
@@ -28,33 +28,34 @@
     times::Histogram,
 };
 
-/// Time between two tellings of the cells that changed.
-const CELLS_EVERY: Duration = Duration::from_secs(1);
+/// Interval between publications of the cells that changed.
+const CELLS_PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two tellings of the histograms.
-const TIMES_EVERY: Duration = Duration::from_secs(20);
+/// Interval between publications of the latency histograms.
+const TIMES_PUBLISH_INTERVAL: Duration = Duration::from_secs(20);
 
-/// A time slower than this share of the old version's times is slow.
-const SLOW: f64 = 0.9;
+/// Quantile of the old version's latencies above which a request is slow.
+const SLOW_QUANTILE: f64 = 0.9;
 
-/// Part of a time by which an entry may run late itself. Lateness is seen by samples, so that little
-/// of it stands for more.
-const LATE: f64 = 0.01;
+/// Highest share of a measured time by which this entry's own scheduling may be delayed. Delays are
+/// sampled, so a small observed delay stands for a larger one.
+const MAX_OWN_DELAY: f64 = 0.01;
 
-/// Multiple of the limit beyond which a time is slow when there is no old version to compare with. A
-/// day's load slows a service by some tens of percent; times gather below the limit, so that a
-/// little more carries most of them over it.
-const MUCH: f64 = 1.3;
+/// Factor on the slowness limit when there is no old version to compare with. Daily load slows a
+/// service by some tens of percent; latencies cluster just below the limit, so a small slowdown
+/// would put most of them over it.
+const SOLE_VERSION_LIMIT_FACTOR: f64 = 1.3;
 
-/// Time between two times that are counted when there is no old version to compare with. Answers
-/// that overlap are slowed by the same thing, and would count as many signs of it.
-const APART: Duration = Duration::from_millis(100);
+/// Minimum interval between counted samples when there is no old version to compare with.
+/// Overlapping answers are slowed by the same cause and would count as many independent signs of
+/// it.
+const MIN_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Fewest times of the old version from which a limit is taken.
-const ENOUGH_TIMES: u64 = 12;
+/// Minimum number of the old version's samples from which a limit is derived.
+const MIN_LIMIT_SAMPLES: u64 = 12;
 
-/// Failing requests that are remembered, so that a retry isn't counted again.
-const REMEMBERED: usize = 4096;
+/// Maximum number of remembered failed requests, which keep retries from being counted again.
+const MAX_FAILED_HASHES: usize = 4096;
 
 impl Mover {
     pub(super) fn first(
@@ -73,7 +74,7 @@
         let Some(slow) = self.exceeds(pick, time, late, limit) else {
             return;
         };
-        if pick.level == Level::FULL && !apart(&mut self.first_counted_at, wall) {
+        if pick.level == Level::FULL && !is_independent(&mut self.first_counted_at, wall) {
             return;
         }
         self.count(pick, |tally| {
@@ -100,7 +101,8 @@
     }
 
     fn failed(&mut self, pick: &Pick, wall: SystemTime, out: &mut Vec<Action>) {
-        // The pick's hash is small for the new version; the other half is as good for both.
+        // A pick for the new version implies a small hash; the lower half is uniform for both
+        // versions.
         let hash = (pick.hash & u64::from(u32::MAX)) as u32;
         if self.failed_hashes.contains(&hash) {
             return;
@@ -116,10 +118,10 @@
         }
     }
 
-    /// Remembers a failing request. The smallest hashes stay, as in the sketches of the cells.
+    /// Remembers a failed request. The smallest hashes are kept, as in the sketches of the cells.
     pub(super) fn remember(&mut self, hash: u32) {
         self.failed_hashes.insert(hash);
-        if self.failed_hashes.len() > REMEMBERED {
+        if self.failed_hashes.len() > MAX_FAILED_HASHES {
             self.failed_hashes.pop_last();
         }
     }
@@ -140,7 +142,7 @@
         let Some(slow) = self.exceeds(pick, time, late, limit) else {
             return;
         };
-        if pick.level == Level::FULL && !apart(&mut self.between_counted_at, wall) {
+        if pick.level == Level::FULL && !is_independent(&mut self.between_counted_at, wall) {
             return;
         }
         self.count(pick, |tally| {
@@ -152,10 +154,12 @@
         }
     }
 
-    /// Whether a time is over its limit; none when there is no limit, or the time doesn't count.
+    /// Returns whether a time exceeds its limit, or `None` without a limit or if the sample is
+    /// excluded.
     ///
-    /// While both versions have traffic, what slows this entry or the whole service down slows both.
-    /// Afterwards it would look like the new version's fault, so that only much slower times count.
+    /// While both versions have traffic, a slowdown of this entry or of the whole service affects
+    /// both. Afterwards it would look like a fault of the new version, so only much slower times
+    /// count.
     fn exceeds(
         &self,
         pick: &Pick,
@@ -166,10 +170,10 @@
         if pick.level < Level::FULL {
             return limit.map(|limit| time > limit);
         }
-        if self.overload || late > LATE {
+        if self.overload || late > MAX_OWN_DELAY {
             return None;
         }
-        limit.map(|limit| time > limit.mul_f64(MUCH))
+        limit.map(|limit| time > limit.mul_f64(SOLE_VERSION_LIMIT_FACTOR))
     }
 
     fn count(&mut self, pick: &Pick, change: impl Fn(&mut Tally)) {
@@ -183,31 +187,31 @@
         self.changed_cells.insert(key);
     }
 
-    pub(super) fn tell(&mut self, now: Clock, wall: SystemTime, actions: &mut Vec<Action>) {
+    pub(super) fn publish(&mut self, now: Clock, wall: SystemTime, actions: &mut Vec<Action>) {
         if self.outcome.is_some() {
             return;
         }
-        if now.saturating_sub(self.cells_published_at) >= CELLS_EVERY
+        if now.saturating_sub(self.cells_published_at) >= CELLS_PUBLISH_INTERVAL
             && !self.changed_cells.is_empty()
         {
             self.cells_published_at = now;
             let source = self.owner.source.clone();
             let mut cells = Cells::new();
             for key in std::mem::take(&mut self.changed_cells) {
-                let pair = self.evidence.cell(&source, &key).clone();
-                cells.insert(key, pair);
+                let cell = self.evidence.cell(&source, &key).clone();
+                cells.insert(key, cell);
             }
             actions.push(Action::Publish(Fact::Cells { source, cells }));
         }
-        if now.saturating_sub(self.times_published_at) >= TIMES_EVERY {
+        if now.saturating_sub(self.times_published_at) >= TIMES_PUBLISH_INTERVAL {
             self.times_published_at = now;
             actions.push(Action::Publish(Fact::Began(self.ramp.began())));
-            self.tell_times(actions);
-            self.set_limits(wall);
+            self.publish_times(actions);
+            self.update_limits(wall);
         }
     }
 
-    fn tell_times(&mut self, actions: &mut Vec<Action>) {
+    fn publish_times(&mut self, actions: &mut Vec<Action>) {
         for (route, side, times) in self.evidence.times_of(&self.owner.source) {
             actions.push(Action::Publish(Fact::Times {
                 source: self.owner.source.clone(),
@@ -218,8 +222,8 @@
         }
     }
 
-    /// Takes the limits from the old version's times, while it has traffic to take them from.
-    fn set_limits(&mut self, wall: SystemTime) {
+    /// Derives the limits from the old version's latencies while that version still has traffic.
+    fn update_limits(&mut self, wall: SystemTime) {
         if self.ramp.slot(wall) > 0 && self.level == Level::FULL {
             return;
         }
@@ -233,28 +237,33 @@
         }
         for (route, times) in by_route {
             let limit = self.limits.entry(route.clone()).or_default();
-            let first = quantile(&times.first, &all.first);
-            let between = quantile(&times.between, &all.between);
+            let first = slowness_limit(&times.first, &all.first);
+            let between = slowness_limit(&times.between, &all.between);
             limit.first = first.or(limit.first);
             limit.between = between.or(limit.between);
         }
     }
 }
 
-/// Whether a time is far enough from the one that was counted before; notes it if so.
-fn apart(before: &mut Option<SystemTime>, wall: SystemTime) -> bool {
-    let near = before.is_some_and(|at| wall.duration_since(at).is_ok_and(|since| since < APART));
-    if !near {
-        *before = Some(wall);
+/// Returns whether enough time has passed since the last counted sample, and records this one if
+/// so.
+fn is_independent(last_counted: &mut Option<SystemTime>, wall: SystemTime) -> bool {
+    let too_close = last_counted.is_some_and(|at| {
+        wall.duration_since(at)
+            .is_ok_and(|since| since < MIN_SAMPLE_INTERVAL)
+    });
+    if !too_close {
+        *last_counted = Some(wall);
     }
-    !near
+    !too_close
 }
 
-/// The limit of slowness by a route's own times, or by all routes' while it has too few.
-fn quantile(route: &Histogram, all: &Histogram) -> Option<Duration> {
+/// Returns the slowness limit from the route's own latencies, or from all routes while it has too
+/// few.
+fn slowness_limit(route: &Histogram, all: &Histogram) -> Option<Duration> {
     for times in [route, all] {
-        if times.count() >= ENOUGH_TIMES {
-            return times.quantile(SLOW);
+        if times.count() >= MIN_LIMIT_SAMPLES {
+            return times.quantile(SLOW_QUANTILE);
         }
     }
     None
--- a/components/moves/src/mover/settle.rs
+++ b/components/moves/src/mover/settle.rs
@@ -1,4 +1,4 @@
-//! The share that follows from what is known, and the move's record.
+//! Derives the new version's share from the known evidence and keeps the move's record.
 
 use std::time::{
     Duration,
@@ -29,28 +29,29 @@
     },
 };
 
-/// Time after which a call of the store without an answer is tried again, times the rank.
-const RETRY: Duration = Duration::from_secs(5);
+/// Timeout of a store call before the first-ranked entry retries; each further rank adds the same
+/// time.
+const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Entries that read the record of a running move now and then.
-const READERS: u32 = 2;
+/// Number of entries that poll the record of a running move.
+const POLLING_ENTRIES: u32 = 2;
 
-/// Time between two such reads.
-const READ_EVERY: Duration = Duration::from_secs(10);
+/// Interval between polls of the record.
+const POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time between two steps up while the share is below the ramp's lower bound.
+/// Interval between steps up while the share is below the ramp's lower bound.
 ///
-/// An entry that was paused finds itself far behind. If it leapt, it would send much traffic to a
-/// version that the others may have found bad meanwhile, before their facts are read.
-const CATCH_UP: Duration = Duration::from_secs(2);
+/// A paused entry resumes far behind the ramp. If it jumped to the current bound, it would send
+/// much traffic to a version that the others may have found bad, before it reads their facts.
+const CATCH_UP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How much longer each rank waits with a write, so that usually one entry writes.
-const RANK_WAIT: Duration = Duration::from_secs(5);
+/// Additional delay of a write per rank; with it usually a single entry writes.
+const WRITE_DELAY_PER_RANK: Duration = Duration::from_secs(5);
 
 impl Mover {
-    /// Brings share, concentration and record in line with what is known.
+    /// Updates share, concentration and record from the current state.
     pub(super) fn settle(&mut self, now: Clock, wall: SystemTime, actions: &mut Vec<Action>) {
-        let level = self.wanted(now, wall);
+        let level = self.target_level(now, wall);
         if level != self.level {
             self.level = level;
             self.level_changed_at = now;
@@ -59,7 +60,7 @@
         if level == Level::FULL && self.full_at.is_none() {
             self.full_at = Some(wall);
         }
-        let concentrated = self.replicas();
+        let concentrated = self.target_replicas();
         if concentrated != self.concentration {
             self.concentration = concentrated;
             actions.push(Action::Concentrate(concentrated));
@@ -69,10 +70,10 @@
             self.late_noticed = true;
             actions.push(Action::Notice(Notice::Late));
         }
-        self.keep_record(now, wall, actions);
+        self.maintain_record(now, wall, actions);
     }
 
-    fn wanted(&self, now: Clock, wall: SystemTime) -> Level {
+    fn target_level(&self, now: Clock, wall: SystemTime) -> Level {
         let settled = match (&self.outcome, &self.veto, &self.dropped) {
             (Some(outcome), _, _) => Some(outcome.side()),
             (None, Some(_), _) => Some(Side::Old),
@@ -93,16 +94,17 @@
         if self.level >= upper_bound {
             return self.level;
         }
-        let dwell = match self.level < lower_bound {
-            true => CATCH_UP,
-            false => self.dwell(),
+        let step_interval = match self.level < lower_bound {
+            true => CATCH_UP_INTERVAL,
+            false => self.step_interval(),
         };
-        if now.saturating_sub(self.level_changed_at) < dwell {
+        if now.saturating_sub(self.level_changed_at) < step_interval {
             return self.level;
         }
         let supported_level = judge::supported_level(&self.total, &self.routes);
-        let wanted = upper_bound.min(supported_level.max(lower_bound).max(Level::ZERO.next()));
-        if wanted <= self.level {
+        let target_level =
+            upper_bound.min(supported_level.max(lower_bound).max(Level::ZERO.next()));
+        if target_level <= self.level {
             return self.level;
         }
         if lower_bound < Level::FULL && self.verdict().e_value >= HOLD_THRESHOLD {
@@ -111,39 +113,39 @@
         self.level.next()
     }
 
-    /// Time between two steps up, so that what a step shows is known before the next.
-    fn dwell(&self) -> Duration {
+    /// Interval between steps up, long enough that the effect of one step shows before the next.
+    fn step_interval(&self) -> Duration {
         (self.ramp.span() / 120).clamp(Duration::from_secs(5), Duration::from_secs(60))
     }
 
-    /// How many replicas of the new version carry its share, so that each has the load that the
-    /// old version's replicas have with all traffic. Spread thin over all replicas, a fault that
-    /// shows only under load would stay hidden until most traffic has moved.
-    fn replicas(&self) -> Option<u32> {
+    /// Returns how many replicas of the new version receive its share, sized to give each the load
+    /// that an old replica has under full traffic. Spread over all replicas, a fault that shows
+    /// only under load would stay hidden until most traffic has moved.
+    fn target_replicas(&self) -> Option<u32> {
         let (old, new) = self.ready_replicas?;
         if self.level == Level::ZERO || self.level == Level::FULL {
             return None;
         }
-        let wanted = (self.level.permille() * old.max(new)).div_ceil(1000);
-        Some(wanted.clamp(1, new.max(1)))
+        let target = (self.level.permille() * old.max(new)).div_ceil(1000);
+        Some(target.clamp(1, new.max(1)))
     }
 
-    fn keep_record(&mut self, now: Clock, wall: SystemTime, actions: &mut Vec<Action>) {
+    fn maintain_record(&mut self, now: Clock, wall: SystemTime, actions: &mut Vec<Action>) {
         if self.outcome.is_some() {
             return;
         }
-        let ended = self.ended(wall);
-        let begun = self.revision.is_some_and(|revision| revision > 0);
-        if !self.synced || (ended.is_none() && begun) {
+        let ending = self.ending(wall);
+        let recorded = self.revision.is_some_and(|revision| revision > 0);
+        if !self.synced || (ending.is_none() && recorded) {
             self.write_due = None;
-            self.read_again(now, actions);
+            self.poll_record(now, actions);
             return;
         }
         let due = *self.write_due.get_or_insert(now);
-        if now < due + RANK_WAIT * self.rank {
+        if now < due + WRITE_DELAY_PER_RANK * self.rank {
             return;
         }
-        let pause = RETRY * (self.rank + 1);
+        let pause = STORE_RETRY_INTERVAL * (self.rank + 1);
         if self
             .store_call_at
             .is_some_and(|requested| now < requested + pause)
@@ -151,25 +153,26 @@
             return;
         }
         self.store_call_at = Some(now);
-        let record = Box::new(self.record(ended, wall));
+        let record = Box::new(self.record(ending, wall));
         let expect = self.revision.unwrap_or(0);
         actions.push(Action::Write { record, expect });
     }
 
-    /// Reads the record now and then.
+    /// Polls the record.
     ///
-    /// The only entry that knew of a veto may write the outcome and die before any other hears of
-    /// it. The others would go on with a move whose record says that it was reverted.
-    fn read_again(&mut self, now: Clock, actions: &mut Vec<Action>) {
-        let reads = self.rank < READERS || !self.synced;
-        if reads && now >= self.read_at + READ_EVERY {
+    /// The only entry that knows of a veto may write the outcome and die before any other entry
+    /// receives it. Without polling, the others would continue a move whose record says that it was
+    /// reverted.
+    fn poll_record(&mut self, now: Clock, actions: &mut Vec<Action>) {
+        let polls = self.rank < POLLING_ENTRIES || !self.synced;
+        if polls && now >= self.read_at + POLL_INTERVAL {
             self.read_at = now;
             actions.push(Action::Read);
         }
     }
 
-    /// How the move ends, if it ends now.
-    fn ended(&self, wall: SystemTime) -> Option<(End, Reason)> {
+    /// Returns how the move ends if it ends now.
+    fn ending(&self, wall: SystemTime) -> Option<(End, Reason)> {
         if let Some(veto) = &self.veto {
             return Some((End::Reverted, Reason::Vetoed(veto.clone())));
         }
@@ -180,18 +183,18 @@
             };
             return Some((end, reason.clone()));
         }
-        let watched = self.full_at? + self.plan.watch;
-        (wall >= watched).then_some((End::Done, Reason::Watched))
+        let watch_end = self.full_at? + self.plan.watch;
+        (wall >= watch_end).then_some((End::Done, Reason::Watched))
     }
 
-    fn record(&self, ended: Option<(End, Reason)>, wall: SystemTime) -> Record {
+    fn record(&self, ending: Option<(End, Reason)>, wall: SystemTime) -> Record {
         Record {
             name: self.plan.name.clone(),
             from: self.plan.from.clone(),
             to: self.plan.to.clone(),
             by: self.plan.by,
             began: self.ramp.began(),
-            outcome: ended.map(|(end, reason)| Outcome {
+            outcome: ending.map(|(end, reason)| Outcome {
                 end,
                 reason,
                 full: self.full_at,
--- a/components/moves/src/outcome.rs
+++ b/components/moves/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Vetoes, outcomes and the record that is kept of a move.
+//! Vetoes, outcomes and the stored record of a move.
 
 use std::{
     fmt,
@@ -24,19 +24,19 @@
     share::Side, //
 };
 
-/// Says that a move's new version is bad. Once known it is never forgotten.
+/// States that a move's new version is bad. A known veto is never dropped.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Veto {
-    /// When the entry tripped, as wall-clock time.
+    /// Wall-clock time of the veto.
     #[serde(with = "humantime_serde")]
     pub at: SystemTime,
-    /// The entry that tripped.
+    /// The entry that raised the veto.
     pub by: Source,
-    /// What it found.
+    /// The finding behind the veto.
     pub finding: Finding,
 }
 
-/// How a move ended.
+/// End state of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
@@ -46,7 +46,7 @@
     Reverted,
 }
 
-/// Why a move ended.
+/// Reason for the end of a move.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
@@ -54,50 +54,50 @@
     Watched,
     /// An entry found the new version bad.
     Vetoed(Veto),
-    /// A later document no longer holds the move.
+    /// A later document no longer contains the move.
     Dropped,
     /// A later document uses the move's name for other versions.
     Replaced,
 }
 
-/// A move's end. It is written once.
+/// The outcome of a move, written once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Outcome {
-    /// Done or reverted.
+    /// End state.
     pub end: End,
-    /// Why.
+    /// Reason for the end.
     pub reason: Reason,
-    /// When the new version got all traffic, if it did.
+    /// Time when the new version received all traffic, if it did.
     #[serde(with = "humantime_serde::option")]
     pub full: Option<SystemTime>,
-    /// When the move ended.
+    /// Time when the move ended.
     #[serde(with = "humantime_serde")]
     pub at: SystemTime,
     /// The entry that wrote this.
     pub by: Source,
 }
 
-/// What the store keeps of a move: written at its begin and once more at its end.
+/// The stored record of a move, written at its start and again at its end.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// The move.
+    /// Name of the move.
     pub name: Move,
     /// Version that the traffic leaves.
     pub from: Version,
     /// Version that the traffic goes to.
     pub to: Version,
-    /// Time by which all traffic must have moved.
+    /// Deadline for moving all traffic.
     #[serde(with = "humantime_serde")]
     pub by: SystemTime,
-    /// When the move began.
+    /// Time when the move began.
     #[serde(with = "humantime_serde")]
     pub began: SystemTime,
-    /// How it ended; none while it runs.
+    /// The outcome; `None` while the move is running.
     pub outcome: Option<Outcome>,
 }
 
 impl Outcome {
-    /// The version that all traffic goes to.
+    /// Returns the version that receives all traffic.
     pub fn side(&self) -> Side {
         match self.end {
             End::Done => Side::New,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Key of a move's record in the platform's store.
+/// Returns the key of a move's record in the platform's store.
 pub fn key(environment: &Environment, name: &Move) -> String {
     format!("moves/{environment}/{name}")
 }
--- a/components/moves/src/plan.rs
+++ b/components/moves/src/plan.rs
@@ -1,8 +1,8 @@
 //! The ramp of a move: bounds of the share as a function of wall-clock time.
 //!
-//! The ramp is counted backwards from the time that the operator asked for. Its upper bound holds
-//! small shares long, so that faults that take minutes to show meet little traffic. Its lower bound
-//! is followed when there is too little evidence to grow on, so that the time is still met.
+//! The ramp is computed backwards from the operator's deadline. Its upper bound keeps shares small
+//! for long, which limits the traffic that faults take when they need minutes to show. Its lower
+//! bound applies when there is too little evidence to grow on, so the deadline is still met.
 
 use std::time::{
     Duration,
@@ -13,22 +13,22 @@
 
 use crate::share::Level;
 
-/// Shortest time that a ramp takes, also when the operator asks for less.
+/// Minimum length of a ramp, even if the operator asks for less.
 ///
-/// A document with a time in the past would otherwise switch all traffic within a second, before
-/// any evidence of a fault can arrive.
+/// A document with a deadline in the past would otherwise switch all traffic within a second,
+/// before any evidence of a fault can arrive.
 const MIN_SPAN: Duration = Duration::from_secs(60);
 
-/// Longest time that is kept free before the operator's time.
+/// Maximum time reserved between the end of the ramp and the deadline.
 const MAX_MARGIN: Duration = Duration::from_secs(300);
 
-/// Number of slots into which a move's time is cut, see [`Ramp::slot`].
+/// Number of time slots of a move, see [`Ramp::slot`].
 pub const SLOTS: u32 = 40;
 
-/// Parts of the ramp, in thousandths, at which the upper bound reaches each level.
+/// Points of the ramp, per mille of its length, at which the upper bound reaches each level.
 const UPPER_BOUND_PERMILLE: [u64; Level::COUNT] = [0, 0, 50, 100, 250, 400, 550, 650, 800, 900];
 
-/// Parts of the ramp, in thousandths, at which the lower bound reaches each level.
+/// Points of the ramp, per mille of its length, at which the lower bound reaches each level.
 const LOWER_BOUND_PERMILLE: [u64; Level::COUNT] = [0, 0, 150, 250, 350, 450, 600, 750, 900, 1000];
 
 /// Bounds of a move's share over time.
@@ -40,7 +40,7 @@
 }
 
 impl Ramp {
-    /// Lays the ramp from `began`, the time when the move began, to shortly before `plan.by`.
+    /// Creates the ramp from `began`, the start of the move, to shortly before `plan.by`.
     pub fn new(plan: &Plan, began: SystemTime) -> Self {
         let began = plan.start.unwrap_or(began);
         let requested = plan.by.duration_since(began).unwrap_or_default();
@@ -53,49 +53,50 @@
         }
     }
 
-    /// Time when the ramp begins.
+    /// Returns the time when the ramp begins.
     pub fn began(&self) -> SystemTime {
         self.began
     }
 
-    /// Time when the lower bound reaches the full share.
+    /// Returns the time when the lower bound reaches the full share.
     pub fn full(&self) -> SystemTime {
         self.full
     }
 
-    /// Length of the ramp.
+    /// Returns the length of the ramp.
     pub fn span(&self) -> Duration {
         self.full.duration_since(self.began).unwrap_or(MIN_SPAN)
     }
 
-    /// Upper bound of the share.
+    /// Returns the upper bound of the share at a time.
     pub fn upper_bound(&self, wall: SystemTime) -> Level {
         self.level(wall, &UPPER_BOUND_PERMILLE)
     }
 
-    /// Lower bound of the share while nothing speaks against the new version.
+    /// Returns the lower bound of the share at a time, which holds while no evidence speaks against
+    /// the new version.
     pub fn lower_bound(&self, wall: SystemTime) -> Level {
         self.level(wall, &LOWER_BOUND_PERMILLE)
     }
 
-    /// Number of the slot of time that `wall` falls into.
+    /// Returns the index of the time slot that contains `wall`.
     ///
-    /// Evidence is kept by slot, so that a fault which begins late isn't hidden by the good time
-    /// before it. Hosts whose clocks differ label the same moment with neighbouring slots, which
-    /// blurs the onset of a fault but changes no count.
+    /// Evidence is kept by slot, so a fault that begins late isn't masked by the good time before
+    /// it. Hosts whose clocks differ label the same moment with adjacent slots, which blurs the
+    /// onset of a fault but changes no count.
     pub fn slot(&self, wall: SystemTime) -> u16 {
         let elapsed = wall.duration_since(self.began).unwrap_or_default();
         let slot = elapsed.as_millis() / self.slot.as_millis();
         u16::try_from(slot.min(u128::from(SLOTS) - 1)).expect("a slot is below SLOTS")
     }
 
-    fn level(&self, wall: SystemTime, parts: &[u64; Level::COUNT]) -> Level {
+    fn level(&self, wall: SystemTime, points: &[u64; Level::COUNT]) -> Level {
         let Ok(elapsed) = wall.duration_since(self.began) else {
             return Level::ZERO;
         };
-        let part = elapsed.as_secs_f64() / self.span().as_secs_f64() * 1000.0;
+        let point = elapsed.as_secs_f64() / self.span().as_secs_f64() * 1000.0;
         Level::all()
-            .filter(|level| parts[level.index()] as f64 <= part)
+            .filter(|level| points[level.index()] as f64 <= point)
             .last()
             .unwrap_or(Level::ZERO)
     }
--- a/components/moves/src/rank.rs
+++ b/components/moves/src/rank.rs
@@ -1,8 +1,8 @@
-//! Who writes a move's record first.
+//! Ranks the entries that may write a move's record.
 //!
-//! Rendezvous hashing needs no agreement: entries that know the same entries order themselves alike,
-//! and one that comes or goes moves the others by one place at most. Entries whose lists differ may
-//! share a place; then both write, and the store's compare-and-swap lets one win.
+//! Rendezvous hashing needs no agreement: entries with the same list compute the same order, and an
+//! entry that joins or leaves shifts the others by at most one rank. Entries whose lists differ may
+//! compute the same rank; then both write, and the store's compare-and-swap lets one win.
 
 use names::{
     Host,
@@ -10,22 +10,22 @@
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Last place. The entries behind it share it.
+/// Highest rank, shared by all entries from there on.
 ///
-/// A list may name many entries that are gone or that serve another environment. Each place waits
-/// 5 s longer than the one before, so without a bound an outcome could stay unwritten for minutes.
+/// A list may name many entries that are gone or that serve another environment. Each rank waits 5
+/// s longer than the one before, so without a bound an outcome could stay unwritten for minutes.
 pub const MAX_RANK: u32 = 11;
 
-/// Place of an entry in the order of who writes the record of a move, 0 first.
+/// Returns the rank of an entry among the writers of a move's record, 0 first.
 ///
-/// `others` are the other entries that it knows; its own name among them counts once.
+/// `others` are the other known entries; the entry's own name among them has no effect.
 pub fn rank<'a>(own: &Host, others: impl IntoIterator<Item = &'a Host>, name: &Move) -> u32 {
     let seed = xxh3_64_with_seed(name.as_bytes(), 0);
     let weight = |host: &Host| xxh3_64_with_seed(host.as_bytes(), seed);
-    let mine = (weight(own), own);
+    let own_weight = (weight(own), own);
     let ahead = others
         .into_iter()
-        .filter(|host| (weight(host), *host) < mine);
+        .filter(|host| (weight(host), *host) < own_weight);
     let ahead = u32::try_from(ahead.count()).unwrap_or(u32::MAX);
     ahead.min(MAX_RANK)
 }
--- a/components/moves/src/rollout.rs
+++ b/components/moves/src/rollout.rs
@@ -1,14 +1,15 @@
-//! Moves that must be over within seconds, under a bound on what a bad version may get.
+//! Traffic moves that must finish within seconds, with a bound on the requests that a bad version
+//! may receive.
 //!
-//! The load that it answers: a service of a few requests a second whose traffic must move within
-//! some ten seconds. There is no time for the steps of a [`crate::Mover`], and what a bad version
-//! may get in all is a bound that every entry draws on. So each entry sends the new version a
-//! sample of its requests, small enough that all samples together keep to the bound; what came of
-//! them is pooled; and only near the end, when nothing speaks against the version, all traffic
-//! moves at once, so late that what is left of the time fits the bound too.
+//! The intended load is a service of a few requests per second whose traffic must move within about
+//! ten seconds. That leaves no time for the steps of a [`crate::Mover`], and the bound on a bad
+//! version's requests is shared by all entries. So each entry sends the new version a sample of its
+//! requests, small enough that all samples together stay within the bound. The entries pool the
+//! results. Only near the deadline, if no evidence speaks against the version, all traffic switches
+//! at once, so late that the requests in the remaining time fit the bound too.
 //!
-//! Time is counted from when the order was learned, on a clock that nobody sets: wall clocks of
-//! hosts differ by seconds, which is a good part of such a move.
+//! Time is measured from receipt of the order on a monotonic clock: wall clocks of hosts differ by
+//! seconds, which is a large part of such a move.
 
 use std::{
     collections::{
@@ -30,116 +31,121 @@
 
 use crate::share::Side;
 
-/// Parts of the time between which the traffic moves: as soon as all that is still to come fits the
-/// bound. A fault may begin late, and then all that the new version got counts against it.
-const MOVED: (f64, f64) = (0.75, 0.92);
+/// Earliest and latest switch, as fractions of the move's time. The switch takes place as soon as
+/// all requests still expected fit the bound. A fault may begin late, and then all requests that
+/// the new version received count against the bound.
+const SWITCH_WINDOW: (f64, f64) = (0.75, 0.92);
 
-/// Part of the time at which the move is reported as done. The rest is for a store that is slow.
-const REPORTED: f64 = 0.94;
+/// Fraction of the time at which the move is reported as done. The rest is reserved for a slow
+/// store.
+const REPORT_AT: f64 = 0.94;
 
-/// Multiple of the time after which a move that is done limits nothing any more. The old version's
+/// Multiple of the time after which a completed move stops restricting versions. The old version's
 /// servers stop when it is done.
-const OVER: f64 = 2.0;
+const RESTRICTION_FACTOR: f64 = 2.0;
 
-/// Parts of the bound that samples use: of its share, and of what is allowed besides. The rest is
-/// for the traffic after the move, for entries that start anew and count from nothing, and for
-/// requests that are under way when a fault is found.
-const USED: (f64, f64) = (0.2, 0.4);
+/// Fractions of the bound that samples use: of its share of requests, and of its fixed allowance.
+/// The rest covers the traffic after the switch, entries that restart with empty counts, and
+/// requests in flight when a fault is found.
+const SAMPLE_FRACTIONS: (f64, f64) = (0.2, 0.4);
 
-/// Part of the bound that samples and what comes after the move may use; traffic isn't even.
-const FILLED: f64 = 0.8;
+/// Fraction of the bound that samples and the requests after the switch may use; the reserve
+/// absorbs uneven traffic.
+const BOUND_FRACTION: f64 = 0.8;
 
-/// Part of the samples that doesn't depend on the traffic and may be used at once.
-const AT_ONCE: f64 = 0.5;
+/// Fraction of the traffic-independent samples that may be used immediately.
+const IMMEDIATE_SAMPLE_FRACTION: f64 = 0.5;
 
-/// Slots into which the time is cut, so that good answers before a fault began don't hide it.
+/// Number of time slots, which keep good answers before a fault's onset from masking it.
 const SLOTS: u32 = 8;
 
-/// Log likelihood ratio at which the new version is taken back: 200 times as likely to be bad. Three
-/// bad answers among few are enough where the old version gives hardly any.
-const TRIP: f64 = 5.3;
+/// Log likelihood ratio at which the new version is reverted: it is 200 times as likely to be bad.
+/// Three bad answers among few are enough where the old version gives hardly any.
+const VETO_LLR: f64 = 5.3;
 
-/// The same above which traffic doesn't move yet, when it could first and when it is due. A good
-/// version whose service fails now and then passes the first by chance, and must not be late; one
-/// that passes the second is taken back, as a bad version costs more than another try.
-const LEAN: (f64, f64) = (1.0, 3.0);
+/// Log likelihood ratio above which traffic doesn't switch yet, at the earliest switch time and at
+/// the deadline. A good version of a service with occasional failures exceeds the first by chance
+/// and must not be late; a version that exceeds the second is reverted, as a bad version costs more
+/// than another attempt.
+const HOLD_LLR: (f64, f64) = (1.0, 3.0);
 
-/// Lowest part of bad answers that a bad version is taken to give.
-const BAD: f64 = 0.2;
+/// Lowest assumed failure rate of a bad version.
+const MIN_BAD_RATE: f64 = 0.2;
 
-/// Bounds of the old version's part of bad answers: none can be told from a handful of requests.
-const USUAL: (f64, f64) = (0.02, 0.4);
+/// Bounds of the assumed failure rate of the old version; a handful of requests can't show a lower
+/// or higher one.
+const USUAL_RATE_BOUNDS: (f64, f64) = (0.02, 0.4);
 
-/// Weight of the lower bound, in requests, against what was counted of the old version.
-const PRIOR: f64 = 10.0;
+/// Weight of the lower bound as a prior, in requests, against the counts of the old version.
+const PRIOR_REQUESTS: f64 = 10.0;
 
-/// Routes that are counted one by one.
-const ROUTES: usize = 8;
+/// Maximum number of routes that are counted separately.
+const MAX_ROUTES: usize = 8;
 
-/// Routes that there are taken to be at the least: the first request of a move must not use the
-/// part of a rarer route that hasn't shown yet.
-const LEAST_ROUTES: usize = 2;
+/// Minimum number of routes assumed: the first request of a move must not use the budget of a rarer
+/// route that hasn't appeared yet.
+const MIN_ROUTES: usize = 2;
 
-/// Number of a route: a hash of its name.
+/// Identifier of a route: a hash of its name.
 pub type RouteId = u32;
 
-/// Number of another entry's run.
+/// Identifier of another entry's run.
 pub type PeerId = u64;
 
-/// A move that an operator ordered.
+/// An operator's order to move a service's traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Number of the order; it grows from one to the next.
+    /// Revision of the order, which increases with each order.
     pub revision: Revision,
-    /// The version that all traffic must go to.
+    /// Version that must receive all traffic.
     pub to: Version,
-    /// Time within which it must.
+    /// Time within which all traffic must have moved.
     pub within: Duration,
 }
 
-/// What a bad version may get.
+/// Bound on the requests that a bad version may receive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Exposure {
-    /// Part of the service's requests.
+    /// Fraction of the service's requests.
     pub share: f64,
-    /// Requests besides.
+    /// Number of requests allowed in addition.
     pub slack: f64,
 }
 
-/// Where a move stands.
+/// State of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// The new version gets samples.
+    /// The new version receives samples.
     Running,
-    /// All traffic goes to the new version, and stays there.
+    /// All traffic goes to the new version for good.
     Done,
-    /// The new version gets nothing any more.
+    /// The new version receives no more requests.
     Reverted,
 }
 
-/// Which versions a request may go to.
+/// Versions that a request may be sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Constraint {
-    /// All: the move is long done, and servers of later versions may come without another one.
+    /// All versions: the move was done long ago, and later versions may be released without a move.
     Any,
-    /// The new one only.
+    /// Only the new version.
     OnlyNew,
-    /// Any but the new one.
+    /// Any version except the new one.
     ExcludeNew,
 }
 
-/// Requests of a route within a slot of time.
+/// Request counts of a route within a time slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// Sent to the new version.
+    /// Requests sent to the new version.
     pub new: u32,
-    /// Of these, ended.
+    /// Of these, the ended ones.
     pub ended: u32,
-    /// Of these, failed or several times slower than usual.
+    /// Of these, the ones that failed or were several times slower than usual.
     pub bad: u32,
-    /// Ended at the old version.
+    /// Requests ended at the old version.
     pub old: u32,
-    /// Of these, failed or slow.
+    /// Of these, the ones that failed or were slow.
     pub old_bad: u32,
 }
 
@@ -153,44 +159,44 @@
     }
 }
 
-/// What one entry counted, by slot and route.
+/// Counts of one entry, by slot and route.
 pub type Counts = BTreeMap<(u8, RouteId), Count>;
 
-/// What an entry tells the others of a move.
+/// State of a move at one entry, as sent to the other entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Number of the order.
+    /// Revision of the order.
     pub revision: Revision,
-    /// Time since the order, as far as it is known there.
+    /// Time since the order, as known to that entry.
     pub elapsed: Duration,
-    /// It found the new version bad.
+    /// Whether the entry found the new version bad.
     pub vetoed: bool,
-    /// Requests of the service that came there since the order.
+    /// Requests for the service received by that entry since the order.
     pub requests: u32,
-    /// What it counted.
+    /// Counts of that entry.
     pub counts: Counts,
 }
 
-/// One entry's part in one move.
+/// State machine of one move at one entry.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     order: Order,
     exposure: Exposure,
-    /// When the order was given, as far as is known.
+    /// Earliest known time of the order.
     began: Clock,
     own: Counts,
-    /// Requests of the service that came here since.
+    /// Requests for the service received by this entry since the order.
     requests: u32,
     peers: HashMap<PeerId, Progress>,
-    /// Most entries that were seen to share the bound.
+    /// Largest observed number of entries that share the bound.
     entries: usize,
     vetoed: bool,
-    /// The state that stands in the store.
+    /// The state recorded in the store.
     stored_state: Option<State>,
 }
 
 impl Rollout {
-    /// Begins to take part in a move whose order was learned at `now`.
+    /// Starts a move at this entry; the order was received at `now`.
     pub fn new(order: Order, exposure: Exposure, now: Clock) -> Rollout {
         Rollout {
             order,
@@ -205,29 +211,29 @@
         }
     }
 
-    /// The order.
+    /// Returns the order.
     pub fn order(&self) -> &Order {
         &self.order
     }
 
-    /// Notes how many entries share the bound. An entry that loses sight of its peers must not take
-    /// their part, so the most that were seen count.
+    /// Records how many entries share the bound. The maximum applies: an entry that loses contact
+    /// with its peers must not take over their part.
     pub fn observe_entries(&mut self, entries: usize) {
         self.entries = self.entries.max(entries);
     }
 
-    /// Takes the state that stands in the store for this order; tells whether it is news.
+    /// Records the stored state of this order and returns whether it differs from the previous one.
     pub fn set_stored_state(&mut self, state: State) -> bool {
         self.stored_state.replace(state) != Some(state)
     }
 
-    /// Whether the new version is bad as far as is known.
+    /// Returns whether the new version is known to be bad.
     pub fn vetoed(&self) -> bool {
         self.stored_state == Some(State::Reverted)
             || self.vetoed && self.stored_state != Some(State::Done)
     }
 
-    /// Where the move stands at this entry.
+    /// Returns the state of the move at this entry.
     pub fn state(&self, now: Clock) -> State {
         if self.vetoed() {
             return State::Reverted;
@@ -235,7 +241,7 @@
         if self.stored_state == Some(State::Done) || self.switched(now) {
             return State::Done;
         }
-        match self.elapsed(now) < REPORTED {
+        match self.elapsed(now) < REPORT_AT {
             true => State::Running,
             false => State::Reverted,
         }
@@ -248,25 +254,29 @@
 
     fn switched(&self, now: Clock) -> bool {
         let elapsed = self.elapsed(now);
-        let (first, last) = MOVED;
-        if elapsed < first || elapsed < last && !self.rest_fits(elapsed) {
+        let (first, last) = SWITCH_WINDOW;
+        if elapsed < first || elapsed < last && !self.remainder_fits(elapsed) {
             return false;
         }
-        let late = ((elapsed - first) / (REPORTED - first)).clamp(0.0, 1.0);
-        let (least, most) = LEAN;
-        self.log_likelihood_ratio() < least + (most - least) * late
+        let lateness = ((elapsed - first) / (REPORT_AT - first)).clamp(0.0, 1.0);
+        let (min, max) = HOLD_LLR;
+        self.log_likelihood_ratio() < min + (max - min) * lateness
     }
 
-    /// Whether all requests that are still to come could go to a bad version within the bound.
-    fn rest_fits(&self, elapsed: f64) -> bool {
-        let peers = self.peers.values().map(|told| f64::from(told.requests));
+    /// Returns whether all requests still expected could go to a bad version within the bound.
+    fn remainder_fits(&self, elapsed: f64) -> bool {
+        let peers = self
+            .peers
+            .values()
+            .map(|progress| f64::from(progress.requests));
         let requests = f64::from(self.requests) + peers.sum::<f64>();
         let all = requests / elapsed.max(f64::MIN_POSITIVE);
         let bound = self.exposure.share * all + self.exposure.slack;
-        all - requests + f64::from(self.samples_sent()) <= FILLED * bound
+        all - requests + f64::from(self.samples_sent()) <= BOUND_FRACTION * bound
     }
 
-    /// The versions for a request that isn't counted, such as one that goes on after a loss.
+    /// Returns the allowed versions for a request that isn't counted, such as one resumed after a
+    /// loss.
     pub fn constraint(&self, now: Clock) -> Constraint {
         match self.state(now) {
             State::Done if self.expired(now) => Constraint::Any,
@@ -276,11 +286,11 @@
     }
 
     fn expired(&self, now: Clock) -> bool {
-        self.stored_state == Some(State::Done) && self.elapsed(now) >= OVER
+        self.stored_state == Some(State::Done) && self.elapsed(now) >= RESTRICTION_FACTOR
     }
 
-    /// Picks the versions for a new request of a route, and counts it. `draw` is a random number
-    /// from 0 to 1.
+    /// Picks the allowed versions for a new request of a route, and counts it. `draw` is a random
+    /// number from 0 to 1.
     pub fn pick(&mut self, now: Clock, route: RouteId, draw: f64) -> Constraint {
         self.requests = self.requests.saturating_add(1);
         let constraint = match self.state(now) {
@@ -293,27 +303,28 @@
         constraint
     }
 
-    /// Whether this entry has a sample left for a route. Each route has its part, as a fault may
-    /// show on a rare one only; the part of a place that is left over is used with its probability.
+    /// Returns whether this entry has a sample left for a route. Each route has its own budget, as
+    /// a fault may affect only a rare one. The fractional part of a budget is used with that
+    /// probability.
     fn takes_sample(&self, now: Clock, route: RouteId, draw: f64) -> bool {
-        let time = (self.elapsed(now) / MOVED.0).clamp(0.0, 1.0);
-        let (of_share, of_slack) = USED;
-        let flat = of_slack * self.exposure.slack / self.entries as f64;
-        let flat = flat * (AT_ONCE + (1.0 - AT_ONCE) * time);
-        let shared = of_share * self.exposure.share * f64::from(self.requests);
-        let most = (flat + shared) / self.routes(route) as f64;
+        let time = (self.elapsed(now) / SWITCH_WINDOW.0).clamp(0.0, 1.0);
+        let (of_share, of_slack) = SAMPLE_FRACTIONS;
+        let fixed = of_slack * self.exposure.slack / self.entries as f64;
+        let fixed = fixed * (IMMEDIATE_SAMPLE_FRACTION + (1.0 - IMMEDIATE_SAMPLE_FRACTION) * time);
+        let proportional = of_share * self.exposure.share * f64::from(self.requests);
+        let budget = (fixed + proportional) / self.routes(route) as f64;
         let sent = self.own.iter().filter(|((_, known), _)| *known == route);
         let sent: u32 = sent.map(|(_, count)| count.new).sum();
-        f64::from(sent) + 1.0 <= most.floor() + f64::from(u8::from(draw < most.fract()))
+        f64::from(sent) + 1.0 <= budget.floor() + f64::from(u8::from(draw < budget.fract()))
     }
 
-    /// What all entries counted.
+    /// Iterates over the counts of all entries.
     fn all_counts(&self) -> impl Iterator<Item = &Counts> {
-        let peers = self.peers.values().map(|told| &told.counts);
+        let peers = self.peers.values().map(|progress| &progress.counts);
         peers.chain([&self.own])
     }
 
-    /// Number of routes that requests came on, with one that comes now.
+    /// Returns the number of routes seen, including `route`.
     fn routes(&self, route: RouteId) -> usize {
         let known = self
             .all_counts()
@@ -321,10 +332,10 @@
         let mut routes: Vec<_> = known.chain([route]).collect();
         routes.sort_unstable();
         routes.dedup();
-        routes.len().clamp(LEAST_ROUTES, ROUTES)
+        routes.len().clamp(MIN_ROUTES, MAX_ROUTES)
     }
 
-    /// Notes the end of a request: whether it failed or was several times slower than usual.
+    /// Records the end of a request and whether it failed or was several times slower than usual.
     pub fn record_end(&mut self, now: Clock, route: RouteId, side: Side, bad: bool) {
         let cell = self.cell(now, route);
         match side {
@@ -346,15 +357,15 @@
         let mut routes: Vec<_> = self.own.keys().map(|(_, route)| *route).collect();
         routes.sort_unstable();
         routes.dedup();
-        // Routes beyond the most are counted together.
-        let route = match known || routes.len() < ROUTES {
+        // Routes beyond the maximum are counted together.
+        let route = match known || routes.len() < MAX_ROUTES {
             true => route,
             false => 0,
         };
         self.own.entry((slot, route)).or_default()
     }
 
-    /// What is told to the other entries.
+    /// Returns this entry's state of the move, for the other entries.
     pub fn progress(&self, now: Clock) -> Progress {
         Progress {
             revision: self.order.revision,
@@ -365,7 +376,7 @@
         }
     }
 
-    /// Takes what another entry tells. What it counted stays when it is gone.
+    /// Merges another entry's state. Its counts remain after that entry has gone.
     pub fn merge(&mut self, now: Clock, peer: PeerId, progress: Progress) {
         if progress.revision != self.order.revision {
             return;
@@ -377,11 +388,11 @@
     }
 
     fn update_veto(&mut self) {
-        self.vetoed |= self.log_likelihood_ratio() >= TRIP;
+        self.vetoed |= self.log_likelihood_ratio() >= VETO_LLR;
     }
 
-    /// How strongly what all entries counted speaks against the new version: the highest log
-    /// likelihood ratio over the routes, and over the times at which a fault may have begun.
+    /// Returns how strongly the pooled counts speak against the new version: the maximum log
+    /// likelihood ratio over all routes and possible onset times of a fault.
     pub fn log_likelihood_ratio(&self) -> f64 {
         let mut routes: BTreeMap<Option<RouteId>, [Count; SLOTS as usize]> = BTreeMap::new();
         for counts in self.all_counts() {
@@ -396,7 +407,7 @@
         tests.fold(0.0, f64::max)
     }
 
-    /// Samples that all entries sent to the new version.
+    /// Returns the number of samples that all entries sent to the new version.
     pub fn samples_sent(&self) -> u32 {
         self.all_counts()
             .flat_map(|counts| counts.values())
@@ -404,26 +415,28 @@
             .sum()
     }
 
-    /// The state that this entry should write into the store, if any stands there that differs.
+    /// Returns the state that this entry should write to the store, or `None` if the store is up to
+    /// date or holds a final state.
     pub fn state_to_store(&self, now: Clock) -> Option<State> {
         if matches!(self.stored_state, Some(State::Done | State::Reverted)) {
             return None;
         }
-        let due = match self.state(now) {
-            State::Done if self.elapsed(now) < REPORTED => State::Running,
+        let target = match self.state(now) {
+            State::Done if self.elapsed(now) < REPORT_AT => State::Running,
             state => state,
         };
-        (self.stored_state != Some(due)).then_some(due)
+        (self.stored_state != Some(target)).then_some(target)
     }
 }
 
 fn log_likelihood_ratio(slots: &[Count; SLOTS as usize]) -> f64 {
     let mut all = Count::default();
     slots.iter().for_each(|count| all.add(count));
-    let (least, most) = USUAL;
-    let usual = (f64::from(all.old_bad) + least * PRIOR) / (f64::from(all.old) + PRIOR);
-    let usual = usual.clamp(least, most);
-    let worse = (4.0 * usual).clamp(BAD, 0.8);
+    let (min, max) = USUAL_RATE_BOUNDS;
+    let usual =
+        (f64::from(all.old_bad) + min * PRIOR_REQUESTS) / (f64::from(all.old) + PRIOR_REQUESTS);
+    let usual = usual.clamp(min, max);
+    let worse = (4.0 * usual).clamp(MIN_BAD_RATE, 0.8);
     let mut sum = 0.0;
     let mut highest: f64 = 0.0;
     for count in slots.iter().rev() {
--- a/components/moves/src/sketch.rs
+++ b/components/moves/src/sketch.rs
@@ -1,8 +1,8 @@
-//! A small set of request hashes that counts each failing request once.
+//! A bounded set of request hashes that counts each failed request once.
 //!
-//! A caller whose request fails sends it again, and the retries stay on one version. Counted one by
-//! one they would look like many failures of that version and take a good version back. The set
-//! keeps the smallest hashes only, so that it stays small and merges in any order.
+//! A caller whose request fails retries it, and the retries stay on one version. Counted one by one
+//! they would look like many failures of that version and revert a good version. The set keeps only
+//! the smallest hashes, so it stays small and merges in any order.
 
 use std::collections::BTreeSet;
 
@@ -11,15 +11,15 @@
     Serialize, //
 };
 
-/// Most hashes that are kept; from here on failures are counted without regard to retries.
+/// Maximum number of hashes; beyond it failures are counted without regard to retries.
 pub const CAPACITY: usize = 24;
 
-/// The smallest hashes of the requests that failed.
+/// The smallest hashes of the failed requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Sketch(BTreeSet<u32>);
 
 impl Sketch {
-    /// Adds a request; tells whether the set changed.
+    /// Adds a request and returns whether the set changed.
     pub fn add(&mut self, hash: u32) -> bool {
         let added = self.0.insert(hash);
         if self.0.len() > CAPACITY {
@@ -28,24 +28,24 @@
         added
     }
 
-    /// Tells whether the set holds a request.
+    /// Returns whether the set contains a request.
     pub fn contains(&self, hash: u32) -> bool {
         self.0.contains(&hash)
     }
 
-    /// The hashes that are kept.
+    /// Iterates over the hashes.
     pub fn hashes(&self) -> impl Iterator<Item = u32> {
         self.0.iter().copied()
     }
 
-    /// Takes in another set.
+    /// Merges another set.
     pub fn merge(&mut self, other: &Self) {
         for hash in &other.0 {
             self.add(*hash);
         }
     }
 
-    /// Number of distinct requests, given how often a failure was counted.
+    /// Returns the number of distinct requests, given the number of counted failures.
     pub fn distinct(&self, counted: u32) -> u32 {
         if self.0.len() < CAPACITY {
             return self.0.len() as u32;
--- a/components/moves/src/step.rs
+++ b/components/moves/src/step.rs
@@ -1,4 +1,4 @@
-//! What goes into a mover and what comes out.
+//! Events, actions and gossiped facts of a mover.
 
 use std::time::{
     Duration,
@@ -33,14 +33,14 @@
     },
 };
 
-/// A version picked for a request. The request's generations keep it.
+/// A version picked for a request. All generations of the request keep it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Pick {
-    /// The version.
+    /// The picked version.
     pub side: Side,
     /// Share under which it was picked.
     pub level: Level,
-    /// Slot of time in which it was picked.
+    /// Time slot in which it was picked.
     pub slot: u16,
     /// Route of the request.
     pub route: Route,
@@ -48,29 +48,29 @@
     pub hash: u64,
 }
 
-/// How a request ended, as far as it says something about its version.
+/// End of a request, as far as it is attributable to the version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// It got its answer.
+    /// The answer was complete.
     Completed,
-    /// The version failed it: an error, a broken or stalled stream.
+    /// The version failed: an error, or a broken or stalled stream.
     Failed,
-    /// Something else ended it: the caller, a refusal, a lost host, a server's death.
+    /// Something else ended the request: the caller, a refusal, a lost host, a server's death.
     ///
     /// A death ends many requests at once and is counted once, by [`Event::Died`].
     Inconclusive,
 }
 
-/// Something that entries tell one another. Facts may be lost, repeated and reordered.
+/// Information that entries exchange. Facts may be lost, repeated and reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Fact {
-    /// The move began at this time; the earliest holds.
+    /// The start of the move; the earliest received time applies.
     Began(SystemTime),
     /// Counts of a source.
     Cells {
         /// Who counted.
         source: Source,
-        /// The cells that changed of late.
+        /// Recently changed cells.
         cells: Cells,
     },
     /// Histograms of a source.
@@ -92,49 +92,49 @@
     Outcome(Outcome),
 }
 
-/// An answer of the platform's store.
+/// Response of the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// What stands under the move's key, after a read, a write or a conflict.
+    /// Current value of the move's key, after a read, a write or a conflict.
     Current {
-        /// Revision of the key; 0 when there is none.
+        /// Revision of the key; 0 if the key is absent.
         revision: Revision,
         /// The record, if there is one.
         record: Option<Box<Record>>,
     },
-    /// No answer or a refusal. A write may have taken effect.
+    /// No response or a refusal. A write may have taken effect.
     Failed,
 }
 
-/// Something that happened.
+/// Input of a mover.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A document holds the move.
+    /// A document contains the move.
     Planned {
-        /// The move as the document has it.
+        /// The move as configured in the document.
         plan: Plan,
-        /// The routes that move.
+        /// The routes that the move covers.
         routes: Vec<Route>,
     },
-    /// A document no longer holds the move; the routes now name this version.
+    /// A document no longer contains the move; its routes now name this version.
     Dropped(Side),
-    /// All facts of a peer that is itself synced were taken in, or there is no such peer.
+    /// All facts of a synced peer were received, or there is no such peer.
     ///
     /// Until then the new version gets no traffic from this entry, which may have been restarted
     /// after a veto. The store's record is no substitute: a veto is known before it is written.
     Synced,
-    /// Replicas that can take work.
+    /// Number of ready replicas.
     Ready {
         /// Of the old version.
         old: u32,
         /// Of the new version.
         new: u32,
     },
-    /// This entry's place in the order of who writes; 0 writes at once.
+    /// This entry's rank among the writers; 0 writes at once.
     Rank(u32),
-    /// The service has more work than it can do, or no longer so.
+    /// Whether the service is overloaded.
     Overload(bool),
-    /// A request's first token came.
+    /// The first token of a request arrived.
     First {
         /// The request's pick.
         pick: Pick,
@@ -143,10 +143,10 @@
         /// Part of the time by which this entry itself ran late, from 0 to 1.
         late: f64,
     },
-    /// The mean time between the first tokens of an answer is known; once a request.
+    /// The mean time between the first tokens of an answer was measured; once per request.
     ///
-    /// A few dozen tokens are enough. The answer of a slow version takes long to end, and until
-    /// then its slowness would stay unseen.
+    /// A few dozen tokens are enough. A slow version takes long to finish an answer, and its
+    /// slowness would go unnoticed until then.
     Between {
         /// The request's pick.
         pick: Pick,
@@ -159,54 +159,55 @@
     Finished {
         /// The request's pick.
         pick: Pick,
-        /// How it ended.
+        /// How the request ended.
         ending: Ending,
     },
-    /// A backend server died, or a death is explained better than before.
+    /// A backend server died, or the cause of a known death was found.
     Died(Death),
-    /// Another entry told something.
+    /// A fact from another entry was received.
     Received(Fact),
-    /// The store answered.
+    /// The store responded.
     Stored(Answer),
-    /// Time passed; wanted about once a second.
+    /// Periodic timer, expected about once a second.
     Tick,
 }
 
-/// Something for the driver to do.
+/// Output of a mover, to be carried out by its driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// New requests are picked by this share from now on.
+    /// Use this share for new requests.
     Share(Level),
-    /// Send the new version's traffic to this many of its replicas; to all when none.
+    /// Restrict the new version's traffic to this many replicas; `None` lifts the restriction.
     Concentrate(Option<u32>),
-    /// Keep the old version's replicas ready, or no longer.
+    /// Whether to keep the old version's replicas ready.
     KeepWarm(bool),
-    /// Tell the other entries.
+    /// Send the fact to the other entries.
     Publish(Fact),
     /// Read the move's record.
     Read,
-    /// Write the move's record if its key still has this revision.
+    /// Write the move's record if its key is still at this revision.
     Write {
         /// The record.
         record: Box<Record>,
-        /// Revision that the key must have; 0 when it must be absent.
+        /// Revision that the key must have; 0 if it must be absent.
         expect: Revision,
     },
-    /// Tell the operators.
+    /// Notify the operators.
     Notice(Notice),
 }
 
-/// Something for the operators.
+/// Notification for the operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// This entry found the new version bad.
     Vetoed(Veto),
-    /// The operator's time passed and the traffic hasn't moved whole.
+    /// The deadline passed before all traffic had moved.
     Late,
-    /// The move has ended, and this entry wrote so.
+    /// The move ended, and this entry wrote the outcome.
     Reported(Outcome),
-    /// The move has ended, as another entry wrote.
+    /// The move ended; another entry wrote the outcome.
     Learned(Outcome),
-    /// A veto came after the move was recorded as done. The record stands; look at the version.
+    /// A veto followed the record that the move is done. The record stays in force; the operators
+    /// should inspect the version.
     Overruled(Veto),
 }
--- a/components/moves/tests/bench/mod.rs
+++ b/components/moves/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Movers of a few entries under a clock of the test's, with a store that can fail.
+//! Movers of a few entries under a simulated clock, with a store that can fail.
 
 #![allow(dead_code)]
 
@@ -33,26 +33,26 @@
     }, //
 };
 
-/// What the store does with calls.
+/// Behaviour of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Store {
     Up,
-    Out,
-    /// Writes take effect and their answers are lost.
+    Down,
+    /// Writes take effect, but their answers are lost.
     LosesAnswers,
 }
 
-pub struct Bench {
+pub struct Cluster {
     pub movers: Vec<Mover>,
     pub notices: Vec<(usize, Notice)>,
     pub record: Option<Box<Record>>,
     pub revision: u64,
     pub writes: u32,
     pub store: Store,
-    /// Entries that hear nobody and are heard by nobody.
-    pub cut_off: Vec<usize>,
+    /// Entries without communication in either direction.
+    pub partitioned: Vec<usize>,
     pub now: u64,
-    /// Part of the time by which the entries run late.
+    /// Delay of the entries as a fraction of the measured time.
     pub late: f64,
     facts: Vec<(usize, Fact)>,
     sent: u64,
@@ -64,7 +64,7 @@
     SystemTime::UNIX_EPOCH + Duration::from_secs(1_700_000_000 + seconds)
 }
 
-/// A move of an hour with a quarter of an hour of watch time.
+/// A move of an hour with a watch time of a quarter of an hour.
 pub fn plan() -> Plan {
     Plan {
         name: "up".into(),
@@ -89,29 +89,29 @@
     }
 }
 
-impl Bench {
+impl Cluster {
     pub fn new(entries: usize) -> Self {
-        let mut bench = Self {
+        let mut cluster = Self {
             movers: Vec::new(),
             notices: Vec::new(),
             record: None,
             revision: 0,
             writes: 0,
             store: Store::Up,
-            cut_off: Vec::new(),
+            partitioned: Vec::new(),
             now: 0,
             late: 0.0,
             facts: Vec::new(),
             sent: 0,
         };
         for entry in 0..entries {
-            bench.start(entry);
-            bench.on(entry, Event::Synced);
+            cluster.start(entry);
+            cluster.handle(entry, Event::Synced);
         }
-        bench
+        cluster
     }
 
-    /// Starts an entry, or starts it again without its memory.
+    /// Starts an entry, or restarts it without its memory.
     pub fn start(&mut self, entry: usize) {
         let owner = Owner {
             source: source(entry),
@@ -125,77 +125,78 @@
             self.movers.push(mover);
         }
         for action in actions {
-            self.act(entry, action);
+            self.carry_out(entry, action);
         }
-        self.on(entry, Event::Rank(entry as u32));
-        self.on(entry, Event::Ready { old: 25, new: 25 });
+        self.handle(entry, Event::Rank(entry as u32));
+        self.handle(entry, Event::Ready { old: 25, new: 25 });
     }
 
-    pub fn on(&mut self, entry: usize, event: Event) {
+    pub fn handle(&mut self, entry: usize, event: Event) {
         let at = Duration::from_secs(self.now);
         for action in self.movers[entry].handle(event, at, wall(self.now)) {
-            self.act(entry, action);
+            self.carry_out(entry, action);
         }
     }
 
-    fn act(&mut self, entry: usize, action: Action) {
+    fn carry_out(&mut self, entry: usize, action: Action) {
         match action {
             Action::Publish(fact) => self.facts.push((entry, fact)),
             Action::Notice(notice) => self.notices.push((entry, notice)),
-            Action::Read if self.store != Store::Out => self.answer(entry),
-            Action::Write { record, expect } if self.store != Store::Out => {
+            Action::Read if self.store != Store::Down => self.respond(entry),
+            Action::Write { record, expect } if self.store != Store::Down => {
                 self.writes += 1;
                 if expect == self.revision {
                     self.revision += 1;
                     self.record = Some(record);
                 }
                 if self.store == Store::Up {
-                    self.answer(entry);
+                    self.respond(entry);
                 }
             }
             Action::Read | Action::Write { .. } => {
-                self.on(entry, Event::Stored(Answer::Failed));
+                self.handle(entry, Event::Stored(Answer::Failed));
             }
             _ => {}
         }
     }
 
-    fn answer(&mut self, entry: usize) {
+    fn respond(&mut self, entry: usize) {
         let answer = Answer::Current {
             revision: self.revision,
             record: self.record.clone(),
         };
-        self.on(entry, Event::Stored(answer));
+        self.handle(entry, Event::Stored(answer));
     }
 
-    /// Lets a second pass at every entry; facts arrive a second late, twice, the last first.
-    pub fn second(&mut self) {
+    /// Advances every entry by a second. Facts arrive a second late, twice, in reverse order.
+    pub fn advance(&mut self) {
         self.now += 1;
         let mut facts = std::mem::take(&mut self.facts);
         facts.reverse();
         for (from, fact) in facts {
             for to in 0..self.movers.len() {
-                if to == from || self.cut_off.contains(&from) || self.cut_off.contains(&to) {
+                if to == from || self.partitioned.contains(&from) || self.partitioned.contains(&to)
+                {
                     continue;
                 }
-                self.on(to, Event::Received(fact.clone()));
-                self.on(to, Event::Received(fact.clone()));
+                self.handle(to, Event::Received(fact.clone()));
+                self.handle(to, Event::Received(fact.clone()));
             }
         }
         for entry in 0..self.movers.len() {
-            self.on(entry, Event::Tick);
+            self.handle(entry, Event::Tick);
         }
     }
 
-    /// Hands all that one entry knows to another.
+    /// Sends all facts of one entry to another.
     pub fn sync(&mut self, from: usize, to: usize) {
         for fact in self.movers[from].facts() {
-            self.on(to, Event::Received(fact));
+            self.handle(to, Event::Received(fact));
         }
-        self.on(to, Event::Synced);
+        self.handle(to, Event::Synced);
     }
 
-    /// The next request of an entry, with a hash that is spread evenly.
+    /// Picks the version for the next request of an entry, with a uniformly distributed hash.
     pub fn pick(&mut self, entry: usize) -> Pick {
         self.sent += 1;
         let hash = self.sent.wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -203,8 +204,8 @@
         self.movers[entry].pick(&route, hash, wall(self.now))
     }
 
-    /// Sends `rate` requests a second for some time. `fate` says what becomes of each, from its
-    /// pick, its number and the time.
+    /// Sends `rate` requests per second. `fate` returns the result of each from its pick, its
+    /// number and the time.
     pub fn run(&mut self, seconds: u64, rate: u64, fate: impl Fn(&Pick, u64, u64) -> Fate) {
         for _ in 0..seconds {
             for number in 0..rate {
@@ -213,16 +214,16 @@
                 let fate = fate(&pick, self.sent, self.now);
                 self.request(entry, &pick, fate);
             }
-            self.second();
+            self.advance();
         }
     }
 
     pub fn request(&mut self, entry: usize, pick: &Pick, fate: Fate) {
         let (first, between) = match fate {
-            Fate::Fine | Fate::Failed => (800, 40),
+            Fate::Succeeds | Fate::Failed => (800, 40),
             Fate::LateFirst => (9000, 40),
             Fate::LateBetween => (800, 400),
-            Fate::Slower => (800, 60),
+            Fate::SlowerByHalf => (800, 60),
         };
         let ending = match fate {
             Fate::Failed => Ending::Failed,
@@ -230,7 +231,7 @@
         };
         let pick = pick.clone();
         let time = Duration::from_millis(first);
-        self.on(
+        self.handle(
             entry,
             Event::First {
                 pick: pick.clone(),
@@ -239,7 +240,7 @@
             },
         );
         let time = Duration::from_millis(between);
-        self.on(
+        self.handle(
             entry,
             Event::Between {
                 pick: pick.clone(),
@@ -247,7 +248,7 @@
                 late: self.late,
             },
         );
-        self.on(entry, Event::Finished { pick, ending });
+        self.handle(entry, Event::Finished { pick, ending });
     }
 
     pub fn death(&mut self, entry: usize, run: u64, side: Side, cause: Cause) {
@@ -260,7 +261,7 @@
             level: pick.level,
             cause,
         };
-        self.on(entry, Event::Died(death));
+        self.handle(entry, Event::Died(death));
     }
 
     pub fn level(&self) -> Level {
@@ -272,20 +273,20 @@
         Some(outcome.end)
     }
 
-    pub fn reports(&self) -> usize {
+    pub fn reported_outcomes(&self) -> usize {
         let reported = |notice: &Notice| matches!(notice, Notice::Reported(_));
         let notices = self.notices.iter();
         notices.filter(|(_, notice)| reported(notice)).count()
     }
 }
 
-/// What becomes of a request.
+/// Result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    Fine,
+    Succeeds,
     Failed,
     LateFirst,
     LateBetween,
-    /// Half as long again between tokens as usual.
-    Slower,
+    /// Time between tokens is half as long again as usual.
+    SlowerByHalf,
 }
--- a/components/moves/tests/evidence.rs
+++ b/components/moves/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence merges in any order and any number of times, and never counts more than happened.
+//! Evidence merges in any order and any number of times, and never exceeds what happened.
 
 use moves::{
     Level,
@@ -43,25 +43,26 @@
     [(key(0), pair)].into()
 }
 
-/// Gossip repeats and reorders what it carries. Counted twice, one failure would look like many.
+/// Guards against double counting: gossip repeats and reorders its messages, and one failure would
+/// look like many.
 #[test]
-fn old_and_repeated_copies_change_nothing() {
+fn outdated_and_repeated_copies_change_nothing() {
     let steps = [cells(1, 0), cells(5, 1), cells(9, 2)];
     let mut in_order = Evidence::default();
     for step in &steps {
         in_order.merge_cells(&entry(1), step);
     }
-    let mut mixed = Evidence::default();
+    let mut reordered = Evidence::default();
     for index in [2, 0, 1, 2, 1, 0] {
-        mixed.merge_cells(&entry(1), &steps[index]);
+        reordered.merge_cells(&entry(1), &steps[index]);
     }
-    assert_eq!(in_order, mixed);
+    assert_eq!(in_order, reordered);
     assert_eq!(in_order.total(&"a".into()), steps[2]);
 }
 
-/// A data centre's sum comes from two of its entries, one of which hasn't heard everybody.
+/// Two entries of a data centre send its sum, and one of them lacks counts of the other.
 #[test]
-fn sums_of_a_data_centre_never_count_twice() {
+fn sums_of_a_data_centre_are_never_counted_twice() {
     let centre = Source::Centre("b".into());
     let mut partial = Evidence::default();
     partial.merge_cells(&entry(1), &cells(5, 1));
@@ -71,16 +72,17 @@
     here.merge_cells(&centre, &whole.summary());
     here.merge_cells(&centre, &partial.summary());
     assert_eq!(here.total(&"a".into())[&key(0)].new.requests, 12);
-    // Where the entries themselves are known, their data centre's sum is left out.
+    // Where the entries are known individually, their data centre's sum is left out.
     here.merge_cells(&entry(1), &cells(5, 1));
     here.merge_cells(&entry(2), &cells(7, 0));
     assert_eq!(here.total(&"b".into())[&key(0)].new.requests, 12);
     assert_eq!(here.total_of(&"b".into(), &key(0)).new.requests, 12);
 }
 
-/// A death is seen by every entry that had a request there, and explained later by one of them.
+/// Every entry with a request on the server reports its death, and one of them finds the cause
+/// later.
 #[test]
-fn a_death_is_one_death_and_keeps_its_explanation() {
+fn a_death_counts_once_and_keeps_its_cause() {
     let death = Death {
         server: "s".into(),
         incarnation: 7,
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn a_sketch_counts_few_requests_exactly_and_many_by_the_counter() {
+fn a_sketch_counts_distinct_requests_up_to_its_capacity() {
     let mut sketch = Sketch::default();
     for hash in [3, 3, 5, 3] {
         sketch.add(hash);
--- a/components/moves/tests/judge.rs
+++ b/components/moves/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge alone: what it makes of counts.
+//! Tests of the assessment of counts.
 
 use moves::{
     Level,
@@ -16,7 +16,7 @@
     Level::at_most(permille)
 }
 
-/// Adds failing requests of both versions to a cell.
+/// Adds failed requests of both versions to a cell.
 fn add(cells: &mut Cells, slot: u16, permille: u32, new: u32, old: u32) {
     let key = Key {
         slot,
@@ -33,10 +33,10 @@
     }
 }
 
-/// A version is as good as the old one for half of the move, with many requests to show it, and
-/// then begins to fail. What it did before must not hide that.
+/// Guards against a late fault that is masked by a good past: the version equals the old one over
+/// many requests for half of the move, and then begins to fail.
 #[test]
-fn a_late_fault_is_seen_behind_a_good_past() {
+fn a_late_fault_is_not_masked_by_a_good_past() {
     let mut cells = Cells::new();
     for slot in 0..20 {
         add(&mut cells, slot, 350, 7, 13);
@@ -48,7 +48,7 @@
     assert!(assess(&cells, [].into_iter()).e_value >= VETO_THRESHOLD);
 }
 
-/// One number after another, evenly spread.
+/// Returns the next of a sequence of uniformly distributed numbers.
 fn random(state: &mut u64) -> f64 {
     *state = state.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let mut mixed = (*state ^ (*state >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -56,10 +56,10 @@
     (mixed ^ (mixed >> 31)) as f64 / u64::MAX as f64
 }
 
-/// A good version is looked at after each failing request of a move. If looking often made it more
-/// likely to be taken back, good versions would be lost on busy services.
+/// Guards against false vetoes from repeated evaluation: a good version is assessed after each
+/// failed request of a move, as on a busy service.
 #[test]
-fn looking_often_takes_no_good_version_back() {
+fn frequent_assessment_reverts_no_good_version() {
     const MOVES: u32 = 2000;
     const LIMIT: f64 = 20.0;
     let shares = [10, 20, 50, 100, 200, 350, 500, 750];
@@ -84,7 +84,7 @@
         }
         over += u32::from(highest >= LIMIT);
     }
-    // Ville's inequality: at most one in twenty, whatever the shares were.
+    // Ville's inequality: at most one in twenty, whatever the shares.
     assert!(
         f64::from(over) <= f64::from(MOVES) / LIMIT,
         "{over} of {MOVES}"
--- a/components/moves/tests/plan.rs
+++ b/components/moves/tests/plan.rs
@@ -1,10 +1,10 @@
-//! The ramp, the ladder and the pick.
+//! Tests of the ramp, the levels and the pick.
 
-mod bench;
+mod cluster;
 
 use std::time::Duration;
 
-use bench::{
+use cluster::{
     plan,
     wall, //
 };
@@ -17,7 +17,7 @@
 use rstest::rstest;
 
 #[test]
-fn the_ramp_ends_before_the_time_and_never_crosses_itself() {
+fn the_ramp_ends_before_the_deadline_and_its_bounds_never_cross() {
     let ramp = Ramp::new(&plan(), wall(0));
     let mut lines = Vec::new();
     for second in (0..=3600).step_by(300) {
@@ -33,12 +33,12 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// An operator asks for a time that has passed, or for nearly no time. All traffic would switch
-/// before a fault can show.
+/// Guards against a deadline in the past or nearly so, which would switch all traffic before a
+/// fault can show.
 #[rstest]
 #[case::passed(0)]
 #[case::soon(10)]
-fn a_ramp_takes_its_shortest_time(#[case] by: u64) {
+fn a_ramp_has_a_minimum_length(#[case] by: u64) {
     let mut plan = plan();
     plan.by = wall(by);
     let ramp = Ramp::new(&plan, wall(5));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn before_its_start_a_ramp_gives_nothing() {
+fn a_ramp_allows_nothing_before_its_start() {
     let mut plan = plan();
     plan.start = Some(wall(100));
     let ramp = Ramp::new(&plan, wall(0));
@@ -56,15 +56,15 @@
 }
 
 #[test]
-fn slots_grow_with_time_and_end() {
+fn slots_increase_up_to_the_last() {
     let ramp = Ramp::new(&plan(), wall(0));
     assert_eq!(ramp.slot(wall(0)), 0);
     assert!(ramp.slot(wall(1800)) > ramp.slot(wall(900)));
     assert_eq!(ramp.slot(wall(1_000_000)), 39);
 }
 
-/// A caller sends its request again while the share grows. It must not come from the new version
-/// back to the old one.
+/// A caller retries its request while the share grows. The request must not move from the new
+/// version back to the old one.
 #[test]
 fn a_request_stays_on_the_new_version_as_the_share_grows() {
     for hash in (0..1000).map(|n: u64| n.wrapping_mul(0x9E37_79B9_7F4A_7C15)) {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_level_picks_its_share() {
+fn a_level_picks_its_share_of_requests() {
     for level in Level::all() {
         let hashes = (0..100_000).map(|n: u64| n.wrapping_mul(0x9E37_79B9_7F4A_7C15));
         let new = hashes
--- a/components/moves/tests/rollout.rs
+++ b/components/moves/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Moves that are over within seconds, played by several entries in virtual time.
+//! Simulates moves that finish within seconds on several entries in virtual time.
 
 use std::time::Duration;
 
@@ -21,10 +21,10 @@
 
 const STEP: Duration = Duration::from_millis(20);
 
-/// Time between two tellings among entries.
-const TOLD: u32 = 10;
+/// Simulation steps between exchanges of state among the entries.
+const EXCHANGE_STEPS: u32 = 10;
 
-/// Time that an answer takes.
+/// Duration of an answer.
 const ANSWER: Duration = Duration::from_millis(1200);
 
 const EXPOSURE: Exposure = Exposure {
@@ -40,44 +40,44 @@
     }
 }
 
-/// What the new version is like.
+/// Fault of the new version.
 #[derive(Clone, Copy)]
 struct Fault {
-    /// Part of its answers that are bad.
+    /// Fraction of bad answers.
     share: f64,
-    /// When that begins.
+    /// Onset of the fault.
     from: Duration,
-    /// The only route on which it shows.
+    /// The only affected route; `None` for all.
     route: Option<u32>,
 }
 
-const NONE: Fault = Fault {
+const NO_FAULT: Fault = Fault {
     share: 0.0,
     from: Duration::ZERO,
     route: None,
 };
 
-/// Several entries, each with its own clock's origin.
-struct Play {
+/// Simulation of several entries.
+struct Simulation {
     rng: StdRng,
     entries: Vec<Rollout>,
     now: Duration,
-    /// Requests under way: when each ends, its entry, route, side, and whether it is bad.
+    /// Requests in flight: end, entry, route, side, and whether the answer is bad.
     running: Vec<(Duration, usize, u32, Side, bool)>,
-    /// Requests of all, and of the new version.
+    /// Total requests, and those sent to the new version.
     requests: u32,
     exposed: u32,
-    /// Requests a second, and the part of them that is on the rare route.
+    /// Requests per second, and the fraction of them on the rare route.
     rate: f64,
-    rare: f64,
-    /// Part of all answers that fail whatever the version.
-    usual: f64,
+    rare_share: f64,
+    /// Fraction of answers that fail on either version.
+    base_failure_rate: f64,
     fault: Fault,
 }
 
-impl Play {
-    fn new(seed: u64, entries: usize, rate: f64, fault: Fault) -> Play {
-        Play {
+impl Simulation {
+    fn new(seed: u64, entries: usize, rate: f64, fault: Fault) -> Simulation {
+        Simulation {
             rng: StdRng::seed_from_u64(seed),
             entries: (0..entries)
                 .map(|_| entry(entries, Duration::ZERO))
@@ -87,38 +87,39 @@
             requests: 0,
             exposed: 0,
             rate,
-            rare: 0.1,
-            usual: 0.02,
+            rare_share: 0.1,
+            base_failure_rate: 0.02,
             fault,
         }
     }
 
-    fn until(&mut self, end: Duration) {
+    fn run_until(&mut self, end: Duration) {
         let mut step = (self.now.as_millis() / STEP.as_millis()) as u32;
         while self.now < end {
             self.now += STEP;
             step += 1;
-            let due = self.rate * STEP.as_secs_f64();
-            let count = due.floor() + f64::from(u8::from(self.rng.random_bool(due.fract())));
+            let expected = self.rate * STEP.as_secs_f64();
+            let count =
+                expected.floor() + f64::from(u8::from(self.rng.random_bool(expected.fract())));
             for _ in 0..count as u32 {
                 self.request();
             }
             let now = self.now;
-            let (over, left) = self.running.drain(..).partition(|run| run.0 <= now);
-            self.running = left;
-            let over: Vec<_> = over;
-            for (_, entry, route, side, bad) in over {
+            let (ended, in_flight) = self.running.drain(..).partition(|run| run.0 <= now);
+            self.running = in_flight;
+            let ended: Vec<_> = ended;
+            for (_, entry, route, side, bad) in ended {
                 self.entries[entry].record_end(now, route, side, bad);
             }
-            if step.is_multiple_of(TOLD) {
-                self.tell();
+            if step.is_multiple_of(EXCHANGE_STEPS) {
+                self.exchange();
             }
         }
     }
 
     fn request(&mut self) {
         let entry = self.rng.random_range(0..self.entries.len());
-        let route = u32::from(self.rng.random_bool(self.rare)) + 1;
+        let route = u32::from(self.rng.random_bool(self.rare_share)) + 1;
         let draw = self.rng.random_range(0.0..1.0);
         let constraint = self.entries[entry].pick(self.now, route, draw);
         self.requests += 1;
@@ -131,23 +132,24 @@
         let shows = side == Side::New
             && self.now >= fault.from
             && fault.route.is_none_or(|known| known == route);
-        let bad = self.rng.random_bool(self.usual) || shows && self.rng.random_bool(fault.share);
+        let bad = self.rng.random_bool(self.base_failure_rate)
+            || shows && self.rng.random_bool(fault.share);
         self.running
             .push((self.now + ANSWER, entry, route, side, bad));
     }
 
-    fn tell(&mut self) {
+    fn exchange(&mut self) {
         let updates: Vec<_> = self.entries.iter().map(|e| e.progress(self.now)).collect();
-        for (place, entry) in self.entries.iter_mut().enumerate() {
+        for (index, entry) in self.entries.iter_mut().enumerate() {
             for (peer, progress) in updates.iter().enumerate() {
-                if peer != place {
+                if peer != index {
                     entry.merge(self.now, peer as u64, progress.clone());
                 }
             }
         }
     }
 
-    fn allowed(&self) -> f64 {
+    fn bound(&self) -> f64 {
         EXPOSURE.share * f64::from(self.requests) + EXPOSURE.slack
     }
 
@@ -162,40 +164,44 @@
     rollout
 }
 
-/// The new version is as good as the old one. The operator wants all traffic on it by the time that
-/// was asked for, though some requests fail on either.
+/// Guards against a good version that isn't fully rolled out by the operator's deadline, also when
+/// some requests fail on both versions.
 #[rstest]
 #[case::few_entries(5, 6.0, 0.0, 0)]
-#[case::few_entries_that_fail(5, 6.0, 0.02, 4)]
+#[case::few_entries_with_failures(5, 6.0, 0.02, 4)]
 #[case::many_entries(28, 26.0, 0.02, 1)]
 #[case::one_entry(1, 80.0, 0.02, 1)]
-#[case::hardly_a_request(5, 0.5, 0.0, 0)]
-fn a_good_version_has_all_traffic_in_time(
+#[case::hardly_any_requests(5, 0.5, 0.0, 0)]
+fn a_good_version_is_done_in_time(
     #[case] entries: usize,
     #[case] rate: f64,
-    #[case] usual: f64,
-    #[case] most: u32,
+    #[case] base_failure_rate: f64,
+    #[case] max_late: u32,
 ) {
     let mut late = 0;
     for seed in 0..40 {
-        let mut play = Play::new(seed, entries, rate, NONE);
-        play.usual = usual;
-        play.until(Duration::from_millis(13_300));
-        let all = play.states().iter().all(|state| *state == State::Done);
+        let mut simulation = Simulation::new(seed, entries, rate, NO_FAULT);
+        simulation.base_failure_rate = base_failure_rate;
+        simulation.run_until(Duration::from_millis(13_300));
+        let all = simulation
+            .states()
+            .iter()
+            .all(|state| *state == State::Done);
         late += u32::from(!all);
     }
-    assert!(late <= most, "{late} of 40 late");
+    assert!(late <= max_late, "{late} of 40 late");
 }
 
-/// The new version fails half of what it gets, from the beginning, after a while, or on a route that
-/// few callers use. What it gets in all stays below the operator's bound, and it is taken back.
+/// Guards against a bad version that receives more requests than the operator's bound or isn't
+/// reverted. It fails a large part of its requests: from the start, after a while, or only on a
+/// route that few callers use.
 #[rstest]
-#[case::at_once(0.5, 0, None)]
+#[case::from_the_start(0.5, 0, None)]
 #[case::few_failures(0.3, 0, None)]
 #[case::late(0.5, 4, None)]
-#[case::after_the_traffic_moved(0.6, 12, None)]
+#[case::after_the_switch(0.6, 12, None)]
 #[case::on_a_rare_route(0.6, 0, Some(2))]
-fn a_bad_version_gets_little(
+fn a_bad_version_stays_within_the_bound(
     #[case] share: f64,
     #[case] from: u64,
     #[case] route: Option<u32>,
@@ -207,45 +213,58 @@
         route,
     };
     for seed in 0..20 {
-        let mut play = Play::new(seed, entries, rate, fault);
-        play.until(order().within);
-        let (exposed, allowed) = (play.exposed, play.allowed());
+        let mut simulation = Simulation::new(seed, entries, rate, fault);
+        simulation.run_until(order().within);
+        let (exposed, bound) = (simulation.exposed, simulation.bound());
         assert!(
-            f64::from(exposed) <= allowed,
-            "{exposed} of {allowed}, seed {seed}"
+            f64::from(exposed) <= bound,
+            "{exposed} of {bound}, seed {seed}"
         );
         if rate > 20.0 && from < 10 {
-            let reverted = play.states().iter().all(|s| *s == State::Reverted);
-            assert!(reverted, "seed {seed}: {:?}", play.states());
+            let reverted = simulation.states().iter().all(|s| *s == State::Reverted);
+            assert!(reverted, "seed {seed}: {:?}", simulation.states());
         }
     }
 }
 
-/// An entry is killed and comes back while a move is under way. It must not begin the samples anew
-/// for the whole time, nor send a version anything that the others found bad.
+/// Guards against a restarted entry that starts sampling as if the move were new, or that sends
+/// requests to a version that its peers found bad.
 #[test]
-fn an_entry_that_starts_anew_learns_where_the_move_stands() {
-    let mut play = Play::new(1, 5, 6.0, NONE);
-    play.until(Duration::from_secs(8));
-    let mut anew = entry(5, play.now);
-    let progress = play.entries[0].progress(play.now);
+fn a_restarted_entry_adopts_its_peers_state() {
+    let mut simulation = Simulation::new(1, 5, 6.0, NO_FAULT);
+    simulation.run_until(Duration::from_secs(8));
+    let mut restarted = entry(5, simulation.now);
+    let progress = simulation.entries[0].progress(simulation.now);
     assert_eq!(progress.elapsed, Duration::from_secs(8));
-    anew.merge(play.now, 1, progress);
-    assert_eq!(anew.progress(play.now).elapsed, Duration::from_secs(8));
+    restarted.merge(simulation.now, 1, progress);
+    assert_eq!(
+        restarted.progress(simulation.now).elapsed,
+        Duration::from_secs(8)
+    );
     for _ in 0..4 {
-        play.entries[0].record_end(play.now, 1, Side::New, true);
+        simulation.entries[0].record_end(simulation.now, 1, Side::New, true);
     }
-    assert_eq!(play.entries[0].state(play.now), State::Reverted);
-    anew.merge(play.now, 1, play.entries[0].progress(play.now));
-    assert_eq!(anew.pick(play.now, 1, 0.0), Constraint::ExcludeNew);
-    assert_eq!(anew.state_to_store(play.now), Some(State::Reverted));
+    assert_eq!(simulation.entries[0].state(simulation.now), State::Reverted);
+    restarted.merge(
+        simulation.now,
+        1,
+        simulation.entries[0].progress(simulation.now),
+    );
+    assert_eq!(
+        restarted.pick(simulation.now, 1, 0.0),
+        Constraint::ExcludeNew
+    );
+    assert_eq!(
+        restarted.state_to_store(simulation.now),
+        Some(State::Reverted)
+    );
 }
 
-/// Another entry ended the move, and this one couldn't hear it but reads it from the store.
+/// Another entry ended the move. This entry didn't receive its state but reads it from the store.
 #[rstest]
 #[case::done(State::Done, Constraint::OnlyNew)]
 #[case::reverted(State::Reverted, Constraint::ExcludeNew)]
-fn what_stands_in_the_store_is_followed(#[case] state: State, #[case] constraint: Constraint) {
+fn the_stored_state_is_followed(#[case] state: State, #[case] constraint: Constraint) {
     let mut rollout = entry(5, Duration::ZERO);
     assert!(rollout.set_stored_state(state));
     assert!(!rollout.set_stored_state(state));
@@ -255,10 +274,10 @@
     assert_eq!(rollout.state_to_store(now), None);
 }
 
-/// A move was done long ago, and an operator releases another version without a move. Its servers must
-/// get work beside those of the version that was moved to.
+/// Guards against a completed move that still restricts versions: an operator releases a later
+/// version without a move, and its servers must receive requests too.
 #[test]
-fn a_move_that_is_long_done_limits_nothing() {
+fn a_completed_move_stops_restricting_versions() {
     let mut rollout = entry(5, Duration::ZERO);
     rollout.set_stored_state(State::Done);
     let within = order().within;
@@ -270,10 +289,10 @@
     assert_eq!(reverted.constraint(within * 2), Constraint::ExcludeNew);
 }
 
-/// A cut keeps an entry from its peers. If it took their part of the samples, all entries that are
-/// cut off together would send the new version several times the bound.
+/// Guards against an entry that takes over its peers' samples when it is partitioned from them: the
+/// partitioned entries together would send the new version several times the bound.
 #[test]
-fn an_entry_alone_keeps_to_its_part() {
+fn a_partitioned_entry_keeps_its_own_budget() {
     let mut rollout = entry(10, Duration::ZERO);
     rollout.observe_entries(1);
     let now = Duration::from_secs(9);
@@ -285,9 +304,9 @@
     );
 }
 
-/// An entry tells of an order that is over. It says nothing about the one that is under way.
+/// State of an older order arrives from a peer. It says nothing about the current order.
 #[test]
-fn what_was_counted_for_another_order_is_left_out() {
+fn state_of_another_order_is_ignored() {
     let mut rollout = entry(2, Duration::ZERO);
     let mut progress = entry(2, Duration::ZERO).progress(Duration::from_secs(5));
     progress.revision = 6;
