--- a/components/answer/src/cursor.rs
+++ b/components/answer/src/cursor.rs
@@ -1,19 +1,19 @@
-//! The entry's place in an answer.
+//! The entry's position in an answer.
 //!
-//! Frames come again after a link was replaced, and may come with a hole when a sidecar errs. The
-//! cursor takes each index once and in order, whatever comes.
+//! Frames are repeated after a link was replaced, and may have a gap if a sidecar malfunctions. The
+//! cursor accepts each index once and in order.
 
 use names::Index;
 
-/// What a run of tokens is to the cursor.
+/// Relation of a run of tokens to the cursor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Take the tokens but for the first `skip`, which are there already.
+    /// The tokens after the first `skip` are new.
     Fresh {
-        /// Tokens at the front to leave out.
+        /// Number of leading tokens that were accepted before.
         skip: usize,
     },
-    /// All of them are there already.
+    /// All of them were accepted before.
     Repeat,
     /// Tokens before them are missing.
     Hole,
@@ -26,26 +26,26 @@
 }
 
 impl Cursor {
-    /// Judges `count` tokens from `index` on, without taking them.
-    pub fn judge(&self, index: Index, count: usize) -> Verdict {
+    /// Classifies `count` tokens from `index` on, without accepting them.
+    pub fn classify(&self, index: Index, count: usize) -> Verdict {
         if index > self.next {
             return Verdict::Hole;
         }
-        let behind = self.next - index;
-        if behind >= count as Index {
+        let overlap = self.next - index;
+        if overlap >= count as Index {
             return Verdict::Repeat;
         }
         Verdict::Fresh {
-            skip: behind as usize,
+            skip: overlap as usize,
         }
     }
 
-    /// Takes `count` tokens.
+    /// Accepts `count` tokens.
     pub fn advance(&mut self, count: usize) {
         self.next += count as Index;
     }
 
-    /// The index that comes next.
+    /// Returns the next index.
     pub fn next(&self) -> Index {
         self.next
     }
--- a/components/answer/src/events.rs
+++ b/components/answer/src/events.rs
@@ -1,66 +1,66 @@
-//! Events of a stream that is passed through: whole ones only, each once, in order.
+//! Splits a proxied event stream: only complete events pass, each once and in order.
 //!
-//! A backend server can stop in the middle of an event. What the caller gets must end with a whole
-//! one, or the rest from another server can't be joined to it.
+//! A backend server can stop in the middle of an event. The caller's stream must end with a
+//! complete one, or the rest from another server can't be appended.
 
 use bytes::{
     Bytes,
     BytesMut, //
 };
 
-/// Longest event that is kept until it is whole, in bytes.
+/// Maximum size of a buffered event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One event as it came.
+/// One event as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, where it has one.
+    /// Id of the event, if present.
     pub id: Option<u64>,
-    /// Its bytes, with the blank line behind it.
+    /// Bytes of the event, including the terminating blank line.
     pub bytes: Bytes,
 }
 
-/// What comes where the next event should.
+/// Reason why an event can't be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// An event is missing.
     Gap {
-        /// Id that was due.
-        due: u64,
-        /// Id that came.
-        came: u64,
+        /// Expected id.
+        expected: u64,
+        /// Received id.
+        received: u64,
     },
-    /// An event is longer than any that is known to be sent.
+    /// An event exceeds the size limit.
     TooLong,
 }
 
-/// Cuts a stream into events.
+/// Splits a byte stream into events.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
-    /// Bytes that were searched for an end already.
+    /// Number of bytes already searched for an end.
     searched: usize,
 }
 
 impl Splitter {
-    /// Adds bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether an event has begun and isn't whole.
+    /// Returns whether the buffer holds an incomplete event.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     ///
     /// # Errors
     ///
-    /// [`Fault::TooLong`] for an event that doesn't end.
+    /// [`Fault::TooLong`] for an event that exceeds the size limit.
     pub fn take(&mut self) -> Result<Option<Event>, Fault> {
         let start = self.searched.saturating_sub(3);
-        let Some(end) = end(&self.buffer[start..]) else {
+        let Some(event_end) = event_end(&self.buffer[start..]) else {
             self.searched = self.buffer.len();
             if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(Fault::TooLong);
@@ -68,14 +68,14 @@
             return Ok(None);
         };
         self.searched = 0;
-        let bytes = self.buffer.split_to(start + end).freeze();
+        let bytes = self.buffer.split_to(start + event_end).freeze();
         let id = id(&bytes);
         Ok(Some(Event { id, bytes }))
     }
 }
 
-/// Place behind the first blank line.
-fn end(bytes: &[u8]) -> Option<usize> {
+/// Returns the offset after the first blank line.
+fn event_end(bytes: &[u8]) -> Option<usize> {
     for (at, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
@@ -101,28 +101,28 @@
     None
 }
 
-/// Lets each event through once and in order.
+/// Accepts each event once and in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sequence {
     last: Option<u64>,
 }
 
 impl Sequence {
-    /// A sequence that goes on behind an event that the caller has.
+    /// Creates a sequence that continues after an event that the caller has.
     pub fn after(last: Option<u64>) -> Sequence {
         Sequence { last }
     }
 
-    /// Id of the last event that went through.
+    /// Returns the id of the last accepted event.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whether an event is the next one; `Ok(false)` for one that went through before.
+    /// Returns whether an event is the next one; `Ok(false)` for one that was accepted before.
     ///
     /// # Errors
     ///
-    /// [`Fault::Gap`] when events before it are missing.
+    /// [`Fault::Gap`] if events before it are missing.
     pub fn accept(&mut self, id: u64) -> Result<bool, Fault> {
         let Some(last) = self.last else {
             self.last = Some(id);
@@ -133,8 +133,8 @@
         }
         if id > last + 1 {
             return Err(Fault::Gap {
-                due: last + 1,
-                came: id,
+                expected: last + 1,
+                received: id,
             });
         }
         self.last = Some(id);
--- a/components/answer/src/finish.rs
+++ b/components/answer/src/finish.rs
@@ -1,23 +1,23 @@
-//! How a generation ended.
+//! End states of a generation.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// The end of a generation.
+/// End of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Finish {
-    /// The model ended its text.
+    /// The model completed its text.
     Stop,
     /// The text reached `max_tokens`.
     Length,
-    /// The generation ended before its text did.
+    /// The generation ended before its text was complete.
     Broken(Breakage),
 }
 
 impl Finish {
-    /// Whether the text is whole.
+    /// Returns whether the text is complete.
     pub fn is_complete(self) -> bool {
         match self {
             Finish::Stop | Finish::Length => true,
@@ -26,19 +26,19 @@
     }
 }
 
-/// Why a generation ended before its text did.
+/// Reason for an incomplete generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Breakage {
-    /// The engine closed the response without an end, or its process is gone.
+    /// The engine closed the response without an end, or its process exited.
     EngineDied,
-    /// The engine sent nothing for the sidecar's limit.
+    /// The engine sent nothing for the time limit of the sidecar.
     EngineStalled,
     /// The engine sent a token twice.
     Repeat,
-    /// The engine left a token out.
+    /// The engine skipped a token.
     Hole,
-    /// The log reached its bound in bytes with nobody attached who could take tokens off it.
+    /// The log reached its size limit with no attached entry to drain it.
     LogFull,
-    /// An entry, or the end of the grace time, cancelled it.
+    /// An entry cancelled the generation, or its grace time expired.
     Cancelled,
 }
--- a/components/answer/src/lib.rs
+++ b/components/answer/src/lib.rs
@@ -1,9 +1,9 @@
-//! Token log, cursor, epochs and resume decisions of one generation.
+//! Token log, cursor, epochs and resume decisions of one answer.
 //!
-//! A sidecar keeps the [`log::Log`] of each generation that it runs. The entry that answers the
-//! caller keeps a [`resume::Resume`], which takes tokens in order from the one epoch that owns the
-//! answer and decides when to attach again, when to start the next epoch, and when to give up.
-//! Both are plain state machines: an event and a time go in, actions come out.
+//! A sidecar keeps the [`log::Log`] of each generation that it runs. The entry that serves the
+//! caller keeps a [`resume::Resume`], which accepts tokens in order from the one epoch that owns
+//! the answer and decides when to reattach, when to start the next epoch, and when to give up. Both
+//! are plain state machines: an event and a time go in, actions come out.
 
 pub mod cursor;
 pub mod events;
--- a/components/answer/src/log.rs
+++ b/components/answer/src/log.rs
@@ -1,7 +1,7 @@
-//! The token log of one generation, as its sidecar keeps it.
+//! The token log of one generation, as kept by its sidecar.
 //!
-//! The log takes only the token that comes next, so an engine that repeats or leaves out a token is
-//! caught here, before anything of it reaches a caller. Its bytes are bounded.
+//! The log accepts only the next token, so an engine that repeats or skips a token is detected
+//! before the caller receives anything wrong. The log's size in bytes is bounded.
 
 use std::mem::size_of;
 
@@ -9,26 +9,26 @@
 
 use crate::Finish;
 
-/// Bytes that a token takes beside its text.
+/// Bytes that a token takes in addition to its text.
 pub const TOKEN_OVERHEAD: usize = size_of::<String>();
 
-/// Why the log didn't take a token or an end.
+/// Reason why the log rejected a token or an end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     /// The index is already in the log.
-    #[error("the engine sent a token again that the log holds")]
+    #[error("the engine repeated a token")]
     Repeat,
     /// The index is beyond the next one.
-    #[error("the engine left out the token at index {expected}")]
+    #[error("the engine skipped the token at index {expected}")]
     Hole {
-        /// The index that had to come.
+        /// The expected index.
         expected: Index,
     },
-    /// The token would take the log over its bound.
-    #[error("the log is at its bound")]
+    /// The token would exceed the log's size limit.
+    #[error("the log has reached its size limit")]
     Full,
-    /// The log has its end.
-    #[error("the generation has ended")]
+    /// The generation has already ended.
+    #[error("the generation has already ended")]
     Ended,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl Log {
-    /// An empty log whose first token has index `from`; `bound` is in bytes.
+    /// Creates an empty log whose first token has index `from`; `bound` is in bytes.
     pub fn new(from: Index, bound: usize) -> Log {
         Log {
             first: from,
@@ -54,10 +54,14 @@
         }
     }
 
-    /// A log that begins with the tokens of the epochs before it.
+    /// Creates a log that starts with the tokens of earlier epochs.
     ///
     /// An entry that takes the answer over from another one holds none of its tokens; with the
-    /// prefix in the log it gets them all, and can itself continue the answer elsewhere.
+    /// prefix in the log it receives them all, and can itself continue the answer elsewhere.
+    ///
+    /// # Errors
+    ///
+    /// [`Fault::Full`] if the prefix exceeds `bound`.
     pub fn with_prefix(prefix: &[String], bound: usize) -> Result<Log, Fault> {
         let mut log = Log::new(0, bound);
         for (index, token) in (0..).zip(prefix) {
@@ -66,7 +70,12 @@
         Ok(log)
     }
 
-    /// Takes the token at `index`, which must be [`Log::next`].
+    /// Appends the token at `index`, which must be [`Log::next`].
+    ///
+    /// # Errors
+    ///
+    /// Returns the [`Fault`] if the index isn't the next one, the log is full or the generation has
+    /// ended.
     pub fn append(&mut self, index: Index, token: String) -> Result<(), Fault> {
         if self.finish.is_some() {
             return Err(Fault::Ended);
@@ -87,7 +96,11 @@
         Ok(())
     }
 
-    /// Takes the end; the first one stands.
+    /// Records the end of the generation.
+    ///
+    /// # Errors
+    ///
+    /// [`Fault::Ended`] if an end is already recorded; the first one is kept.
     pub fn end(&mut self, finish: Finish) -> Result<(), Fault> {
         if self.finish.is_some() {
             return Err(Fault::Ended);
@@ -96,45 +109,45 @@
         Ok(())
     }
 
-    /// At most `most` tokens from index `from` on; empty when `from` is the next one.
+    /// Returns at most `max` tokens from index `from` on; empty if `from` is the next index.
     ///
-    /// `None` when `from` lies outside of the log: before its first token or beyond the next one.
-    pub fn read(&self, from: Index, most: usize) -> Option<&[String]> {
+    /// `None` if `from` lies outside the log: before its first token or beyond the next one.
+    pub fn read(&self, from: Index, max: usize) -> Option<&[String]> {
         let start = usize::try_from(from.checked_sub(self.first)?).ok()?;
         let rest = self.tokens.get(start..)?;
-        Some(&rest[..rest.len().min(most)])
+        Some(&rest[..rest.len().min(max)])
     }
 
-    /// Drops the tokens below `to`, which every attached entry must have been sent.
+    /// Drops the tokens below `to`, which must have been sent to every attached entry.
     ///
-    /// A log at its bound stays useful to those who follow it: only an entry that comes later finds
-    /// the beginning gone, and starts the answer afresh.
+    /// A full log remains useful to its attached entries. Only an entry that attaches later finds
+    /// the beginning missing, and restarts the answer.
     pub fn trim(&mut self, to: Index) {
-        let many = to
+        let count = to
             .saturating_sub(self.first)
             .min(self.tokens.len() as Index);
-        for token in self.tokens.drain(..many as usize) {
+        for token in self.tokens.drain(..count as usize) {
             self.bytes -= size(&token);
         }
-        self.first += many;
+        self.first += count;
     }
 
-    /// Index of the first token that is held.
+    /// Returns the index of the first token in the log.
     pub fn first(&self) -> Index {
         self.first
     }
 
-    /// Index of the token that comes next.
+    /// Returns the index of the next token.
     pub fn next(&self) -> Index {
         self.first + self.tokens.len() as Index
     }
 
-    /// The end, once there is one.
+    /// Returns the end, if there is one.
     pub fn finish(&self) -> Option<&Finish> {
         self.finish.as_ref()
     }
 
-    /// Bytes held.
+    /// Returns the size in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/components/answer/src/pointer.rs
+++ b/components/answer/src/pointer.rs
@@ -1,8 +1,8 @@
-//! Where a running generation is found by an entry that didn't start it.
+//! Pointers, by which an entry finds a running generation that it didn't start.
 //!
 //! Two sidecars in two data centres hold each pointer, chosen by rendezvous hashing of the request,
-//! so every entry knows whom to ask. Pointers are soft state: a lost one costs latency, as the
-//! answer is then begun again, and a stale one is found out by the [`crate::position::Position`].
+//! so every entry can compute the holders. Pointers are soft state: a lost one costs latency, as
+//! the answer is then restarted, and a stale one is detected by the [`crate::position::Position`].
 
 use std::{
     cmp::Reverse,
@@ -32,17 +32,17 @@
 /// A sidecar that may hold pointers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its host.
+    /// Host of the sidecar.
     pub host: Host,
-    /// Where it stands.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
 }
 
-/// The holders of a request's pointer, the first choice first: at most two, in two data centres as
-/// long as there are two.
+/// Returns the holders of a request's pointer, the first choice first: at most two, in two data
+/// centres if there are two.
 ///
-/// Entries whose lists differ by a few hosts still agree on most holders: a host that comes or goes
-/// changes only the requests that it ranks first for.
+/// Entries whose lists differ by a few hosts still agree on most holders: a host that joins or
+/// leaves changes only the requests that rank it first.
 pub fn holders<'a>(request: &str, candidates: &'a [Candidate]) -> Vec<&'a Candidate> {
     let seed = xxh3_64_with_seed(request.as_bytes(), 0);
     let rank = |candidate: &'a Candidate| {
@@ -59,25 +59,25 @@
     holders
 }
 
-/// A generation's place.
+/// Location of a generation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Pointer {
-    /// The host of the sidecar that runs it.
+    /// Host of the sidecar that runs the generation.
     pub host: Host,
-    /// The server that runs it.
+    /// Server that runs the generation.
     pub server: Server,
-    /// The version that the answer is pinned to.
+    /// Version that the answer is pinned to.
     pub version: Version,
-    /// Its epoch.
+    /// Epoch of the generation.
     pub epoch: Epoch,
-    /// Its nonce.
+    /// Nonce of the generation.
     pub nonce: Nonce,
 }
 
-/// Bounds of a table.
+/// Limits of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Pointers held; beyond, the one that was put longest ago goes.
+    /// Maximum number of pointers; beyond it the one with the oldest put is evicted.
     pub max_pointers: usize,
     /// Time after its last put at which a pointer expires.
     pub ttl: Duration,
@@ -92,93 +92,94 @@
     }
 }
 
-/// The pointers that one sidecar holds for others.
+/// Table of the pointers that one sidecar holds for entries.
 #[derive(Debug)]
 pub struct Table {
     settings: Settings,
-    pointers: HashMap<Request, Slot>,
-    /// Requests in the order of their puts; a put again leaves an outdated line behind.
-    order: VecDeque<Put>,
-    puts: u64,
+    pointers: HashMap<Request, Entry>,
+    /// Requests in the order of their puts; repeating a put leaves an outdated element behind.
+    order: VecDeque<Insertion>,
+    last_sequence: u64,
 }
 
 #[derive(Debug)]
-struct Slot {
+struct Entry {
     pointer: Pointer,
-    put: u64,
+    sequence: u64,
 }
 
 #[derive(Debug)]
-struct Put {
-    put: u64,
+struct Insertion {
+    sequence: u64,
     time: Clock,
     request: Request,
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(settings: Settings) -> Table {
         Table {
             settings,
             pointers: HashMap::new(),
             order: VecDeque::new(),
-            puts: 0,
+            last_sequence: 0,
         }
     }
 
-    /// Holds a pointer. Of two for a request the one with the higher epoch stays, so that a late
-    /// message doesn't bring back a run that was replaced; of equal epochs the later put stays.
+    /// Stores a pointer. Of two pointers for a request the one with the higher epoch is kept, so a
+    /// late message can't restore a replaced run; of equal epochs the later put is kept.
     pub fn put(&mut self, now: Clock, request: Request, pointer: Pointer) {
         self.expire(now);
-        let slot = self.pointers.get(&request);
-        if slot.is_some_and(|slot| slot.pointer.epoch > pointer.epoch) {
+        let entry = self.pointers.get(&request);
+        if entry.is_some_and(|entry| entry.pointer.epoch > pointer.epoch) {
             return;
         }
-        self.puts += 1;
-        let put = self.puts;
-        self.order.push_back(Put {
-            put,
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        self.order.push_back(Insertion {
+            sequence,
             time: now,
             request: request.clone(),
         });
-        self.pointers.insert(request, Slot { pointer, put });
+        self.pointers.insert(request, Entry { pointer, sequence });
         while self.pointers.len() > self.settings.max_pointers {
             self.evict_oldest();
         }
-        // Puts again leave lines behind; two a pointer bound the queue.
+        // Repeated puts leave outdated elements behind; two per pointer bound the queue.
         if self.order.len() > self.settings.max_pointers.saturating_mul(2) {
             let pointers = &self.pointers;
-            self.order.retain(|put_entry| current(pointers, put_entry));
+            self.order
+                .retain(|insertion| is_current(pointers, insertion));
         }
     }
 
-    /// The pointer of a request.
+    /// Returns the pointer of a request.
     pub fn get(&mut self, now: Clock, request: &str) -> Option<&Pointer> {
         self.expire(now);
-        self.pointers.get(request).map(|slot| &slot.pointer)
+        self.pointers.get(request).map(|entry| &entry.pointer)
     }
 
-    /// Drops the pointer of a run that ended, unless another run took its place.
+    /// Removes the pointer of an ended run, unless another run has replaced it.
     pub fn remove(&mut self, request: &str, nonce: Nonce) {
-        let slot = self.pointers.get(request);
-        if slot.is_some_and(|slot| slot.pointer.nonce == nonce) {
+        let entry = self.pointers.get(request);
+        if entry.is_some_and(|entry| entry.pointer.nonce == nonce) {
             self.pointers.remove(request);
         }
     }
 
-    /// Number of pointers held.
+    /// Returns the number of pointers.
     pub fn len(&self) -> usize {
         self.pointers.len()
     }
 
-    /// Whether none is held.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.pointers.is_empty()
     }
 
     fn expire(&mut self, now: Clock) {
-        while let Some(put_entry) = self.order.front() {
-            if put_entry.time + self.settings.ttl > now {
+        while let Some(insertion) = self.order.front() {
+            if insertion.time + self.settings.ttl > now {
                 return;
             }
             self.evict_oldest();
@@ -186,17 +187,17 @@
     }
 
     fn evict_oldest(&mut self) {
-        let Some(put_entry) = self.order.pop_front() else {
+        let Some(insertion) = self.order.pop_front() else {
             return;
         };
-        if current(&self.pointers, &put_entry) {
-            self.pointers.remove(&put_entry.request);
+        if is_current(&self.pointers, &insertion) {
+            self.pointers.remove(&insertion.request);
         }
     }
 }
 
-/// Whether a line of the order is of the put that is held.
-fn current(pointers: &HashMap<Request, Slot>, put_entry: &Put) -> bool {
-    let slot = pointers.get(&put_entry.request);
-    slot.is_some_and(|slot| slot.put == put_entry.put)
+/// Returns whether an element of the queue is the latest put of its request.
+fn is_current(pointers: &HashMap<Request, Entry>, insertion: &Insertion) -> bool {
+    let entry = pointers.get(&insertion.request);
+    entry.is_some_and(|entry| entry.sequence == insertion.sequence)
 }
--- a/components/answer/src/position.rs
+++ b/components/answer/src/position.rs
@@ -1,9 +1,9 @@
-//! The caller's place in an answer, as the `id:` of a server-sent event.
+//! The caller's position in an answer, sent as the `id:` of a server-sent event.
 //!
-//! An index alone doesn't tell which text it belongs to. Suppose that an entry moves an answer
-//! to its second epoch at token 20, delivers up to 40 and dies, and that the pointer still names
-//! the first epoch: whoever attached there at 40 would mix two generations. So the id carries a
-//! digest of all tokens before it, and an answer goes on only over tokens with the same digest.
+//! An index alone doesn't identify the text that it belongs to. Suppose that an entry moves an
+//! answer to its second epoch at token 20, delivers up to 40 and dies, while the pointer still
+//! names the first epoch: attaching there at 40 would mix two generations. So the id carries a
+//! digest of all tokens before it, and an answer continues only over tokens with the same digest.
 
 use std::{
     fmt,
@@ -20,13 +20,13 @@
 /// A number of tokens and the digest of their text.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Position {
-    /// Number of tokens, which is the index of the next one.
+    /// Number of tokens, equal to the index of the next one.
     pub next: Index,
     /// Chained digest of these tokens.
     pub digest: u64,
 }
 
-/// A text that isn't a mark.
+/// The text isn't a position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "an event id must be the index of a token and the digest that came with it, `12-9f2c33aa01b2c3d4`"
@@ -34,14 +34,14 @@
 pub struct Malformed;
 
 impl Position {
-    /// Goes on by one token.
+    /// Advances by one token.
     pub fn push(&mut self, token: &str) {
         self.digest = xxh3_64_with_seed(token.as_bytes(), self.digest);
         self.next += 1;
     }
 }
 
-/// The id of the last token that the mark covers: its index, a dash, and the digest.
+/// Formats the id of the last token covered: its index, a dash, and the digest.
 impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}-{:016x}", self.next.saturating_sub(1), self.digest)
--- a/components/answer/src/resume.rs
+++ b/components/answer/src/resume.rs
@@ -1,16 +1,17 @@
-//! The entry's decisions about one answer: whose tokens to take, when to dial anew, when to start
-//! the next epoch, when to give up.
+//! The entry's decisions about one answer: which epoch's tokens to accept, when to redial, when to
+//! start the next epoch, when to give up.
 //!
-//! At most two epochs are listened to. Any fresh token fences all others: the first to give the
-//! next index owns the answer. An epoch starts from exactly the tokens taken so far, so what the
-//! caller gets is always the beginning of one generation's text: the owner's.
+//! At most two epochs are followed. A new token fences all other epochs: the first epoch to deliver
+//! the next index owns the answer. An epoch starts from exactly the tokens accepted so far, so the
+//! caller always receives a prefix of one generation's text, the owner's.
 //!
-//! The driver's duty:
+//! Obligations of the driver:
 //! - On [`Action::Start`] it picks a replica of the pinned version and sends it the kept tokens as
-//!   `continue_from`. It answers [`Event::Placed`], [`Event::NoPlace`], [`Event::Refused`] or, for
-//!   a suspicion without budget, [`Event::Denied`].
-//! - On [`Action::Cancel`] of an epoch that is still being placed, it cancels it once placed.
-//! - After each event it waits for the next one, or gives [`Event::Tick`] at [`Resume::next_wake`].
+//!   `continue_from`. It responds with [`Event::Placed`], [`Event::NoPlace`], [`Event::Refused`]
+//!   or, for a suspicion without budget, [`Event::Denied`].
+//! - On [`Action::Cancel`] of an epoch that is still being placed, it cancels the epoch once
+//!   placed.
+//! - After each event it waits for the next one, or sends [`Event::Tick`] at [`Resume::next_wake`].
 
 mod attempt;
 mod message;
@@ -48,34 +49,34 @@
 };
 use refusal::Refusals;
 
-/// Number of the first epoch of an answer.
+/// Number of an answer's first epoch.
 pub const FIRST_EPOCH: Epoch = 1;
 
-/// The state of one answer at its entry.
+/// State of one answer at its entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Resume {
     settings: Settings,
     threshold: Threshold,
     cursor: Cursor,
-    /// Digest of what was taken.
+    /// Position after the accepted tokens.
     position: Position,
-    /// What the caller had when it came; tokens up to there are kept and not delivered.
-    had: Position,
+    /// Position of the caller on arrival; tokens before it are kept but not delivered.
+    caller_position: Position,
     attempts: Vec<Attempt>,
     owner: Option<Epoch>,
     next_epoch: Epoch,
-    /// Epochs that count against the bound.
+    /// Epochs that count towards `max_epochs`.
     started: u32,
-    /// Servers that lost an epoch or refused one, in order.
+    /// Servers that lost or refused an epoch, sorted.
     avoid: Vec<Server>,
-    /// No suspicion before this time: the last one was denied or found no place.
+    /// Earliest time of the next suspicion, after one that was denied or found no replica.
     quiet_until: Clock,
     refusals: Refusals,
     done: bool,
 }
 
 impl Resume {
-    /// An answer that has not begun.
+    /// Creates an answer that has not started.
     pub fn new(settings: Settings, now: Clock) -> Resume {
         let threshold = Threshold::new(settings.suspicion, settings.pool);
         Resume {
@@ -83,7 +84,7 @@
             threshold,
             cursor: Cursor::default(),
             position: Position::default(),
-            had: Position::default(),
+            caller_position: Position::default(),
             attempts: Vec::new(),
             owner: None,
             next_epoch: FIRST_EPOCH,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Takes an event and appends what the driver is to do.
+    /// Processes an event and appends the resulting actions.
     pub fn handle(&mut self, now: Clock, event: Event, actions: &mut Vec<Action>) {
         if self.done {
             self.handle_late(event, actions);
@@ -104,27 +105,27 @@
         match event {
             Event::Begin { from } => self.begin(now, from, actions),
             Event::Return { position } => {
-                self.had = position;
+                self.caller_position = position;
                 self.start(now, Cause::First, actions);
             }
             Event::Found {
                 epoch,
                 server,
                 position,
-            } => self.adopt(now, epoch, server, position, actions),
+            } => self.attach_found(now, epoch, server, position, actions),
             Event::Placed { epoch, server } => self.placed(now, epoch, server, actions),
             Event::NoPlace { epoch, retry_after } => {
-                self.unplaced(now, epoch, retry_after, actions);
+                self.handle_no_place(now, epoch, retry_after, actions);
             }
             Event::Refused { epoch, retry_after } => {
                 self.refused(now, epoch, retry_after, actions);
             }
-            Event::Denied { epoch } => self.denied(now, epoch, actions),
+            Event::Denied { epoch } => self.handle_denied(now, epoch, actions),
             Event::Tokens {
                 epoch,
                 index,
                 tokens,
-            } => self.take(now, epoch, index, tokens, actions),
+            } => self.accept(now, epoch, index, tokens, actions),
             Event::End {
                 epoch,
                 total,
@@ -137,32 +138,32 @@
                 self.suspect(&server);
                 self.tick(now, actions);
             }
-            Event::CallerGone => self.leave(actions),
+            Event::CallerGone => self.disconnect(actions),
             Event::Tick => self.tick(now, actions),
         }
     }
 
-    /// Number of tokens taken so far, which is the next index.
+    /// Returns the number of accepted tokens, which is the next index.
     pub fn next(&self) -> Index {
         self.cursor.next()
     }
 
-    /// The epoch that gave the last token.
+    /// Returns the epoch that delivered the last token.
     pub fn owner(&self) -> Option<Epoch> {
         self.owner
     }
 
-    /// Whether an epoch is listened to; what still comes of another one is dropped.
+    /// Returns whether an epoch is followed; tokens of any other epoch are dropped.
     pub fn listens_to(&self, epoch: Epoch) -> bool {
         self.attempts.iter().any(|attempt| attempt.epoch == epoch)
     }
 
-    /// Whether the answer ended, one way or the other.
+    /// Returns whether the answer has ended, complete or not.
     pub fn done(&self) -> bool {
         self.done
     }
 
-    /// An epoch that was placed after the end has nobody who waits for it.
+    /// Cancels an epoch that was placed after the answer ended.
     fn handle_late(&self, event: Event, actions: &mut Vec<Action>) {
         if let Event::Placed { epoch, .. } = event {
             actions.push(Action::Cancel { epoch });
@@ -170,14 +171,14 @@
     }
 
     fn begin(&mut self, now: Clock, from: Index, actions: &mut Vec<Action>) {
-        // Without a digest nobody can tell whether new tokens fit to those that the caller has.
+        // Without a digest it can't be verified that new tokens continue the caller's text.
         if from > 0 {
             actions.push(Action::Restart { kept: 0 });
         }
         self.start(now, Cause::First, actions);
     }
 
-    fn adopt(
+    fn attach_found(
         &mut self,
         now: Clock,
         epoch: Epoch,
@@ -185,14 +186,14 @@
         position: Position,
         actions: &mut Vec<Action>,
     ) {
-        self.had = position;
+        self.caller_position = position;
         self.next_epoch = epoch + 1;
         self.started = 1;
         let mut attempt = Attempt::new(epoch, 0, now);
         attempt.server = Some(server);
         attempt.state = State::Dialling;
         self.attempts.push(attempt);
-        // From 0, not from the mark: without the tokens before it this entry could neither prove
+        // From 0, not from the position: without the earlier tokens this entry could neither verify
         // that the text is the caller's nor continue it elsewhere.
         actions.push(Action::Attach { epoch, from: 0 });
     }
@@ -203,13 +204,13 @@
             return;
         };
         attempt.server = Some(server);
-        if attempt.state == State::Asked {
+        if attempt.state == State::Placing {
             attempt.state = State::Running;
-            attempt.heard = now;
+            attempt.last_token_at = now;
         }
     }
 
-    fn unplaced(
+    fn handle_no_place(
         &mut self,
         now: Clock,
         epoch: Epoch,
@@ -226,23 +227,23 @@
         self.quiet_until = now + retry_after.max(self.threshold.limit());
     }
 
-    fn denied(&mut self, now: Clock, epoch: Epoch, actions: &mut Vec<Action>) {
+    fn handle_denied(&mut self, now: Clock, epoch: Epoch, actions: &mut Vec<Action>) {
         if self.remove(epoch).is_none() {
             return;
         }
         self.started -= 1;
-        // The epoch that was suspected may have been lost in between. Then no suspicion is left,
-        // and without a next epoch nobody would ever answer the caller.
+        // The suspected epoch may have been lost meanwhile. Then the suspicion is moot, and without
+        // a next epoch the caller would never get an answer.
         if self.attempts.is_empty() {
             self.replace(now, actions);
             return;
         }
-        // Others on the same server have a second epoch soon, which shows whether it is silent. A
-        // further whole limit would double the caller's wait.
+        // Other answers on the same server soon have a second epoch, which shows whether the server
+        // is silent. Another full limit would double the caller's wait.
         self.quiet_until = now + self.threshold.lowest();
     }
 
-    fn take(
+    fn accept(
         &mut self,
         now: Clock,
         epoch: Epoch,
@@ -250,24 +251,24 @@
         mut tokens: Vec<String>,
         actions: &mut Vec<Action>,
     ) {
-        // Tokens of a fenced epoch may still be under way; taking one would mix two generations.
+        // Tokens of a fenced epoch may still arrive; accepting one would mix two generations.
         if self.attempt(epoch).is_none() {
             return;
         }
-        match self.cursor.judge(index, tokens.len()) {
+        match self.cursor.classify(index, tokens.len()) {
             Verdict::Repeat => {}
             Verdict::Hole => self.redial(now, epoch, actions),
             Verdict::Fresh { skip } => {
                 tokens.drain(..skip);
-                self.own(now, epoch, actions);
-                self.pass(tokens, actions);
+                self.make_owner(now, epoch, actions);
+                self.pass_on(tokens, actions);
             }
         }
     }
 
     /// Makes an epoch the owner and fences all others.
-    fn own(&mut self, now: Clock, epoch: Epoch, actions: &mut Vec<Action>) {
-        let mut wrong = false;
+    fn make_owner(&mut self, now: Clock, epoch: Epoch, actions: &mut Vec<Action>) {
+        let mut wrongly_suspected = false;
         let mut overtaken = Vec::new();
         for attempt in &self.attempts {
             if attempt.epoch == epoch {
@@ -276,18 +277,18 @@
             if attempt.epoch < epoch {
                 overtaken.extend(attempt.server.clone());
             }
-            // A wrong suspicion costs no epoch. Else a long answer of a slow engine would use all
-            // of them up, and the first real loss would interrupt it.
+            // A wrong suspicion doesn't count as an epoch. Otherwise a long answer of a slow engine
+            // would exhaust its epochs, and the first real loss would interrupt it.
             if attempt.epoch > epoch {
                 self.started -= 1;
-                wrong = true;
+                wrongly_suspected = true;
             }
             actions.push(Action::Cancel {
                 epoch: attempt.epoch,
             });
         }
-        // A server that was silent until another one overtook it would hold the answer up again, and
-        // looks idle to whoever chooses next.
+        // A server that was silent until another one overtook it would delay the answer again, yet
+        // looks idle to the next placement.
         for server in overtaken {
             self.avoid(Some(server));
         }
@@ -295,24 +296,24 @@
         self.owner = Some(epoch);
         self.refusals = Refusals::default();
         for attempt in &mut self.attempts {
-            let silence = now.saturating_sub(attempt.heard);
-            if attempt.spoke && attempt.dials == 0 {
+            let silence = now.saturating_sub(attempt.last_token_at);
+            if attempt.has_token && attempt.dials == 0 {
                 self.threshold.learn(silence);
             }
-            if attempt.spoke && wrong {
+            if attempt.has_token && wrongly_suspected {
                 self.threshold.excuse(silence);
             }
-            attempt.hear(now);
+            attempt.record_token(now);
         }
     }
 
-    /// Gives fresh tokens on: kept up to what the caller had, delivered from there.
-    fn pass(&mut self, tokens: Vec<String>, actions: &mut Vec<Action>) {
+    /// Passes on new tokens: those before the caller's position are kept, the others delivered.
+    fn pass_on(&mut self, tokens: Vec<String>, actions: &mut Vec<Action>) {
         let mut index = self.cursor.next();
-        let missing = self.had.next.saturating_sub(index);
-        let many = missing.min(tokens.len() as Index) as usize;
+        let missing = self.caller_position.next.saturating_sub(index);
+        let kept_count = missing.min(tokens.len() as Index) as usize;
         let mut kept = tokens;
-        let fresh = kept.split_off(many);
+        let fresh = kept.split_off(kept_count);
         if !kept.is_empty() {
             self.advance(&kept);
             actions.push(Action::Keep {
@@ -320,8 +321,8 @@
                 tokens: kept,
             });
             index = self.cursor.next();
-            if index == self.had.next && self.position != self.had {
-                self.rewind(actions);
+            if index == self.caller_position.next && self.position != self.caller_position {
+                self.restart(actions);
             }
         }
         if !fresh.is_empty() {
@@ -340,9 +341,9 @@
         self.cursor.advance(tokens.len());
     }
 
-    /// What the caller has is of another text: it gets this one from its beginning.
-    fn rewind(&mut self, actions: &mut Vec<Action>) {
-        self.had = Position::default();
+    /// Restarts the caller's text from the beginning, as its tokens are from another text.
+    fn restart(&mut self, actions: &mut Vec<Action>) {
+        self.caller_position = Position::default();
         actions.push(Action::Restart {
             kept: self.cursor.next(),
         });
@@ -367,19 +368,19 @@
             self.redial(now, epoch, actions);
             return;
         }
-        self.own(now, epoch, actions);
-        if self.cursor.next() < self.had.next {
-            self.rewind(actions);
+        self.make_owner(now, epoch, actions);
+        if self.cursor.next() < self.caller_position.next {
+            self.restart(actions);
         }
         self.done = true;
         self.attempts.clear();
         actions.push(Action::Finish(finish));
     }
 
-    /// Dials anew to an epoch's sidecar, at once the first time, later after a pause.
+    /// Redials an epoch's sidecar, at once the first time and after a pause later.
     fn redial(&mut self, now: Clock, epoch: Epoch, actions: &mut Vec<Action>) {
         let from = self.cursor.next();
-        let most = self.settings.max_attaches;
+        let max_dials = self.settings.max_attaches;
         let pause = self.settings.dial_pause;
         let Some(attempt) = self.attempt(epoch) else {
             return;
@@ -389,7 +390,7 @@
         }
         attempt.dials += 1;
         let dials = attempt.dials;
-        if attempt.state == State::Asked || dials > most {
+        if attempt.state == State::Placing || dials > max_dials {
             actions.push(Action::Cancel { epoch });
             self.lose(now, epoch, actions);
             return;
@@ -411,7 +412,7 @@
         }
     }
 
-    /// An epoch is lost for certain.
+    /// Handles the definite loss of an epoch.
     fn lose(&mut self, now: Clock, epoch: Epoch, actions: &mut Vec<Action>) {
         let Some(attempt) = self.remove(epoch) else {
             return;
@@ -430,7 +431,7 @@
             return;
         }
         if !self.settings.continues && self.cursor.next() > 0 {
-            let delivered = self.cursor.next() > self.had.next;
+            let delivered = self.cursor.next() > self.caller_position.next;
             if self.settings.streamed && delivered {
                 let pause = self.settings.first_token_timeout;
                 self.interrupt(Interruption::NotContinuable, pause, actions);
@@ -438,7 +439,7 @@
             }
             self.cursor = Cursor::default();
             self.position = Position::default();
-            self.had = Position::default();
+            self.caller_position = Position::default();
             self.owner = None;
             actions.push(Action::Restart { kept: 0 });
         }
@@ -450,8 +451,8 @@
         self.next_epoch += 1;
         self.started += 1;
         let mut avoid = self.avoid.clone();
-        let live = self.attempts.iter();
-        avoid.extend(live.filter_map(|attempt| attempt.server.clone()));
+        let followed = self.attempts.iter();
+        avoid.extend(followed.filter_map(|attempt| attempt.server.clone()));
         let base = self.cursor.next();
         self.attempts.push(Attempt::new(epoch, base, now));
         actions.push(Action::Start {
@@ -462,9 +463,9 @@
         });
     }
 
-    /// The caller is gone. A caller that named its request may come back within the sidecar's
-    /// grace time, so the one generation that serves it best runs on.
-    fn leave(&mut self, actions: &mut Vec<Action>) {
+    /// Ends the answer after the caller disconnected. A caller with a request key may reconnect
+    /// within the sidecar's grace time, so the generation that serves it best keeps running.
+    fn disconnect(&mut self, actions: &mut Vec<Action>) {
         let oldest = self.attempts.first().map(|attempt| attempt.epoch);
         let kept = self.owner.filter(|owner| self.attempt(*owner).is_some());
         let kept = kept.or(oldest).filter(|_| self.settings.resumable);
@@ -503,16 +504,16 @@
 
     fn remove(&mut self, epoch: Epoch) -> Option<Attempt> {
         let mut attempts = self.attempts.iter();
-        let place = attempts.position(|attempt| attempt.epoch == epoch)?;
-        Some(self.attempts.remove(place))
+        let index = attempts.position(|attempt| attempt.epoch == epoch)?;
+        Some(self.attempts.remove(index))
     }
 
     fn avoid(&mut self, server: Option<Server>) {
         let Some(server) = server else {
             return;
         };
-        if let Err(place) = self.avoid.binary_search(&server) {
-            self.avoid.insert(place, server);
+        if let Err(index) = self.avoid.binary_search(&server) {
+            self.avoid.insert(index, server);
         }
     }
 }
--- a/components/answer/src/resume/attempt.rs
+++ b/components/answer/src/resume/attempt.rs
@@ -1,4 +1,4 @@
-//! One epoch that the entry listens to.
+//! One epoch that the entry follows.
 
 use names::{
     Clock,
@@ -7,37 +7,37 @@
     Server, //
 };
 
-/// Where an epoch stands.
+/// Connection state of an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum State {
-    /// The driver is looking for a replica.
-    Asked,
-    /// It runs and a link reads it.
+    /// The driver is choosing a replica.
+    Placing,
+    /// The epoch runs and a link reads it.
     Running,
-    /// Its link is lost; the next dial is due at this time.
+    /// The link is lost; the next dial is due at this time.
     Waiting(Clock),
     /// A new link is being dialled.
     Dialling,
 }
 
-/// One epoch that is listened to.
+/// One epoch that the entry follows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Attempt {
     pub(super) epoch: Epoch,
     pub(super) server: Option<Server>,
     pub(super) state: State,
-    /// Number of tokens that it went on from.
+    /// Number of tokens that the epoch continues from.
     pub(super) base: Index,
-    /// Time of its placing or of its last fresh token.
-    pub(super) heard: Clock,
-    /// Whether it has given a token.
-    pub(super) spoke: bool,
-    /// Dials since its last fresh token.
+    /// Time of placement or of the last new token.
+    pub(super) last_token_at: Clock,
+    /// Whether the epoch has produced a token.
+    pub(super) has_token: bool,
+    /// Dials since the last new token.
     pub(super) dials: u32,
-    /// Whether it was dialled anew because of its silence.
+    /// Whether the epoch was redialled because of its silence.
     pub(super) probed: bool,
-    /// Whether a hint says that its server is gone.
-    pub(super) suspect: bool,
+    /// Whether the server was reported as gone.
+    pub(super) suspected: bool,
 }
 
 impl Attempt {
@@ -45,23 +45,23 @@
         Attempt {
             epoch,
             server: None,
-            state: State::Asked,
+            state: State::Placing,
             base,
-            heard: now,
-            spoke: false,
+            last_token_at: now,
+            has_token: false,
             dials: 0,
             probed: false,
-            suspect: false,
+            suspected: false,
         }
     }
 
-    /// Notes a fresh token or an end.
-    pub(super) fn hear(&mut self, now: Clock) {
-        self.heard = now;
-        self.spoke = true;
+    /// Records a new token or the end.
+    pub(super) fn record_token(&mut self, now: Clock) {
+        self.last_token_at = now;
+        self.has_token = true;
         self.dials = 0;
         self.probed = false;
-        self.suspect = false;
+        self.suspected = false;
         self.state = State::Running;
     }
 }
--- a/components/answer/src/resume/message.rs
+++ b/components/answer/src/resume/message.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of the resume decisions.
+//! Settings, events and actions of the resume decisions.
 
 use std::time::Duration;
 
@@ -19,32 +19,32 @@
     threshold, //
 };
 
-/// Limits of one answer.
+/// Settings of one answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Whether the engine's contract has continuation (`continue_from`).
+    /// Whether the engine supports continuation (`continue_from`).
     pub continues: bool,
-    /// Whether tokens go to the caller as they come; a whole answer goes at its end.
+    /// Whether tokens are streamed to the caller; otherwise the whole answer is sent at its end.
     pub streamed: bool,
-    /// Whether the caller can come back for the answer: it named its request.
+    /// Whether the caller can reconnect to the answer, which requires a request key.
     pub resumable: bool,
-    /// Bounds of the silence between tokens after which an engine is suspected.
+    /// Settings of the silence between tokens after which an engine is suspected.
     pub suspicion: threshold::Settings,
-    /// Gaps between tokens that the entry has seen in this pool.
+    /// Gaps between tokens observed by the entry in this pool.
     pub pool: threshold::Gaps,
-    /// Silence before a first token, from the placing on, after which an engine is suspected.
+    /// Silence before a first token, from placement on, after which an engine is suspected.
     pub first_token_timeout: Duration,
-    /// Time at which the answer is given up.
+    /// Time at which the answer is abandoned.
     pub deadline: Clock,
-    /// Epochs that one answer may start, without those of wrong suspicions.
+    /// Maximum number of epochs of one answer, not counting those of wrong suspicions.
     pub max_epochs: u32,
-    /// Replicas that may refuse in a row before the answer is given up or pauses.
+    /// Number of consecutive refusals after which the answer is abandoned or pauses.
     pub max_refusals: u32,
-    /// Longest time that an answer which has run goes on asking replicas that refuse.
+    /// Time for which an answer that has run keeps asking replicas that refuse.
     pub refusal_timeout: Duration,
-    /// Times that a link is dialled anew without a token in between, until its epoch counts as lost.
+    /// Number of redials without a token in between after which the epoch counts as lost.
     pub max_attaches: u32,
-    /// Pause before the second dial in a row; it doubles with each further one.
+    /// Delay before the second consecutive dial; doubles with each further one.
     pub dial_pause: Duration,
 }
 
@@ -67,60 +67,60 @@
     }
 }
 
-/// What happened.
+/// Input of the resume decisions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The caller asked, and no pointer names a generation of its request.
+    /// A new request; no pointer names a generation of it.
     Begin {
-        /// The index after the caller's `Last-Event-ID`, or 0. Above 0 the answer restarts, as
-        /// without a digest nobody can tell what the caller has: see [`Event::Return`].
+        /// The index after the caller's `Last-Event-ID`, or 0. Above 0 the answer restarts, as the
+        /// caller's text can't be verified without a digest: see [`Event::Return`].
         from: Index,
     },
-    /// The caller came back, and no pointer names a generation of its request.
+    /// The caller reconnected; no pointer names a generation of its request.
     Return {
-        /// What the caller has.
+        /// Position of the caller.
         position: Position,
     },
-    /// The caller asked, and a pointer names a running generation.
+    /// A request arrived, and a pointer names a running generation of it.
     Found {
-        /// The epoch that runs, to attach to.
+        /// The running epoch, to be attached to.
         epoch: Epoch,
-        /// Where it runs.
+        /// The server that runs it.
         server: Server,
-        /// What the caller has; the default is nothing.
+        /// Position of the caller; the default is the start.
         position: Position,
     },
-    /// The epoch's generation was handed to a replica.
+    /// The epoch's generation was sent to a replica.
     Placed {
         /// The epoch.
         epoch: Epoch,
         /// The replica.
         server: Server,
     },
-    /// No replica of the version is to be had.
+    /// No replica of the version is available.
     NoPlace {
         /// The epoch.
         epoch: Epoch,
-        /// When a replica may be there.
+        /// Time until a replica may be available.
         retry_after: Duration,
     },
-    /// The replica refused the generation; nothing was run.
+    /// The replica refused the generation without running it.
     Refused {
         /// The epoch.
         epoch: Epoch,
-        /// When it may have room.
+        /// Time until the replica may have capacity.
         retry_after: Duration,
     },
-    /// The retry budget has nothing left for a [`Cause::Suspicion`].
+    /// The retry budget is exhausted for a [`Cause::Suspicion`].
     Denied {
         /// The epoch that was not started.
         epoch: Epoch,
     },
-    /// Tokens came.
+    /// Tokens arrived.
     Tokens {
         /// The epoch.
         epoch: Epoch,
-        /// Index of the first of them.
+        /// Index of the first token.
         index: Index,
         /// The tokens.
         tokens: Vec<String>,
@@ -131,114 +131,114 @@
         epoch: Epoch,
         /// Number of tokens of the whole answer.
         total: Index,
-        /// How it ended.
+        /// How the generation ended.
         finish: Finish,
     },
-    /// The link closed, or its heartbeats stopped, or a dial failed.
+    /// The link closed, its heartbeats stopped, or a dial failed.
     LinkLost {
         /// The epoch.
         epoch: Epoch,
     },
-    /// A new link reads on from the asked index.
+    /// A new link reads from the requested index.
     Attached {
         /// The epoch.
         epoch: Epoch,
     },
-    /// The sidecar doesn't know the generation, or lacks the asked index.
+    /// The sidecar doesn't know the generation, or no longer holds the requested index.
     AttachMissed {
         /// The epoch.
         epoch: Epoch,
     },
-    /// The platform's list or a sidecar says that the server's host is gone.
+    /// The platform's host list or a sidecar reports that the server's host is gone.
     HostGone {
         /// The server.
         server: Server,
     },
     /// The caller closed its connection.
     CallerGone,
-    /// The time of [`super::Resume::next_wake`] has come.
+    /// The time of [`super::Resume::next_wake`] has been reached.
     Tick,
 }
 
-/// Why an epoch starts.
+/// Reason for starting an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Cause {
-    /// The answer begins.
+    /// The answer starts.
     First,
-    /// The epoch before it is lost for certain.
+    /// The previous epoch is known to be lost.
     Loss,
-    /// The epoch before it is silent and may yet go on. Draws from the retry budget: when that is
-    /// empty, answer [`Event::Denied`].
+    /// The previous epoch is silent but may continue. Draws from the retry budget; if that is
+    /// empty, the driver responds with [`Event::Denied`].
     Suspicion,
 }
 
-/// What the driver is to do.
+/// Output for the driver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Hand a new generation to a replica of the pinned version.
+    /// Start a new generation on a replica of the pinned version.
     Start {
-        /// Its epoch.
+        /// The epoch.
         epoch: Epoch,
-        /// Number of tokens of the answer that it goes on from: all that were delivered or kept.
+        /// Number of tokens to continue from: all delivered or kept ones.
         continue_from: Index,
-        /// Servers to choose only when there is no other.
+        /// Servers to use only as a last resort.
         avoid: Vec<Server>,
-        /// Why.
+        /// The reason.
         cause: Cause,
     },
-    /// Dial a new link to the epoch's sidecar and read from an index on.
+    /// Dial a new link to the epoch's sidecar and read from an index.
     Attach {
         /// The epoch.
         epoch: Epoch,
         /// The first index to read.
         from: Index,
     },
-    /// End the generation wherever it runs; tokens of it that still come are dropped.
+    /// Cancel the generation wherever it runs; tokens that still arrive from it are dropped.
     Cancel {
         /// The epoch.
         epoch: Epoch,
     },
-    /// Keep tokens for `continue_from`; the caller has them already.
+    /// Store tokens for `continue_from`; the caller already has them.
     Keep {
-        /// Index of the first of them.
+        /// Index of the first token.
         index: Index,
         /// The tokens.
         tokens: Vec<String>,
     },
-    /// Keep tokens for `continue_from` and give them to the caller.
+    /// Store tokens for `continue_from` and send them to the caller.
     Deliver {
-        /// Index of the first of them.
+        /// Index of the first token.
         index: Index,
         /// The tokens.
         tokens: Vec<String>,
     },
-    /// The answer begins again at index 0. A streamed caller is told to drop what it has, and gets
-    /// the first `kept` tokens of those that were kept; the others are dropped.
+    /// Restart the answer at index 0. A streaming caller is told to discard what it has, and
+    /// receives the first `kept` of the stored tokens; the others are dropped.
     Restart {
-        /// Tokens that stay.
+        /// Number of stored tokens that remain valid.
         kept: Index,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Finish(Finish),
-    /// The answer ends here, at once.
+    /// Interrupt the answer at once.
     Interrupt {
-        /// Why.
+        /// The reason.
         reason: Interruption,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// Why an answer ended before it was whole.
+/// Reason for an incomplete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Interruption {
-    /// No replica of the version is to be had.
+    /// No replica of the version is available.
     NoReplica,
-    /// Every replica that was asked refused.
+    /// All replicas asked refused.
     Refused,
-    /// Tokens were delivered, the epoch is lost, and the engine can't continue a text.
+    /// Tokens were delivered, the epoch is lost, and the engine doesn't support continuation.
     NotContinuable,
-    /// The answer used up its epochs.
+    /// The answer reached its maximum number of epochs.
     TooManyEpochs,
     /// The deadline passed.
     Deadline,
--- a/components/answer/src/resume/refusal.rs
+++ b/components/answer/src/resume/refusal.rs
@@ -1,11 +1,12 @@
-//! What follows when a replica refuses a generation.
+//! Handling of replicas that refuse a generation.
 //!
-//! Nothing was run, so a refusal costs none of the answer's epochs, but for one that came beside a
-//! run that may yet go on; another replica is asked at once. When several refuse in a row, an answer that has never run is given up at once, so that its
-//! caller hears it. An answer that has run is worth more: after a death many answers look for a new
-//! place in the same moment, and those that were in flight with a crash are kept apart for a while.
-//! Given up there, an innocent answer would be lost although a place is free a moment later. So it
-//! asks again after a pause, up to a limit.
+//! A refused generation didn't run, so a refusal doesn't count as an epoch of the answer, except
+//! for an epoch started beside a run that may still continue. Another replica is asked at once.
+//! After several consecutive refusals, an answer that has never run is abandoned at once, which
+//! gives its caller an early error. An answer that has run is retried for longer: after a death
+//! many answers look for a replica at the same moment, and those in flight during a crash are
+//! isolated for a while. Abandoned then, an innocent answer would be lost although a replica has
+//! capacity a moment later. So it asks again after a pause, up to a limit.
 
 use std::time::Duration;
 
@@ -20,18 +21,18 @@
     Resume, //
 };
 
-/// Shortest and longest pause before an answer that was refused asks again.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
+/// Minimum and maximum pause before a refused answer asks again.
+const PAUSE_BOUNDS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 
 /// Refusals since the last token.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Refusals {
-    /// In a row, without a pause in between.
-    row: u32,
-    /// When the first of them came.
+    /// Consecutive refusals without a pause.
+    consecutive: u32,
+    /// Time of the first refusal.
     since: Option<Clock>,
-    /// When the answer asks again.
-    pub(super) again: Option<Clock>,
+    /// Time at which the answer asks again.
+    pub(super) retry_at: Option<Clock>,
 }
 
 impl Resume {
@@ -47,14 +48,14 @@
         };
         self.avoid(attempt.server);
         if !self.attempts.is_empty() {
-            // It counts all the same: a suspicion that is refused again and again must end.
+            // The epoch counts nevertheless: a suspicion that is refused repeatedly must end.
             self.quiet_until = now + self.threshold.limit();
             return;
         }
         self.started -= 1;
-        self.refusals.row += 1;
+        self.refusals.consecutive += 1;
         let since = *self.refusals.since.get_or_insert(now);
-        if self.refusals.row < self.settings.max_refusals {
+        if self.refusals.consecutive < self.settings.max_refusals {
             self.replace(now, actions);
             return;
         }
@@ -62,14 +63,14 @@
             self.interrupt(Interruption::Refused, retry_after, actions);
             return;
         }
-        self.refusals.row = 0;
-        self.refusals.again = Some(now + retry_after.clamp(PAUSE.0, PAUSE.1));
+        self.refusals.consecutive = 0;
+        self.refusals.retry_at = Some(now + retry_after.clamp(PAUSE_BOUNDS.0, PAUSE_BOUNDS.1));
     }
 
-    /// Asks again when the pause is over.
-    pub(super) fn ask_again(&mut self, now: Clock, actions: &mut Vec<Action>) {
-        if self.refusals.again.is_some_and(|due| due <= now) {
-            self.refusals.again = None;
+    /// Starts a new epoch once the pause is over.
+    pub(super) fn retry_refused(&mut self, now: Clock, actions: &mut Vec<Action>) {
+        if self.refusals.retry_at.is_some_and(|due| due <= now) {
+            self.refusals.retry_at = None;
             self.replace(now, actions);
         }
     }
--- a/components/answer/src/resume/suspicion.rs
+++ b/components/answer/src/resume/suspicion.rs
@@ -1,8 +1,8 @@
-//! Suspicion before certainty: the clock of an answer.
+//! Suspicion of silent engines, and the timers of an answer.
 //!
-//! An engine that stopped, or a host that is gone, says nothing; waiting for proof would hold the
-//! caller for many seconds. Past the threshold of silence a second epoch starts while the first is
-//! still listened to. A wrong suspicion costs one prefill, never a token of the answer.
+//! A stopped engine or a lost host sends nothing, and waiting for proof would delay the caller by
+//! many seconds. Beyond a threshold of silence a second epoch starts while the first is still
+//! followed. A wrong suspicion costs one prefill, never a token of the answer.
 
 use std::time::Duration;
 
@@ -23,20 +23,20 @@
     }, //
 };
 
-/// Epochs that are listened to at one time.
-const MOST_LIVE: usize = 2;
+/// Maximum number of epochs followed at the same time.
+const MAX_LIVE_EPOCHS: usize = 2;
 
-/// Part of the threshold after which a silent epoch is dialled anew.
-const PROBE: u32 = 2;
+/// Divisor of the threshold that gives the silence after which an epoch is redialled.
+const PROBE_DIVISOR: u32 = 2;
 
 impl Resume {
-    /// Time at which the driver must give [`super::Event::Tick`].
+    /// Returns the time at which the driver must send [`super::Event::Tick`].
     pub fn next_wake(&self) -> Option<Clock> {
         if self.done {
             return None;
         }
         let mut wake = self.settings.deadline;
-        if let Some(due) = self.refusals.again {
+        if let Some(due) = self.refusals.retry_at {
             wake = wake.min(due);
         }
         for attempt in &self.attempts {
@@ -58,20 +58,20 @@
             self.interrupt(Interruption::Deadline, Duration::ZERO, actions);
             return;
         }
-        self.ask_again(now, actions);
+        self.retry_refused(now, actions);
         self.dial(now, actions);
         self.probe(now, actions);
         if self.suspicion_due().is_some_and(|due| due <= now) {
-            self.hedge(now, actions);
+            self.start_hedge(now, actions);
         }
     }
 
-    /// A hint that a server is gone: its epochs are overdue at once. The hint may be wrong, so they
-    /// are still listened to.
+    /// Marks the epochs of a server that was reported as gone as overdue. The report may be wrong,
+    /// so they are still followed.
     pub(super) fn suspect(&mut self, server: &Server) {
         for attempt in &mut self.attempts {
             if attempt.server.as_ref() == Some(server) {
-                attempt.suspect = true;
+                attempt.suspected = true;
             }
         }
     }
@@ -93,14 +93,14 @@
         }
     }
 
-    /// When an epoch's silence calls for a new link.
+    /// Returns when an epoch's silence calls for a new link.
     ///
-    /// A link can go silent for good while the engine goes on; its heartbeats tell only after
-    /// seconds. A dial is cheap: if the tokens are there, it brings them before a second epoch would
-    /// have to prefill, and if the sidecar lost the generation, it says so.
+    /// A link can go silent for good while the engine continues; missing heartbeats show that only
+    /// after seconds. A dial is cheap: if the tokens are there, it delivers them before a second
+    /// epoch could prefill, and if the sidecar lost the generation, it reports that.
     fn probe_due(&self, attempt: &Attempt) -> Option<Clock> {
-        let probeable = attempt.spoke && !attempt.probed && attempt.state == State::Running;
-        probeable.then(|| attempt.heard + self.threshold.limit() / PROBE)
+        let probeable = attempt.has_token && !attempt.probed && attempt.state == State::Running;
+        probeable.then(|| attempt.last_token_at + self.threshold.limit() / PROBE_DIVISOR)
     }
 
     fn probe(&mut self, now: Clock, actions: &mut Vec<Action>) {
@@ -121,28 +121,32 @@
         }
     }
 
-    /// When the last of the live epochs is overdue.
+    /// Returns when the last of the live epochs is overdue.
     fn suspicion_due(&self) -> Option<Clock> {
-        let startable = self.settings.continues || self.cursor.next() == 0;
-        if !startable || self.started >= self.settings.max_epochs {
+        let can_start = self.settings.continues || self.cursor.next() == 0;
+        if !can_start || self.started >= self.settings.max_epochs {
             return None;
         }
-        let last = self.attempts.iter().map(|attempt| self.due(attempt)).max();
+        let last = self
+            .attempts
+            .iter()
+            .map(|attempt| self.overdue_at(attempt))
+            .max();
         last.map(|due| due.max(self.quiet_until))
     }
 
-    fn due(&self, attempt: &Attempt) -> Clock {
-        if attempt.suspect {
-            return attempt.heard;
+    fn overdue_at(&self, attempt: &Attempt) -> Clock {
+        if attempt.suspected {
+            return attempt.last_token_at;
         }
-        if attempt.spoke {
-            return attempt.heard + self.threshold.limit();
+        if attempt.has_token {
+            return attempt.last_token_at + self.threshold.limit();
         }
-        attempt.heard + self.settings.first_token_timeout
+        attempt.last_token_at + self.settings.first_token_timeout
     }
 
-    fn hedge(&mut self, now: Clock, actions: &mut Vec<Action>) {
-        if self.attempts.len() >= MOST_LIVE {
+    fn start_hedge(&mut self, now: Clock, actions: &mut Vec<Action>) {
+        if self.attempts.len() >= MAX_LIVE_EPOCHS {
             let oldest = self.attempts.remove(0);
             self.avoid(oldest.server);
             actions.push(Action::Cancel {
--- a/components/answer/src/silence.rs
+++ b/components/answer/src/silence.rs
@@ -1,11 +1,12 @@
-//! When a stream that says nothing is looked into, and when it is taken for lost.
+//! Detects silent streams: when to check their server, and when to treat them as lost.
 //!
-//! The load that it answers: whole data centres of engines go dark without a word, while others
-//! pause for a moment as they read a long prompt. Waiting long makes the answer late; leaving at
-//! once costs a prompt. So there are two limits. At the first one the server is looked at: by a new
-//! connection, which a living one opens within a round trip, or, while the prompt should have been
-//! read by now, by asking what it runs. At the second one the run is taken for lost whatever the
-//! server says, since a connection can die alone.
+//! The intended failure is that whole data centres of engines stop responding without closing
+//! connections, while other engines pause for a moment as they process a long prompt. Waiting long
+//! delays the answer; leaving at once costs a prefill. So there are two limits. At the first one
+//! the server is checked: by a new connection, which a live server accepts within a round trip, or,
+//! while the prompt should have been processed by now, by a query for its running requests. At the
+//! second one the run counts as lost whatever the server responds, since a connection can die
+//! alone.
 
 use std::time::Duration;
 
@@ -15,192 +16,203 @@
     Threshold, //
 };
 
-/// Part of the longest gap in time at which a stream that has begun is looked into at the earliest.
-const SOON: f64 = 0.25;
+/// Fraction of the maximum gap at which a started stream is checked at the earliest.
+const EARLIEST_CHECK_FRACTION: f64 = 0.25;
 
-/// The same at the latest.
-const LATEST: f64 = 0.5;
+/// Fraction of the maximum gap at which a started stream is checked at the latest.
+const LATEST_CHECK_FRACTION: f64 = 0.5;
 
-/// Part of the longest gap in time after which a run is taken for lost: the rest is for the next
-/// run to give its first event.
-const LOST: f64 = 0.75;
+/// Fraction of the maximum gap after which a run counts as lost; the rest is reserved for the next
+/// run's first event.
+const LOST_FRACTION: f64 = 0.75;
 
-/// Longest gap where the route names none.
-const GAP: Duration = Duration::from_secs(2);
+/// Maximum gap of routes that configure none.
+const DEFAULT_MAX_GAP: Duration = Duration::from_secs(2);
 
-/// Part of the objective for the first event at which a run without one is looked into.
-const FIRST: f64 = 0.25;
+/// Fraction of the first-event objective at which a run without an event is checked at the
+/// earliest.
+const FIRST_CHECK_FRACTION: f64 = 0.25;
 
-/// Part of the objective after which a run without an event is taken for lost, though its server is
-/// alive: reading the prompt anew elsewhere costs more than an answer that is late already earns,
-/// so that only a connection that died alone is meant.
-const FIRST_LOST: f64 = 1.2;
+/// Fraction of the first-event objective after which a run without an event counts as lost though
+/// its server is alive. A prefill elsewhere costs more than a late answer earns, so the limit
+/// targets only a connection that died alone.
+const FIRST_LOST_FRACTION: f64 = 1.2;
 
-/// Time between two looks into the same silence of a stream that has begun.
-const PACE: Duration = Duration::from_millis(250);
+/// Interval between checks of the same silence in a started stream.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two inquiries after a run without an event: each is paid for.
-const PACE_FIRST: Duration = Duration::from_millis(1000);
+/// Interval between queries about a run without an event; each query has a cost.
+const QUERY_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Multiple of the time that another server would need which is kept free for it.
-const ELSEWHERE: f64 = 1.5;
+/// Factor on the time that another server would need, reserved for it.
+const RELOCATION_RESERVE_FACTOR: f64 = 1.5;
 
-/// Multiple of the expected time from which on a server counts as much slower.
-const SLOWER: f64 = 2.0;
+/// Factor on the expected time from which a server counts as much slower.
+const SLOWER_FACTOR: f64 = 2.0;
 
-/// Age from which on a run must stand in what its server says of its work, which is some hundred
-/// milliseconds old.
-const REPORTED: Duration = Duration::from_millis(1000);
+/// Age from which a run must appear in its server's report of running requests, which is some
+/// hundred milliseconds old.
+const REPORT_MIN_AGE: Duration = Duration::from_millis(1000);
 
-/// Multiple of the time that a first event was expected to take after which a run is looked into.
-const EXPECTED: f64 = 1.8;
+/// Factor on the expected time of the first event after which a run is checked.
+const EXPECTED_CHECK_FACTOR: f64 = 1.8;
 
-/// What to do about a silence.
+/// Reaction to a silence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Advice {
-    /// Wait until a time since the last sign of life.
+    /// Wait until this time since the last sign of life.
     Wait(Duration),
-    /// Ask the server for a new connection.
+    /// Open a new connection to the server.
     Connect,
-    /// Ask the server what it runs.
+    /// Query the server's running requests.
     QueryServer,
-    /// Take the run for lost.
+    /// Treat the run as lost.
     Lost,
-    /// Begin anew elsewhere: the server is much slower than expected, and another one can still
-    /// give the first event in time.
+    /// Restart on another server: this one is much slower than expected, and another one can still
+    /// send the first event in time.
     Relocate,
 }
 
-/// What is expected of a run before its first event.
+/// Expected timing of a run before its first event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Expectation {
-    /// Usual time to the first event under the server's load; 0 when nothing is known.
+    /// Usual time to the first event under the server's load; 0 if unknown.
     pub here: Duration,
-    /// The same at a server that has nothing else to read.
+    /// Usual time to the first event on a server with no other prompt to process.
     pub elsewhere: Duration,
-    /// Time since the request came.
+    /// Time since the request arrived.
     pub waited: Duration,
 }
 
-/// The silence of one run.
+/// Silence detector of one run.
 #[derive(Clone, Debug)]
 pub struct Detector {
     threshold: Threshold,
-    gap: Duration,
-    /// Silence at which a run without an event is looked into.
-    first: Duration,
-    /// Silence at which a run without an event is given up for a quicker server.
-    leave: Option<Duration>,
+    max_gap: Duration,
+    /// Silence at which a run without an event is checked.
+    first_check: Duration,
+    /// Silence at which a run without an event moves to a faster server.
+    relocate_at: Option<Duration>,
     objective: Duration,
-    begun: bool,
-    /// Silence at which the next look is due, after one that found the server alive.
-    checked: Duration,
-    /// Somebody else found the server or its data centre dark since the last sign of life.
-    doubted: bool,
+    started: bool,
+    /// Silence at which the next check is due, after one that found the server alive.
+    next_check: Duration,
+    /// Whether another stream found the server or its data centre unreachable since the last sign
+    /// of life.
+    suspected: bool,
 }
 
 impl Detector {
-    /// A run whose first event is due within `objective` and whose gaps must stay under `gap`.
-    /// `expected` is `None` when the caller has events already and waits for the next one.
+    /// Creates the detector of a run whose first event is due within `objective` and whose gaps
+    /// must stay under `max_gap`. `expected` is `None` if the caller already has events and waits for
+    /// the next one.
     pub fn new(
         objective: Duration,
-        gap: Option<Duration>,
-        usual: Gaps,
+        max_gap: Option<Duration>,
+        pool: Gaps,
         expected: Option<Expectation>,
     ) -> Detector {
-        let gap = gap.unwrap_or(GAP);
+        let max_gap = max_gap.unwrap_or(DEFAULT_MAX_GAP);
         let settings = Settings {
-            lowest: gap.mul_f64(SOON),
-            highest: gap.mul_f64(LATEST),
+            lowest: max_gap.mul_f64(EARLIEST_CHECK_FRACTION),
+            highest: max_gap.mul_f64(LATEST_CHECK_FRACTION),
             ..Settings::default()
         };
-        let first = match expected {
+        let first_check = match expected {
             Some(expected) => {
-                let soonest = objective.mul_f64(FIRST);
-                expected.here.mul_f64(EXPECTED).clamp(soonest, objective)
+                let earliest = objective.mul_f64(FIRST_CHECK_FRACTION);
+                expected
+                    .here
+                    .mul_f64(EXPECTED_CHECK_FACTOR)
+                    .clamp(earliest, objective)
             }
-            None => gap.mul_f64(SOON),
+            None => max_gap.mul_f64(EARLIEST_CHECK_FRACTION),
         };
         Detector {
-            threshold: Threshold::new(settings, usual),
-            gap,
-            first,
-            leave: expected.and_then(|expected| leave(objective, expected)),
+            threshold: Threshold::new(settings, pool),
+            max_gap,
+            first_check,
+            relocate_at: expected.and_then(|expected| relocate_at(objective, expected)),
             objective,
-            begun: false,
-            checked: Duration::ZERO,
-            doubted: false,
+            started: false,
+            next_check: Duration::ZERO,
+            suspected: false,
         }
     }
 
-    /// Notes that somebody else found the server or its data centre dark. Before its first event a
-    /// run gives no rhythm to go by, so that it would be looked into seconds later than the others
-    /// there, and its prompt be read elsewhere too late.
+    /// Records that another stream found the server or its data centre unreachable. A run without
+    /// an event has no observed gaps, so without this it would be checked seconds later than the
+    /// other streams there, too late for a prefill elsewhere.
     pub fn suspect(&mut self) {
-        self.doubted = true;
+        self.suspected = true;
     }
 
-    /// Notes an event, `gap` after the one before it or after the run's start.
+    /// Records an event, `gap` after the previous one or the run's start.
     pub fn record_event(&mut self, gap: Duration) {
-        if self.begun {
+        if self.started {
             self.threshold.learn(gap);
         }
-        self.begun = true;
-        self.checked = Duration::ZERO;
-        self.doubted = false;
+        self.started = true;
+        self.next_check = Duration::ZERO;
+        self.suspected = false;
     }
 
-    /// Notes that the server was alive at a silence.
+    /// Records that the server was alive at this silence.
     pub fn record_alive(&mut self, silence: Duration) {
-        self.doubted = false;
-        let soon = self.begun || silence < REPORTED;
-        self.checked = silence + if soon { PACE } else { PACE_FIRST };
+        self.suspected = false;
+        let recent = self.started || silence < REPORT_MIN_AGE;
+        self.next_check = silence
+            + if recent {
+                CHECK_INTERVAL
+            } else {
+                QUERY_INTERVAL
+            };
     }
 
-    /// Silence at which the run is taken for lost.
+    /// Returns the silence at which the run counts as lost.
     pub fn limit(&self) -> Duration {
-        match self.begun {
-            true => self.gap.mul_f64(LOST),
-            false => self.objective.mul_f64(FIRST_LOST),
+        match self.started {
+            true => self.max_gap.mul_f64(LOST_FRACTION),
+            false => self.objective.mul_f64(FIRST_LOST_FRACTION),
         }
     }
 
-    /// What to do after a silence.
+    /// Returns the reaction to a silence.
     pub fn advise(&self, silence: Duration) -> Advice {
         let lost = self.limit();
         if silence >= lost {
             return Advice::Lost;
         }
-        let leave = self.leave.filter(|_| !self.begun);
-        if leave.is_some_and(|leave| silence >= leave) {
+        let relocate_at = self.relocate_at.filter(|_| !self.started);
+        if relocate_at.is_some_and(|relocate_at| silence >= relocate_at) {
             return Advice::Relocate;
         }
-        if self.doubted {
+        if self.suspected {
             return Advice::Connect;
         }
-        let lost = leave.map_or(lost, |leave| leave.min(lost));
-        let look = match self.begun {
+        let lost = relocate_at.map_or(lost, |relocate_at| relocate_at.min(lost));
+        let check_at = match self.started {
             true => self.threshold.limit(),
-            false => self.first,
+            false => self.first_check,
         };
-        let look = look.max(self.checked);
-        if silence >= look {
-            return match self.begun || silence < REPORTED {
+        let check_at = check_at.max(self.next_check);
+        if silence >= check_at {
+            return match self.started || silence < REPORT_MIN_AGE {
                 true => Advice::Connect,
                 false => Advice::QueryServer,
             };
         }
-        Advice::Wait(look.min(lost))
+        Advice::Wait(check_at.min(lost))
     }
 }
 
-/// When a run without an event is given up for a quicker server: as late as another one can still
-/// be in time. Not at all when it isn't much slower than expected by then.
-fn leave(objective: Duration, expected: Expectation) -> Option<Duration> {
+/// Returns when a run without an event moves to a faster server: as late as another one can still
+/// be in time. `None` if the run isn't much slower than expected by then.
+fn relocate_at(objective: Duration, expected: Expectation) -> Option<Duration> {
     if expected.here.is_zero() || expected.elsewhere.is_zero() {
         return None;
     }
-    let needed = expected.waited + expected.elsewhere.mul_f64(ELSEWHERE);
+    let needed = expected.waited + expected.elsewhere.mul_f64(RELOCATION_RESERVE_FACTOR);
     let latest = objective.checked_sub(needed)?;
-    (latest >= expected.here.mul_f64(SLOWER)).then_some(latest)
+    (latest >= expected.here.mul_f64(SLOWER_FACTOR)).then_some(latest)
 }
--- a/components/answer/src/threshold.rs
+++ b/components/answer/src/threshold.rs
@@ -1,8 +1,8 @@
-//! How long an engine may be silent before it is suspected.
+//! Adaptive limit of an engine's silence before it is suspected.
 //!
-//! A fixed time is too short for a loaded engine and too long for a quick one. The limit follows
-//! the gaps between tokens: a smoothed mean and deviation, as a transport's retransmission timer
-//! has them (RFC 6298), of this answer and, until it has enough of its own, of its pool.
+//! A fixed time is too short for a loaded engine and too long for a fast one. The limit follows the
+//! gaps between tokens: a smoothed mean and deviation, as in a transport's retransmission timer
+//! (RFC 6298), of this answer and, until it has enough of its own, of its pool.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
     Serialize, //
 };
 
-/// Gaps of an answer after which its own mean stands without the pool's.
-const ENOUGH: u32 = 16;
+/// Number of gaps after which an answer's own mean applies without the pool's.
+const MIN_OWN_GAPS: u32 = 16;
 
-/// Bounds and steepness of the threshold.
+/// Bounds and factors of the threshold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Settings {
     /// Lower bound.
     pub lowest: Duration,
     /// Upper bound.
     pub highest: Duration,
-    /// Multiple of the mean gap.
+    /// Factor on the mean gap.
     pub means: u32,
-    /// Multiple of the mean deviation, added to it.
+    /// Factor on the mean deviation, added to the scaled mean gap.
     pub deviations: u32,
-    /// Multiple of a silence that was suspected wrongly, as a lower bound for the rest of the answer.
+    /// Factor on a wrongly suspected silence, which gives a lower bound for the rest of the answer.
     pub excuse: u32,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Gaps {
-    /// Learns one gap.
+    /// Records one gap.
     pub fn learn(&mut self, gap: Duration) {
         self.count = self.count.saturating_add(1);
         if self.count == 1 {
@@ -63,7 +63,7 @@
         self.mean = (self.mean * 7 + gap) / 8;
     }
 
-    /// Number of gaps learned.
+    /// Returns the number of recorded gaps.
     pub fn count(&self) -> u32 {
         self.count
     }
@@ -73,18 +73,18 @@
     }
 }
 
-/// The threshold of one answer.
+/// Threshold of one answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Threshold {
     settings: Settings,
     own: Gaps,
     pool: Gaps,
-    /// Raised by wrong suspicions.
+    /// Lower bound, raised by wrong suspicions.
     floor: Duration,
 }
 
 impl Threshold {
-    /// A threshold that starts from its pool's gaps.
+    /// Creates a threshold that starts from its pool's gaps.
     pub fn new(settings: Settings, pool: Gaps) -> Threshold {
         Threshold {
             settings,
@@ -94,27 +94,27 @@
         }
     }
 
-    /// Learns one gap of this answer.
+    /// Records one gap of this answer.
     pub fn learn(&mut self, gap: Duration) {
-        // With equal bounds there is nothing to learn, and models keep a smaller state.
+        // With equal bounds the gaps have no effect, and without them models have a smaller state.
         if self.settings.lowest == self.settings.highest {
             return;
         }
         self.own.learn(gap);
     }
 
-    /// Learns that the engine was suspected after a silence and then went on: it pauses at times, and
-    /// each further wrong suspicion would cost another prefill.
+    /// Raises the lower bound after a wrong suspicion: the engine pauses at times, and each further
+    /// wrong suspicion would cost another prefill.
     pub fn excuse(&mut self, silence: Duration) {
         let floor = self.floor.max(silence * self.settings.excuse);
         self.floor = floor.min(self.settings.highest);
     }
 
-    /// Silence after which the engine is suspected.
+    /// Returns the silence after which the engine is suspected.
     pub fn limit(&self) -> Duration {
         let settings = &self.settings;
         let own = self.own.limit(settings);
-        let limit = if self.own.count() >= ENOUGH {
+        let limit = if self.own.count() >= MIN_OWN_GAPS {
             own
         } else if self.pool.count() > 0 {
             own.max(self.pool.limit(settings))
@@ -124,12 +124,12 @@
         limit.clamp(self.floor, settings.highest)
     }
 
-    /// Lower bound of [`Threshold::limit`].
+    /// Returns the lower bound of [`Threshold::limit`].
     pub fn lowest(&self) -> Duration {
         self.settings.lowest
     }
 
-    /// Upper bound of [`Threshold::limit`].
+    /// Returns the upper bound of [`Threshold::limit`].
     pub fn highest(&self) -> Duration {
         self.settings.highest
     }
--- a/components/answer/tests/log.rs
+++ b/components/answer/tests/log.rs
@@ -1,4 +1,4 @@
-//! The token log, the cursor and the mark.
+//! Tests of the token log, the cursor and the position.
 
 use answer::{
     Breakage,
@@ -20,33 +20,33 @@
 use names::Index;
 use rstest::rstest;
 
-fn words(many: Index) -> Vec<String> {
-    (0..many).map(|index| format!("t{index} ")).collect()
+fn words(count: Index) -> Vec<String> {
+    (0..count).map(|index| format!("t{index} ")).collect()
 }
 
-fn filled(many: Index) -> Log {
-    Log::with_prefix(&words(many), 1 << 20).expect("the words fit")
+fn log_of(count: Index) -> Log {
+    Log::with_prefix(&words(count), 1 << 20).expect("the words fit")
 }
 
-/// An engine sends a token twice, or leaves one out. If the log took it, a caller's letter would
-/// read a word twice, or lack one.
+/// Guards against an engine that repeats or skips a token: the caller's text would repeat a word,
+/// or lack one.
 #[rstest]
 #[case::repeat_of_the_last(2, Err(Fault::Repeat))]
 #[case::repeat_of_the_first(0, Err(Fault::Repeat))]
 #[case::next(3, Ok(()))]
-#[case::one_left_out(4, Err(Fault::Hole { expected: 3 }))]
+#[case::one_skipped(4, Err(Fault::Hole { expected: 3 }))]
 #[case::far_ahead(Index::MAX, Err(Fault::Hole { expected: 3 }))]
-fn only_the_next_index_is_taken(#[case] index: Index, #[case] expected: Result<(), Fault>) {
-    let mut log = filled(3);
+fn only_the_next_index_is_accepted(#[case] index: Index, #[case] expected: Result<(), Fault>) {
+    let mut log = log_of(3);
     assert_eq!(log.append(index, "x".into()), expected);
-    let taken = Index::from(expected.is_ok());
-    assert_eq!(log.next(), 3 + taken);
+    let accepted = Index::from(expected.is_ok());
+    assert_eq!(log.next(), 3 + accepted);
 }
 
-/// An engine goes on after its end line. Those tokens don't belong to the answer.
+/// An engine sends tokens after its end line. They don't belong to the answer.
 #[test]
-fn nothing_follows_the_end() {
-    let mut log = filled(3);
+fn the_log_accepts_nothing_after_the_end() {
+    let mut log = log_of(3);
     assert_eq!(log.end(Finish::Stop), Ok(()));
     assert_eq!(log.append(3, "x".into()), Err(Fault::Ended));
     let late = log.end(Finish::Broken(Breakage::EngineDied));
@@ -59,14 +59,14 @@
 #[case::part(1, 1, Some(1))]
 #[case::at_the_end(3, 10, Some(0))]
 #[case::beyond(4, 10, None)]
-fn reads_are_bounded(#[case] from: Index, #[case] most: usize, #[case] expected: Option<usize>) {
-    let log = filled(3);
+fn reads_are_limited(#[case] from: Index, #[case] most: usize, #[case] expected: Option<usize>) {
+    let log = log_of(3);
     assert_eq!(log.read(from, most).map(<[String]>::len), expected);
 }
 
-/// A generation runs for minutes and nobody reads. The sidecar's memory must not grow with it.
+/// Guards against memory that grows with a long generation that no entry reads.
 #[test]
-fn a_full_log_takes_no_more() {
+fn a_full_log_rejects_tokens() {
     let bound = 3 * (TOKEN_OVERHEAD + 2);
     let mut log = Log::new(0, bound);
     for index in 0..3 {
@@ -77,9 +77,9 @@
     assert_eq!(log.next(), 3);
 }
 
-/// A log at its bound still serves the entry that follows it: what was sent makes room.
+/// A full log still serves its attached entry: sent tokens free space.
 #[test]
-fn a_trimmed_log_goes_on_and_has_no_beginning() {
+fn a_trimmed_log_accepts_tokens_and_lacks_its_start() {
     let bound = 3 * (TOKEN_OVERHEAD + 2);
     let mut log = Log::new(0, bound);
     for index in 0..3 {
@@ -103,19 +103,19 @@
 #[case::old(3, 2, Verdict::Repeat)]
 #[case::none(5, 0, Verdict::Repeat)]
 #[case::ahead(6, 1, Verdict::Hole)]
-fn the_cursor_takes_each_index_once(
+fn the_cursor_accepts_each_index_once(
     #[case] index: Index,
     #[case] count: usize,
     #[case] expected: Verdict,
 ) {
     let mut cursor = Cursor::default();
     cursor.advance(5);
-    assert_eq!(cursor.judge(index, count), expected);
+    assert_eq!(cursor.classify(index, count), expected);
     assert_eq!(cursor.next(), 5);
 }
 
 #[test]
-fn a_mark_survives_its_text() {
+fn a_position_round_trips_through_text() {
     let mut position = Position::default();
     for word in words(13) {
         position.push(&word);
@@ -125,10 +125,10 @@
     assert_eq!(text.parse(), Ok(position));
 }
 
-/// Two texts of equal length must not have equal marks, also where one only cuts its words
-/// differently: a caller would be given the rest of another text.
+/// Guards against equal positions of different texts, also where only the token boundaries differ:
+/// a caller would receive the rest of another text.
 #[test]
-fn marks_tell_texts_apart() {
+fn positions_distinguish_texts() {
     let position = |words: &[&str]| {
         let mut position = Position::default();
         for word in words {
@@ -149,6 +149,6 @@
 #[case::not_hex("12-xyz")]
 #[case::too_long("12-11112222333344445")]
 #[case::overflow("18446744073709551615-00")]
-fn other_texts_are_no_marks(#[case] text: &str) {
+fn invalid_texts_are_rejected(#[case] text: &str) {
     assert_eq!(text.parse::<Position>(), Err(Malformed));
 }
--- a/components/answer/tests/pointer.rs
+++ b/components/answer/tests/pointer.rs
@@ -1,4 +1,4 @@
-//! Who holds a pointer, and what a holder keeps.
+//! Tests of the choice of holders and of the holders' table.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn candidates(data_centres: u32, each: u32) -> Vec<Candidate> {
+fn candidates(data_centres: u32, per_data_centre: u32) -> Vec<Candidate> {
     let mut all = Vec::new();
     for data_centre in 0..data_centres {
-        for server in 0..each {
+        for server in 0..per_data_centre {
             all.push(Candidate {
                 host: format!("s{data_centre}-{server}"),
                 data_centre: format!("dc{data_centre}"),
@@ -36,37 +36,37 @@
     }
 }
 
-/// A data centre is lost with all sidecars in it. If both holders stood there, every caller's retry
-/// through another entry would begin its answer again.
+/// Guards against the loss of both holders with one data centre: every retry through another entry
+/// would then restart its answer.
 #[test]
-fn holders_stand_in_two_data_centres() {
+fn holders_are_in_two_data_centres() {
     let all = candidates(3, 4);
     for request in 0..500 {
-        let two = holders(&format!("team/{request}"), &all);
-        assert_eq!(two.len(), 2);
-        assert_ne!(two[0].data_centre, two[1].data_centre);
+        let both = holders(&format!("team/{request}"), &all);
+        assert_eq!(both.len(), 2);
+        assert_ne!(both[0].data_centre, both[1].data_centre);
     }
 }
 
 #[rstest]
-#[case::nobody(0, 0, 0)]
+#[case::no_candidate(0, 0, 0)]
 #[case::one_sidecar(1, 1, 1)]
 #[case::one_data_centre(1, 3, 2)]
-fn few_candidates_still_give_holders(
+fn few_candidates_still_yield_holders(
     #[case] data_centres: u32,
-    #[case] each: u32,
+    #[case] per_data_centre: u32,
     #[case] expected: usize,
 ) {
     assert_eq!(
-        holders("r", &candidates(data_centres, each)).len(),
+        holders("r", &candidates(data_centres, per_data_centre)).len(),
         expected
     );
 }
 
-/// A host leaves. Pointers of other holders must stay where they are, or all running answers would
-/// lose theirs at once.
+/// Guards against pointers that move when another host leaves: all running answers would lose
+/// theirs at once.
 #[test]
-fn a_host_that_goes_moves_only_its_own_pointers() {
+fn a_host_that_leaves_moves_only_its_own_pointers() {
     let all = candidates(3, 4);
     let fewer: Vec<Candidate> = all[1..].to_vec();
     for request in 0..500 {
@@ -80,13 +80,16 @@
 }
 
 #[test]
-fn every_sidecar_gets_its_share() {
+fn pointers_are_distributed_over_the_sidecars() {
     let all = candidates(3, 4);
     let mut first = vec![0; all.len()];
     for request in 0..12_000 {
-        let two = holders(&format!("team/{request}"), &all);
-        let place = all.iter().position(|one| one == two[0]).expect("is listed");
-        first[place] += 1;
+        let both = holders(&format!("team/{request}"), &all);
+        let index = all
+            .iter()
+            .position(|one| one == both[0])
+            .expect("is listed");
+        first[index] += 1;
     }
     assert!(
         first.iter().all(|share| (800..1200).contains(share)),
@@ -94,8 +97,8 @@
     );
 }
 
-/// A put of the first epoch is late and comes after the second epoch's. A retry that followed it
-/// would attach to a run that was cancelled.
+/// Guards against a delayed put of the first epoch that arrives after the second epoch's: a retry
+/// would attach to a cancelled run.
 #[test]
 fn a_late_put_of_an_older_epoch_is_dropped() {
     let mut table = Table::new(Settings::default());
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn a_removal_of_a_replaced_run_leaves_its_successor() {
+fn removing_a_replaced_run_keeps_its_successor() {
     let mut table = Table::new(Settings::default());
     table.put(SECOND, "r".into(), pointer(2, 20));
     table.remove("r", 10);
@@ -130,9 +133,9 @@
     assert!(table.is_empty());
 }
 
-/// Many answers run at once. A holder without a bound would grow past its memory.
+/// Guards against a table that grows without bound when many answers run at once.
 #[test]
-fn a_full_table_drops_the_oldest() {
+fn a_full_table_evicts_the_oldest() {
     let settings = Settings {
         max_pointers: 3,
         ttl: SECOND * 10,
--- a/components/answer/tests/resume.rs
+++ b/components/answer/tests/resume.rs
@@ -1,7 +1,7 @@
-//! The resume decisions fault by fault: what the driver is told to do, as snapshots.
+//! Tests of the resume decisions by fault: the resulting actions, as snapshots.
 //!
-//! Bounds of the threshold are equal, so an engine is suspected 1 s after a token and 4 s after its
-//! placing.
+//! The bounds of the threshold are equal, so an engine is suspected 1 s after a token and 4 s after
+//! its placement.
 
 use std::time::Duration;
 
@@ -106,7 +106,7 @@
     }
 }
 
-/// Runs a script of (milliseconds, event) and gives what followed each event, line by line.
+/// Runs a script of (milliseconds, event) and returns a line per event and per resulting action.
 fn run(settings: Settings, script: Vec<(u64, Event)>) -> Vec<String> {
     let mut resume = Resume::new(settings, Duration::ZERO);
     let mut lines = Vec::new();
@@ -124,8 +124,8 @@
     lines
 }
 
-/// Engines, hosts and links fail in each phase of an answer. A caller would see a letter that stops
-/// midway, lacks a word, or has one twice.
+/// Guards against an answer that stops midway, lacks a word or repeats one, when engines, hosts and
+/// links fail in each phase of an answer.
 #[rstest]
 #[case::nothing_fails("nothing_fails", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a b")), (90, tokens(1, 2, "c")), (91, end(1, 3)),
@@ -142,7 +142,7 @@
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a b")), (60, broken(1, 2, Breakage::EngineDied)),
     (61, placed(2)), (90, end(2, 2)),
 ])]
-#[case::engine_stops_and_wakes_after_the_answer_moved("engine_wakes_late", vec![
+#[case::engine_stalls_and_resumes_after_the_answer_moved("engine_wakes_late", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")), (550, Event::Tick), (1049, Event::Tick), (1050, Event::Tick),
     (1051, placed(2)), (1100, tokens(2, 1, "b")), (1101, tokens(1, 1, "B C")), (1102, end(1, 3)),
     (1103, end(2, 2)),
@@ -155,24 +155,24 @@
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")), (1050, Event::Tick),
     (1060, tokens(1, 1, "b")), (1070, placed(2)),
 ])]
-#[case::link_is_lost_and_read_again("link_lost", vec![
+#[case::link_is_lost_and_reattached("link_lost", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a b")), (60, lost(1)),
     (70, Event::Attached { epoch: 1 }), (71, tokens(1, 1, "b c")), (72, end(1, 3)),
 ])]
-#[case::host_is_gone_dials_fail("dials_fail", vec![
+#[case::host_is_gone_and_dials_fail("dials_fail", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")), (60, lost(1)), (61, lost(1)),
     (161, Event::Tick), (162, lost(1)), (362, Event::Tick), (363, lost(1)), (763, Event::Tick),
     (764, lost(1)), (765, placed(2)), (800, tokens(2, 1, "b")), (801, end(2, 2)),
 ])]
-#[case::sidecar_came_back_empty("attach_missed", vec![
+#[case::sidecar_restarted_without_the_generation("attach_missed", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")), (60, lost(1)),
     (70, Event::AttachMissed { epoch: 1 }), (71, placed(2)), (100, tokens(2, 1, "b")), (101, end(2, 2)),
 ])]
-#[case::the_link_is_silent_and_a_new_one_brings_the_tokens("link_silent", vec![
+#[case::link_is_silent_and_a_new_one_delivers_the_tokens("link_silent", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")), (549, Event::Tick), (550, Event::Tick),
     (553, Event::Attached { epoch: 1 }), (553, tokens(1, 1, "b c")), (554, end(1, 3)),
 ])]
-#[case::the_sidecar_was_replaced_in_silence("probe_missed", vec![
+#[case::sidecar_restarted_during_silence("probe_missed", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")), (550, Event::Tick),
     (553, Event::AttachMissed { epoch: 1 }), (554, placed(2)), (600, tokens(2, 1, "b")), (601, end(2, 2)),
 ])]
@@ -196,7 +196,7 @@
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")), (1050, Event::Tick),
     (1051, broken(1, 1, Breakage::EngineDied)), (1052, Event::Denied { epoch: 2 }), (1053, placed(3)),
 ])]
-#[case::a_suspicion_finds_no_place("suspicion_no_place", vec![
+#[case::suspicion_finds_no_replica("suspicion_no_place", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")), (1050, Event::Tick), (1051, no_place(2)),
     (1100, tokens(1, 1, "b")), (1101, end(1, 2)),
 ])]
@@ -208,12 +208,12 @@
     (0, begin()), (1, placed(1)), (2, refused(1)), (3, placed(2)), (4, refused(2)), (5, placed(3)),
     (6, refused(3)), (7, placed(4)), (8, refused(4)),
 ])]
-#[case::epochs_are_used_up("too_many", vec![
+#[case::epochs_are_exhausted("too_many", vec![
     (0, begin()), (1, placed(1)), (2, broken(1, 0, Breakage::Repeat)), (3, placed(2)),
     (4, broken(2, 0, Breakage::Hole)), (5, placed(3)), (6, broken(3, 0, Breakage::LogFull)),
     (7, placed(4)), (8, broken(4, 0, Breakage::EngineStalled)),
 ])]
-#[case::the_host_is_said_to_be_gone("host_gone", vec![
+#[case::host_is_reported_as_gone("host_gone", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")),
     (60, Event::HostGone { server: "s1".into() }), (61, placed(2)), (90, tokens(1, 1, "b")),
 ])]
@@ -228,14 +228,14 @@
     (21, placed(2)), (22, refused(2)), (20_023, placed(3)), (20_024, refused(3)), (20_025, placed(4)),
     (20_026, refused(4)), (20_027, placed(5)), (20_028, refused(5)),
 ])]
-#[case::a_stopped_engine_then_a_death("stopped_then_dead", vec![
+#[case::engine_stalls_and_the_next_one_dies("stopped_then_dead", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")), (1050, Event::Tick), (1051, placed(2)),
     (1100, tokens(2, 1, "b")), (1110, broken(2, 2, Breakage::EngineDied)),
 ])]
 #[case::the_deadline_passes("deadline", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")), (60_000, Event::Tick),
 ])]
-#[case::the_caller_goes_and_may_come_back("caller_gone", vec![
+#[case::caller_disconnects_and_may_reconnect("caller_gone", vec![
     (0, begin()), (1, placed(1)), (50, tokens(1, 0, "a")), (1050, Event::Tick), (1051, placed(2)),
     (1060, Event::CallerGone), (1070, tokens(1, 1, "b")),
 ])]
@@ -259,14 +259,14 @@
     (0, Event::Return { position: position("a b") }), (1, placed(1)), (50, tokens(1, 0, "a")),
     (60, tokens(1, 1, "y")), (70, tokens(1, 2, "z")), (71, end(1, 3)),
 ])]
-#[case::a_retry_gives_an_index_only("index_only", vec![
+#[case::retry_with_an_index_only("index_only", vec![
     (0, Event::Begin { from: 2 }), (1, placed(1)), (50, tokens(1, 0, "a b c")), (51, end(1, 3)),
 ])]
-fn continuing_engines(#[case] name: &str, #[case] script: Vec<(u64, Event)>) {
+fn engines_with_continuation(#[case] name: &str, #[case] script: Vec<(u64, Event)>) {
     insta::assert_snapshot!(name, run(settings(), script).join("\n"));
 }
 
-/// An engine that can't go on from given tokens dies. Whoever began again would splice two texts.
+/// Guards against splicing two texts when an engine without continuation dies.
 #[rstest]
 #[case::streamed_before_a_token("plain_streamed_early", true, vec![
     (0, begin()), (1, placed(1)), (20, broken(1, 0, Breakage::EngineDied)), (21, placed(2)),
@@ -280,7 +280,7 @@
     (0, begin()), (1, placed(1)), (20, tokens(1, 0, "a")), (21, broken(1, 1, Breakage::EngineDied)),
     (22, placed(2)), (80, tokens(2, 0, "b c")), (81, end(2, 2)),
 ])]
-#[case::retry_before_its_place_is_reached("plain_found", true, vec![
+#[case::retry_before_its_position_is_reached("plain_found", true, vec![
     (0, found(1, position("a b"))), (1, Event::Attached { epoch: 1 }), (2, tokens(1, 0, "a")),
     (3, broken(1, 1, Breakage::EngineDied)), (4, placed(2)), (80, tokens(2, 0, "x y z")), (81, end(2, 3)),
 ])]
@@ -297,9 +297,9 @@
     insta::assert_snapshot!(name, run(settings, script).join("\n"));
 }
 
-/// A caller that gave no key can't come back: what runs for it would run for nobody.
+/// A caller without a request key can't reconnect, so its generation must not keep running.
 #[test]
-fn without_a_key_nothing_runs_on() {
+fn without_a_key_the_generation_is_cancelled() {
     let settings = Settings {
         resumable: false,
         ..settings()
@@ -314,8 +314,8 @@
     assert!(resume.done());
 }
 
-/// When the engine is suspected, past the dial that comes before.
-fn suspicion(resume: &mut Resume) -> Option<Duration> {
+/// Returns when the engine is suspected, after the probing dial.
+fn suspected_at(resume: &mut Resume) -> Option<Duration> {
     let mut actions = Vec::new();
     let probe = resume.next_wake()?;
     resume.handle(probe, Event::Tick, &mut actions);
@@ -324,10 +324,10 @@
     resume.next_wake()
 }
 
-/// An engine is slow again and again over a long answer, and dies near its end. If wrong suspicions
-/// used up the answer's epochs, the caller would get an interruption instead of the rest.
+/// Guards against wrong suspicions that exhaust an answer's epochs: a long answer of an engine with
+/// repeated pauses would be interrupted when the engine dies near the end.
 #[test]
-fn wrong_suspicions_use_up_no_epochs() {
+fn wrong_suspicions_do_not_count_as_epochs() {
     let mut resume = Resume::new(settings(), Duration::ZERO);
     let mut actions = Vec::new();
     let mut now = Duration::ZERO;
@@ -350,8 +350,8 @@
     );
 }
 
-/// An engine pauses for half a second now and then. Each pause would cost another replica a prefill
-/// if the answer didn't learn from the first one.
+/// Guards against repeated wrong suspicions: an engine pauses for half a second at times, and each
+/// pause would cost another replica a prefill.
 #[test]
 fn a_wrong_suspicion_raises_the_threshold() {
     let settings = Settings {
@@ -378,16 +378,16 @@
         now += Duration::from_millis(10);
         resume.handle(now, tokens(1, index, "a"), &mut actions);
     }
-    assert_eq!(suspicion(&mut resume), Some(now + SECOND));
+    assert_eq!(suspected_at(&mut resume), Some(now + SECOND));
 }
 
-/// An engine that gives a token every 10 ms stops. With a fixed limit of 2 s the caller would wait
-/// that long; the learned limit is the lower bound.
+/// Guards against a fixed limit: an engine that sends a token every 10 ms stops, and with a limit
+/// of 2 s the caller would wait that long.
 #[rstest]
-#[case::quick_engine(10, 250)]
-#[case::middling_engine(100, 400)]
+#[case::fast_engine(10, 250)]
+#[case::medium_engine(100, 400)]
 #[case::slow_engine(1000, 2000)]
-fn the_threshold_follows_the_gaps(#[case] gap: u64, #[case] limit: u64) {
+fn the_threshold_adapts_to_the_gaps(#[case] gap: u64, #[case] limit: u64) {
     let settings = Settings {
         suspicion: threshold::Settings {
             lowest: Duration::from_millis(250),
@@ -407,14 +407,14 @@
         now += Duration::from_millis(gap);
         resume.handle(now, tokens(1, index, "a"), &mut actions);
     }
-    let wake = suspicion(&mut resume).expect("the answer goes on");
+    let wake = suspected_at(&mut resume).expect("the answer goes on");
     assert_eq!((wake - now).as_millis() as u64, limit);
 }
 
-/// Guards against a caller that waits twice for a silent server: the retry budget denies its suspicion
-/// just before another answer shows that the server is silent.
+/// Guards against a caller that waits twice for a silent server: the retry budget denies its
+/// suspicion just before another answer shows that the server is silent.
 #[test]
-fn a_denied_suspicion_is_tried_again_soon() {
+fn a_denied_suspicion_is_retried_soon() {
     let settings = Settings {
         suspicion: threshold::Settings {
             lowest: SECOND / 4,
--- a/components/answer/tests/silence.rs
+++ b/components/answer/tests/silence.rs
@@ -1,4 +1,4 @@
-//! When a silent run is looked into, and when it is taken for lost.
+//! Tests when a silent run is checked, and when it counts as lost.
 
 use std::time::Duration;
 
@@ -13,17 +13,18 @@
 
 const OBJECTIVE: Duration = Duration::from_secs(4);
 
-fn run() -> Detector {
-    let gap = Some(Duration::from_millis(700));
+fn detector() -> Detector {
+    let max_gap = Some(Duration::from_millis(700));
     let expected = Some(Default::default());
-    Detector::new(OBJECTIVE, gap, Gaps::default(), expected)
+    Detector::new(OBJECTIVE, max_gap, Gaps::default(), expected)
 }
 
-/// A data centre goes dark while a run there has given no event. Streams beside it notice within a
-/// fraction of a second, and this one is looked into at once instead of after a part of its objective.
+/// A data centre stops responding while a run there has no event yet. Other streams there detect it
+/// within a fraction of a second, so this run is checked at once instead of after a fraction of its
+/// objective.
 #[test]
-fn a_doubt_is_looked_into_at_once_and_once() {
-    let mut detector = run();
+fn a_suspicion_is_checked_at_once_and_only_once() {
+    let mut detector = detector();
     let early = Duration::from_millis(300);
     assert_matches!(detector.advise(early), Advice::Wait(_));
     detector.suspect();
@@ -32,19 +33,19 @@
     assert_matches!(detector.advise(early), Advice::Wait(_));
 }
 
-/// The doubted server gives an event before anybody has looked.
+/// The suspected server sends an event before it is checked.
 #[test]
-fn an_event_ends_a_doubt() {
-    let mut detector = run();
+fn an_event_clears_a_suspicion() {
+    let mut detector = detector();
     detector.suspect();
     detector.record_event(Duration::from_millis(300));
     assert_matches!(detector.advise(Duration::from_millis(10)), Advice::Wait(_));
 }
 
-/// A doubt must not keep a run alive that is to be given up anyway.
+/// A suspicion must not extend a run that counts as lost already.
 #[test]
-fn a_run_that_is_lost_stays_lost() {
-    let mut detector = run();
+fn a_suspicion_does_not_extend_a_lost_run() {
+    let mut detector = detector();
     detector.suspect();
     assert_eq!(detector.advise(OBJECTIVE * 2), Advice::Lost);
 }
