--- a/components/answer/src/resume.rs
+++ b/components/answer/src/resume.rs
@@ -103,7 +103,7 @@
             return;
         }
         match event {
-            Event::Begin { from } => self.begin(now, from, actions),
+            Event::Begin { from } => self.handle_begin(now, from, actions),
             Event::Return { position } => {
                 self.caller_position = position;
                 self.start(now, Cause::First, actions);
@@ -113,12 +113,12 @@
                 server,
                 position,
             } => self.attach_found(now, epoch, server, position, actions),
-            Event::Placed { epoch, server } => self.placed(now, epoch, server, actions),
+            Event::Placed { epoch, server } => self.handle_placed(now, epoch, server, actions),
             Event::NoPlace { epoch, retry_after } => {
                 self.handle_no_place(now, epoch, retry_after, actions);
             }
             Event::Refused { epoch, retry_after } => {
-                self.refused(now, epoch, retry_after, actions);
+                self.handle_refused(now, epoch, retry_after, actions);
             }
             Event::Denied { epoch } => self.handle_denied(now, epoch, actions),
             Event::Tokens {
@@ -130,10 +130,10 @@
                 epoch,
                 total,
                 finish,
-            } => self.end(now, epoch, total, finish, actions),
+            } => self.handle_end(now, epoch, total, finish, actions),
             Event::LinkLost { epoch } => self.redial(now, epoch, actions),
-            Event::Attached { epoch } => self.attached(epoch),
-            Event::AttachMissed { epoch } => self.lose(now, epoch, actions),
+            Event::Attached { epoch } => self.handle_attached(epoch),
+            Event::AttachMissed { epoch } => self.handle_loss(now, epoch, actions),
             Event::HostGone { server } => {
                 self.suspect(&server);
                 self.tick(now, actions);
@@ -170,7 +170,7 @@
         }
     }
 
-    fn begin(&mut self, now: Clock, from: Index, actions: &mut Vec<Action>) {
+    fn handle_begin(&mut self, now: Clock, from: Index, actions: &mut Vec<Action>) {
         // Without a digest it can't be verified that new tokens continue the caller's text.
         if from > 0 {
             actions.push(Action::Restart { kept: 0 });
@@ -198,7 +198,13 @@
         actions.push(Action::Attach { epoch, from: 0 });
     }
 
-    fn placed(&mut self, now: Clock, epoch: Epoch, server: Server, actions: &mut Vec<Action>) {
+    fn handle_placed(
+        &mut self,
+        now: Clock,
+        epoch: Epoch,
+        server: Server,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(attempt) = self.attempt(epoch) else {
             actions.push(Action::Cancel { epoch });
             return;
@@ -235,7 +241,7 @@
         // The suspected epoch may have been lost meanwhile. Then the suspicion is moot, and without
         // a next epoch the caller would never get an answer.
         if self.attempts.is_empty() {
-            self.replace(now, actions);
+            self.start_replacement(now, actions);
             return;
         }
         // Other answers on the same server soon have a second epoch, which shows whether the server
@@ -290,7 +296,7 @@
         // A server that was silent until another one overtook it would delay the answer again, yet
         // looks idle to the next placement.
         for server in overtaken {
-            self.avoid(Some(server));
+            self.avoid_server(Some(server));
         }
         self.attempts.retain(|attempt| attempt.epoch == epoch);
         self.owner = Some(epoch);
@@ -349,7 +355,7 @@
         });
     }
 
-    fn end(
+    fn handle_end(
         &mut self,
         now: Clock,
         epoch: Epoch,
@@ -361,7 +367,7 @@
             return;
         }
         if !finish.is_complete() || total < self.cursor.next() {
-            self.lose(now, epoch, actions);
+            self.handle_loss(now, epoch, actions);
             return;
         }
         if total > self.cursor.next() {
@@ -392,7 +398,7 @@
         let dials = attempt.dials;
         if attempt.state == State::Placing || dials > max_dials {
             actions.push(Action::Cancel { epoch });
-            self.lose(now, epoch, actions);
+            self.handle_loss(now, epoch, actions);
             return;
         }
         if dials > 1 {
@@ -403,7 +409,7 @@
         actions.push(Action::Attach { epoch, from });
     }
 
-    fn attached(&mut self, epoch: Epoch) {
+    fn handle_attached(&mut self, epoch: Epoch) {
         let Some(attempt) = self.attempt(epoch) else {
             return;
         };
@@ -413,18 +419,18 @@
     }
 
     /// Handles the definite loss of an epoch.
-    fn lose(&mut self, now: Clock, epoch: Epoch, actions: &mut Vec<Action>) {
+    fn handle_loss(&mut self, now: Clock, epoch: Epoch, actions: &mut Vec<Action>) {
         let Some(attempt) = self.remove(epoch) else {
             return;
         };
-        self.avoid(attempt.server);
+        self.avoid_server(attempt.server);
         if self.attempts.is_empty() {
-            self.replace(now, actions);
+            self.start_replacement(now, actions);
         }
     }
 
     /// Starts the next epoch when none is left.
-    fn replace(&mut self, now: Clock, actions: &mut Vec<Action>) {
+    fn start_replacement(&mut self, now: Clock, actions: &mut Vec<Action>) {
         if self.started >= self.settings.max_epochs {
             let pause = self.settings.first_token_timeout;
             self.interrupt(Interruption::TooManyEpochs, pause, actions);
@@ -508,7 +514,7 @@
         Some(self.attempts.remove(index))
     }
 
-    fn avoid(&mut self, server: Option<Server>) {
+    fn avoid_server(&mut self, server: Option<Server>) {
         let Some(server) = server else {
             return;
         };
--- a/components/answer/src/resume/refusal.rs
+++ b/components/answer/src/resume/refusal.rs
@@ -36,7 +36,7 @@
 }
 
 impl Resume {
-    pub(super) fn refused(
+    pub(super) fn handle_refused(
         &mut self,
         now: Clock,
         epoch: Epoch,
@@ -46,7 +46,7 @@
         let Some(attempt) = self.remove(epoch) else {
             return;
         };
-        self.avoid(attempt.server);
+        self.avoid_server(attempt.server);
         if !self.attempts.is_empty() {
             // The epoch counts nevertheless: a suspicion that is refused repeatedly must end.
             self.quiet_until = now + self.threshold.limit();
@@ -56,7 +56,7 @@
         self.refusals.consecutive += 1;
         let since = *self.refusals.since.get_or_insert(now);
         if self.refusals.consecutive < self.settings.max_refusals {
-            self.replace(now, actions);
+            self.start_replacement(now, actions);
             return;
         }
         if self.started == 0 || now.saturating_sub(since) >= self.settings.refusal_timeout {
@@ -71,7 +71,7 @@
     pub(super) fn retry_refused(&mut self, now: Clock, actions: &mut Vec<Action>) {
         if self.refusals.retry_at.is_some_and(|due| due <= now) {
             self.refusals.retry_at = None;
-            self.replace(now, actions);
+            self.start_replacement(now, actions);
         }
     }
 }
--- a/components/answer/src/resume/suspicion.rs
+++ b/components/answer/src/resume/suspicion.rs
@@ -148,7 +148,7 @@
     fn start_hedge(&mut self, now: Clock, actions: &mut Vec<Action>) {
         if self.attempts.len() >= MAX_LIVE_EPOCHS {
             let oldest = self.attempts.remove(0);
-            self.avoid(oldest.server);
+            self.avoid_server(oldest.server);
             actions.push(Action::Cancel {
                 epoch: oldest.epoch,
             });
--- a/components/answer/src/silence.rs
+++ b/components/answer/src/silence.rs
@@ -1,12 +1,11 @@
 //! Detects silent streams: when to check their server, and when to treat them as lost.
 //!
-//! The intended failure is that whole data centres of engines stop responding without closing
+//! The typical failure is a whole data centre of engines that stops responding without closing
 //! connections, while other engines pause for a moment as they process a long prompt. Waiting long
 //! delays the answer; leaving at once costs a prefill. So there are two limits. At the first one
 //! the server is checked: by a new connection, which a live server accepts within a round trip, or,
-//! while the prompt should have been processed by now, by a query for its running requests. At the
-//! second one the run counts as lost whatever the server responds, since a connection can die
-//! alone.
+//! for an older run without an event, by a query for its running requests. At the second one the
+//! run counts as lost whatever the server responds, since a connection can die alone.
 
 use std::time::Duration;
 
@@ -41,7 +40,7 @@
 /// Interval between checks of the same silence in a started stream.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Interval between queries about a run without an event; each query has a cost.
+/// Interval between queries about a run without an event, longer because each query has a cost.
 const QUERY_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Factor on the time that another server would need, reserved for it.
@@ -104,8 +103,8 @@
 
 impl Detector {
     /// Creates the detector of a run whose first event is due within `objective` and whose gaps
-    /// must stay under `max_gap`. `expected` is `None` if the caller already has events and waits for
-    /// the next one.
+    /// must stay under `max_gap`. `expected` is `None` if the caller already has events and waits
+    /// for the next one.
     pub fn new(
         objective: Duration,
         max_gap: Option<Duration>,
--- a/components/moves/src/evidence.rs
+++ b/components/moves/src/evidence.rs
@@ -55,7 +55,7 @@
 /// Counts of one version. Counters only grow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tally {
-    /// Completed requests whose end is attributable to the version.
+    /// Ended requests whose end is attributable to the version.
     pub requests: u32,
     /// Requests that failed because of the version.
     pub failed: u32,
--- a/components/moves/src/mover.rs
+++ b/components/moves/src/mover.rs
@@ -60,7 +60,7 @@
 };
 
 mod count;
-mod settle;
+mod update;
 
 /// Latency limits of a route above which a request is slow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -74,7 +74,7 @@
 pub struct Owner {
     /// Source under which the entry counts.
     pub source: Source,
-    /// Its data centre.
+    /// Data centre of the entry.
     pub data_centre: DataCentre,
 }
 
@@ -95,7 +95,7 @@
     /// Time of the last counted sample of the time between tokens at the full share.
     between_counted_at: Option<SystemTime>,
     /// Received facts speak against the new version and haven't been assessed yet.
-    unjudged: bool,
+    assessment_due: bool,
 
     level: Level,
     level_changed_at: Clock,
@@ -143,7 +143,7 @@
             changed_cells: BTreeSet::new(),
             first_counted_at: None,
             between_counted_at: None,
-            unjudged: false,
+            assessment_due: false,
             level: Level::ZERO,
             level_changed_at: now,
             ready_replicas: None,
@@ -183,12 +183,12 @@
             Event::Rank(rank) => self.rank = rank,
             Event::Overload(overload) => self.overload = overload,
             Event::First { pick, time, late } => {
-                self.first(&pick, time, late, wall, &mut actions);
+                self.record_first_token(&pick, time, late, wall, &mut actions);
             }
             Event::Between { pick, time, late } => {
-                self.between(&pick, time, late, wall, &mut actions);
+                self.record_token_gap(&pick, time, late, wall, &mut actions);
             }
-            Event::Finished { pick, ending } => self.finished(&pick, ending, wall, &mut actions),
+            Event::Finished { pick, ending } => self.record_end(&pick, ending, wall, &mut actions),
             Event::Died(death) => {
                 if self.evidence.merge_death(&death) {
                     actions.push(Action::Publish(Fact::Death(death)));
@@ -198,15 +198,15 @@
             Event::Received(fact) => self.receive(fact, &mut actions),
             Event::Stored(answer) => self.receive_stored(answer, &mut actions),
             Event::Tick => {
-                if self.unjudged {
-                    self.unjudged = false;
+                if self.assessment_due {
+                    self.assessment_due = false;
                     self.judge(wall, &mut actions);
                 }
                 self.publish(now, wall, &mut actions);
             }
         }
         if !frequent || !actions.is_empty() {
-            self.settle(now, wall, &mut actions);
+            self.update(now, wall, &mut actions);
         }
         actions
     }
@@ -311,7 +311,10 @@
                 // retries it here.
                 for pair in cells.values() {
                     for tally in [&pair.old, &pair.new] {
-                        tally.failures.hashes().for_each(|hash| self.remember(hash));
+                        tally
+                            .failures
+                            .hashes()
+                            .for_each(|hash| self.remember_failed_hash(hash));
                     }
                 }
                 self.evidence.merge_cells(&source, &cells);
@@ -320,7 +323,7 @@
                     let events_against = sum.new.events_against();
                     let before = self.total.insert(key.clone(), sum);
                     let before = before.map_or(0, |pair| pair.new.events_against());
-                    self.unjudged |= events_against > before;
+                    self.assessment_due |= events_against > before;
                 }
             }
             Fact::Times {
@@ -333,7 +336,7 @@
                     self.evidence.merge_times(&source, &route, side, &times);
                 }
             }
-            Fact::Death(death) => self.unjudged |= self.evidence.merge_death(&death),
+            Fact::Death(death) => self.assessment_due |= self.evidence.merge_death(&death),
             Fact::Veto(veto) => self.adopt_veto(veto, actions),
             Fact::Outcome(outcome) => self.adopt_outcome(outcome, actions),
         }
--- a/components/moves/src/mover/count.rs
+++ b/components/moves/src/mover/count.rs
@@ -58,7 +58,7 @@
 const MAX_FAILED_HASHES: usize = 4096;
 
 impl Mover {
-    pub(super) fn first(
+    pub(super) fn record_first_token(
         &mut self,
         pick: &Pick,
         time: Duration,
@@ -86,7 +86,7 @@
         }
     }
 
-    pub(super) fn finished(
+    pub(super) fn record_end(
         &mut self,
         pick: &Pick,
         ending: Ending,
@@ -95,19 +95,19 @@
     ) {
         match ending {
             Ending::Inconclusive => {}
-            Ending::Failed => self.failed(pick, wall, out),
+            Ending::Failed => self.record_failure(pick, wall, out),
             Ending::Completed => self.count(pick, |tally| tally.requests += 1),
         }
     }
 
-    fn failed(&mut self, pick: &Pick, wall: SystemTime, out: &mut Vec<Action>) {
+    fn record_failure(&mut self, pick: &Pick, wall: SystemTime, out: &mut Vec<Action>) {
         // A pick for the new version implies a small hash; the lower half is uniform for both
         // versions.
         let hash = (pick.hash & u64::from(u32::MAX)) as u32;
         if self.failed_hashes.contains(&hash) {
             return;
         }
-        self.remember(hash);
+        self.remember_failed_hash(hash);
         self.count(pick, |tally| {
             tally.requests += 1;
             tally.failed += 1;
@@ -119,14 +119,14 @@
     }
 
     /// Remembers a failed request. The smallest hashes are kept, as in the sketches of the cells.
-    pub(super) fn remember(&mut self, hash: u32) {
+    pub(super) fn remember_failed_hash(&mut self, hash: u32) {
         self.failed_hashes.insert(hash);
         if self.failed_hashes.len() > MAX_FAILED_HASHES {
             self.failed_hashes.pop_last();
         }
     }
 
-    pub(super) fn between(
+    pub(super) fn record_token_gap(
         &mut self,
         pick: &Pick,
         time: Duration,
--- a/components/moves/src/mover/settle.rs
+++ b/components/moves/src/mover/update.rs
@@ -50,7 +50,7 @@
 
 impl Mover {
     /// Updates share, concentration and record from the current state.
-    pub(super) fn settle(&mut self, now: Clock, wall: SystemTime, actions: &mut Vec<Action>) {
+    pub(super) fn update(&mut self, now: Clock, wall: SystemTime, actions: &mut Vec<Action>) {
         let level = self.target_level(now, wall);
         if level != self.level {
             self.level = level;
@@ -74,13 +74,13 @@
     }
 
     fn target_level(&self, now: Clock, wall: SystemTime) -> Level {
-        let settled = match (&self.outcome, &self.veto, &self.dropped) {
+        let final_side = match (&self.outcome, &self.veto, &self.dropped) {
             (Some(outcome), _, _) => Some(outcome.side()),
             (None, Some(_), _) => Some(Side::Old),
             (None, None, Some((side, _))) => Some(*side),
             (None, None, None) => None,
         };
-        match settled {
+        match final_side {
             Some(Side::New) => return Level::FULL,
             Some(Side::Old) => return Level::ZERO,
             None => {}
--- a/components/moves/src/step.rs
+++ b/components/moves/src/step.rs
@@ -68,14 +68,14 @@
     Began(SystemTime),
     /// Counts of a source.
     Cells {
-        /// Who counted.
+        /// Source of the counts.
         source: Source,
         /// Recently changed cells.
         cells: Cells,
     },
     /// Histograms of a source.
     Times {
-        /// Who counted.
+        /// Source of the counts.
         source: Source,
         /// Route of the requests.
         route: Route,
@@ -140,7 +140,7 @@
         pick: Pick,
         /// Time since the request's arrival.
         time: Duration,
-        /// Part of the time by which this entry itself ran late, from 0 to 1.
+        /// Fraction of the time by which this entry's own processing was delayed, from 0 to 1.
         late: f64,
     },
     /// The mean time between the first tokens of an answer was measured; once per request.
@@ -152,7 +152,7 @@
         pick: Pick,
         /// Mean time between tokens.
         time: Duration,
-        /// Part of the time by which this entry itself ran late, from 0 to 1.
+        /// Fraction of the time by which this entry's own processing was delayed, from 0 to 1.
         late: f64,
     },
     /// A request ended.
--- a/components/moves/tests/mover.rs
+++ b/components/moves/tests/mover.rs
@@ -159,7 +159,7 @@
 }
 
 /// Guards against a version that is blamed for deaths with another cause: a lost host, an overload
-/// or a request that crashes any version.
+/// or a request that crashes any version. Unexplained deaths do revert it.
 #[rstest]
 #[case::unexplained(Cause::Unexplained, Some(End::Reverted))]
 #[case::host_loss(Cause::HostLoss, Some(End::Done))]
--- a/components/moves/tests/rollout.rs
+++ b/components/moves/tests/rollout.rs
@@ -25,7 +25,7 @@
 const EXCHANGE_STEPS: u32 = 10;
 
 /// Duration of an answer.
-const ANSWER: Duration = Duration::from_millis(1200);
+const ANSWER_TIME: Duration = Duration::from_millis(1200);
 
 const EXPOSURE: Exposure = Exposure {
     share: 0.1,
@@ -135,7 +135,7 @@
         let bad = self.rng.random_bool(self.base_failure_rate)
             || shows && self.rng.random_bool(fault.share);
         self.running
-            .push((self.now + ANSWER, entry, route, side, bad));
+            .push((self.now + ANSWER_TIME, entry, route, side, bad));
     }
 
     fn exchange(&mut self) {
