--- a/components/models/src/moves.rs
+++ b/components/models/src/moves.rs
@@ -191,14 +191,14 @@
                 host: format!("entry-{index}"),
                 incarnation,
             },
-            home: "a".into(),
+            data_centre: "a".into(),
         };
         let at = Duration::from_secs(time);
         let (mut mover, _) = Mover::new(owner, plan(), vec!["chat".into()], at, wall(time));
-        mover.on(Event::Rank(index as u32), at, wall(time));
-        mover.on(Event::Ready { old: 2, new: 2 }, at, wall(time));
+        mover.handle(Event::Rank(index as u32), at, wall(time));
+        mover.handle(Event::Ready { old: 2, new: 2 }, at, wall(time));
         if self.variant == Variant::HastyRestart {
-            mover.on(Event::Synced, at, wall(time));
+            mover.handle(Event::Synced, at, wall(time));
         }
         Entry {
             level: mover.level(),
@@ -215,7 +215,7 @@
 
     fn on(self, state: &mut State, index: usize, event: Event, time: u64) {
         let at = Duration::from_secs(time);
-        let actions = state.entries[index].mover.on(event, at, wall(time));
+        let actions = state.entries[index].mover.handle(event, at, wall(time));
         for action in actions {
             self.act(state, index, action);
         }
@@ -311,7 +311,7 @@
             Step::Burst(index) => self.burst(state, index, time),
             Step::Hear(index, number) => {
                 let fact = state.facts[number].clone();
-                self.on(state, index, Event::Heard(fact), time);
+                self.on(state, index, Event::Received(fact), time);
             }
             Step::Take(index) => self.serve(state, index),
             Step::Lose(index) => {
@@ -337,7 +337,7 @@
             }
             Step::Sync(index) => {
                 for fact in state.entries[1 - index].mover.facts() {
-                    self.on(state, index, Event::Heard(fact), time);
+                    self.on(state, index, Event::Received(fact), time);
                 }
                 self.on(state, index, Event::Synced, time);
             }
@@ -375,7 +375,7 @@
             state.first = state.first.take().or(record.outcome.clone());
             state.record = Some(record);
         }
-        state.entries[index].answer = Some(Answer::Standing {
+        state.entries[index].answer = Some(Answer::Current {
             revision: state.revision,
             record: state.record.clone(),
         });
