--- a/components/entry/src/pool.rs
+++ b/components/entry/src/pool.rs
@@ -20,7 +20,7 @@
     rngs::SmallRng, //
 };
 use routing::{
-    Ask,
+    Request,
     Choice,
     Outcome,
     Place,
@@ -155,7 +155,7 @@
         let mut avoided = None;
         let mut wait = Duration::ZERO;
         for _ in 0..TRIES {
-            let ask = Ask {
+            let ask = Request {
                 service: wish.service,
                 version: &wish.release.name,
                 data_centre: &data_centre,
--- a/components/measure/src/routing/policy.rs
+++ b/components/measure/src/routing/policy.rs
@@ -8,7 +8,7 @@
 };
 use rand::rngs::StdRng;
 use routing::{
-    Ask,
+    Request,
     Choice,
     Event,
     Outcome,
@@ -121,7 +121,7 @@
     }
 
     fn pooled(&self, now: Clock, prefix: u64, rng: &mut StdRng) -> Option<usize> {
-        let ask = Ask {
+        let ask = Request {
             service: &self.place.service,
             version: &self.place.version,
             data_centre: &self.place.data_centre,
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -21,7 +21,7 @@
     rngs::StdRng, //
 };
 use routing::{
-    Ask,
+    Request,
     Choice,
     Outcome,
     Place,
@@ -194,7 +194,7 @@
     for turn in 0..REPEATS {
         let now = Duration::from_secs(100) + Duration::from_millis(u64::from(turn));
         let prefix = Some(u64::from(turn % 300));
-        let ask = Ask {
+        let ask = Request {
             service: &place.service,
             version: &place.version,
             data_centre: &place.data_centre,
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -27,7 +27,7 @@
 
 /// A piece of work that needs a server.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct Request<'a> {
     /// Service.
     pub service: &'a Service,
     /// Version that must serve.
@@ -58,7 +58,7 @@
 
 impl Pool {
     /// Chooses a server for a piece of work. The driver calls [`Pool::sent`] when it sends it.
-    pub fn choose(&self, now: Clock, ask: &Ask, rng: &mut impl Rng) -> Choice {
+    pub fn choose(&self, now: Clock, ask: &Request, rng: &mut impl Rng) -> Choice {
         let near = self.group(ask, ask.data_centre);
         let best = near.and_then(|group| self.pick(now, group, ask, rng));
         let load = best.map(|number| self.members[number].load() / self.capacity(number));
@@ -85,7 +85,7 @@
         self.members[number].capacity(&self.settings)
     }
 
-    fn group(&self, ask: &Ask, data_centre: &DataCentre) -> Option<&Group> {
+    fn group(&self, ask: &Request, data_centre: &DataCentre) -> Option<&Group> {
         self.groups.get(&Place {
             service: ask.service.clone(),
             version: ask.version.clone(),
@@ -95,7 +95,7 @@
 
     /// The better of two random ones among the replicas of the prefix that are not too loaded, or
     /// else among all.
-    fn pick(&self, now: Clock, group: &Group, ask: &Ask, rng: &mut impl Rng) -> Option<usize> {
+    fn pick(&self, now: Clock, group: &Group, ask: &Request, rng: &mut impl Rng) -> Option<usize> {
         let mut open = self.usable(now, group);
         open.retain(|number| !self.members[*number].full(now, &self.settings));
         let wanted = |number: &usize| !ask.avoid.contains(&self.members[*number].server);
@@ -217,7 +217,7 @@
     fn elsewhere(
         &self,
         now: Clock,
-        ask: &Ask,
+        ask: &Request,
         near: Option<f64>,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
@@ -240,7 +240,7 @@
     }
 
     /// Loads of the other data centres, from summaries and from replicas known one by one.
-    fn far_loads<'a>(&'a self, now: Clock, ask: &Ask) -> Vec<(f64, &'a DataCentre)> {
+    fn far_loads<'a>(&'a self, now: Clock, ask: &Request) -> Vec<(f64, &'a DataCentre)> {
         let mut loads = Vec::new();
         let version = (ask.service.clone(), ask.version.clone());
         for far in self.far.get(&version).into_iter().flatten() {
@@ -267,7 +267,7 @@
 
     /// Work that has begun goes to the least loaded replica although it is full, as giving it up
     /// wastes what was done; known replicas of other data centres count as well.
-    fn last_resort(&self, now: Clock, ask: &Ask, near: Option<&Group>) -> Option<Server> {
+    fn last_resort(&self, now: Clock, ask: &Request, near: Option<&Group>) -> Option<Server> {
         let far = self.known_far(ask);
         let far = far.into_iter().map(|(_, group)| group);
         for group in near.into_iter().chain(far) {
@@ -292,7 +292,7 @@
     }
 
     /// Groups of other data centres whose replicas are known one by one.
-    fn known_far(&self, ask: &Ask) -> Vec<(&Place, &Group)> {
+    fn known_far(&self, ask: &Request) -> Vec<(&Place, &Group)> {
         let mut groups = Vec::new();
         for (place, group) in &self.groups {
             let version = place.service == *ask.service && place.version == *ask.version;
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -20,7 +20,7 @@
     Kind, //
 };
 pub use choose::{
-    Ask,
+    Request,
     Choice, //
 };
 pub use far::Summary;
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -14,7 +14,7 @@
     rngs::StdRng, //
 };
 use routing::{
-    Ask,
+    Request,
     Choice,
     Outcome,
     Place,
@@ -86,7 +86,7 @@
     }
 
     pub fn ask(&mut self, prefix: Option<Prefix>, avoid: &[Server], resume: bool) -> Choice {
-        let ask = Ask {
+        let ask = Request {
             service: &self.service,
             version: &self.version,
             data_centre: &self.near,
