--- a/components/entry/src/pool.rs
+++ b/components/entry/src/pool.rs
@@ -23,7 +23,7 @@
     Request,
     Choice,
     Outcome,
-    Place,
+    Deployment,
     Prefix,
     Report, //
 };
@@ -57,7 +57,7 @@
 struct Inner {
     pool: routing::Pool,
     /// Places with replicas, for the summaries of other data centres.
-    places: Vec<Place>,
+    places: Vec<Deployment>,
     rng: SmallRng,
 }
 
@@ -109,7 +109,7 @@
         let Some(backend) = &hello.backend else {
             return;
         };
-        let place = Place {
+        let place = Deployment {
             service: backend.service.clone(),
             version: backend.version.clone(),
             data_centre: hello.data_centre.clone(),
--- a/components/measure/src/routing/policy.rs
+++ b/components/measure/src/routing/policy.rs
@@ -12,7 +12,7 @@
     Choice,
     Event,
     Outcome,
-    Place,
+    Deployment,
     Pool,
     Report,
     Settings, //
@@ -49,7 +49,7 @@
 pub struct Chooser {
     policy: Policy,
     pool: Pool,
-    place: Place,
+    place: Deployment,
     servers: Vec<Server>,
     alive: Vec<bool>,
     own: Vec<u32>,
@@ -59,7 +59,7 @@
 
 impl Chooser {
     pub fn new(policy: Policy, replicas: usize, first: usize) -> Self {
-        let place = Place {
+        let place = Deployment {
             service: "letters".to_string(),
             version: "v1".to_string(),
             data_centre: "near".to_string(),
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -24,7 +24,7 @@
     Request,
     Choice,
     Outcome,
-    Place,
+    Deployment,
     Pool,
     Report, //
 };
@@ -74,8 +74,8 @@
     format!("{} B", after.saturating_sub(before) / number)
 }
 
-fn place() -> Place {
-    Place {
+fn place() -> Deployment {
+    Deployment {
         service: "letters".to_string(),
         version: "v1".to_string(),
         data_centre: "near".to_string(),
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::{
-    Place,
+    Deployment,
     Pool,
     Prefix,
     pool::Group, //
@@ -86,7 +86,7 @@
     }
 
     fn group(&self, ask: &Request, data_centre: &DataCentre) -> Option<&Group> {
-        self.groups.get(&Place {
+        self.groups.get(&Deployment {
             service: ask.service.clone(),
             version: ask.version.clone(),
             data_centre: data_centre.clone(),
@@ -292,7 +292,7 @@
     }
 
     /// Groups of other data centres whose replicas are known one by one.
-    fn known_far(&self, ask: &Request) -> Vec<(&Place, &Group)> {
+    fn known_far(&self, ask: &Request) -> Vec<(&Deployment, &Group)> {
         let mut groups = Vec::new();
         for (place, group) in &self.groups {
             let version = place.service == *ask.service && place.version == *ask.version;
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -30,7 +30,7 @@
 };
 pub use placement::Placement;
 pub use pool::{
-    Place,
+    Deployment,
     Pool, //
 };
 pub use prompts::{
--- a/components/routing/src/pool.rs
+++ b/components/routing/src/pool.rs
@@ -34,7 +34,7 @@
 
 /// What a replica serves, and where.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Place {
+pub struct Deployment {
     /// Service that it belongs to.
     pub service: Service,
     /// Version that it runs.
@@ -60,8 +60,8 @@
     /// Members by number; a vacant number keeps its last member, which no group names.
     pub(crate) members: Vec<Member>,
     vacant: Vec<usize>,
-    index: HashMap<Server, (usize, Place)>,
-    pub(crate) groups: HashMap<Place, Group>,
+    index: HashMap<Server, (usize, Deployment)>,
+    pub(crate) groups: HashMap<Deployment, Group>,
     pub(crate) far: HashMap<(Service, Version), Vec<Far>>,
     pub(crate) cache: Cache,
 }
@@ -77,7 +77,7 @@
 
     /// Takes in a replica, or moves it. One that is known at that place stays as it is; call
     /// [`Pool::remove`] before when its process is another.
-    pub fn place(&mut self, now: Clock, server: &Server, place: &Place) {
+    pub fn place(&mut self, now: Clock, server: &Server, place: &Deployment) {
         if let Some((_, known)) = self.index.get(server) {
             if known == place {
                 return;
@@ -153,7 +153,7 @@
     }
 
     /// Takes another data centre's summary of a version.
-    pub fn learn_summary(&mut self, now: Clock, place: &Place, summary: &Summary) {
+    pub fn learn_summary(&mut self, now: Clock, place: &Deployment, summary: &Summary) {
         // Versions come and go all day; what is no longer spoken of is forgotten.
         self.far.retain(|_, fars| {
             fars.retain(|far| !far.stale(now));
@@ -172,7 +172,7 @@
     }
 
     /// Sums up the replicas of a place, for other data centres.
-    pub fn summary(&self, now: Clock, place: &Place) -> Summary {
+    pub fn summary(&self, now: Clock, place: &Deployment) -> Summary {
         let mut summary = Summary {
             load: 0,
             capacity: 0,
@@ -236,20 +236,20 @@
     }
 
     /// Notes that work was sent to another data centre.
-    pub fn sent_elsewhere(&mut self, now: Clock, place: &Place) {
+    pub fn sent_elsewhere(&mut self, now: Clock, place: &Deployment) {
         if let Some(far) = self.far_mut(place) {
             far.sent(now);
         }
     }
 
     /// Notes that work sent to another data centre has ended.
-    pub fn done_elsewhere(&mut self, now: Clock, place: &Place) {
+    pub fn done_elsewhere(&mut self, now: Clock, place: &Deployment) {
         if let Some(far) = self.far_mut(place) {
             far.done(now);
         }
     }
 
-    fn far_mut(&mut self, place: &Place) -> Option<&mut Far> {
+    fn far_mut(&mut self, place: &Deployment) -> Option<&mut Far> {
         let version = (place.service.clone(), place.version.clone());
         let fars = self.far.get_mut(&version)?;
         fars.iter_mut()
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -17,7 +17,7 @@
     Request,
     Choice,
     Outcome,
-    Place,
+    Deployment,
     Pool,
     Prefix,
     Report,
@@ -39,8 +39,8 @@
     format!("s{number:03}")
 }
 
-pub fn place(data_centre: &str) -> Place {
-    Place {
+pub fn place(data_centre: &str) -> Deployment {
+    Deployment {
         service: "letters".to_string(),
         version: "v1".to_string(),
         data_centre: data_centre.to_string(),
