--- a/components/entry/src/pool.rs
+++ b/components/entry/src/pool.rs
@@ -116,7 +116,7 @@
         };
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic while held");
-        inner.pool.place(now, &backend.server, &place);
+        inner.pool.insert(now, &backend.server, &place);
         if !inner.places.contains(&place) {
             inner.places.push(place);
         }
--- a/components/measure/src/routing/policy.rs
+++ b/components/measure/src/routing/policy.rs
@@ -68,7 +68,7 @@
         let mut servers = Vec::new();
         for number in 0..replicas {
             let server = format!("server-{number}");
-            pool.place(Clock::ZERO, &server, &place);
+            pool.insert(Clock::ZERO, &server, &place);
             servers.push(server);
         }
         Self {
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -91,7 +91,7 @@
     for number in 0..replicas {
         let now = Duration::from_millis(number as u64);
         let server = server(number);
-        pool.place(now, &server, &place());
+        pool.insert(now, &server, &place());
         pool.learn(now, &server, &report(0));
     }
     pool
--- a/components/routing/src/pool.rs
+++ b/components/routing/src/pool.rs
@@ -77,7 +77,7 @@
 
     /// Takes in a replica, or moves it. One that is known at that place stays as it is; call
     /// [`Pool::remove`] before when its process is another.
-    pub fn place(&mut self, now: Clock, server: &Server, place: &Deployment) {
+    pub fn insert(&mut self, now: Clock, server: &Server, place: &Deployment) {
         if let Some((_, known)) = self.index.get(server) {
             if known == place {
                 return;
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -71,7 +71,7 @@
             near: "near".to_string(),
         };
         for number in 0..replicas {
-            bench.pool.place(bench.now, &name(number), &place("near"));
+            bench.pool.insert(bench.now, &name(number), &place("near"));
             bench.report(number, report(0));
         }
         bench
--- a/components/routing/tests/load.rs
+++ b/components/routing/tests/load.rs
@@ -291,7 +291,7 @@
     let mut bench = Bench::new(1, Settings::default(), 1);
     bench.report(0, report(CAPACITY));
     let far = "far-1".to_string();
-    bench.pool.place(bench.now, &far, &place("far"));
+    bench.pool.insert(bench.now, &far, &place("far"));
     bench.pool.learn(bench.now, &far, &report(2));
     assert_eq!(bench.choose(None), Choice::Server(far.clone()));
     let sum = bench.pool.summary(bench.now, &place("far"));
--- a/components/routing/tests/prefixes.rs
+++ b/components/routing/tests/prefixes.rs
@@ -144,7 +144,7 @@
     bench.pool.cached(bench.now, &name(stranger), stored);
     bench.pass(Duration::from_secs(1));
     bench.pool.remove(&name(stranger));
-    bench.pool.place(bench.now, &name(stranger), &place("near"));
+    bench.pool.insert(bench.now, &name(stranger), &place("near"));
     bench.report(stranger, report(0));
     assert!(share(&mut bench, stranger) < 0.2);
     // Its numbers begin anew.
