--- a/components/entry/src/pool.rs
+++ b/components/entry/src/pool.rs
@@ -135,7 +135,7 @@
         };
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic while held");
-        inner.pool.learn(now, server, &report);
+        inner.pool.record_report(now, server, &report);
     }
 
     /// The link was lost.
--- a/components/measure/src/routing/policy.rs
+++ b/components/measure/src/routing/policy.rs
@@ -155,7 +155,7 @@
             leaving: false,
             age,
         };
-        self.pool.learn(now, &self.servers[replica], &report);
+        self.pool.record_report(now, &self.servers[replica], &report);
     }
 
     pub fn cached(&mut self, now: Clock, replica: usize, event: Event) {
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -92,7 +92,7 @@
         let now = Duration::from_millis(number as u64);
         let server = server(number);
         pool.insert(now, &server, &place());
-        pool.learn(now, &server, &report(0));
+        pool.record_report(now, &server, &report(0));
     }
     pool
 }
@@ -219,7 +219,7 @@
     for turn in 0..REPEATS {
         let now = Duration::from_secs(100) + Duration::from_millis(u64::from(turn));
         let server = &servers[turn as usize % servers.len()];
-        pool.learn(now, server, &report(turn % 50));
+        pool.record_report(now, server, &report(turn % 50));
     }
     let each = time(begin.elapsed(), REPEATS);
     row("load report", each, "learn; 1000 replicas; one core")
--- a/components/routing/src/pool.rs
+++ b/components/routing/src/pool.rs
@@ -124,7 +124,7 @@
     }
 
     /// Takes a replica's report. Reports of servers that are not known are ignored.
-    pub fn learn(&mut self, now: Clock, server: &Server, report: &Report) {
+    pub fn record_report(&mut self, now: Clock, server: &Server, report: &Report) {
         let Some((number, place)) = self.index.get(server) else {
             return;
         };
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -78,7 +78,7 @@
     }
 
     pub fn report(&mut self, number: usize, report: Report) {
-        self.pool.learn(self.now, &name(number), &report);
+        self.pool.record_report(self.now, &name(number), &report);
     }
 
     pub fn pass(&mut self, time: Duration) {
--- a/components/routing/tests/load.rs
+++ b/components/routing/tests/load.rs
@@ -292,7 +292,7 @@
     bench.report(0, report(CAPACITY));
     let far = "far-1".to_string();
     bench.pool.insert(bench.now, &far, &place("far"));
-    bench.pool.learn(bench.now, &far, &report(2));
+    bench.pool.record_report(bench.now, &far, &report(2));
     assert_eq!(bench.choose(None), Choice::Server(far.clone()));
     let sum = bench.pool.summary(bench.now, &place("far"));
     assert_eq!((sum.load, sum.capacity), (2, CAPACITY));
