--- a/components/entry/src/pool.rs
+++ b/components/entry/src/pool.rs
@@ -237,7 +237,7 @@
                 continue;
             }
             let summary = self.pool.summary(now, place);
-            self.pool.learn_summary(now, place, &summary);
+            self.pool.record_summary(now, place, &summary);
         }
     }
 }
--- a/components/routing/src/pool.rs
+++ b/components/routing/src/pool.rs
@@ -153,7 +153,7 @@
     }
 
     /// Takes another data centre's summary of a version.
-    pub fn learn_summary(&mut self, now: Clock, place: &Deployment, summary: &Summary) {
+    pub fn record_summary(&mut self, now: Clock, place: &Deployment, summary: &Summary) {
         // Versions come and go all day; what is no longer spoken of is forgotten.
         self.far.retain(|_, fars| {
             fars.retain(|far| !far.stale(now));
--- a/components/routing/tests/load.rs
+++ b/components/routing/tests/load.rs
@@ -250,7 +250,7 @@
     let mut bench = Bench::new(2, Settings::default(), 1);
     if let Some(far) = far {
         let summary = summary(far);
-        bench.pool.learn_summary(bench.now, &place("far"), &summary);
+        bench.pool.record_summary(bench.now, &place("far"), &summary);
     }
     bench.pass(Duration::from_secs(since));
     for number in 0..2 {
@@ -269,7 +269,7 @@
     for data_centre in ["a", "b"] {
         let summary = summary(50);
         let place = place(data_centre);
-        bench.pool.learn_summary(bench.now, &place, &summary);
+        bench.pool.record_summary(bench.now, &place, &summary);
     }
     let mut counts: HashMap<String, u32> = HashMap::new();
     for _ in 0..1000 {
