--- a/components/measure/src/routing/policy.rs
+++ b/components/measure/src/routing/policy.rs
@@ -159,7 +159,7 @@
     }
 
     pub fn cached(&mut self, now: Clock, replica: usize, event: Event) {
-        self.pool.cached(now, &self.servers[replica], event);
+        self.pool.record_cache_event(now, &self.servers[replica], event);
     }
 
     pub fn gone(&mut self, replica: usize) {
--- a/components/routing/src/pool.rs
+++ b/components/routing/src/pool.rs
@@ -257,7 +257,7 @@
     }
 
     /// Takes a replica's cache event.
-    pub fn cached(&mut self, now: Clock, server: &Server, event: Event) {
+    pub fn record_cache_event(&mut self, now: Clock, server: &Server, event: Event) {
         let Some((number, _)) = self.index.get(server) else {
             return;
         };
