--- a/components/entry/src/pool.rs
+++ b/components/entry/src/pool.rs
@@ -180,7 +180,7 @@
                 Choice::Server(server) if avoid.contains(&server) => break,
                 // It says that it runs the version, but the document doesn't name it.
                 Choice::Server(server) => avoid.push(server),
-                Choice::Elsewhere(other) => {
+                Choice::Remote(other) => {
                     asked.push(other.clone());
                     data_centre = other;
                 }
--- a/components/measure/src/routing/policy.rs
+++ b/components/measure/src/routing/policy.rs
@@ -131,7 +131,7 @@
         };
         match self.pool.choose(now, &ask, rng) {
             Choice::Server(server) => self.servers.iter().position(|known| *known == server),
-            Choice::Elsewhere(_) | Choice::None { .. } => None,
+            Choice::Remote(_) | Choice::None { .. } => None,
         }
     }
 
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -48,7 +48,7 @@
     /// To this server.
     Server(Server),
     /// To this data centre, of which only a summary is known; an entry there chooses on.
-    Elsewhere(DataCentre),
+    Remote(DataCentre),
     /// Nowhere: all replicas are full, or there is none.
     None {
         /// When to come back, with jitter.
@@ -236,7 +236,7 @@
         if let Some(number) = known.and_then(|group| self.pick(now, group, ask, rng)) {
             return Some(Choice::Server(self.members[number].server.clone()));
         }
-        Some(Choice::Elsewhere(data_centre.clone()))
+        Some(Choice::Remote(data_centre.clone()))
     }
 
     /// Loads of the other data centres, from summaries and from replicas known one by one.
--- a/components/routing/tests/load.rs
+++ b/components/routing/tests/load.rs
@@ -257,7 +257,7 @@
         bench.report(number, report(near));
     }
     let choice = bench.choose(None);
-    assert_eq!(choice == Choice::Elsewhere("far".to_string()), elsewhere);
+    assert_eq!(choice == Choice::Remote("far".to_string()), elsewhere);
 }
 
 // Summaries lag more than reports. Without a count of what was sent there since, everything that
@@ -273,7 +273,7 @@
     }
     let mut counts: HashMap<String, u32> = HashMap::new();
     for _ in 0..1000 {
-        let Choice::Elsewhere(data_centre) = bench.choose(None) else {
+        let Choice::Remote(data_centre) = bench.choose(None) else {
             break;
         };
         bench.pool.sent_elsewhere(bench.now, &place(&data_centre));
@@ -283,7 +283,7 @@
     assert!(counts["a"] <= 50, "{counts:?}");
     bench.pool.done_elsewhere(bench.now, &place("a"));
     bench.pool.done_elsewhere(bench.now, &place("a"));
-    assert_matches!(bench.choose(None), Choice::Elsewhere(_));
+    assert_matches!(bench.choose(None), Choice::Remote(_));
 }
 
 #[test]
