--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -22,7 +22,7 @@
 use routing::{
     Outcome,
     placement::{
-        Facts,
+        Spec,
         Suspicion,
         Work, //
     },
@@ -152,7 +152,7 @@
             .collect();
         for entry in &mut entries {
             for engine in 0..setup.engines {
-                let facts = Facts {
+                let facts = Spec {
                     service: service(),
                     version: "v1".into(),
                     data_centre: centre(engine),
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -13,7 +13,7 @@
     Service,
     Version, //
 };
-use routing::placement::Facts;
+use routing::placement::Spec;
 
 use crate::document_cache::Edition;
 
@@ -59,7 +59,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What it serves.
-    pub facts: Facts,
+    pub facts: Spec,
     /// It takes no new work.
     pub leaving: bool,
 }
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -52,7 +52,7 @@
     request::Parts, //
 };
 use moves::brief::Exposure;
-use routing::placement::Facts;
+use routing::placement::Spec;
 use spread::fresh::Claim;
 use tokio::{
     io::{
@@ -600,7 +600,7 @@
         address: SocketAddr,
         slots: u32,
     ) {
-        let facts = Facts {
+        let facts = Spec {
             service: service.into(),
             version: "v1".into(),
             data_centre: data_centre.into(),
--- a/components/gateway/tests/unreachable.rs
+++ b/components/gateway/tests/unreachable.rs
@@ -24,7 +24,7 @@
     State, //
 };
 use names::Clock;
-use routing::placement::Facts;
+use routing::placement::Spec;
 
 const PACE: Duration = Duration::from_millis(10);
 
@@ -59,7 +59,7 @@
 }
 
 fn register(harness: &Harness, server: &str, version: &str, address: SocketAddr) {
-    let facts = Facts {
+    let facts = Spec {
         service: "draft".into(),
         version: version.into(),
         data_centre: "a".into(),
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -44,7 +44,7 @@
 
 /// What is known of a server from its registration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Facts {
+pub struct Spec {
     /// Service that it serves.
     pub service: Service,
     /// Version of its software.
@@ -140,7 +140,7 @@
     }
 
     /// Adds a server, or changes what is known of it.
-    pub fn put(&mut self, now: Clock, server: &Server, facts: Facts, leaving: bool) {
+    pub fn put(&mut self, now: Clock, server: &Server, facts: Spec, leaving: bool) {
         if let Some(candidate) = self.candidates.get_mut(server) {
             candidate.learn(facts);
             candidate.leaving = leaving;
@@ -168,7 +168,7 @@
     }
 
     /// What a server's registration says.
-    pub fn facts(&self, server: &Server) -> Option<&Facts> {
+    pub fn facts(&self, server: &Server) -> Option<&Spec> {
         self.candidates
             .get(server)
             .map(|candidate| &candidate.facts)
--- a/components/routing/src/placement/candidate.rs
+++ b/components/routing/src/placement/candidate.rs
@@ -11,7 +11,7 @@
 
 use super::{
     FEW,
-    Facts,
+    Spec,
     Request,
     Suspicion,
     Work,
@@ -56,7 +56,7 @@
 /// A server as a place for work.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
-    pub(super) facts: Facts,
+    pub(super) facts: Spec,
     /// Where it may be lost together with others; looked up for each server at each choice.
     pub(super) domain: Domain,
     pub(super) leaving: bool,
@@ -81,7 +81,7 @@
 }
 
 impl Candidate {
-    pub(super) fn new(now: Clock, server: &Server, facts: Facts, leaving: bool) -> Candidate {
+    pub(super) fn new(now: Clock, server: &Server, facts: Spec, leaving: bool) -> Candidate {
         Candidate {
             domain: domain(&facts),
             facts,
@@ -102,7 +102,7 @@
     }
 
     /// Takes what is known of the server now.
-    pub(super) fn learn(&mut self, facts: Facts) {
+    pub(super) fn learn(&mut self, facts: Spec) {
         self.domain = domain(&facts);
         self.facts = facts;
     }
@@ -280,6 +280,6 @@
     }
 }
 
-fn domain(facts: &Facts) -> Domain {
+fn domain(facts: &Spec) -> Domain {
     (facts.data_centre.clone(), facts.service.clone())
 }
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -14,7 +14,7 @@
 use routing::{
     Outcome, Placement,
     placement::{
-        Facts,
+        Spec,
         Request,
         Suspicion,
         Versions,
@@ -38,7 +38,7 @@
         let mut placement = Placement::default();
         let mut loads = HashMap::new();
         for number in 0..servers {
-            let facts = Facts {
+            let facts = Spec {
                 service: "draft".into(),
                 version: "v1".into(),
                 data_centre: format!("dc{}", number % 3),
@@ -199,7 +199,7 @@
 fn servers_of_a_version_that_may_not_serve_are_no_room() {
     let mut placement = Placement::default();
     for (name, version) in [("s0", "v1"), ("s1", "v2"), ("s2", "v2")] {
-        let facts = Facts {
+        let facts = Spec {
             service: "draft".into(),
             version: version.into(),
             data_centre: "dc0".into(),
@@ -309,7 +309,7 @@
 fn plain(servers: usize) -> Placement {
     let mut placement = Placement::default();
     for number in 0..servers {
-        let facts = Facts {
+        let facts = Spec {
             service: "draft".into(),
             version: "v1".into(),
             data_centre: format!("dc{number}"),
