--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -30,7 +30,7 @@
         Choice,
         Request,
         Versions,
-        Why,
+        Score,
         Work, //
     }, //
 };
@@ -105,7 +105,7 @@
     /// Where it is.
     pub data_centre: DataCentre,
     /// What it was chosen by.
-    pub why: Why,
+    pub why: Score,
 }
 
 impl Fleet {
@@ -204,7 +204,7 @@
         }
         self.chosen(Choice {
             server: server.clone(),
-            why: Why::default(),
+            why: Score::default(),
         })
     }
 
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -38,7 +38,7 @@
     Choice,
     Request, //
     Versions,
-    Why,
+    Score,
 };
 pub use suspicion::Suspicion;
 
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -91,12 +91,12 @@
     /// The server.
     pub server: Server,
     /// What it was chosen by.
-    pub why: Why,
+    pub why: Score,
 }
 
 /// What a server was chosen by.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Why {
+pub struct Score {
     /// Its load, with the work.
     pub load: f64,
     /// What speaks against it, as a sum: 1 the data centre, 2 full, 4 ejected, 8 its data centre is
@@ -106,7 +106,7 @@
     pub among: u32,
 }
 
-impl Why {
+impl Score {
     /// Whether no server had room for the work.
     pub fn full(&self) -> bool {
         self.against & FULL != 0
@@ -225,7 +225,7 @@
         }
         best.map(|((against, _, load), server)| Choice {
             server: server.clone(),
-            why: Why {
+            why: Score {
                 load,
                 against,
                 among,
