--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -204,7 +204,7 @@
         }
         self.chosen(Choice {
             server: server.clone(),
-            why: Score::default(),
+            score: Score::default(),
         })
     }
 
@@ -252,7 +252,7 @@
     }
 
     fn chosen(&self, choice: Choice) -> Option<Chosen> {
-        let Choice { server, why } = choice;
+        let Choice { server, score: why } = choice;
         let address = *self.addresses.get(&server)?;
         let facts = self.placement.facts(&server)?;
         Some(Chosen {
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -91,7 +91,7 @@
     /// The server.
     pub server: Server,
     /// What it was chosen by.
-    pub why: Score,
+    pub score: Score,
 }
 
 /// What a server was chosen by.
@@ -225,7 +225,7 @@
         }
         best.map(|((against, _, load), server)| Choice {
             server: server.clone(),
-            why: Score {
+            score: Score {
                 load,
                 against,
                 among,
