--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -251,7 +251,7 @@
         id = call.packet.ask.id.as_str(),
         server = chosen.server.as_str(),
         load = rounded(chosen.why.load),
-        against = chosen.why.against,
+        against = chosen.why.penalties,
         among = chosen.why.among,
         document = call.basis.document
     );
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -398,7 +398,7 @@
             server = chosen.server.as_str(),
             data_centre = chosen.data_centre.as_str(),
             load = rounded(chosen.why.load),
-            against = chosen.why.against,
+            against = chosen.why.penalties,
             among = chosen.why.among,
             document = self.call.basis.document,
             prompt = self.parts().last().map(|(part, _)| *part),
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -101,7 +101,7 @@
     pub load: f64,
     /// What speaks against it, as a sum: 1 the data centre, 2 full, 4 ejected, 8 its data centre is
     /// doubted, 16 tried before, 32 suspended. More than 0 means that there was no better one.
-    pub against: u8,
+    pub penalties: u8,
     /// Servers of the service that there were.
     pub among: u32,
 }
@@ -109,7 +109,7 @@
 impl Score {
     /// Whether no server had room for the work.
     pub fn full(&self) -> bool {
-        self.against & FULL != 0
+        self.penalties & FULL != 0
     }
 }
 
@@ -227,7 +227,7 @@
             server: server.clone(),
             score: Score {
                 load,
-                against,
+                penalties: against,
                 among,
             },
         })
