--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -252,7 +252,7 @@
         server = chosen.server.as_str(),
         load = rounded(chosen.why.load),
         against = chosen.why.penalties,
-        among = chosen.why.among,
+        among = chosen.why.candidates,
         document = call.basis.document
     );
     let began = Instant::now();
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -399,7 +399,7 @@
             data_centre = chosen.data_centre.as_str(),
             load = rounded(chosen.why.load),
             against = chosen.why.penalties,
-            among = chosen.why.among,
+            among = chosen.why.candidates,
             document = self.call.basis.document,
             prompt = self.parts().last().map(|(part, _)| *part),
             attempt = self.ran.len() + 1,
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -103,7 +103,7 @@
     /// doubted, 16 tried before, 32 suspended. More than 0 means that there was no better one.
     pub penalties: u8,
     /// Servers of the service that there were.
-    pub among: u32,
+    pub candidates: u32,
 }
 
 impl Score {
@@ -228,7 +228,7 @@
             score: Score {
                 load,
                 penalties: against,
-                among,
+                candidates: among,
             },
         })
     }
