--- a/components/gateway/src/stream/place.rs
+++ b/components/gateway/src/stream/place.rs
@@ -159,7 +159,7 @@
     /// Whether a server should try to give the answer: there is room, so that a try takes nothing
     /// from others, or the answer can be complete in time as far as is known.
     pub(super) fn worth_trying(&self, chosen: &Chosen) -> bool {
-        if !chosen.why.full() {
+        if !chosen.why.is_full() {
             return true;
         }
         let left = self.call.until.saturating_duration_since(Instant::now());
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -108,7 +108,7 @@
 
 impl Score {
     /// Whether no server had room for the work.
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.penalties & FULL != 0
     }
 }
