--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -195,7 +195,7 @@
         let (service, home) = (service(), self.data_centre.clone());
         let request = Request {
             service: &service,
-            home: &home,
+            data_centre: &home,
             work,
             parts,
             avoid,
@@ -224,7 +224,7 @@
         let own = self.placement.facts(server)?.data_centre.clone();
         let request = Request {
             service: &service,
-            home: &home,
+            data_centre: &home,
             work: Work {
                 requests: 0,
                 unread: 0,
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -157,7 +157,7 @@
         let home = self.context.settings.borrow().data_centre.clone();
         let request = Request {
             service: &self.call.service,
-            home: &home,
+            data_centre: &home,
             work: WORK,
             parts: &[],
             versions: self.pick.versions(),
--- a/components/gateway/src/stream/place.rs
+++ b/components/gateway/src/stream/place.rs
@@ -101,7 +101,7 @@
     fn request<'a>(&'a self, home: &'a str, work: Work) -> Request<'a> {
         Request {
             service: &self.call.service,
-            home,
+            data_centre: home,
             work,
             parts: self.parts(),
             versions: self.pick.versions(),
--- a/components/routing/src/placement/candidate.rs
+++ b/components/routing/src/placement/candidate.rs
@@ -204,7 +204,7 @@
             let disturbed = INTERFERENCE_WEIGHT * prompt * f64::from(all.requests) * slowness;
             load += (reading + disturbed) / memory + (all.tokens as f64 / memory).powi(2);
         }
-        if self.facts.data_centre != *request.home {
+        if self.facts.data_centre != *request.data_centre {
             load += CROSS_DATA_CENTRE_PENALTY;
         }
         if !self.followed {
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -72,7 +72,7 @@
     /// Service that must serve it.
     pub service: &'a Service,
     /// Where the entry is.
-    pub home: &'a str,
+    pub data_centre: &'a str,
     /// The work.
     pub work: Work,
     /// Parts of its prompt, in order.
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -69,7 +69,7 @@
     let service = "draft".to_string();
     let request = Request {
         service: &service,
-        home,
+        data_centre: home,
         work: WORK,
         parts: &[],
         avoid: &[],
@@ -332,7 +332,7 @@
     let (service, home) = ("draft".to_string(), "elsewhere");
     let request = Request {
         service: &service,
-        home,
+        data_centre: home,
         work: CALL,
         parts: &[],
         avoid: &[],
