--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -223,7 +223,7 @@
 
     /// Part of the memory of a service's servers that is taken.
     pub fn fill(&self, service: &Service) -> f64 {
-        self.placement.fill(clock::now(), service)
+        self.placement.memory_use(clock::now(), service)
     }
 
     /// Chooses a server for work.
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -148,7 +148,7 @@
     }
 
     /// Part of the memory of a service's servers that is taken, among those that can be reached.
-    pub fn fill(&self, now: Clock, service: &Service) -> f64 {
+    pub fn memory_use(&self, now: Clock, service: &Service) -> f64 {
         let (mut taken, mut memory) = (0, 0);
         for candidate in self.candidates.values() {
             if candidate.leaving
