--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -338,6 +338,6 @@
 
     /// Whether a server takes work and can be reached as far as is known.
     pub fn usable(&self, server: &Server) -> bool {
-        self.placement.usable(clock::now(), server)
+        self.placement.is_usable(clock::now(), server)
     }
 }
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -164,7 +164,7 @@
     }
 
     /// Whether a server is known, takes work and can be reached as far as is known.
-    pub fn usable(&self, now: Clock, server: &Server) -> bool {
+    pub fn is_usable(&self, now: Clock, server: &Server) -> bool {
         let Some(candidate) = self.candidates.get(server) else {
             return false;
         };
