--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -66,7 +66,7 @@
 
     /// Notes where this entry is.
     pub fn set_home(&mut self, home: &DataCentre) {
-        self.placement.set_home(home);
+        self.placement.set_data_centre(home);
     }
 
     /// What is notified when own work changes.
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -132,7 +132,7 @@
     }
 
     /// Notes where this entry is.
-    pub fn set_home(&mut self, home: &DataCentre) {
+    pub fn set_data_centre(&mut self, home: &DataCentre) {
         self.home.clone_from(home);
         for (server, candidate) in &mut self.candidates {
             candidate.stand(server, self.place, home);
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -135,7 +135,7 @@
 ) {
     assert_burst_spreads(count, servers, each, most, |placement, place| {
         let home = format!("dc{}", place % 3);
-        placement.set_home(&home);
+        placement.set_data_centre(&home);
         home
     });
 }
@@ -152,7 +152,7 @@
         // Those of the data centre.
         entries.truncate(34);
         for placement in &mut entries {
-            placement.set_home(&home);
+            placement.set_data_centre(&home);
         }
         let mut taken: HashMap<Server, u32> = HashMap::new();
         for sent in 0..60 {
