--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -161,7 +161,7 @@
                 };
                 entry
                     .placement
-                    .put(Clock::ZERO, &name(engine), facts, false);
+                    .upsert(Clock::ZERO, &name(engine), facts, false);
             }
         }
         World {
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -146,7 +146,7 @@
         if let Some(before) = before.filter(|before| *before != server) {
             self.replaced(&before);
         }
-        self.placement.put(clock::now(), &server, facts, leaving);
+        self.placement.upsert(clock::now(), &server, facts, leaving);
         self.numbers.insert(beacon::number(&server), server.clone());
         if let Some(moved) = self.addresses.insert(server.clone(), address) {
             self.standing.remove(&moved);
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -140,7 +140,7 @@
     }
 
     /// Adds a server, or changes what is known of it.
-    pub fn put(&mut self, now: Clock, server: &Server, facts: Spec, leaving: bool) {
+    pub fn upsert(&mut self, now: Clock, server: &Server, facts: Spec, leaving: bool) {
         if let Some(candidate) = self.candidates.get_mut(server) {
             candidate.learn(facts);
             candidate.leaving = leaving;
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -46,7 +46,7 @@
                 memory: 55_000,
             };
             let name = format!("s{number}");
-            placement.put(Duration::ZERO, &name, facts, false);
+            placement.upsert(Duration::ZERO, &name, facts, false);
             let work = Work {
                 requests: 1,
                 tokens: busy(number),
@@ -206,7 +206,7 @@
             slots: 4,
             memory: 55_000,
         };
-        placement.put(Duration::ZERO, &name.to_string(), facts, false);
+        placement.upsert(Duration::ZERO, &name.to_string(), facts, false);
     }
     let (service, new) = ("draft".to_string(), "v2".to_string());
     let room = |versions| placement.room(Duration::ZERO, &service, versions, WORK, ANSWER);
@@ -316,7 +316,7 @@
             slots: 6,
             memory: 0,
         };
-        placement.put(Duration::ZERO, &format!("s{number}"), facts, false);
+        placement.upsert(Duration::ZERO, &format!("s{number}"), facts, false);
     }
     placement
 }
