--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -221,7 +221,7 @@
             return None;
         }
         let (service, home) = (service(), self.data_centre.clone());
-        let own = self.placement.facts(server)?.data_centre.clone();
+        let own = self.placement.spec(server)?.data_centre.clone();
         let request = Request {
             service: &service,
             data_centre: &home,
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -135,7 +135,7 @@
             leaving,
         } = registration;
         let same = self.addresses.get(&server) == Some(&address)
-            && self.placement.facts(&server) == Some(&facts)
+            && self.placement.spec(&server) == Some(&facts)
             && self.placement.open(&server) != leaving;
         self.placement.heard(since, &server);
         if same {
@@ -181,7 +181,7 @@
     /// The servers of a service that can be used.
     pub fn of(&self, service: &Service) -> Vec<Chosen> {
         let serves = |server: &&Server| {
-            let facts = self.placement.facts(server);
+            let facts = self.placement.spec(server);
             facts.is_some_and(|facts| facts.service == *service)
         };
         let servers = self.placement.servers().filter(serves);
@@ -192,7 +192,7 @@
     pub fn serves(&self, service: &Service) -> bool {
         let mut servers = self.placement.servers();
         servers.any(|server| {
-            let facts = self.placement.facts(server);
+            let facts = self.placement.spec(server);
             facts.is_some_and(|facts| facts.service == *service)
         })
     }
@@ -254,7 +254,7 @@
     fn chosen(&self, choice: Choice) -> Option<Chosen> {
         let Choice { server, score: why } = choice;
         let address = *self.addresses.get(&server)?;
-        let facts = self.placement.facts(&server)?;
+        let facts = self.placement.spec(&server)?;
         Some(Chosen {
             version: facts.version.clone(),
             data_centre: facts.data_centre.clone(),
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -168,7 +168,7 @@
     }
 
     /// What a server's registration says.
-    pub fn facts(&self, server: &Server) -> Option<&Spec> {
+    pub fn spec(&self, server: &Server) -> Option<&Spec> {
         self.candidates
             .get(server)
             .map(|candidate| &candidate.facts)
