--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -136,7 +136,7 @@
         } = registration;
         let same = self.addresses.get(&server) == Some(&address)
             && self.placement.spec(&server) == Some(&facts)
-            && self.placement.open(&server) != leaving;
+            && self.placement.accepts_work(&server) != leaving;
         self.placement.heard(since, &server);
         if same {
             return false;
@@ -333,7 +333,7 @@
 
     /// Whether a server takes work, as far as its registration says.
     pub fn open(&self, server: &Server) -> bool {
-        self.placement.open(server)
+        self.placement.accepts_work(server)
     }
 
     /// Whether a server takes work and can be reached as far as is known.
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -175,7 +175,7 @@
     }
 
     /// Whether a server takes new work as far as its registration says.
-    pub fn open(&self, server: &Server) -> bool {
+    pub fn accepts_work(&self, server: &Server) -> bool {
         self.candidates
             .get(server)
             .is_some_and(|candidate| !candidate.leaving)
