--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -447,7 +447,7 @@
                 let time = now - place.sent;
                 entry
                     .placement
-                    .read(now, &server, unread, place.ahead, time);
+                    .record_read(now, &server, unread, place.ahead, time);
                 entry.placement.has_read(now, &request.parts, &server);
                 entry.placement.alive(now, &server);
             }
--- a/components/gateway/src/fleet/charge.rs
+++ b/components/gateway/src/fleet/charge.rs
@@ -51,7 +51,7 @@
         fleet.mark_changed(&self.server);
         fleet
             .placement
-            .read(clock::now(), &self.server, unread, self.ahead, time);
+            .record_read(clock::now(), &self.server, unread, self.ahead, time);
     }
 
     /// Notes how it ended; without this it counts as cancelled.
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -190,7 +190,7 @@
 
     /// Notes that a prompt was read, `time` after it was sent, when `ahead` tokens were to be read
     /// at its server.
-    pub fn read(&mut self, now: Clock, server: &Server, tokens: u64, ahead: u64, time: Duration) {
+    pub fn record_read(&mut self, now: Clock, server: &Server, tokens: u64, ahead: u64, time: Duration) {
         let Some(candidate) = self.candidates.get_mut(server) else {
             return;
         };
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -222,7 +222,7 @@
     let mut placement = entries(1, 1, |_| 0).remove(0);
     let (service, server) = ("draft".to_string(), "s0".to_string());
     let second = Duration::from_secs(1);
-    placement.read(second, &server, 5_000, 5_000, second);
+    placement.record_read(second, &server, 5_000, 5_000, second);
     let prompt = Work {
         requests: 1,
         tokens: 14_000,
