--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -448,7 +448,7 @@
                 entry
                     .placement
                     .record_read(now, &server, unread, place.ahead, time);
-                entry.placement.has_read(now, &request.parts, &server);
+                entry.placement.record_cached(now, &request.parts, &server);
                 entry.placement.alive(now, &server);
             }
         }
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -289,7 +289,7 @@
     /// Notes that a server has read a prompt, and may have it for a while.
     pub fn has_read(&mut self, parts: &[(Part, u32)], server: &Server) {
         let now = clock::now();
-        self.placement.has_read(now, parts, server);
+        self.placement.record_cached(now, parts, server);
         let Some((last, _)) = parts.last() else {
             return;
         };
@@ -310,7 +310,7 @@
 
     /// Notes what a server says that its cache holds.
     pub fn holds(&mut self, parts: &[(Part, u32)], server: &Server) {
-        self.placement.has_read(clock::now(), parts, server);
+        self.placement.record_cached(clock::now(), parts, server);
     }
 
     /// Notes that a server should get no new work for a while.
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -112,7 +112,7 @@
         let now = clock::now();
         for read in reads {
             if let Some(server) = self.numbers.get(&read.server) {
-                self.placement.has_read(now, &[(read.part, 0)], server);
+                self.placement.record_cached(now, &[(read.part, 0)], server);
             }
         }
     }
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -209,7 +209,7 @@
     }
 
     /// Notes that a server had read the parts of a prompt at a time.
-    pub fn has_read(&mut self, at: Clock, parts: &[(Part, u32)], server: &Server) {
+    pub fn record_cached(&mut self, at: Clock, parts: &[(Part, u32)], server: &Server) {
         for (part, _) in parts {
             self.prompts.read(at, *part, server);
         }
