--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -283,7 +283,7 @@
 
     /// Tokens at the beginning of a prompt that a server is believed to have.
     pub fn known(&self, parts: &[(Part, u32)], server: &Server) -> u64 {
-        self.placement.known(clock::now(), parts, server)
+        self.placement.cached_tokens(clock::now(), parts, server)
     }
 
     /// Notes that a server has read a prompt, and may have it for a while.
@@ -305,7 +305,7 @@
     pub fn found(&self, part: (Part, u32)) -> bool {
         let now = clock::now();
         let mut servers = self.placement.servers();
-        servers.any(|server| self.placement.known(now, &[part], server) > 0)
+        servers.any(|server| self.placement.cached_tokens(now, &[part], server) > 0)
     }
 
     /// Notes what a server says that its cache holds.
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -216,7 +216,7 @@
     }
 
     /// Tokens at the beginning of a prompt that a server is believed to have.
-    pub fn known(&self, now: Clock, parts: &[(Part, u32)], server: &Server) -> u64 {
+    pub fn cached_tokens(&self, now: Clock, parts: &[(Part, u32)], server: &Server) -> u64 {
         self.prompts.known(now, parts, server)
     }
 
