--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -407,7 +407,7 @@
         let entry = &mut self.entries[self.requests[id].entry];
         let holder = entry.backup(now, work, server, &mut self.rng);
         entry.placement.sent(now, server, work);
-        let ahead = entry.placement.unread(server);
+        let ahead = entry.placement.unread_tokens(server);
         let copied = Work {
             requests: 0,
             unread: 0,
--- a/components/gateway/src/fleet/charge.rs
+++ b/components/gateway/src/fleet/charge.rs
@@ -33,7 +33,7 @@
         let mut inner = fleet.borrow_mut();
         inner.placement.sent(clock::now(), server, work);
         inner.mark_changed(server);
-        let ahead = inner.placement.unread(server);
+        let ahead = inner.placement.unread_tokens(server);
         drop(inner);
         Charge {
             fleet: fleet.clone(),
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -221,7 +221,7 @@
     }
 
     /// Tokens of prompts that are to be read at a server.
-    pub fn unread(&self, server: &Server) -> u64 {
+    pub fn unread_tokens(&self, server: &Server) -> u64 {
         self.candidates
             .get(server)
             .map_or(0, |candidate| candidate.all().unread)
