--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -266,7 +266,7 @@
 
     /// Usual time of a plain request of a service; 0 when nothing is known.
     pub fn usual(&self, service: &Service) -> Duration {
-        self.placement.usual(service).unwrap_or_default()
+        self.placement.mean_time(service).unwrap_or_default()
     }
 
     /// Time that a first event of work that was just sent usually takes; 0 when nothing is known.
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -228,7 +228,7 @@
     }
 
     /// Usual time of a plain request of a service.
-    pub fn usual(&self, service: &Service) -> Option<Duration> {
+    pub fn mean_time(&self, service: &Service) -> Option<Duration> {
         Duration::try_from_secs_f64(*self.times.get(service)?).ok()
     }
 
