--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -233,7 +233,7 @@
     }
 
     /// Time that the prompts which are to be read at a server usually take.
-    pub fn expected(&self, server: &Server) -> Option<Duration> {
+    pub fn queued_read_time(&self, server: &Server) -> Option<Duration> {
         let candidate = self.candidates.get(server)?;
         let pace = self.paces.get(&candidate.facts.service)?;
         Duration::try_from_secs_f64(pace * candidate.all().unread as f64).ok()
