--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -277,7 +277,7 @@
     /// The same at a server of the same service that has nothing else to read.
     pub fn alone(&self, chosen: &Chosen, unread: u64) -> Duration {
         self.placement
-            .alone(&chosen.server, unread)
+            .idle_read_time(&chosen.server, unread)
             .unwrap_or_default()
     }
 
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -240,7 +240,7 @@
     }
 
     /// Time that a prompt usually takes at a server of the same service that reads nothing else.
-    pub fn alone(&self, server: &Server, unread: u64) -> Option<Duration> {
+    pub fn idle_read_time(&self, server: &Server, unread: u64) -> Option<Duration> {
         let candidate = self.candidates.get(server)?;
         let pace = self.paces.get(&candidate.facts.service)?;
         Duration::try_from_secs_f64(pace * unread as f64).ok()
