--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -390,7 +390,7 @@
             };
             if self.engines[number(&server)].lost {
                 let placement = &mut self.entries[entry].placement;
-                placement.lost(self.now, &server, Suspicion::Refused);
+                placement.suspend(self.now, &server, Suspicion::Refused);
                 avoid.push(server);
                 continue;
             }
@@ -536,7 +536,7 @@
         let copy = copy.filter(|(holder, _)| begun && !self.engines[*holder].lost);
         self.entries[entry]
             .placement
-            .lost(self.now, &server, Suspicion::Refused);
+            .suspend(self.now, &server, Suspicion::Refused);
         let request = &self.requests[id];
         let work = Work {
             requests: 1,
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -315,7 +315,7 @@
 
     /// Notes that a server should get no new work for a while.
     pub fn lost(&mut self, server: &Server, suspicion: Suspicion) {
-        self.placement.lost(clock::now(), server, suspicion);
+        self.placement.suspend(clock::now(), server, suspicion);
         self.changed = true;
     }
 
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -288,7 +288,7 @@
     }
 
     /// Notes that a server should get no new work for a while.
-    pub fn lost(&mut self, now: Clock, server: &Server, suspicion: Suspicion) {
+    pub fn suspend(&mut self, now: Clock, server: &Server, suspicion: Suspicion) {
         let Some(candidate) = self.candidates.get_mut(server) else {
             return;
         };
@@ -377,7 +377,7 @@
         if candidate.knows_better(at) {
             return;
         }
-        self.lost(at, server, suspicion);
+        self.suspend(at, server, suspicion);
     }
 
     /// Notes this entry's place among all, and their number.
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -251,7 +251,7 @@
     let mut placement = entries(1, 6, |_| 0).remove(0);
     let second = Duration::from_secs(1);
     for (server, suspicion) in lost {
-        placement.lost(second, &server.to_string(), *suspicion);
+        placement.suspend(second, &server.to_string(), *suspicion);
     }
     let server = "s0".to_string();
     if let Some(heard) = heard {
