--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -322,7 +322,7 @@
     /// Time since a server, or its data centre, was last found dark.
     pub fn doubted(&self, server: &Server) -> Option<Duration> {
         let now = clock::now();
-        let at = self.placement.doubted(now, server)?;
+        let at = self.placement.suspected_since(now, server)?;
         Some(now.saturating_sub(at))
     }
 
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -299,7 +299,7 @@
 
     /// When this entry or a peer last found a server dark, or enough of its data centre that it is
     /// probably dark too.
-    pub fn doubted(&self, now: Clock, server: &Server) -> Option<Clock> {
+    pub fn suspected_since(&self, now: Clock, server: &Server) -> Option<Clock> {
         let candidate = self.candidates.get(server)?;
         self.losses
             .doubted(now, &candidate.domain, server, candidate.heard)
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -257,7 +257,7 @@
     if let Some(heard) = heard {
         placement.alive(second * heard as u32, &server);
     }
-    let since = placement.doubted(second * 3, &server);
+    let since = placement.suspected_since(second * 3, &server);
     assert_eq!(since, doubted.then_some(second));
 }
 
