--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -137,7 +137,7 @@
         let same = self.addresses.get(&server) == Some(&address)
             && self.placement.spec(&server) == Some(&facts)
             && self.placement.accepts_work(&server) != leaving;
-        self.placement.heard(since, &server);
+        self.placement.record_heartbeat(since, &server);
         if same {
             return false;
         }
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -313,7 +313,7 @@
     }
 
     /// Notes a sign of life that was given at a time, such as a heartbeat in the register.
-    pub fn heard(&mut self, at: Clock, server: &Server) {
+    pub fn record_heartbeat(&mut self, at: Clock, server: &Server) {
         if let Some(candidate) = self.candidates.get_mut(server) {
             candidate.heard = candidate.heard.max(at);
         }
