--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -449,7 +449,7 @@
                     .placement
                     .record_read(now, &server, unread, place.ahead, time);
                 entry.placement.record_cached(now, &request.parts, &server);
-                entry.placement.alive(now, &server);
+                entry.placement.mark_alive(now, &server);
             }
         }
         if let Some(hit) = request.hit.take() {
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -328,7 +328,7 @@
 
     /// Notes that a server answered.
     pub fn alive(&mut self, server: &Server) {
-        self.placement.alive(clock::now(), server);
+        self.placement.mark_alive(clock::now(), server);
     }
 
     /// Whether a server takes work, as far as its registration says.
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -306,7 +306,7 @@
     }
 
     /// Notes that a server answered.
-    pub fn alive(&mut self, now: Clock, server: &Server) {
+    pub fn mark_alive(&mut self, now: Clock, server: &Server) {
         if let Some(candidate) = self.candidates.get_mut(server) {
             candidate.alive(now);
         }
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -255,7 +255,7 @@
     }
     let server = "s0".to_string();
     if let Some(heard) = heard {
-        placement.alive(second * heard as u32, &server);
+        placement.mark_alive(second * heard as u32, &server);
     }
     let since = placement.suspected_since(second * 3, &server);
     assert_eq!(since, doubted.then_some(second));
