--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -574,7 +574,7 @@
             for (peer, loads) in told.iter().enumerate() {
                 if peer != place {
                     let loads: std::collections::HashMap<_, _> = Clone::clone(loads);
-                    entry.placement.peer(peer as u64, loads);
+                    entry.placement.set_peer_loads(peer as u64, loads);
                 }
             }
         }
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -126,7 +126,7 @@
             };
             loads.insert(server.clone(), work(load));
         }
-        self.placement.peer(beacon.incarnation, loads);
+        self.placement.set_peer_loads(beacon.incarnation, loads);
         self.held(&beacon.prompts);
         let now = clock::now();
         for loss in &beacon.losses {
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -320,7 +320,7 @@
     }
 
     /// Takes all work that a peer has, in place of what it had before.
-    pub fn peer(&mut self, peer: Peer, loads: HashMap<Server, Work>) {
+    pub fn set_peer_loads(&mut self, peer: Peer, loads: HashMap<Server, Work>) {
         self.forget(peer);
         for (server, work) in &loads {
             if let Some(candidate) = self.candidates.get_mut(server) {
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -54,7 +54,7 @@
             };
             loads.insert(name, work);
         }
-        placement.peer(7, loads);
+        placement.set_peer_loads(7, loads);
         placement.stand((place, count));
         placement
     };
@@ -358,7 +358,7 @@
 fn assert_prompts_go(loads: &[Work; 2], expected: &str) {
     let mut placement = entries(1, 2, |_| 0).remove(0);
     let names = ["s0", "s1"].map(str::to_string);
-    placement.peer(7, names.into_iter().zip(*loads).collect());
+    placement.set_peer_loads(7, names.into_iter().zip(*loads).collect());
     let mut rng = SmallRng::seed_from_u64(1);
     for _ in 0..20 {
         assert_eq!(choose(&placement, &mut rng), expected);
