--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -141,7 +141,7 @@
     /// Forgets the work of a peer that ended or fell silent.
     pub fn forget(&mut self, peer: Incarnation) {
         self.loads_sequences.remove(&peer);
-        self.placement.forget(peer);
+        self.placement.forget_peer(peer);
     }
 
     /// Notes this entry's place among all, and their number.
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -321,7 +321,7 @@
 
     /// Takes all work that a peer has, in place of what it had before.
     pub fn set_peer_loads(&mut self, peer: Peer, loads: HashMap<Server, Work>) {
-        self.forget(peer);
+        self.forget_peer(peer);
         for (server, work) in &loads {
             if let Some(candidate) = self.candidates.get_mut(server) {
                 candidate.peers.add(*work);
@@ -347,7 +347,7 @@
     }
 
     /// Forgets the work of a peer that ended or fell silent.
-    pub fn forget(&mut self, peer: Peer) {
+    pub fn forget_peer(&mut self, peer: Peer) {
         for (server, work) in self.peers.remove(&peer).unwrap_or_default() {
             if let Some(candidate) = self.candidates.get_mut(&server) {
                 candidate.peers.take(work);
