--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -564,7 +564,7 @@
             .entries
             .iter()
             .map(|entry| {
-                let own = entry.placement.own();
+                let own = entry.placement.own_loads();
                 own.map(|(server, work)| (server.clone(), work)).collect()
             })
             .collect();
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -37,7 +37,7 @@
     /// Work and losses for a beacon.
     pub fn tell(&mut self, beacon: &mut Beacon) {
         self.changed = false;
-        let own = self.placement.own();
+        let own = self.placement.own_loads();
         beacon
             .loads
             .extend(own.map(|(server, work)| load(server, work)));
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -356,7 +356,7 @@
     }
 
     /// Work of this entry, by server.
-    pub fn own(&self) -> impl Iterator<Item = (&Server, Work)> {
+    pub fn own_loads(&self) -> impl Iterator<Item = (&Server, Work)> {
         let busy = self
             .candidates
             .iter()
