--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -42,7 +42,7 @@
             .loads
             .extend(own.map(|(server, work)| load(server, work)));
         self.tell_prompts(beacon);
-        for (server, age, suspicion) in self.placement.losses(clock::now()) {
+        for (server, age, suspicion) in self.placement.recent_losses(clock::now()) {
             beacon.losses.push(Loss {
                 server: beacon::number(server),
                 age_ms: age.as_millis() as u32,
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -365,7 +365,7 @@
     }
 
     /// What this entry or a peer noted of servers a moment ago.
-    pub fn losses(&self, now: Clock) -> Vec<(&Server, Duration, Suspicion)> {
+    pub fn recent_losses(&self, now: Clock) -> Vec<(&Server, Duration, Suspicion)> {
         self.losses.told(now)
     }
 
