--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -370,7 +370,7 @@
     }
 
     /// Takes a loss that a peer saw.
-    pub fn peer_lost(&mut self, at: Clock, server: &Server, suspicion: Suspicion) {
+    pub fn record_peer_loss(&mut self, at: Clock, server: &Server, suspicion: Suspicion) {
         let Some(candidate) = self.candidates.get(server) else {
             return;
         };
