--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -71,7 +71,7 @@
 impl Entry {
     pub(crate) fn new(setup: &Setup, policy: Policy, data_centre: String, place: usize) -> Entry {
         let mut placement = Placement::default();
-        placement.stand((place, setup.entries));
+        placement.set_position((place, setup.entries));
         let tokens = (setup.size.0 + setup.size.1 * setup.event as f64) as u64;
         Entry {
             data_centre,
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -146,7 +146,7 @@
 
     /// Notes this entry's place among all, and their number.
     pub fn stand(&mut self, place: (usize, usize)) {
-        self.placement.stand(place);
+        self.placement.set_position(place);
     }
 
     /// This entry's place among all, and their number.
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -381,7 +381,7 @@
     }
 
     /// Notes this entry's place among all, and their number.
-    pub fn stand(&mut self, place: (usize, usize)) {
+    pub fn set_position(&mut self, place: (usize, usize)) {
         if self.place == place {
             return;
         }
