--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -151,7 +151,7 @@
 
     /// This entry's place among all, and their number.
     pub fn place(&self) -> (usize, usize) {
-        self.placement.place()
+        self.placement.position()
     }
 
     /// Whether the entries are so many that each has a part of the servers.
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -392,7 +392,7 @@
     }
 
     /// This entry's place among all, and their number.
-    pub fn place(&self) -> (usize, usize) {
+    pub fn position(&self) -> (usize, usize) {
         self.place
     }
 
