--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -156,7 +156,7 @@
 
     /// Whether the entries are so many that each has a part of the servers.
     pub fn divided(&self) -> bool {
-        self.placement.divided()
+        self.placement.is_partitioned()
     }
 
     /// Whether a server is of this entry's part.
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -397,7 +397,7 @@
     }
 
     /// Whether the entries are so many that each has a part of the servers.
-    pub fn divided(&self) -> bool {
+    pub fn is_partitioned(&self) -> bool {
         self.place.1 as f64 > FEW
     }
 
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -204,7 +204,7 @@
         });
         let among = u32::try_from(candidates.clone().count()).unwrap_or(u32::MAX);
         let drawn = self.drawn(among);
-        let jitter = if self.divided() {
+        let jitter = if self.is_partitioned() {
             DIVIDED_JITTER
         } else {
             JITTER
