--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -20,7 +20,7 @@
 pub use gate::Gate;
 pub use outlook::{
     Answer,
-    Outlook, //
+    Forecast, //
 };
 pub use quota::{
     Bound,
--- a/components/admission/src/outlook.rs
+++ b/components/admission/src/outlook.rs
@@ -36,11 +36,11 @@
 
 /// What the latest answers say of those to come, by route.
 #[derive(Clone, Debug, Default)]
-pub struct Outlook {
+pub struct Forecast {
     routes: HashMap<Route, VecDeque<Answer>>,
 }
 
-impl Outlook {
+impl Forecast {
     /// Learns from an answer.
     pub fn learn(&mut self, route: &Route, answer: Answer) {
         if answer.events == 0 {
--- a/components/admission/tests/outlook.rs
+++ b/components/admission/tests/outlook.rs
@@ -4,11 +4,11 @@
 
 use admission::{
     Answer,
-    Outlook, //
+    Forecast, //
 };
 
-fn learned() -> Outlook {
-    let mut outlook = Outlook::default();
+fn learned() -> Forecast {
+    let mut outlook = Forecast::default();
     for number in 0..20 {
         let events = 100 + number;
         let answer = Answer {
@@ -31,7 +31,7 @@
 
 #[test]
 fn nothing_is_said_of_a_route_that_had_few_answers() {
-    let mut outlook = Outlook::default();
+    let mut outlook = Forecast::default();
     for _ in 0..7 {
         let answer = Answer {
             events: 100,
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -10,7 +10,7 @@
 };
 
 use admission::{
-    Outlook,
+    Forecast,
     Purpose, //
 };
 use bytes::{
@@ -109,7 +109,7 @@
     /// The first call to the store.
     pub initial_sync: InitialSync,
     /// How long answers take.
-    pub outlook: RefCell<Outlook>,
+    pub outlook: RefCell<Forecast>,
     /// The process's way out.
     pub departure: Rc<Departure>,
     /// When the process started.
