--- a/components/admission/src/outlook.rs
+++ b/components/admission/src/outlook.rs
@@ -42,7 +42,7 @@
 
 impl Forecast {
     /// Learns from an answer.
-    pub fn learn(&mut self, route: &Route, answer: Answer) {
+    pub fn record(&mut self, route: &Route, answer: Answer) {
         if answer.events == 0 {
             return;
         }
--- a/components/admission/tests/outlook.rs
+++ b/components/admission/tests/outlook.rs
@@ -15,7 +15,7 @@
             events,
             time: Duration::from_millis(30) * events as u32,
         };
-        outlook.learn(&"letters".into(), answer);
+        outlook.record(&"letters".into(), answer);
     }
     outlook
 }
@@ -37,7 +37,7 @@
             events: 100,
             time: Duration::from_secs(3),
         };
-        outlook.learn(&"letters".into(), answer);
+        outlook.record(&"letters".into(), answer);
     }
     assert_eq!(outlook.rest(&"letters".into(), 0), None);
     assert_eq!(learned().rest(&"summaries".into(), 0), None);
@@ -53,7 +53,7 @@
             events: 10,
             time: Duration::from_secs(1),
         };
-        outlook.learn(&"letters".into(), answer);
+        outlook.record(&"letters".into(), answer);
     }
     let rest = outlook.rest(&"letters".into(), 0);
     assert_eq!(rest, Some(Duration::from_secs(1)));
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -341,7 +341,7 @@
             self.context
                 .outlook
                 .borrow_mut()
-                .learn(&self.call.route, answer);
+                .record(&self.call.route, answer);
         }
         meter::outcome("answered", self.call.arrived.elapsed());
         meter::gap(self.gap);
