--- a/components/admission/src/outlook.rs
+++ b/components/admission/src/outlook.rs
@@ -55,7 +55,7 @@
 
     /// Least time from the next event to the end of an answer of which the caller has the first
     /// `after` events. `None` while too little is known.
-    pub fn rest(&self, route: &Route, after: u64) -> Option<Duration> {
+    pub fn remaining_time(&self, route: &Route, after: u64) -> Option<Duration> {
         let answers = self.routes.get(route)?;
         if answers.len() < ENOUGH {
             return None;
--- a/components/admission/tests/outlook.rs
+++ b/components/admission/tests/outlook.rs
@@ -23,7 +23,7 @@
 #[test]
 fn the_rest_is_judged_by_the_shortest_tenth() {
     let outlook = learned();
-    let rest = |after| outlook.rest(&"letters".into(), after);
+    let rest = |after| outlook.remaining_time(&"letters".into(), after);
     assert_eq!(rest(0), Some(Duration::from_millis(3060)));
     assert_eq!(rest(90), Some(Duration::from_millis(360)));
     assert_eq!(rest(200), Some(Duration::ZERO));
@@ -39,8 +39,8 @@
         };
         outlook.record(&"letters".into(), answer);
     }
-    assert_eq!(outlook.rest(&"letters".into(), 0), None);
-    assert_eq!(learned().rest(&"summaries".into(), 0), None);
+    assert_eq!(outlook.remaining_time(&"letters".into(), 0), None);
+    assert_eq!(learned().remaining_time(&"summaries".into(), 0), None);
 }
 
 /// Engines become slower by the hour and answers longer. What was learned before them must not
@@ -55,6 +55,6 @@
         };
         outlook.record(&"letters".into(), answer);
     }
-    let rest = outlook.rest(&"letters".into(), 0);
+    let rest = outlook.remaining_time(&"letters".into(), 0);
     assert_eq!(rest, Some(Duration::from_secs(1)));
 }
