--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -40,7 +40,7 @@
 };
 pub use retries::{
     Retries,
-    Told, //
+    Counts, //
 };
 pub use settings::Settings;
 pub use team::Limit;
--- a/components/admission/src/retries.rs
+++ b/components/admission/src/retries.rs
@@ -33,7 +33,7 @@
 
 /// What a peer says that it sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct Counts {
     /// Within the window.
     pub totals: Totals,
     /// Retries since it started.
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Heard {
-    told: Told,
+    told: Counts,
     at: Clock,
     near: bool,
 }
@@ -99,15 +99,15 @@
     }
 
     /// What this entry sent.
-    pub fn told(&mut self, now: Clock, bound: &Bound) -> Told {
-        Told {
+    pub fn told(&mut self, now: Clock, bound: &Bound) -> Counts {
+        Counts {
             totals: self.own.totals(now, bound),
             retries: self.sent,
         }
     }
 
     /// Takes what a peer sent; `near` when it is of the same data centre.
-    pub fn hear(&mut self, now: Clock, peer: Peer, told: Told, near: bool) {
+    pub fn hear(&mut self, now: Clock, peer: Peer, told: Counts, near: bool) {
         let at = now;
         let before = self.heard.insert(peer, Heard { told, at, near });
         let Some(before) = before.filter(|_| near) else {
--- a/components/admission/tests/retries.rs
+++ b/components/admission/tests/retries.rs
@@ -6,7 +6,7 @@
     Bound,
     Purpose,
     Retries,
-    Told, //
+    Counts, //
 };
 use names::Clock;
 use rand::{
@@ -28,7 +28,7 @@
 /// centre retries are told with the next step.
 struct Fleet {
     entries: Vec<Retries>,
-    told: Vec<Told>,
+    told: Vec<Counts>,
     data_centres: usize,
     beacon_interval: Duration,
     now: Clock,
@@ -41,7 +41,7 @@
     fn new(entries: usize, beacon_interval: Duration) -> Fleet {
         Fleet {
             entries: vec![Retries::default(); entries],
-            told: vec![Told::default(); entries],
+            told: vec![Counts::default(); entries],
             data_centres: 5,
             beacon_interval,
             now: Duration::ZERO,
--- a/components/gateway/src/quotas.rs
+++ b/components/gateway/src/quotas.rs
@@ -9,7 +9,7 @@
     Bound,
     Purpose,
     Retries,
-    Told,
+    Counts,
     Totals, //
 };
 use events::{
@@ -71,7 +71,7 @@
         let now = clock::now();
         let mut sends = Vec::with_capacity(self.services.len());
         for (service, retries) in &mut self.services {
-            let Told { totals, retries } = retries.told(now, bound);
+            let Counts { totals, retries } = retries.told(now, bound);
             sends.push(Sends {
                 service: *service,
                 requests: totals.requests,
@@ -86,7 +86,7 @@
     pub fn hear(&mut self, peer: Incarnation, sends: &[Sends], near: bool) {
         let now = clock::now();
         for sent in sends {
-            let told = Told {
+            let told = Counts {
                 totals: Totals {
                     requests: sent.requests,
                     retries: sent.retries,
