--- a/components/admission/src/retries.rs
+++ b/components/admission/src/retries.rs
@@ -99,7 +99,7 @@
     }
 
     /// What this entry sent.
-    pub fn told(&mut self, now: Clock, bound: &Bound) -> Counts {
+    pub fn counts(&mut self, now: Clock, bound: &Bound) -> Counts {
         Counts {
             totals: self.own.totals(now, bound),
             retries: self.sent,
--- a/components/admission/tests/retries.rs
+++ b/components/admission/tests/retries.rs
@@ -74,7 +74,7 @@
         for from in 0..count {
             let offset = interval * from as u128 / count as u128;
             let beacon = (self.now.as_millis() + offset) % interval < STEP.as_millis();
-            let told = self.entries[from].told(self.now, &BOUND);
+            let told = self.entries[from].counts(self.now, &BOUND);
             let changed = told.retries != std::mem::replace(&mut self.told[from], told).retries;
             for to in 0..count {
                 let near = self.near(from, to);
--- a/components/gateway/src/quotas.rs
+++ b/components/gateway/src/quotas.rs
@@ -48,7 +48,7 @@
         let heard = self.peers.len() + 1;
         let known = heard as f64 / self.most.max(heard) as f64;
         let retries = self.of(beacon::number(service));
-        let own = retries.told(now, bound).totals;
+        let own = retries.counts(now, bound).totals;
         let left = retries.retry(now, bound, known, purpose);
         if !left {
             let others = retries.others(known);
@@ -71,7 +71,7 @@
         let now = clock::now();
         let mut sends = Vec::with_capacity(self.services.len());
         for (service, retries) in &mut self.services {
-            let Counts { totals, retries } = retries.told(now, bound);
+            let Counts { totals, retries } = retries.counts(now, bound);
             sends.push(Sends {
                 service: *service,
                 requests: totals.requests,
