--- a/components/admission/src/retries.rs
+++ b/components/admission/src/retries.rs
@@ -107,7 +107,7 @@
     }
 
     /// Takes what a peer sent; `near` when it is of the same data centre.
-    pub fn hear(&mut self, now: Clock, peer: Peer, told: Counts, near: bool) {
+    pub fn record_peer(&mut self, now: Clock, peer: Peer, told: Counts, near: bool) {
         let at = now;
         let before = self.heard.insert(peer, Heard { told, at, near });
         let Some(before) = before.filter(|_| near) else {
--- a/components/admission/tests/retries.rs
+++ b/components/admission/tests/retries.rs
@@ -79,7 +79,7 @@
             for to in 0..count {
                 let near = self.near(from, to);
                 if from != to && (near && changed || beacon) {
-                    self.entries[to].hear(self.now, from as u64, told, near);
+                    self.entries[to].record_peer(self.now, from as u64, told, near);
                 }
             }
         }
--- a/components/gateway/src/quotas.rs
+++ b/components/gateway/src/quotas.rs
@@ -93,7 +93,7 @@
                 },
                 retries: sent.total_retries,
             };
-            self.of(sent.service).hear(now, peer, told, near);
+            self.of(sent.service).record_peer(now, peer, told, near);
         }
         self.peers.insert(peer);
         self.most = self.most.max(self.peers.len() + 1);
