--- a/components/admission/src/quota.rs
+++ b/components/admission/src/quota.rs
@@ -61,7 +61,7 @@
     /// sent is left to them.
     pub known: f64,
     /// Retries that they are taken to have sent since they told their sums.
-    pub unheard: f64,
+    pub unreported: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -93,7 +93,7 @@
         if purpose == Purpose::First {
             allowed *= FIRST;
         }
-        if f64::from(retries) + others.unheard + 1.0 > allowed {
+        if f64::from(retries) + others.unreported + 1.0 > allowed {
             return false;
         }
         self.bucket(now, bound).retries += 1;
--- a/components/admission/src/retries.rs
+++ b/components/admission/src/retries.rs
@@ -94,7 +94,7 @@
         Others {
             totals,
             known,
-            unheard,
+            unreported: unheard,
         }
     }
 
--- a/components/admission/tests/quota.rs
+++ b/components/admission/tests/quota.rs
@@ -31,7 +31,7 @@
     Others {
         totals,
         known: 1.0,
-        unheard: 0.0,
+        unreported: 0.0,
     }
 }
 
@@ -41,7 +41,7 @@
         retries: 0,
     },
     known: 1.0,
-    unheard: 0.0,
+    unreported: 0.0,
 };
 
 /// Servers go down and up by turns, and each request is refused by several of them. Sent on until
--- a/components/gateway/src/quotas.rs
+++ b/components/gateway/src/quotas.rs
@@ -59,7 +59,7 @@
                 retries = own.retries,
                 others_requests = others.totals.requests,
                 others_retries = others.totals.retries,
-                others_unheard = others.unheard,
+                others_unheard = others.unreported,
                 known = known
             );
         }
