--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -14,7 +14,7 @@
 mod settings;
 mod table;
 mod team;
-pub mod turn;
+pub mod wait;
 
 pub use budget::Budget;
 pub use gate::Gate;
--- a/components/admission/tests/turn.rs
+++ b/components/admission/tests/turn.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use admission::turn::{
+use admission::wait::{
     Ask,
     Turn, //
 };
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -14,7 +14,7 @@
     Settings,
     Ticket,
     Verdict,
-    turn::{
+    wait::{
         self,
         Turn, //
     }, //
@@ -96,15 +96,15 @@
     }
 
     fn report(&mut self, setup: &Setup, now: Clock, fresh: bool, rng: &mut SmallRng) {
-        let within = turn::engine(setup.objective);
+        let within = wait::engine(setup.objective);
         let service = service();
         let any = Versions::Any;
         let room = self.placement.room(now, &service, any, self.work, within);
         let room = match self.hurried.is_empty() && !fresh {
-            true => turn::behind(room, self.others),
+            true => wait::behind(room, self.others),
             false => room,
         };
-        let room = turn::share(room, setup.entries as u32, rng.random_range(0.0..1.0));
+        let room = wait::share(room, setup.entries as u32, rng.random_range(0.0..1.0));
         let running = self.gate.running();
         self.gate.report(Report {
             capacity: running.saturating_add(room),
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -8,7 +8,7 @@
 
 use admission::{
     Done,
-    turn::Ask, //
+    wait::Ask, //
 };
 use names::{
     Clock,
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -20,7 +20,7 @@
 use admission::{
     Reason,
     Report,
-    turn::{
+    wait::{
         self,
         Ask, //
     }, //
@@ -301,7 +301,7 @@
         sizes.entry(call.service.clone()).or_insert(Size {
             tokens: work.tokens as f64,
             unread: work.unread as f64,
-            within: turn::engine(call.pass.objective),
+            within: wait::engine(call.pass.objective),
         });
     }
 
@@ -339,9 +339,9 @@
         let mut room = fleet.room(service, versions, size.work(), size.within);
         // What is late here stands behind what can be in time elsewhere.
         if fresh != Some(service) && !queue.hurries(service) {
-            room = turn::behind(room, queue.hurried_elsewhere(service));
+            room = wait::behind(room, queue.hurried_elsewhere(service));
         }
-        let room = turn::share(room, queue.entries.get(), rand::random());
+        let room = wait::share(room, queue.entries.get(), rand::random());
         Some(Report {
             capacity: running.saturating_add(room),
             load: running,
