--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -21,7 +21,7 @@
 
 /// What is known of a request that wants an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ask {
+pub struct Constraints {
     /// Rank of its route, 0 first.
     pub rank: u8,
     /// Time for the first event.
@@ -65,7 +65,7 @@
     part.floor() as u32 + u32::from(draw < part.fract())
 }
 
-impl Ask {
+impl Constraints {
     /// The ways to wait, one after the other: to be in time, if that is possible; then to be late.
     pub fn turns(&self) -> impl Iterator<Item = Turn> {
         self.in_time().into_iter().chain([self.late()])
--- a/components/admission/tests/turn.rs
+++ b/components/admission/tests/turn.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use admission::wait::{
-    Ask,
+    Constraints,
     Turn, //
 };
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> Constraints {
+    Constraints {
         rank: 1,
         objective: SECOND * 4,
         timeout: Some(SECOND * 20),
@@ -19,7 +19,7 @@
     }
 }
 
-fn turns(ask: &Ask) -> Vec<Turn> {
+fn turns(ask: &Constraints) -> Vec<Turn> {
     ask.turns().collect()
 }
 
@@ -36,7 +36,7 @@
 #[test]
 fn a_caller_that_asked_before_has_less_time() {
     let turns = |left: f64| {
-        turns(&Ask {
+        turns(&Constraints {
             deadline: Some(SECOND.mul_f64(left)),
             ..ask()
         })
@@ -50,12 +50,12 @@
 /// Its whole answer takes nearly all of its time: a wait would make it fail.
 #[test]
 fn nobody_waits_away_the_time_that_the_answer_takes() {
-    let turns = turns(&Ask {
+    let turns = turns(&Constraints {
         deadline: Some(SECOND * 7),
         ..ask()
     });
     assert_eq!(turns[0].patience, SECOND);
-    let none = Ask {
+    let none = Constraints {
         deadline: Some(SECOND * 5),
         ..ask()
     };
@@ -67,7 +67,7 @@
 
 #[test]
 fn urgent_routes_go_first_even_when_late() {
-    let urgent = turns(&Ask { rank: 0, ..ask() });
+    let urgent = turns(&Constraints { rank: 0, ..ask() });
     let usual = turns(&ask());
     assert!(urgent[1].limit.priority > usual[0].limit.priority);
 }
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -8,7 +8,7 @@
 
 use admission::{
     Done,
-    wait::Ask, //
+    wait::Constraints, //
 };
 use names::{
     Clock,
@@ -307,7 +307,7 @@
     fn enqueue(&mut self, id: Id) {
         let request = &self.requests[id];
         let deadline = request.until.saturating_sub(self.now);
-        let ask = Ask {
+        let ask = Constraints {
             rank: 1,
             objective: self.setup.objective,
             timeout: Some(self.setup.timeout),
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -22,7 +22,7 @@
     Report,
     wait::{
         self,
-        Ask, //
+        Constraints, //
     }, //
 };
 use events::{
@@ -163,7 +163,7 @@
         retry_after: POLL_INTERVAL,
     };
     let team = call.team.clone().unwrap_or_default();
-    let ask = Ask {
+    let ask = Constraints {
         rank: call.pass.rank,
         objective: call.pass.objective,
         timeout: call.pass.timeout,
