--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -36,7 +36,7 @@
 
 /// How a request may wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Turn {
+pub struct Wait {
     /// Whether its first event can still be in time.
     pub in_time: bool,
     /// Its place among others.
@@ -67,25 +67,25 @@
 
 impl Constraints {
     /// The ways to wait, one after the other: to be in time, if that is possible; then to be late.
-    pub fn turns(&self) -> impl Iterator<Item = Turn> {
+    pub fn turns(&self) -> impl Iterator<Item = Wait> {
         self.in_time().into_iter().chain([self.late()])
     }
 
-    fn in_time(&self) -> Option<Turn> {
+    fn in_time(&self) -> Option<Wait> {
         // A caller that has asked before has less time than its route gives.
         let spent = match (self.timeout, self.deadline) {
             (Some(timeout), Some(left)) => timeout.saturating_sub(left),
             _ => Duration::ZERO,
         };
         let patience = self.objective.checked_sub(spent + engine(self.objective))?;
-        Some(Turn {
+        Some(Wait {
             in_time: true,
             limit: self.limit(true),
             patience,
         })
     }
 
-    fn late(&self) -> Turn {
+    fn late(&self) -> Wait {
         let left = match (self.timeout, self.deadline) {
             (Some(timeout), Some(left)) => timeout.min(left),
             (Some(left), None) | (None, Some(left)) => left,
@@ -93,7 +93,7 @@
         };
         let part = left.mul_f64(LATE);
         let spare = self.usual.map_or(part, |usual| left.saturating_sub(usual));
-        Turn {
+        Wait {
             in_time: false,
             limit: self.limit(false),
             patience: spare.min(part),
--- a/components/admission/tests/turn.rs
+++ b/components/admission/tests/turn.rs
@@ -4,7 +4,7 @@
 
 use admission::wait::{
     Constraints,
-    Turn, //
+    Wait, //
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -19,7 +19,7 @@
     }
 }
 
-fn turns(ask: &Constraints) -> Vec<Turn> {
+fn turns(ask: &Constraints) -> Vec<Wait> {
     ask.turns().collect()
 }
 
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -16,7 +16,7 @@
     Verdict,
     wait::{
         self,
-        Turn, //
+        Wait, //
     }, //
 };
 use names::{
@@ -119,7 +119,7 @@
         setup: &Setup,
         now: Clock,
         (id, team, cost): (Id, &Team, u64),
-        turn: &Turn,
+        turn: &Wait,
         rng: &mut SmallRng,
     ) -> Option<Gated> {
         self.report(setup, now, turn.in_time, rng);
