--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -67,7 +67,7 @@
 
 impl Constraints {
     /// The ways to wait, one after the other: to be in time, if that is possible; then to be late.
-    pub fn turns(&self) -> impl Iterator<Item = Wait> {
+    pub fn waits(&self) -> impl Iterator<Item = Wait> {
         self.in_time().into_iter().chain([self.late()])
     }
 
--- a/components/admission/tests/turn.rs
+++ b/components/admission/tests/turn.rs
@@ -20,7 +20,7 @@
 }
 
 fn turns(ask: &Constraints) -> Vec<Wait> {
-    ask.turns().collect()
+    ask.waits().collect()
 }
 
 #[test]
@@ -60,7 +60,7 @@
         ..ask()
     };
     assert_eq!(
-        none.turns().next().map(|turn| turn.patience),
+        none.waits().next().map(|turn| turn.patience),
         Some(Duration::ZERO)
     );
 }
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -314,7 +314,7 @@
             deadline: Some(deadline),
             usual: Some(self.setup.step.mul_f64(self.setup.size.1 * 2.0)),
         };
-        let turn = ask.turns().find(|turn| !request.late || !turn.in_time);
+        let turn = ask.waits().find(|turn| !request.late || !turn.in_time);
         let Some(turn) = turn else {
             return;
         };
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -170,7 +170,7 @@
         deadline: call.packet.ask.deadline,
         usual: context.departure.usual(&call.route),
     };
-    for turn in ask.turns() {
+    for turn in ask.waits() {
         report(context, turn.in_time.then_some(&call.service));
         let admitted = context.queue.gates.admit(Request {
             service: &call.service,
