--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -46,7 +46,7 @@
 }
 
 /// Time that an engine may need for the first event.
-pub fn engine(objective: Duration) -> Duration {
+pub fn engine_time(objective: Duration) -> Duration {
     objective.mul_f64(ENGINE)
 }
 
@@ -77,7 +77,7 @@
             (Some(timeout), Some(left)) => timeout.saturating_sub(left),
             _ => Duration::ZERO,
         };
-        let patience = self.objective.checked_sub(spent + engine(self.objective))?;
+        let patience = self.objective.checked_sub(spent + engine_time(self.objective))?;
         Some(Wait {
             in_time: true,
             limit: self.limit(true),
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -96,7 +96,7 @@
     }
 
     fn report(&mut self, setup: &Setup, now: Clock, fresh: bool, rng: &mut SmallRng) {
-        let within = wait::engine(setup.objective);
+        let within = wait::engine_time(setup.objective);
         let service = service();
         let any = Versions::Any;
         let room = self.placement.room(now, &service, any, self.work, within);
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -301,7 +301,7 @@
         sizes.entry(call.service.clone()).or_insert(Size {
             tokens: work.tokens as f64,
             unread: work.unread as f64,
-            within: wait::engine(call.pass.objective),
+            within: wait::engine_time(call.pass.objective),
         });
     }
 
