--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -52,7 +52,7 @@
 
 /// Room that is left for a request which is late already, behind those that wait at other entries and
 /// can still be in time. In a large fleet some wait nearly always, also while most engines are idle.
-pub fn behind(room: u32, hurried: u32) -> u32 {
+pub fn room_behind(room: u32, hurried: u32) -> u32 {
     room.saturating_sub(hurried)
 }
 
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -101,7 +101,7 @@
         let any = Versions::Any;
         let room = self.placement.room(now, &service, any, self.work, within);
         let room = match self.hurried.is_empty() && !fresh {
-            true => wait::behind(room, self.others),
+            true => wait::room_behind(room, self.others),
             false => room,
         };
         let room = wait::share(room, setup.entries as u32, rng.random_range(0.0..1.0));
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -339,7 +339,7 @@
         let mut room = fleet.room(service, versions, size.work(), size.within);
         // What is late here stands behind what can be in time elsewhere.
         if fresh != Some(service) && !queue.hurries(service) {
-            room = wait::behind(room, queue.hurried_elsewhere(service));
+            room = wait::room_behind(room, queue.hurried_elsewhere(service));
         }
         let room = wait::share(room, queue.entries.get(), rand::random());
         Some(Report {
