--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -31,7 +31,7 @@
     /// Time that the caller gives from now on, where it says.
     pub deadline: Option<Duration>,
     /// Time that the whole answer takes, where that is known.
-    pub usual: Option<Duration>,
+    pub expected: Option<Duration>,
 }
 
 /// How a request may wait.
@@ -92,7 +92,7 @@
             (None, None) => self.objective,
         };
         let part = left.mul_f64(LATE);
-        let spare = self.usual.map_or(part, |usual| left.saturating_sub(usual));
+        let spare = self.expected.map_or(part, |usual| left.saturating_sub(usual));
         Wait {
             in_time: false,
             limit: self.limit(false),
--- a/components/admission/tests/turn.rs
+++ b/components/admission/tests/turn.rs
@@ -15,7 +15,7 @@
         objective: SECOND * 4,
         timeout: Some(SECOND * 20),
         deadline: Some(SECOND * 20),
-        usual: Some(SECOND * 6),
+        expected: Some(SECOND * 6),
     }
 }
 
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -312,7 +312,7 @@
             objective: self.setup.objective,
             timeout: Some(self.setup.timeout),
             deadline: Some(deadline),
-            usual: Some(self.setup.step.mul_f64(self.setup.size.1 * 2.0)),
+            expected: Some(self.setup.step.mul_f64(self.setup.size.1 * 2.0)),
         };
         let turn = ask.waits().find(|turn| !request.late || !turn.in_time);
         let Some(turn) = turn else {
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -168,7 +168,7 @@
         objective: call.pass.objective,
         timeout: call.pass.timeout,
         deadline: call.packet.ask.deadline,
-        usual: context.departure.usual(&call.route),
+        expected: context.departure.usual(&call.route),
     };
     for turn in ask.waits() {
         report(context, turn.in_time.then_some(&call.service));
