--- a/components/admission/src/gate.rs
+++ b/components/admission/src/gate.rs
@@ -128,7 +128,7 @@
             self.admit(team, start, arrival.cost);
             return Verdict::Admit;
         }
-        if !self.fits(arrival.patience) && !self.displace(now, team, arrival, rng) {
+        if !self.fits(arrival.max_wait) && !self.displace(now, team, arrival, rng) {
             return self.refuse(now, team, Reason::Full, rng);
         }
         Verdict::Queue(self.enqueue(now, team, arrival))
@@ -294,7 +294,7 @@
             team,
             owner,
             cost: arrival.cost,
-            deadline: now + arrival.patience,
+            deadline: now + arrival.max_wait,
         };
         self.deadlines.insert((place.deadline, self.last));
         self.waiting.insert(self.last, place);
--- a/components/admission/src/request.rs
+++ b/components/admission/src/request.rs
@@ -20,7 +20,7 @@
     /// continuation, what is left of it.
     pub cost: u64,
     /// Longest wait with which the first-token target can still be met.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// Continues an answer that has begun.
     pub resume: bool,
 }
--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -42,7 +42,7 @@
     /// Its place among others.
     pub limit: Limit,
     /// Longest wait.
-    pub patience: Duration,
+    pub max_wait: Duration,
 }
 
 /// Time that an engine may need for the first event.
@@ -81,7 +81,7 @@
         Some(Wait {
             in_time: true,
             limit: self.limit(true),
-            patience,
+            max_wait: patience,
         })
     }
 
@@ -96,7 +96,7 @@
         Wait {
             in_time: false,
             limit: self.limit(false),
-            patience: spare.min(part),
+            max_wait: spare.min(part),
         }
     }
 
--- a/components/admission/tests/gate.rs
+++ b/components/admission/tests/gate.rs
@@ -91,7 +91,7 @@
             team: &team,
             limit,
             cost: 1,
-            patience: 10 * SECOND,
+            max_wait: 10 * SECOND,
             resume,
         };
         let verdict = self.gate.arrive(self.now, &arrival, &mut self.rng);
@@ -689,7 +689,7 @@
             team: &team,
             limit: FREE,
             cost: 1,
-            patience: SECOND,
+            max_wait: SECOND,
             resume: false,
         };
         let verdict = gate.arrive(SECOND, &arrival, &mut rng);
--- a/components/admission/tests/turn.rs
+++ b/components/admission/tests/turn.rs
@@ -28,8 +28,8 @@
     let turns = turns(&ask());
     assert_eq!(turns.len(), 2);
     assert!(turns[0].in_time && !turns[1].in_time);
-    assert_eq!(turns[0].patience, SECOND * 2);
-    assert_eq!(turns[1].patience, SECOND * 3);
+    assert_eq!(turns[0].max_wait, SECOND * 2);
+    assert_eq!(turns[1].max_wait, SECOND * 3);
     assert!(turns[0].limit.priority > turns[1].limit.priority);
 }
 
@@ -41,7 +41,7 @@
             ..ask()
         })
     };
-    assert_eq!(turns(19.0)[0].patience, SECOND);
+    assert_eq!(turns(19.0)[0].max_wait, SECOND);
     let late = turns(17.0);
     assert_eq!(late.len(), 1);
     assert!(!late[0].in_time);
@@ -54,13 +54,13 @@
         deadline: Some(SECOND * 7),
         ..ask()
     });
-    assert_eq!(turns[0].patience, SECOND);
+    assert_eq!(turns[0].max_wait, SECOND);
     let none = Constraints {
         deadline: Some(SECOND * 5),
         ..ask()
     };
     assert_eq!(
-        none.waits().next().map(|turn| turn.patience),
+        none.waits().next().map(|turn| turn.max_wait),
         Some(Duration::ZERO)
     );
 }
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -127,7 +127,7 @@
             team,
             limit: turn.limit,
             cost,
-            patience: turn.patience,
+            max_wait: turn.max_wait,
             resume: false,
         };
         match self.gate.arrive(now, &arrival, rng) {
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -175,7 +175,7 @@
             team: request.team,
             limit: request.limit,
             cost: request.cost,
-            patience: request.patience,
+            max_wait: request.patience,
             resume: request.resume,
         };
         let now = self.origin.elapsed();
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -177,7 +177,7 @@
             team: &team,
             limit: turn.limit,
             cost: work.tokens,
-            patience: turn.patience,
+            patience: turn.max_wait,
             objective: call.pass.objective,
             lowest: 1.0,
             resume: call.packet.ask.after.is_some(),
--- a/components/measure/src/admission/policy.rs
+++ b/components/measure/src/admission/policy.rs
@@ -105,7 +105,7 @@
                 priority: 1,
             },
             cost: 1,
-            patience: PATIENCE,
+            max_wait: PATIENCE,
             resume: false,
         };
         match self.gate.arrive(now, &arrival, rng) {
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -154,7 +154,7 @@
             priority: 1,
         },
         cost: 500,
-        patience: Duration::from_secs(1),
+        max_wait: Duration::from_secs(1),
         resume: false,
     }
 }
