--- a/components/admission/src/request.rs
+++ b/components/admission/src/request.rs
@@ -93,5 +93,5 @@
     /// From admission to the end.
     pub time: Duration,
     /// From arrival to the first token; `None` when there was none.
-    pub first: Option<Duration>,
+    pub first_token: Option<Duration>,
 }
--- a/components/admission/tests/gate.rs
+++ b/components/admission/tests/gate.rs
@@ -119,7 +119,7 @@
             cost: 1,
             used: self.used,
             time: SECOND,
-            first: Some(SECOND / 10),
+            first_token: Some(SECOND / 10),
         };
         self.gate.finish(&team, &done);
         *self.served.entry(team).or_default() += 1;
@@ -609,7 +609,7 @@
                 cost: 1,
                 used: 1,
                 time: SECOND,
-                first: Some(first),
+                first_token: Some(first),
             };
             bench.gate.finish(&team, &done);
         }
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -139,7 +139,7 @@
             cost,
             used: cost,
             time,
-            first: first.map(|first| first - self.asked),
+            first_token: first.map(|first| first - self.asked),
         }
     }
 }
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -333,7 +333,7 @@
             cost: self.entrant.cost,
             used: self.used.load(Ordering::Relaxed),
             time: self.admitted.elapsed(),
-            first: *self.first.lock().unwrap_or_else(PoisonError::into_inner),
+            first_token: *self.first.lock().unwrap_or_else(PoisonError::into_inner),
         };
         {
             let mut held = self.gates.held();
--- a/components/measure/src/admission/policy.rs
+++ b/components/measure/src/admission/policy.rs
@@ -127,7 +127,7 @@
                 cost: 1,
                 used: 1,
                 time,
-                first: Some(Duration::from_secs(1)),
+                first_token: Some(Duration::from_secs(1)),
             },
         );
     }
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -255,7 +255,7 @@
                 cost: 500,
                 used: 480,
                 time: Duration::from_millis(10),
-                first: Some(Duration::from_millis(5)),
+                first_token: Some(Duration::from_millis(5)),
             };
             gate.finish(team, &done);
         }
