--- a/components/admission/src/pace.rs
+++ b/components/admission/src/pace.rs
@@ -35,7 +35,7 @@
 impl Pace {
     pub(crate) fn new(settings: &Settings) -> Pace {
         Pace {
-            most: f64::from(settings.start),
+            most: f64::from(settings.initial_limit),
             factor: 1.0,
             usual: settings.usual.as_secs_f64(),
             finished: 0,
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -7,7 +7,7 @@
 pub struct Settings {
     /// Concurrency before any report. Rather too high: an entry that has just begun gets a burst
     /// before it hears of its replicas, and the first report sets it right.
-    pub start: u32,
+    pub initial_limit: u32,
     /// Time of a request before any was finished. Rather too short: then some wait for nothing, and
     /// no longer than their patience; too long, and those are refused that could be served.
     pub usual: Duration,
@@ -34,7 +34,7 @@
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            start: 128,
+            initial_limit: 128,
             usual: Duration::from_secs(1),
             aim: 1.0,
             reserve: 0.1,
--- a/components/measure/src/admission/policy.rs
+++ b/components/measure/src/admission/policy.rs
@@ -64,7 +64,7 @@
         Self {
             policy,
             gate: Gate::new(Settings {
-                start: CAPACITY,
+                initial_limit: CAPACITY,
                 ..Settings::default()
             }),
             running: 0,
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -161,7 +161,7 @@
 
 fn settings(start: u32) -> admission::Settings {
     admission::Settings {
-        start,
+        initial_limit: start,
         teams: 1 << 20,
         ..admission::Settings::default()
     }
