--- a/components/admission/src/pace.rs
+++ b/components/admission/src/pace.rs
@@ -37,7 +37,7 @@
         Pace {
             most: f64::from(settings.initial_limit),
             factor: 1.0,
-            usual: settings.usual.as_secs_f64(),
+            usual: settings.initial_time.as_secs_f64(),
             finished: 0,
             turn: Clock::ZERO,
             begun: 0,
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -10,7 +10,7 @@
     pub initial_limit: u32,
     /// Time of a request before any was finished. Rather too short: then some wait for nothing, and
     /// no longer than their patience; too long, and those are refused that could be served.
-    pub usual: Duration,
+    pub initial_time: Duration,
     /// Share of capacity that is aimed at; the rest is for what other entries do meanwhile.
     pub aim: f64,
     /// Concurrency above the limit that is kept for continuing answers, as a share; at least one.
@@ -35,7 +35,7 @@
     fn default() -> Settings {
         Settings {
             initial_limit: 128,
-            usual: Duration::from_secs(1),
+            initial_time: Duration::from_secs(1),
             aim: 1.0,
             reserve: 0.1,
             first: Duration::from_millis(1900),
--- a/components/admission/tests/gate.rs
+++ b/components/admission/tests/gate.rs
@@ -57,7 +57,7 @@
         Bench::with(
             limit,
             Settings {
-                usual: SECOND,
+                initial_time: SECOND,
                 ..Settings::default()
             },
         )
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -228,7 +228,7 @@
 /// A request through a gate that is at its limit, so that each one waits.
 fn arrive(teams: usize) -> Vec<String> {
     let mut gate = Gate::new(admission::Settings {
-        usual: Duration::from_millis(10),
+        initial_time: Duration::from_millis(10),
         ..settings(100)
     });
     let mut rng = StdRng::seed_from_u64(1);
