--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -16,7 +16,7 @@
     /// Concurrency above the limit that is kept for continuing answers, as a share; at least one.
     pub reserve: f64,
     /// First-token time above which a request counts as late.
-    pub first: Duration,
+    pub first_token_target: Duration,
     /// Share of late requests above which the concurrency is lowered.
     pub late: f64,
     /// Lowest factor that late requests bring the concurrency to.
@@ -38,7 +38,7 @@
             initial_time: Duration::from_secs(1),
             aim: 1.0,
             reserve: 0.1,
-            first: Duration::from_millis(1900),
+            first_token_target: Duration::from_millis(1900),
             late: 0.05,
             lowest: 0.3,
             waiting: 4096,
--- a/components/entry/src/gates.rs
+++ b/components/entry/src/gates.rs
@@ -39,7 +39,7 @@
 
 /// Time to the first token above which a request counts as late.
 pub(crate) fn objective() -> Duration {
-    Settings::default().first
+    Settings::default().first_token_target
 }
 
 /// Part of the concurrency that late first tokens may lower it to: what replicas report is old, and
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -77,7 +77,7 @@
             data_centre,
             placement,
             gate: Gate::new(Settings {
-                first: setup.objective,
+                first_token_target: setup.objective,
                 lowest: 1.0,
                 ..Settings::default()
             }),
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -185,7 +185,7 @@
             .entry(request.service.clone())
             .or_insert_with(|| Line {
                 gate: Gate::new(Settings {
-                    first: request.objective,
+                    first_token_target: request.objective,
                     lowest: request.lowest,
                     ..Settings::default()
                 }),
