--- a/components/admission/src/pace.rs
+++ b/components/admission/src/pace.rs
@@ -70,7 +70,7 @@
         }
         let late = f64::from(self.late) / f64::from(self.begun);
         self.factor = if late > settings.late {
-            (self.factor * STEPS.0).max(settings.lowest)
+            (self.factor * STEPS.0).max(settings.min_factor)
         } else {
             (self.factor + STEPS.1).min(1.0)
         };
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -20,7 +20,7 @@
     /// Share of late requests above which the concurrency is lowered.
     pub late: f64,
     /// Lowest factor that late requests bring the concurrency to.
-    pub lowest: f64,
+    pub min_factor: f64,
     /// Requests that wait, at most.
     pub waiting: usize,
     /// Teams that are known at once, at most.
@@ -40,7 +40,7 @@
             reserve: 0.1,
             first_token_target: Duration::from_millis(1900),
             late: 0.05,
-            lowest: 0.3,
+            min_factor: 0.3,
             waiting: 4096,
             teams: 8192,
             returning: 0.5,
--- a/components/entry/src/gates.rs
+++ b/components/entry/src/gates.rs
@@ -45,7 +45,7 @@
 /// Part of the concurrency that late first tokens may lower it to: what replicas report is old, and
 /// late tokens show queues that no report does.
 pub(crate) fn lowest() -> f64 {
-    Settings::default().lowest
+    Settings::default().min_factor
 }
 
 impl Gates {
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -78,7 +78,7 @@
             placement,
             gate: Gate::new(Settings {
                 first_token_target: setup.objective,
-                lowest: 1.0,
+                min_factor: 1.0,
                 ..Settings::default()
             }),
             waiting: HashMap::new(),
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -186,7 +186,7 @@
             .or_insert_with(|| Line {
                 gate: Gate::new(Settings {
                     first_token_target: request.objective,
-                    lowest: request.lowest,
+                    min_factor: request.lowest,
                     ..Settings::default()
                 }),
                 waiting: HashMap::new(),
