--- a/components/admission/src/gate.rs
+++ b/components/admission/src/gate.rs
@@ -105,7 +105,7 @@
 
     /// Decides on an arrival.
     pub fn arrive(&mut self, now: Clock, arrival: &Arrival, rng: &mut impl Rng) -> Verdict {
-        let most = self.settings.teams;
+        let most = self.settings.max_teams;
         let Some(team) = self.teams.take(now, arrival.team, arrival.limit, most) else {
             // The table is full of teams with work.
             return Verdict::Refuse {
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -24,7 +24,7 @@
     /// Requests that wait, at most.
     pub waiting: usize,
     /// Teams that are known at once, at most.
-    pub teams: usize,
+    pub max_teams: usize,
     /// Share of the finished work's rate that refused callers are asked to come back at.
     pub returning: f64,
     /// Shortest and longest time that a refused caller is asked to wait.
@@ -42,7 +42,7 @@
             late: 0.05,
             min_factor: 0.3,
             waiting: 4096,
-            teams: 8192,
+            max_teams: 8192,
             returning: 0.5,
             come_back: (Duration::from_millis(500), Duration::from_secs(60)),
         }
--- a/components/admission/tests/gate.rs
+++ b/components/admission/tests/gate.rs
@@ -555,7 +555,7 @@
     let mut bench = Bench::with(
         100,
         Settings {
-            teams: 10,
+            max_teams: 10,
             ..Settings::default()
         },
     );
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -162,7 +162,7 @@
 fn settings(start: u32) -> admission::Settings {
     admission::Settings {
         initial_limit: start,
-        teams: 1 << 20,
+        max_teams: 1 << 20,
         ..admission::Settings::default()
     }
 }
