--- a/components/routing/src/cache.rs
+++ b/components/routing/src/cache.rs
@@ -71,7 +71,7 @@
         if self.holders.len() > known {
             self.order.push_back(prefix);
         }
-        while self.order.len() > settings.prefixes {
+        while self.order.len() > settings.max_prefixes {
             if let Some(gone) = self.order.pop_front() {
                 self.holders.remove(&gone);
             }
@@ -101,9 +101,9 @@
             }
             let doubted = holder.seen < member.doubt;
             let time = if doubted {
-                settings.doubted
+                settings.doubtful_prefix_ttl
             } else {
-                settings.cached
+                settings.prefix_ttl
             };
             (now.saturating_sub(holder.seen) < time).then_some(holder.member)
         })
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -63,7 +63,7 @@
         let best = near.and_then(|group| self.pick(now, group, ask, rng));
         let load = best.map(|number| self.members[number].load() / self.capacity(number));
         if let (Some(number), Some(load)) = (best, load)
-            && load < self.settings.spill
+            && load < self.settings.spill_load
         {
             return Choice::Server(self.members[number].server.clone());
         }
@@ -129,7 +129,7 @@
             }
         }
         let staying = usable.len() + out.len();
-        let least = (staying as f64 * self.settings.floor).ceil() as usize;
+        let least = (staying as f64 * self.settings.min_usable_share).ceil() as usize;
         if usable.len() >= least {
             return usable;
         }
@@ -150,10 +150,10 @@
         let scores: Vec<f64> = open.iter().map(score).collect();
         let mean = scores.iter().sum::<f64>() / open.len().max(1) as f64;
         // Near its capacity a replica would be full before its next report tells.
-        let bound = (mean * self.settings.bound).min(mean.max(self.settings.keep));
+        let bound = (mean * self.settings.affinity_bound).min(mean.max(self.settings.affinity_load));
         let mut fitting = Vec::with_capacity(open.len());
         for (number, score) in open.iter().zip(scores) {
-            if score <= bound + self.settings.slack / self.capacity(*number) {
+            if score <= bound + self.settings.affinity_slack / self.capacity(*number) {
                 fitting.push(*number);
             }
         }
@@ -161,7 +161,7 @@
             .cache
             .holders(now, prefix, &self.members, &self.settings);
         let mut found: Vec<usize> = holders.filter(|number| fitting.contains(number)).collect();
-        let missing = self.settings.affine.saturating_sub(found.len());
+        let missing = self.settings.affine_replicas.saturating_sub(found.len());
         fitting.retain(|number| !found.contains(number));
         found.extend(self.first(prefix, fitting, missing));
         found
@@ -221,9 +221,9 @@
         near: Option<f64>,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
-        let bound = near.unwrap_or(f64::INFINITY) - self.settings.margin;
+        let bound = near.unwrap_or(f64::INFINITY) - self.settings.spill_margin;
         let mut open = self.far_loads(now, ask);
-        open.retain(|(load, _)| *load < self.settings.full && *load < bound);
+        open.retain(|(load, _)| *load < self.settings.full_load && *load < bound);
         let mut best: Option<(f64, &DataCentre)> = None;
         for _ in 0..open.len().min(2) {
             let drawn = open.swap_remove(rng.random_range(0..open.len()));
--- a/components/routing/src/member.rs
+++ b/components/routing/src/member.rs
@@ -197,7 +197,7 @@
         self.release(now);
         match outcome {
             Outcome::Served { .. } => {
-                self.served.add(now, settings.memory, 1.0);
+                self.served.add(now, settings.failure_half_life, 1.0);
                 self.row = 0;
                 if self.ejected_until <= now {
                     self.ejections = 0;
@@ -205,7 +205,7 @@
                 }
             }
             Outcome::Failed => {
-                self.failed.add(now, settings.memory, 1.0);
+                self.failed.add(now, settings.failure_half_life, 1.0);
                 self.phantom.add(now, usual, 1.0);
                 self.row += 1;
             }
@@ -259,7 +259,7 @@
 
     pub(crate) fn capacity(&self, settings: &Settings) -> f64 {
         let capacity = match self.load.capacity {
-            0 => settings.assumed,
+            0 => settings.assumed_capacity,
             capacity => capacity,
         };
         f64::from(capacity.max(1))
@@ -283,7 +283,7 @@
     }
 
     pub(crate) fn full(&self, now: Clock, settings: &Settings) -> bool {
-        self.full_until > now || self.load() >= settings.full * self.capacity(settings)
+        self.full_until > now || self.load() >= settings.full_load * self.capacity(settings)
     }
 
     /// Out because of failures: ejected, or back with its one request for trial under way.
@@ -292,8 +292,8 @@
     }
 
     pub(crate) fn counts(&self, now: Clock, settings: &Settings) -> (f64, f64) {
-        let served = self.served.get(now, settings.memory);
-        (served, self.failed.get(now, settings.memory))
+        let served = self.served.get(now, settings.failure_half_life);
+        (served, self.failed.get(now, settings.failure_half_life))
     }
 
     /// How bad it looks, for the order in which replicas are taken back.
@@ -312,16 +312,16 @@
         }
         let (served, failed) = self.counts(now, settings);
         let share = failed / (served + failed).max(f64::MIN_POSITIVE);
-        let many = failed >= settings.least - 0.5 && share >= settings.failures;
+        let many = failed >= settings.min_failures - 0.5 && share >= settings.max_failure_share;
         let stands_out = share >= 2.0 * others;
-        let row = self.row >= settings.row && others < 0.5;
+        let row = self.row >= settings.max_consecutive_failures && others < 0.5;
         let sudden = self.sudden >= SUDDEN;
         let on_trial = self.ejections > 0;
         if !(row || sudden || on_trial || many && stands_out) {
             return;
         }
         let doubled = 1 << self.ejections.min(8);
-        let time = (settings.eject * doubled).min(settings.eject_most);
+        let time = (settings.first_ejection * doubled).min(settings.max_ejection);
         self.ejections += 1;
         self.ejected_until = now + time;
         self.proved = false;
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -77,7 +77,7 @@
     }
 
     /// Takes work away that was added before.
-    pub fn take(&mut self, other: Work) {
+    pub fn subtract(&mut self, other: Work) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.tokens = self.tokens.saturating_sub(other.tokens);
         self.unread = self.unread.saturating_sub(other.unread);
@@ -158,7 +158,7 @@
     }
 
     /// Whether a server is known.
-    pub fn knows(&self, server: &Server) -> bool {
+    pub fn contains(&self, server: &Server) -> bool {
         self.candidates.contains_key(server)
     }
 
@@ -260,7 +260,7 @@
         let Some(candidate) = self.candidates.get_mut(server) else {
             return;
         };
-        candidate.own.take(work);
+        candidate.own.subtract(work);
         let usual = Duration::from_secs(1);
         candidate.member.done(now, outcome, usual, &self.settings);
         let answers = matches!(outcome, Outcome::Served { .. } | Outcome::Failed);
@@ -335,7 +335,7 @@
         let loads = self.peers.entry(peer).or_default();
         let before = loads.insert(server.clone(), work).unwrap_or_default();
         if let Some(candidate) = self.candidates.get_mut(server) {
-            candidate.peers.take(before);
+            candidate.peers.subtract(before);
             candidate.peers.add(work);
         }
     }
@@ -350,7 +350,7 @@
     pub fn forget_peer(&mut self, peer: Peer) {
         for (server, work) in self.peers.remove(&peer).unwrap_or_default() {
             if let Some(candidate) = self.candidates.get_mut(&server) {
-                candidate.peers.take(work);
+                candidate.peers.subtract(work);
             }
         }
     }
--- a/components/routing/src/pool.rs
+++ b/components/routing/src/pool.rs
@@ -236,14 +236,14 @@
     }
 
     /// Notes that work was sent to another data centre.
-    pub fn sent_elsewhere(&mut self, now: Clock, place: &Deployment) {
+    pub fn sent_remote(&mut self, now: Clock, place: &Deployment) {
         if let Some(far) = self.far_mut(place) {
             far.sent(now);
         }
     }
 
     /// Notes that work sent to another data centre has ended.
-    pub fn done_elsewhere(&mut self, now: Clock, place: &Deployment) {
+    pub fn done_remote(&mut self, now: Clock, place: &Deployment) {
         if let Some(far) = self.far_mut(place) {
             far.done(now);
         }
--- a/components/routing/tests/failures.rs
+++ b/components/routing/tests/failures.rs
@@ -25,8 +25,8 @@
 /// Settings under which nothing is ejected.
 fn never() -> Settings {
     Settings {
-        failures: 2.0,
-        row: u32::MAX,
+        max_failure_share: 2.0,
+        max_consecutive_failures: u32::MAX,
         ..Settings::default()
     }
 }
--- a/components/routing/tests/load.rs
+++ b/components/routing/tests/load.rs
@@ -276,13 +276,13 @@
         let Choice::Remote(data_centre) = bench.choose(None) else {
             break;
         };
-        bench.pool.sent_elsewhere(bench.now, &place(&data_centre));
+        bench.pool.sent_remote(bench.now, &place(&data_centre));
         *counts.entry(data_centre).or_default() += 1;
     }
     assert!(counts["a"].abs_diff(counts["b"]) <= 1, "{counts:?}");
     assert!(counts["a"] <= 50, "{counts:?}");
-    bench.pool.done_elsewhere(bench.now, &place("a"));
-    bench.pool.done_elsewhere(bench.now, &place("a"));
+    bench.pool.done_remote(bench.now, &place("a"));
+    bench.pool.done_remote(bench.now, &place("a"));
     assert_matches!(bench.choose(None), Choice::Remote(_));
 }
 
--- a/components/routing/tests/prefixes.rs
+++ b/components/routing/tests/prefixes.rs
@@ -159,7 +159,7 @@
     let mut bench = Bench::new(
         10,
         Settings {
-            prefixes: 100,
+            max_prefixes: 100,
             ..Settings::default()
         },
         1,
