--- a/components/admission/src/gate.rs
+++ b/components/admission/src/gate.rs
@@ -97,7 +97,7 @@
 
     /// Takes what the replicas report. What is free is shared evenly with the other entries.
     pub fn report(&mut self, report: Report) {
-        let aim = f64::from(report.capacity) * self.settings.aim;
+        let aim = f64::from(report.capacity) * self.settings.target_utilization;
         let free = aim - f64::from(report.load);
         let share = free / f64::from(report.entries.max(1));
         self.pace.learn(f64::from(self.running) + share);
@@ -110,7 +110,7 @@
             // The table is full of teams with work.
             return Verdict::Refuse {
                 reason: Reason::Full,
-                retry_after: self.settings.come_back.1,
+                retry_after: self.settings.retry_after.1,
             };
         };
         if arrival.resume {
@@ -204,7 +204,7 @@
 
     fn bound_of_resumes(&self) -> f64 {
         let limit = self.pace.limit();
-        limit + (limit * self.settings.reserve).max(1.0)
+        limit + (limit * self.settings.resume_reserve).max(1.0)
     }
 
     /// Continuations go before all new work, and no team's limits hold them up: the answer that
@@ -220,7 +220,7 @@
             self.admit_resume(team, arrival.cost);
             return Verdict::Admit;
         }
-        if self.resumes.len() >= self.settings.waiting {
+        if self.resumes.len() >= self.settings.max_waiting {
             return self.refuse(now, team, Reason::Full, rng);
         }
         let ticket = self.ticket(now, None, team, arrival);
@@ -246,7 +246,7 @@
     fn fits(&self, patience: Duration) -> bool {
         let all = self.waiting.len() as f64 + 1.0;
         let wait = all / self.pace.rate();
-        wait <= patience.as_secs_f64() && self.waiting.len() < self.settings.waiting
+        wait <= patience.as_secs_f64() && self.waiting.len() < self.settings.max_waiting
     }
 
     /// Makes room by refusing the request that would be served last, if the new one would be
@@ -372,7 +372,7 @@
         let member = &self.teams[team];
         let weights = self.order.weight().max(member.weight());
         let share = member.weight() as f64 / weights as f64;
-        let mut rate = self.pace.rate() * share * self.settings.returning;
+        let mut rate = self.pace.rate() * share * self.settings.retry_share;
         if member.limit.rate > 0 {
             rate = rate.min(f64::from(member.limit.rate));
         }
--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -24,7 +24,7 @@
 };
 pub use quota::{
     Bound,
-    Others,
+    Peers,
     Purpose,
     Quota,
     Totals, //
--- a/components/admission/src/pace.rs
+++ b/components/admission/src/pace.rs
@@ -69,7 +69,7 @@
             return;
         }
         let late = f64::from(self.late) / f64::from(self.begun);
-        self.factor = if late > settings.late {
+        self.factor = if late > settings.max_late_share {
             (self.factor * STEPS.0).max(settings.min_factor)
         } else {
             (self.factor + STEPS.1).min(1.0)
--- a/components/admission/src/quota.rs
+++ b/components/admission/src/quota.rs
@@ -54,12 +54,12 @@
 
 /// What the other entries sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Others {
+pub struct Peers {
     /// Their sums.
     pub totals: Totals,
     /// Part of all entries whose sums are known, this one's among them. What the others may have
     /// sent is left to them.
-    pub known: f64,
+    pub coverage: f64,
     /// Retries that they are taken to have sent since they told their sums.
     pub unreported: f64,
 }
@@ -84,11 +84,11 @@
     }
 
     /// Takes a retry out of the quota, if there is one left over all entries.
-    pub fn retry(&mut self, now: Clock, bound: &Bound, others: Others, purpose: Purpose) -> bool {
+    pub fn retry(&mut self, now: Clock, bound: &Bound, others: Peers, purpose: Purpose) -> bool {
         let own = self.totals(now, bound);
         let requests = own.requests + others.totals.requests;
         let retries = own.retries + others.totals.retries;
-        let slack = bound.slack * others.known.clamp(0.0, 1.0);
+        let slack = bound.slack * others.coverage.clamp(0.0, 1.0);
         let mut allowed = (bound.ratio * f64::from(requests) + slack) * USED;
         if purpose == Purpose::First {
             allowed *= FIRST;
--- a/components/admission/src/retries.rs
+++ b/components/admission/src/retries.rs
@@ -18,7 +18,7 @@
 
 use crate::quota::{
     Bound,
-    Others,
+    Peers,
     Purpose,
     Quota,
     Totals, //
@@ -77,7 +77,7 @@
     }
 
     /// What the others sent, as far as it is known or has to be assumed.
-    pub fn others(&self, known: f64) -> Others {
+    pub fn others(&self, known: f64) -> Peers {
         let mut totals = Totals::default();
         let mut near = 1;
         let mut unheard = 0;
@@ -91,9 +91,9 @@
         }
         // For each entry elsewhere, as many as one of the data centre's sent.
         let unheard = f64::from(unheard) / f64::from(near);
-        Others {
+        Peers {
             totals,
-            known,
+            coverage: known,
             unreported: unheard,
         }
     }
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -12,23 +12,23 @@
     /// no longer than their patience; too long, and those are refused that could be served.
     pub initial_time: Duration,
     /// Share of capacity that is aimed at; the rest is for what other entries do meanwhile.
-    pub aim: f64,
+    pub target_utilization: f64,
     /// Concurrency above the limit that is kept for continuing answers, as a share; at least one.
-    pub reserve: f64,
+    pub resume_reserve: f64,
     /// First-token time above which a request counts as late.
     pub first_token_target: Duration,
     /// Share of late requests above which the concurrency is lowered.
-    pub late: f64,
+    pub max_late_share: f64,
     /// Lowest factor that late requests bring the concurrency to.
     pub min_factor: f64,
     /// Requests that wait, at most.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// Teams that are known at once, at most.
     pub max_teams: usize,
     /// Share of the finished work's rate that refused callers are asked to come back at.
-    pub returning: f64,
+    pub retry_share: f64,
     /// Shortest and longest time that a refused caller is asked to wait.
-    pub come_back: (Duration, Duration),
+    pub retry_after: (Duration, Duration),
 }
 
 impl Default for Settings {
@@ -36,15 +36,15 @@
         Settings {
             initial_limit: 128,
             initial_time: Duration::from_secs(1),
-            aim: 1.0,
-            reserve: 0.1,
+            target_utilization: 1.0,
+            resume_reserve: 0.1,
             first_token_target: Duration::from_millis(1900),
-            late: 0.05,
+            max_late_share: 0.05,
             min_factor: 0.3,
-            waiting: 4096,
+            max_waiting: 4096,
             max_teams: 8192,
-            returning: 0.5,
-            come_back: (Duration::from_millis(500), Duration::from_secs(60)),
+            retry_share: 0.5,
+            retry_after: (Duration::from_millis(500), Duration::from_secs(60)),
         }
     }
 }
--- a/components/admission/src/team.rs
+++ b/components/admission/src/team.rs
@@ -131,7 +131,7 @@
         settings: &Settings,
         rng: &mut impl Rng,
     ) -> Duration {
-        let (least, most) = settings.come_back;
+        let (least, most) = settings.retry_after;
         let gap = Duration::from_secs_f64((1.0 / rate.max(0.001)).min(most.as_secs_f64()));
         self.next = self.next.clamp(now + least, now + most);
         let jitter = gap.max(least).mul_f64(rng.random_range(0.0..1.0));
--- a/components/admission/tests/quota.rs
+++ b/components/admission/tests/quota.rs
@@ -4,7 +4,7 @@
 
 use admission::{
     Bound,
-    Others,
+    Peers,
     Purpose,
     Quota,
     Totals, //
@@ -19,7 +19,7 @@
 const ENTRIES: usize = 28;
 
 /// What the other entries sent, as it was known a moment ago.
-fn others(told: &[Totals], own: usize) -> Others {
+fn others(told: &[Totals], own: usize) -> Peers {
     let mut totals = Totals::default();
     for (entry, sums) in told.iter().enumerate() {
         if entry == own {
@@ -28,19 +28,19 @@
         totals.requests += sums.requests;
         totals.retries += sums.retries;
     }
-    Others {
+    Peers {
         totals,
-        known: 1.0,
+        coverage: 1.0,
         unreported: 0.0,
     }
 }
 
-const ALONE: Others = Others {
+const ALONE: Peers = Peers {
     totals: Totals {
         requests: 0,
         retries: 0,
     },
-    known: 1.0,
+    coverage: 1.0,
     unreported: 0.0,
 };
 
@@ -110,8 +110,8 @@
     let mut quota = Quota::default();
     let now = Duration::from_secs(1);
     let mut retries = 0;
-    let others = Others {
-        known: 1.0 / ENTRIES as f64,
+    let others = Peers {
+        coverage: 1.0 / ENTRIES as f64,
         ..ALONE
     };
     while quota.retry(now, &BOUND, others, Purpose::Resume) {
