--- a/components/admission/src/gate.rs
+++ b/components/admission/src/gate.rs
@@ -137,8 +137,11 @@
     /// Notes that a request of the team has ended.
     pub fn finish(&mut self, team: &Team, done: &Done) {
         self.running = self.running.saturating_sub(1);
-        self.pace
-            .finished(done.time, done.first_token, self.settings.first_token_target);
+        self.pace.finished(
+            done.time,
+            done.first_token,
+            self.settings.first_token_target,
+        );
         let Some(number) = self.teams.number(team, done.priority) else {
             return;
         };
--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -39,8 +39,8 @@
     Verdict, //
 };
 pub use retries::{
-    Retries,
-    Counts, //
+    Counts,
+    Retries, //
 };
 pub use settings::Settings;
 pub use team::Limit;
--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -77,7 +77,9 @@
             (Some(timeout), Some(left)) => timeout.saturating_sub(left),
             _ => Duration::ZERO,
         };
-        let patience = self.objective.checked_sub(spent + engine_time(self.objective))?;
+        let patience = self
+            .objective
+            .checked_sub(spent + engine_time(self.objective))?;
         Some(Wait {
             in_time: true,
             limit: self.limit(true),
@@ -92,7 +94,9 @@
             (None, None) => self.objective,
         };
         let part = left.mul_f64(LATE);
-        let spare = self.expected.map_or(part, |usual| left.saturating_sub(usual));
+        let spare = self
+            .expected
+            .map_or(part, |usual| left.saturating_sub(usual));
         Wait {
             in_time: false,
             limit: self.limit(false),
--- a/components/admission/tests/retries.rs
+++ b/components/admission/tests/retries.rs
@@ -4,9 +4,9 @@
 
 use admission::{
     Bound,
+    Counts,
     Purpose,
-    Retries,
-    Counts, //
+    Retries, //
 };
 use names::Clock;
 use rand::{
--- a/components/entry/src/pool.rs
+++ b/components/entry/src/pool.rs
@@ -20,12 +20,12 @@
     rngs::SmallRng, //
 };
 use routing::{
-    Request,
     Choice,
-    Outcome,
     Deployment,
+    Outcome,
     Prefix,
-    Report, //
+    Report,
+    Request, //
 };
 use tokio::{
     sync::watch,
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -395,7 +395,9 @@
                 continue;
             }
             let placement = &self.entries[entry].placement;
-            work.unread -= placement.cached_tokens(self.now, &parts, &server).min(work.unread);
+            work.unread -= placement
+                .cached_tokens(self.now, &parts, &server)
+                .min(work.unread);
             self.place(id, &server, work);
             return;
         }
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -29,8 +29,8 @@
     placement::{
         Choice,
         Request,
-        Versions,
         Score,
+        Versions,
         Work, //
     }, //
 };
@@ -271,7 +271,9 @@
 
     /// Time that a first event of work that was just sent usually takes; 0 when nothing is known.
     pub fn expected(&self, chosen: &Chosen) -> Duration {
-        self.placement.queued_read_time(&chosen.server).unwrap_or_default()
+        self.placement
+            .queued_read_time(&chosen.server)
+            .unwrap_or_default()
     }
 
     /// The same at a server of the same service that has nothing else to read.
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -134,7 +134,8 @@
                 continue;
             };
             let at = now.saturating_sub(Duration::from_millis(u64::from(loss.age_ms)));
-            self.placement.record_peer_loss(at, server, heard(loss.suspicion));
+            self.placement
+                .record_peer_loss(at, server, heard(loss.suspicion));
         }
     }
 
--- a/components/gateway/src/quotas.rs
+++ b/components/gateway/src/quotas.rs
@@ -7,9 +7,9 @@
 
 use admission::{
     Bound,
+    Counts,
     Purpose,
     Retries,
-    Counts,
     Totals, //
 };
 use events::{
--- a/components/gateway/src/stream/place.rs
+++ b/components/gateway/src/stream/place.rs
@@ -164,7 +164,11 @@
         }
         let left = self.call.until.saturating_duration_since(Instant::now());
         let after = self.sequence.last().unwrap_or(0);
-        let rest = self.context.outlook.borrow().remaining_time(&self.call.route, after);
+        let rest = self
+            .context
+            .outlook
+            .borrow()
+            .remaining_time(&self.call.route, after);
         let Some(rest) = rest else {
             return true;
         };
--- a/components/measure/src/routing/policy.rs
+++ b/components/measure/src/routing/policy.rs
@@ -8,13 +8,13 @@
 };
 use rand::rngs::StdRng;
 use routing::{
-    Request,
     Choice,
+    Deployment,
     Event,
     Outcome,
-    Deployment,
     Pool,
     Report,
+    Request,
     Settings, //
 };
 
@@ -155,11 +155,13 @@
             leaving: false,
             age,
         };
-        self.pool.record_report(now, &self.servers[replica], &report);
+        self.pool
+            .record_report(now, &self.servers[replica], &report);
     }
 
     pub fn cached(&mut self, now: Clock, replica: usize, event: Event) {
-        self.pool.record_cache_event(now, &self.servers[replica], event);
+        self.pool
+            .record_cache_event(now, &self.servers[replica], event);
     }
 
     pub fn gone(&mut self, replica: usize) {
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -21,12 +21,12 @@
     rngs::StdRng, //
 };
 use routing::{
-    Request,
     Choice,
-    Outcome,
     Deployment,
+    Outcome,
     Pool,
-    Report, //
+    Report,
+    Request, //
 };
 
 use crate::table;
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -150,7 +150,8 @@
         let scores: Vec<f64> = open.iter().map(score).collect();
         let mean = scores.iter().sum::<f64>() / open.len().max(1) as f64;
         // Near its capacity a replica would be full before its next report tells.
-        let bound = (mean * self.settings.affinity_bound).min(mean.max(self.settings.affinity_load));
+        let bound =
+            (mean * self.settings.affinity_bound).min(mean.max(self.settings.affinity_load));
         let mut fitting = Vec::with_capacity(open.len());
         for (number, score) in open.iter().zip(scores) {
             if score <= bound + self.settings.affinity_slack / self.capacity(*number) {
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -20,8 +20,8 @@
     Kind, //
 };
 pub use choose::{
-    Request,
-    Choice, //
+    Choice,
+    Request, //
 };
 pub use far::Summary;
 pub use member::{
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -36,9 +36,9 @@
 
 pub use choice::{
     Choice,
-    Request, //
-    Versions,
+    Request,
     Score,
+    Versions, //
 };
 pub use suspicion::Suspicion;
 
@@ -190,7 +190,14 @@
 
     /// Notes that a prompt was read, `time` after it was sent, when `ahead` tokens were to be read
     /// at its server.
-    pub fn record_read(&mut self, now: Clock, server: &Server, tokens: u64, ahead: u64, time: Duration) {
+    pub fn record_read(
+        &mut self,
+        now: Clock,
+        server: &Server,
+        tokens: u64,
+        ahead: u64,
+        time: Duration,
+    ) {
         let Some(candidate) = self.candidates.get_mut(server) else {
             return;
         };
--- a/components/routing/src/placement/candidate.rs
+++ b/components/routing/src/placement/candidate.rs
@@ -11,8 +11,8 @@
 
 use super::{
     FEW,
-    Spec,
     Request,
+    Spec,
     Suspicion,
     Work,
     suspicion::Domain, //
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -14,13 +14,13 @@
     rngs::StdRng, //
 };
 use routing::{
-    Request,
     Choice,
-    Outcome,
     Deployment,
+    Outcome,
     Pool,
     Prefix,
     Report,
+    Request,
     Settings, //
 };
 
--- a/components/routing/tests/load.rs
+++ b/components/routing/tests/load.rs
@@ -250,7 +250,9 @@
     let mut bench = Bench::new(2, Settings::default(), 1);
     if let Some(far) = far {
         let summary = summary(far);
-        bench.pool.record_summary(bench.now, &place("far"), &summary);
+        bench
+            .pool
+            .record_summary(bench.now, &place("far"), &summary);
     }
     bench.pass(Duration::from_secs(since));
     for number in 0..2 {
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -14,8 +14,8 @@
 use routing::{
     Outcome, Placement,
     placement::{
-        Spec,
         Request,
+        Spec,
         Suspicion,
         Versions,
         Work, //
--- a/components/routing/tests/prefixes.rs
+++ b/components/routing/tests/prefixes.rs
@@ -111,7 +111,9 @@
     let stranger = stranger(1);
     let mut bench = Bench::new(10, Settings::default(), 1);
     for event in events {
-        bench.pool.record_cache_event(bench.now, &name(stranger), *event);
+        bench
+            .pool
+            .record_cache_event(bench.now, &name(stranger), *event);
     }
     bench.pass(Duration::from_secs(later));
     assert_eq!(share(&mut bench, stranger) > 0.2, known);
@@ -125,13 +127,17 @@
     let stranger = stranger(1);
     let mut bench = Bench::new(10, Settings::default(), 1);
     let stored = event(1, Kind::Stored);
-    bench.pool.record_cache_event(bench.now, &name(stranger), stored);
+    bench
+        .pool
+        .record_cache_event(bench.now, &name(stranger), stored);
     bench.pass(Duration::from_secs(1));
     let other = Event {
         prefix: 7,
         ..event(seq, Kind::Stored)
     };
-    bench.pool.record_cache_event(bench.now, &name(stranger), other);
+    bench
+        .pool
+        .record_cache_event(bench.now, &name(stranger), other);
     bench.pass(Duration::from_secs(later));
     assert_eq!(share(&mut bench, stranger) > 0.2, known);
 }
@@ -141,15 +147,21 @@
     let stranger = stranger(1);
     let mut bench = Bench::new(10, Settings::default(), 1);
     let stored = event(9, Kind::Stored);
-    bench.pool.record_cache_event(bench.now, &name(stranger), stored);
+    bench
+        .pool
+        .record_cache_event(bench.now, &name(stranger), stored);
     bench.pass(Duration::from_secs(1));
     bench.pool.remove(&name(stranger));
-    bench.pool.insert(bench.now, &name(stranger), &place("near"));
+    bench
+        .pool
+        .insert(bench.now, &name(stranger), &place("near"));
     bench.report(stranger, report(0));
     assert!(share(&mut bench, stranger) < 0.2);
     // Its numbers begin anew.
     let stored = event(1, Kind::Stored);
-    bench.pool.record_cache_event(bench.now, &name(stranger), stored);
+    bench
+        .pool
+        .record_cache_event(bench.now, &name(stranger), stored);
     assert!(share(&mut bench, stranger) > 0.2);
 }
 
@@ -165,7 +177,9 @@
         1,
     );
     let stored = event(1, Kind::Stored);
-    bench.pool.record_cache_event(bench.now, &name(stranger), stored);
+    bench
+        .pool
+        .record_cache_event(bench.now, &name(stranger), stored);
     for prefix in 0..100 {
         bench.pool.sent(bench.now, &name(0), Some(prefix));
         bench.serve(&name(0));
