--- a/components/routing/src/cache.rs
+++ b/components/routing/src/cache.rs
@@ -1,4 +1,4 @@
-//! Where prefixes are believed to be cached.
+//! Index of the replicas that are assumed to cache each prefix.
 
 use std::collections::{
     HashMap,
@@ -13,78 +13,86 @@
     member::Member, //
 };
 
-/// Replicas remembered for a prefix.
-const HOLDERS: usize = 4;
+const MAX_HOLDERS_PER_PREFIX: usize = 4;
 
-/// What happened to a prefix in a replica's cache.
+/// Type of a cache event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It is cached now.
+    /// The replica stored the prefix.
     Stored,
-    /// It is no longer cached.
+    /// The replica evicted the prefix.
     Evicted,
 }
 
-/// A cache event. Events come late, and some never come.
+/// A cache event of a replica. Events can be delayed or lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Number, one up each event of a replica.
+    /// Sequence number; a replica increments it by one for each event.
     pub seq: u64,
-    /// What happened.
+    /// Type of the event.
     pub kind: Kind,
-    /// To which prefix.
+    /// Prefix that was stored or evicted.
     pub prefix: Prefix,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     member: usize,
-    seen: Clock,
+    last_seen: Clock,
 }
 
-/// Which members hold which prefixes. It is a hint: a wrong one costs a prompt read anew, never
-/// more.
+/// Members that hold each prefix. The index is a hint: a wrong entry costs one repeated prefill and
+/// nothing else.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cache {
     holders: HashMap<Prefix, Vec<Holder>>,
-    /// Prefixes in the order in which they came.
-    order: VecDeque<Prefix>,
+    /// Prefixes, the oldest first.
+    insertion_order: VecDeque<Prefix>,
 }
 
 impl Cache {
-    pub(crate) fn seen(&mut self, now: Clock, prefix: Prefix, member: usize, settings: &Settings) {
-        let known = self.holders.len();
+    pub(crate) fn insert(
+        &mut self,
+        now: Clock,
+        prefix: Prefix,
+        member: usize,
+        settings: &Settings,
+    ) {
+        let count = self.holders.len();
         let holders = self.holders.entry(prefix).or_default();
         match holders.iter_mut().find(|holder| holder.member == member) {
-            Some(holder) => holder.seen = now,
+            Some(holder) => holder.last_seen = now,
             None => {
-                if holders.len() >= HOLDERS {
-                    // The one seen longest ago is the least likely to have it still.
-                    let oldest = holders.iter().enumerate().min_by_key(|(_, h)| h.seen);
+                if holders.len() >= MAX_HOLDERS_PER_PREFIX {
+                    // The least recently seen holder is the most likely to have evicted it.
+                    let oldest = holders.iter().enumerate().min_by_key(|(_, h)| h.last_seen);
                     if let Some((oldest, _)) = oldest {
                         holders.swap_remove(oldest);
                     }
                 }
-                holders.push(Holder { member, seen: now });
+                holders.push(Holder {
+                    member,
+                    last_seen: now,
+                });
             }
         }
-        if self.holders.len() > known {
-            self.order.push_back(prefix);
+        if self.holders.len() > count {
+            self.insertion_order.push_back(prefix);
         }
-        while self.order.len() > settings.max_prefixes {
-            if let Some(gone) = self.order.pop_front() {
-                self.holders.remove(&gone);
+        while self.insertion_order.len() > settings.max_prefixes {
+            if let Some(oldest) = self.insertion_order.pop_front() {
+                self.holders.remove(&oldest);
             }
         }
     }
 
-    pub(crate) fn gone(&mut self, prefix: Prefix, member: usize) {
+    pub(crate) fn remove(&mut self, prefix: Prefix, member: usize) {
         if let Some(holders) = self.holders.get_mut(&prefix) {
             holders.retain(|holder| holder.member != member);
         }
     }
 
-    /// Members that are believed to hold the prefix.
+    /// Returns the members that are assumed to hold the prefix.
     pub(crate) fn holders(
         &self,
         now: Clock,
@@ -95,17 +103,18 @@
         let holders = self.holders.get(&prefix).map_or(&[][..], Vec::as_slice);
         holders.iter().filter_map(move |holder| {
             let member = members.get(holder.member)?;
-            // Whatever was seen before it joined is about another process of that place.
-            if holder.seen < member.since {
+            // Events from before the member joined refer to a previous process under the same
+            // number.
+            if holder.last_seen < member.joined_at {
                 return None;
             }
-            let doubted = holder.seen < member.doubt;
-            let time = if doubted {
+            let is_doubtful = holder.last_seen < member.cache_doubtful_before;
+            let ttl = if is_doubtful {
                 settings.doubtful_prefix_ttl
             } else {
                 settings.prefix_ttl
             };
-            (now.saturating_sub(holder.seen) < time).then_some(holder.member)
+            (now.saturating_sub(holder.last_seen) < ttl).then_some(holder.member)
         })
     }
 }
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,17 +1,18 @@
-//! Replica choice: load, prefix affinity, ejection, data centres.
+//! Replica selection: load balancing, prefix affinity, outlier ejection and data centres.
 //!
-//! [`Pool`] is a plain state machine. Its driver tells it which backend servers there are, what
-//! they report, what was sent and what came of it, and asks it for a server for each piece of
-//! work. `docs/design/routing.md` gives the reasons and the figures.
+//! [`Pool`] is a state machine without I/O. Its driver reports the known backend servers, their
+//! load reports, the work sent and its outcomes, and asks it for a server for each piece of work.
+//! [`Placement`] chooses backend servers that entries reach directly. `docs/design/routing.md`
+//! gives the reasons and the figures.
 
 mod cache;
 mod choose;
 mod decay;
-mod far;
 mod member;
 pub mod placement;
 mod pool;
 mod prompts;
+mod remote;
 mod settings;
 pub mod subset;
 
@@ -23,7 +24,6 @@
     Choice,
     Request, //
 };
-pub use far::Summary;
 pub use member::{
     Outcome,
     Report, //
@@ -37,7 +37,8 @@
     Part,
     Prompts, //
 };
+pub use remote::Summary;
 pub use settings::Settings;
 
-/// Hash of the first bytes of a prompt, as cache events give it.
+/// Hash of the first bytes of a prompt, as cache events report it.
 pub type Prefix = u64;
--- a/components/routing/src/member.rs
+++ b/components/routing/src/member.rs
@@ -1,4 +1,4 @@
-//! One replica: its load as it can be estimated, and its failures.
+//! State of one replica: its estimated load and its failures.
 
 use std::{
     collections::VecDeque,
@@ -15,107 +15,108 @@
     decay::Decay, //
 };
 
-/// Levels of own load that are remembered.
-const LEVELS: usize = 32;
+const MAX_LEVELS: usize = 32;
 
-/// Time between two remembered levels; with [`LEVELS`] the longest lag that is corrected exactly.
-const SPACING: Duration = Duration::from_millis(100);
+/// Interval between two levels. Together with [`MAX_LEVELS`] it gives the longest report delay that
+/// is corrected exactly.
+const LEVEL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Own work that a report may lack and still be true: it was under way when the reading was taken.
-const PLAUSIBLE: u32 = 2;
+/// Own runs that a valid report may lack, as they were in transit at the time of the measurement.
+const MAX_UNREPORTED_RUNS: u32 = 2;
 
-/// Load by failures below which they no longer count, in runs.
-const FORGOTTEN: f64 = 0.05;
+/// Load from failed requests, in runs, below which it counts as zero.
+const MIN_FAILURE_LOAD: f64 = 0.05;
 
-/// What a replica says of itself.
+/// A replica's report of its own state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
     /// Runs in progress, of all senders.
     pub running: u32,
-    /// Runs that wait inside.
+    /// Runs that are queued in the replica.
     pub queued: u32,
-    /// Runs at full speed.
+    /// Runs that the replica can execute at full speed.
     pub capacity: u32,
-    /// Its health check passes.
+    /// Whether the health check of the replica passes.
     pub healthy: bool,
-    /// It is leaving: no new work.
+    /// Whether the replica is draining and takes no new work.
     pub leaving: bool,
-    /// How old the reading is.
+    /// Age of the measurement.
     pub age: Duration,
 }
 
-/// What came of a piece of work.
+/// Outcome of a piece of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served to its end.
+    /// The replica served it completely.
     Served {
-        /// From sending to the end.
+        /// Time from sending to completion.
         time: Duration,
     },
-    /// Failed by the replica's fault.
+    /// It failed through a fault of the replica.
     Failed,
-    /// Refused because the replica is full.
+    /// The replica was full and refused it.
     Refused {
-        /// When to come back.
+        /// Delay after which the replica accepts work again.
         retry_after: Duration,
     },
-    /// Ended for reasons that say nothing about the replica.
+    /// It ended for a reason unrelated to the replica.
     Cancelled,
 }
 
-/// Share of failures that a server is taken to have at the least: none can be told from few requests.
-const USUAL: f64 = 0.05;
+/// Lowest failure share that counts as normal; a lower one can't be estimated from few requests.
+const MIN_NORMAL_SHARE: f64 = 0.05;
 
-/// Share of failures of a faulty server: a multiple of the usual one, and at the least.
-const FAULTY: f64 = 3.0;
-const LEAST_FAULTY: f64 = 0.4;
+/// Failure share of a faulty server: a multiple of the normal share, and a minimum.
+const FAULTY_SHARE_FACTOR: f64 = 3.0;
+const MIN_FAULTY_SHARE: f64 = 0.4;
 
-/// Log likelihood ratio at which a fault that began of late ejects a server: three failures among five
-/// requests where hardly any fails. A sound server with one failure in 25 gets there about once in
-/// two thousand requests, and is missed for the time of an ejection.
-const SUDDEN: f64 = 5.0;
+/// Log likelihood ratio at which a recent fault ejects a server. It corresponds to three failures
+/// in five requests where failures are rare. A healthy server with one failure in 25 reaches it
+/// about once in two thousand requests and is then out of use for one ejection.
+const EJECTION_LOG_RATIO: f64 = 5.0;
 
-/// A replica as the pool knows it.
+/// A replica as the pool tracks it.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub(crate) server: Server,
-    /// When it joined; what is older says nothing about it.
-    pub(crate) since: Clock,
+    /// Time at which the replica joined; older information does not apply to it.
+    pub(crate) joined_at: Clock,
     pub(crate) healthy: bool,
     pub(crate) leaving: bool,
-    /// Work of this sender in progress.
+    /// Runs of this sender in progress.
     pub(crate) own: u32,
     load: Load,
     served: Decay,
     failed: Decay,
-    /// Work that failed, as load: see [`Member::score`].
-    phantom: Decay,
-    row: u32,
-    /// How strongly the latest requests speak for a fault that began of late: see [`Member::weigh`].
-    sudden: f64,
-    /// Ejections without a served request since.
+    /// Load from failed requests, see [`Member::score`].
+    failure_load: Decay,
+    consecutive_failures: u32,
+    /// Log likelihood ratio of the recent requests for a fault, see
+    /// [`Member::update_fault_evidence`].
+    fault_evidence: f64,
+    /// Consecutive ejections without a served request in between.
     ejections: u32,
     ejected_until: Clock,
-    /// The one request that an ejected replica gets to prove itself is under way.
-    trial: bool,
-    /// It has begun to answer a request since it was ejected.
-    proved: bool,
+    /// Whether the single probe request of an ejected replica is in flight.
+    is_probing: bool,
+    /// Whether the replica has begun to answer a request since its last ejection.
+    has_recovered: bool,
     full_until: Clock,
-    /// Number of the last cache event.
-    pub(crate) seq: u64,
-    /// Cache knowledge from before this is doubtful, as events were lost.
-    pub(crate) doubt: Clock,
+    /// Sequence number of the last cache event.
+    pub(crate) last_seq: u64,
+    /// Cache entries from before this time are doubtful, as events were lost.
+    pub(crate) cache_doubtful_before: Clock,
 }
 
-/// The last report, and the levels of own work to correct it by.
+/// The last report and the history of own runs that corrects it.
 #[derive(Clone, Debug, Default)]
 struct Load {
     reported: u32,
     capacity: u32,
-    /// Own work that the report holds.
-    own_then: u32,
-    /// Work of other senders for each piece of own work, when the report can't be true.
-    guessed: Option<f64>,
+    /// Own runs that the report includes.
+    own_at_report: u32,
+    /// Runs of other senders per own run, set when the report is implausible.
+    others_per_own: Option<f64>,
     levels: VecDeque<(Clock, u32)>,
 }
 
@@ -123,82 +124,82 @@
     pub(crate) fn new(now: Clock, server: Server) -> Member {
         Member {
             server,
-            since: now,
+            joined_at: now,
             healthy: true,
             leaving: false,
             own: 0,
             load: Load::default(),
             served: Decay::default(),
             failed: Decay::default(),
-            phantom: Decay::default(),
-            row: 0,
-            sudden: 0.0,
+            failure_load: Decay::default(),
+            consecutive_failures: 0,
+            fault_evidence: 0.0,
             ejections: 0,
             ejected_until: Clock::ZERO,
-            trial: false,
-            proved: true,
+            is_probing: false,
+            has_recovered: true,
             full_until: Clock::ZERO,
-            seq: 0,
-            doubt: now,
+            last_seq: 0,
+            cache_doubtful_before: now,
         }
     }
 
-    pub(crate) fn learn(&mut self, now: Clock, report: &Report) {
+    pub(crate) fn record_report(&mut self, now: Clock, report: &Report) {
         self.healthy = report.healthy;
         self.leaving = report.leaving;
         self.load.reported = report.running.saturating_add(report.queued);
         self.load.capacity = report.capacity;
-        self.load.own_then = self.own_at(now.saturating_sub(report.age));
+        self.load.own_at_report = self.own_at(now.saturating_sub(report.age));
     }
 
-    /// Whether the report is below what this sender alone had there. A replica that reports too
-    /// little for long would be filled by each sender as if it were the only one.
-    pub(crate) fn implausible(&self) -> bool {
-        self.load.reported + PLAUSIBLE < self.load.own_then
+    /// Returns whether the report is below the own runs at that time. If a replica reported too low
+    /// a load for long, each sender would fill it as if it were the only sender.
+    pub(crate) fn is_implausible(&self) -> bool {
+        self.load.reported + MAX_UNREPORTED_RUNS < self.load.own_at_report
     }
 
-    /// What the report says of own work and of all work.
+    /// Returns the own runs and all runs that the report includes.
     pub(crate) fn reported(&self) -> (u32, u32) {
-        (self.load.own_then, self.load.reported)
+        (self.load.own_at_report, self.load.reported)
     }
 
-    /// Sets what to take for the work of others, for each piece of own work, in place of the
-    /// report.
-    pub(crate) fn guess(&mut self, others: Option<f64>) {
-        self.load.guessed = others;
+    /// Sets the number of runs of other senders per own run that replaces the report, or removes
+    /// it.
+    pub(crate) fn set_others_per_own(&mut self, others_per_own: Option<f64>) {
+        self.load.others_per_own = others_per_own;
     }
 
     pub(crate) fn sent(&mut self, now: Clock) {
         self.own += 1;
-        self.trial = !self.proved;
-        self.note(now);
+        self.is_probing = !self.has_recovered;
+        self.record_level(now);
     }
 
-    /// Notes that a request has begun to be answered: the replica works again.
+    /// Records that a request has begun to be answered, so that the replica works again.
     pub(crate) fn answered(&mut self) {
-        self.trial = false;
-        self.proved = true;
+        self.is_probing = false;
+        self.has_recovered = true;
     }
 
     pub(crate) fn release(&mut self, now: Clock) {
         self.own = self.own.saturating_sub(1);
-        self.trial = false;
-        self.note(now);
+        self.is_probing = false;
+        self.record_level(now);
     }
 
-    /// Ends a piece of work.
+    /// Records the outcome of a run and releases it.
     pub(crate) fn done(
         &mut self,
         now: Clock,
         outcome: Outcome,
-        usual: Duration,
+        mean_time: Duration,
         settings: &Settings,
     ) {
         self.release(now);
         match outcome {
             Outcome::Served { .. } => {
                 self.served.add(now, settings.failure_half_life, 1.0);
-                self.row = 0;
+                self.consecutive_failures = 0;
                 if self.ejected_until <= now {
                     self.ejections = 0;
                     self.answered();
@@ -206,8 +207,8 @@
             }
             Outcome::Failed => {
                 self.failed.add(now, settings.failure_half_life, 1.0);
-                self.phantom.add(now, usual, 1.0);
-                self.row += 1;
+                self.failure_load.add(now, mean_time, 1.0);
+                self.consecutive_failures += 1;
             }
             Outcome::Refused { retry_after } => {
                 self.full_until = self.full_until.max(now + retry_after);
@@ -216,24 +217,24 @@
         }
     }
 
-    fn note(&mut self, now: Clock) {
+    fn record_level(&mut self, now: Clock) {
         let levels = &mut self.load.levels;
         if let Some((at, own)) = levels.back_mut()
-            && now.saturating_sub(*at) < SPACING
+            && now.saturating_sub(*at) < LEVEL_INTERVAL
         {
             *own = self.own;
             return;
         }
         levels.push_back((now, self.own));
-        if levels.len() > LEVELS {
+        if levels.len() > MAX_LEVELS {
             levels.pop_front();
         }
     }
 
-    /// Own work in progress at an earlier time.
+    /// Returns the own runs in progress at an earlier time.
     fn own_at(&self, at: Clock) -> u32 {
         let mut own = self.load.levels.front().map_or(self.own, |level| level.1);
-        if self.load.levels.len() < LEVELS {
+        if self.load.levels.len() < MAX_LEVELS {
             own = 0;
         }
         for (since, level) in &self.load.levels {
@@ -245,15 +246,15 @@
         own
     }
 
-    /// Work in progress, estimated. A report lags: of what it counts, this sender's part is
-    /// replaced by what this sender knows now. Else a burst goes to whichever replica last
-    /// reported to be idle.
+    /// Returns the estimated number of runs in progress. Reports lag, so the part that this sender
+    /// contributed is replaced by its current number of runs. Otherwise a burst goes to whichever
+    /// replica last reported that it was idle.
     pub(crate) fn load(&self) -> f64 {
         let own = f64::from(self.own);
-        if let Some(others) = self.load.guessed {
-            return own * (1.0 + others);
+        if let Some(ratio) = self.load.others_per_own {
+            return own * (1.0 + ratio);
         }
-        let others = self.load.reported.saturating_sub(self.load.own_then);
+        let others = self.load.reported.saturating_sub(self.load.own_at_report);
         f64::from(others) + own
     }
 
@@ -265,30 +266,31 @@
         f64::from(capacity.max(1))
     }
 
-    /// Load relative to capacity, failures included. A replica that fails at once always looks
-    /// idle, and would draw the traffic of the whole group; so each failed request counts as load
-    /// for as long as a served one would have taken.
-    pub(crate) fn score(&self, now: Clock, usual: Duration, settings: &Settings) -> f64 {
-        let mut phantom = self.phantom.get(now, usual);
-        if phantom < FORGOTTEN {
-            // Else an idle group would shun the replica for good: any load is more than none.
-            phantom = 0.0;
+    /// Returns the load relative to capacity, including failures. A replica that fails at once
+    /// always looks idle and would attract the traffic of the whole group; each failed request
+    /// therefore counts as load for as long as a served one takes.
+    pub(crate) fn score(&self, now: Clock, mean_time: Duration, settings: &Settings) -> f64 {
+        let mut failure_load = self.failure_load.get(now, mean_time);
+        if failure_load < MIN_FAILURE_LOAD {
+            // Otherwise an idle group would avoid the replica forever, as any load is more than
+            // none.
+            failure_load = 0.0;
         }
-        (self.load() + phantom) / self.capacity(settings)
+        (self.load() + failure_load) / self.capacity(settings)
     }
 
-    /// Whether the replica refused work and asked to be left alone for a while.
-    pub(crate) fn refusing(&self, now: Clock) -> bool {
+    /// Returns whether the replica refused work and its retry delay has not elapsed.
+    pub(crate) fn is_refusing(&self, now: Clock) -> bool {
         self.full_until > now
     }
 
-    pub(crate) fn full(&self, now: Clock, settings: &Settings) -> bool {
+    pub(crate) fn is_full(&self, now: Clock, settings: &Settings) -> bool {
         self.full_until > now || self.load() >= settings.full_load * self.capacity(settings)
     }
 
-    /// Out because of failures: ejected, or back with its one request for trial under way.
-    pub(crate) fn ejected(&self, now: Clock) -> bool {
-        self.ejected_until > now || self.trial
+    /// Returns whether the replica is ejected, or its probe request is in flight.
+    pub(crate) fn is_ejected(&self, now: Clock) -> bool {
+        self.ejected_until > now || self.is_probing
     }
 
     pub(crate) fn counts(&self, now: Clock, settings: &Settings) -> (f64, f64) {
@@ -296,55 +298,64 @@
         (served, self.failed.get(now, settings.failure_half_life))
     }
 
-    /// How bad it looks, for the order in which replicas are taken back.
+    /// Returns the rank by which unusable replicas are brought back into use, the lowest first.
     pub(crate) fn badness(&self, now: Clock, settings: &Settings) -> f64 {
         let (served, failed) = self.counts(now, settings);
         let health = if self.healthy { 0.0 } else { 0.5 };
         health + failed / (served + failed + 1.0)
     }
 
-    /// Ejects the replica if its failures stand out from those of the others in its group. When
-    /// all fail alike, the cause is elsewhere and ejecting helps nobody.
-    pub(crate) fn judge(&mut self, now: Clock, others: f64, settings: &Settings) {
+    /// Ejects the replica if its failures stand out from those of the others in its group. When all
+    /// fail alike, the cause lies elsewhere and an ejection does not help.
+    pub(crate) fn eject_if_failing(&mut self, now: Clock, others: f64, settings: &Settings) {
         if self.ejected_until > now {
-            // What was under way when it was ejected fails as well, and says nothing new.
+            // Requests in flight at the ejection fail as well and carry no new information.
             return;
         }
         let (served, failed) = self.counts(now, settings);
         let share = failed / (served + failed).max(f64::MIN_POSITIVE);
-        let many = failed >= settings.min_failures - 0.5 && share >= settings.max_failure_share;
+        let is_failing =
+            failed >= settings.min_failures - 0.5 && share >= settings.max_failure_share;
         let stands_out = share >= 2.0 * others;
-        let row = self.row >= settings.max_consecutive_failures && others < 0.5;
-        let sudden = self.sudden >= SUDDEN;
-        let on_trial = self.ejections > 0;
-        if !(row || sudden || on_trial || many && stands_out) {
+        let too_many_in_a_row =
+            self.consecutive_failures >= settings.max_consecutive_failures && others < 0.5;
+        let is_faulty = self.fault_evidence >= EJECTION_LOG_RATIO;
+        let was_ejected = self.ejections > 0;
+        if !(too_many_in_a_row || is_faulty || was_ejected || is_failing && stands_out) {
             return;
         }
-        let doubled = 1 << self.ejections.min(8);
-        let time = (settings.first_ejection * doubled).min(settings.max_ejection);
+        let factor = 1 << self.ejections.min(8);
+        let duration = (settings.first_ejection * factor).min(settings.max_ejection);
         self.ejections += 1;
-        self.ejected_until = now + time;
-        self.proved = false;
-        self.row = 0;
-        self.sudden = 0.0;
+        self.ejected_until = now + duration;
+        self.has_recovered = false;
+        self.consecutive_failures = 0;
+        self.fault_evidence = 0.0;
     }
 
-    /// Weighs a request that ended against the share of failures that is usual here and `elsewhere`:
-    /// a cumulative sum of log likelihood ratios, which forgets good times. A share over half a minute
-    /// sees a server that begins to lose two in five answers after as long a time again.
-    pub(crate) fn weigh(&mut self, now: Clock, failed: bool, elsewhere: f64, settings: &Settings) {
-        let (good, bad) = self.counts(now, settings);
-        let own = bad / (good + bad).max(1.0);
-        let usual = own.max(elsewhere).max(USUAL);
-        let faulty = (FAULTY * usual).max(LEAST_FAULTY);
+    /// Adds a finished request to a cumulative sum of log likelihood ratios, which compares the
+    /// failure share of a faulty server with the normal share here and `elsewhere`, and discards
+    /// earlier successes. A failure share over a half-life of thirty seconds would detect a server
+    /// that begins to lose two in five responses only after as long a time again.
+    pub(crate) fn update_fault_evidence(
+        &mut self,
+        now: Clock,
+        failed: bool,
+        elsewhere: f64,
+        settings: &Settings,
+    ) {
+        let (served, failures) = self.counts(now, settings);
+        let own = failures / (served + failures).max(1.0);
+        let normal = own.max(elsewhere).max(MIN_NORMAL_SHARE);
+        let faulty = (FAULTY_SHARE_FACTOR * normal).max(MIN_FAULTY_SHARE);
         if faulty >= 1.0 {
-            self.sudden = 0.0;
+            self.fault_evidence = 0.0;
             return;
         }
         let ratio = match failed {
-            true => faulty / usual,
-            false => (1.0 - faulty) / (1.0 - usual),
+            true => faulty / normal,
+            false => (1.0 - faulty) / (1.0 - normal),
         };
-        self.sudden = (self.sudden + ratio.ln()).max(0.0);
+        self.fault_evidence = (self.fault_evidence + ratio.ln()).max(0.0);
     }
 }
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -1,8 +1,8 @@
-//! Placement of work on backend servers that entries reach themselves.
+//! Placement of work on backend servers that entries reach directly.
 //!
-//! The load that it answers: long generations whose cost is known when they come (tokens of the
-//! prompt and of the answer), on engines whose own reports are dear and late. So each entry counts
-//! what it has sent, in tokens, and adds what its peers say they have sent.
+//! The work consists of long generations whose cost, in prompt and output tokens, is known on
+//! arrival. Load reports of the engines are expensive and late, so each entry counts the tokens
+//! that it has sent and adds what its peers report.
 
 use std::{
     collections::{
@@ -42,41 +42,41 @@
 };
 pub use suspicion::Suspicion;
 
-/// What is known of a server from its registration.
+/// Registration data of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
-    /// Service that it serves.
+    /// Service that the server belongs to.
     pub service: Service,
-    /// Version of its software.
+    /// Version of the service that it runs.
     pub version: Version,
-    /// Where it is.
+    /// Data centre of the server.
     pub data_centre: DataCentre,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Engines: memory in tokens. 0 for plain services.
+    /// Memory of an engine, in tokens; 0 for plain services.
     pub memory: u64,
 }
 
-/// Work at a server.
+/// Amount of work on a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Tokens that they fill, now or later.
+    /// Tokens of memory that the requests fill, now or later.
     pub tokens: u64,
-    /// Tokens of prompts that are still to be read.
+    /// Prompt tokens that are not processed yet.
     pub unread: u64,
 }
 
 impl Work {
-    /// Adds other work.
+    /// Adds `other`.
     pub fn add(&mut self, other: Work) {
         self.requests += other.requests;
         self.tokens += other.tokens;
         self.unread += other.unread;
     }
 
-    /// Takes work away that was added before.
+    /// Subtracts `other`, saturating at zero.
     pub fn subtract(&mut self, other: Work) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.tokens = self.tokens.saturating_sub(other.tokens);
@@ -84,46 +84,49 @@
     }
 }
 
-/// Weight of a new reading in the usual time of a request.
-const TIME_FRESH: f64 = 0.05;
-
-/// Weight of a new reading in the usual time to read a token.
-const PACE_FRESH: f64 = 0.1;
-
-/// Entries up to which each looks at all servers. All know of the same idle servers, and what the
-/// others send they hear a moment later: their number and, as each may spend so many bytes a second
-/// on beacons, the moment both grow with the fleet, so that sends nobody has heard of grow with its
-/// square. If each entry of a large fleet took the best of all servers, those that lose one server's
-/// streams together, or many that just have new ones, would send them to the same few: of 28 entries
-/// with two prompts each, 15 prompts to one of 66 servers, 6 with this, and 4 as each prefers its own
-/// part besides.
-const FEW: f64 = 7.5;
-
-/// Number of a peer.
+/// Weight of a new measurement in the mean time of a request.
+const REQUEST_TIME_EWMA_WEIGHT: f64 = 0.05;
+
+/// Weight of a new measurement in the mean time per prompt token.
+const TOKEN_TIME_EWMA_WEIGHT: f64 = 0.1;
+
+/// Number of entries up to which each entry considers all servers. Above it, entries are
+/// partitioned.
+///
+/// All entries see the same idle servers and learn with a delay what the others send. The number of
+/// entries grows with the fleet, and so does the delay, as each entry has a fixed byte rate for
+/// beacons; the number of requests that other entries don't know of yet therefore grows with the
+/// square of the fleet. If each entry of a large fleet chose the best of all servers, entries that
+/// lose the streams of one server together, or that get many new ones, would send them to the same
+/// few servers: of 28 entries with two prompts each, 15 prompts went to one of 66 servers. With
+/// this limit it is 6, and 4 as each entry also prefers its own partition.
+const MAX_UNPARTITIONED_ENTRIES: f64 = 7.5;
+
+/// Identifier of a peer entry.
 pub type Peer = u64;
 
-/// Where work is placed.
+/// The candidate servers and their estimated load.
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
     settings: Settings,
     candidates: BTreeMap<Server, Candidate>,
     losses: Losses,
-    /// Usual time of a request, in seconds, by service.
-    times: HashMap<Service, f64>,
-    /// Usual time to read one token of a prompt, in seconds, by service.
-    paces: HashMap<Service, f64>,
-    /// Parts of prompts that servers have read.
+    /// Mean time of a request, in seconds, by service.
+    request_times: HashMap<Service, f64>,
+    /// Mean time to process one prompt token, in seconds, by service.
+    token_times: HashMap<Service, f64>,
+    /// Parts of prompts that servers have cached.
     prompts: Prompts,
-    /// Work of each peer.
+    /// Work of each peer, by server.
     peers: HashMap<Peer, HashMap<Server, Work>>,
-    /// This entry's place among all, and their number.
-    place: (usize, usize),
-    /// Where this entry is.
-    home: DataCentre,
+    /// Index of this entry among all entries, and their number.
+    position: (usize, usize),
+    /// Data centre of this entry.
+    data_centre: DataCentre,
 }
 
 impl Placement {
-    /// A placement that knows no server.
+    /// Creates a placement without servers.
     pub fn new(settings: Settings) -> Placement {
         Placement {
             settings,
@@ -131,65 +134,64 @@
         }
     }
 
-    /// Notes where this entry is.
-    pub fn set_data_centre(&mut self, home: &DataCentre) {
-        self.home.clone_from(home);
+    /// Sets the data centre of this entry.
+    pub fn set_data_centre(&mut self, data_centre: &DataCentre) {
+        self.data_centre.clone_from(data_centre);
         for (server, candidate) in &mut self.candidates {
-            candidate.stand(server, self.place, home);
+            candidate.set_position(server, self.position, data_centre);
         }
     }
 
-    /// Adds a server, or changes what is known of it.
-    pub fn upsert(&mut self, now: Clock, server: &Server, facts: Spec, leaving: bool) {
+    /// Adds a server, or updates its registration.
+    pub fn upsert(&mut self, now: Clock, server: &Server, spec: Spec, leaving: bool) {
         if let Some(candidate) = self.candidates.get_mut(server) {
-            candidate.learn(facts);
+            candidate.set_spec(spec);
             candidate.leaving = leaving;
             return;
         }
-        let mut candidate = Candidate::new(now, server, facts, leaving);
-        candidate.peers = self.of_peers(server);
-        candidate.stand(server, self.place, &self.home);
+        let mut candidate = Candidate::new(now, server, spec, leaving);
+        candidate.peer_work = self.peer_work(server);
+        candidate.set_position(server, self.position, &self.data_centre);
         self.candidates.insert(server.clone(), candidate);
     }
 
-    /// Forgets a server.
+    /// Removes a server.
     pub fn remove(&mut self, server: &Server) {
         self.candidates.remove(server);
     }
 
-    /// Whether a server is known.
+    /// Returns whether a server is known.
     pub fn contains(&self, server: &Server) -> bool {
         self.candidates.contains_key(server)
     }
 
-    /// The servers that are known.
+    /// Returns the known servers.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.candidates.keys()
     }
 
-    /// What a server's registration says.
+    /// Returns the registration of a server.
     pub fn spec(&self, server: &Server) -> Option<&Spec> {
-        self.candidates
-            .get(server)
-            .map(|candidate| &candidate.facts)
+        self.candidates.get(server).map(|candidate| &candidate.spec)
     }
 
-    /// Whether a server takes new work as far as its registration says.
+    /// Returns whether a server accepts new work according to its registration.
     pub fn accepts_work(&self, server: &Server) -> bool {
         self.candidates
             .get(server)
             .is_some_and(|candidate| !candidate.leaving)
     }
 
-    /// Notes work that was sent.
+    /// Records work that was sent to a server.
     pub fn sent(&mut self, now: Clock, server: &Server, work: Work) {
         if let Some(candidate) = self.candidates.get_mut(server) {
             candidate.sent(now, work);
         }
     }
 
-    /// Notes that a prompt was read, `time` after it was sent, when `ahead` tokens were to be read
-    /// at its server.
+    /// Records that a server has processed a prompt of `tokens` tokens, `time` after it was sent.
+    /// `ahead` is the number of prompt tokens that were pending at the server then, its own
+    /// included.
     pub fn record_read(
         &mut self,
         now: Clock,
@@ -201,220 +203,229 @@
         let Some(candidate) = self.candidates.get_mut(server) else {
             return;
         };
-        candidate.own.unread = candidate.own.unread.saturating_sub(tokens);
+        candidate.own_work.unread = candidate.own_work.unread.saturating_sub(tokens);
         candidate.member.answered();
         if ahead == 0 {
             return;
         }
-        let pace = time.as_secs_f64() / ahead as f64;
-        let known = self
-            .paces
-            .entry(candidate.facts.service.clone())
-            .or_insert(pace);
-        candidate.speed.learn(now, pace / *known);
-        *known += PACE_FRESH * (pace - *known);
+        let token_time = time.as_secs_f64() / ahead as f64;
+        let mean = self
+            .token_times
+            .entry(candidate.spec.service.clone())
+            .or_insert(token_time);
+        candidate.speed.record(now, token_time / *mean);
+        *mean += TOKEN_TIME_EWMA_WEIGHT * (token_time - *mean);
     }
 
-    /// Notes that a server had read the parts of a prompt at a time.
+    /// Records that a server had the parts of a prompt in its cache at the time `at`.
     pub fn record_cached(&mut self, at: Clock, parts: &[(Part, u32)], server: &Server) {
         for (part, _) in parts {
-            self.prompts.read(at, *part, server);
+            self.prompts.record(at, *part, server);
         }
     }
 
-    /// Tokens at the beginning of a prompt that a server is believed to have.
+    /// Returns the number of leading tokens of a prompt that a server is assumed to have cached.
     pub fn cached_tokens(&self, now: Clock, parts: &[(Part, u32)], server: &Server) -> u64 {
-        self.prompts.known(now, parts, server)
+        self.prompts.cached_tokens(now, parts, server)
     }
 
-    /// Tokens of prompts that are to be read at a server.
+    /// Returns the prompt tokens that are pending at a server.
     pub fn unread_tokens(&self, server: &Server) -> u64 {
         self.candidates
             .get(server)
-            .map_or(0, |candidate| candidate.all().unread)
+            .map_or(0, |candidate| candidate.total_work().unread)
     }
 
-    /// Usual time of a plain request of a service.
+    /// Returns the mean time of a request of a plain service.
     pub fn mean_time(&self, service: &Service) -> Option<Duration> {
-        Duration::try_from_secs_f64(*self.times.get(service)?).ok()
+        Duration::try_from_secs_f64(*self.request_times.get(service)?).ok()
     }
 
-    /// Time that the prompts which are to be read at a server usually take.
+    /// Returns the expected time to process the prompts that are pending at a server.
     pub fn queued_read_time(&self, server: &Server) -> Option<Duration> {
         let candidate = self.candidates.get(server)?;
-        let pace = self.paces.get(&candidate.facts.service)?;
-        Duration::try_from_secs_f64(pace * candidate.all().unread as f64).ok()
+        let token_time = self.token_times.get(&candidate.spec.service)?;
+        Duration::try_from_secs_f64(token_time * candidate.total_work().unread as f64).ok()
     }
 
-    /// Time that a prompt usually takes at a server of the same service that reads nothing else.
+    /// Returns the expected time to process `unread` prompt tokens at a server of the same service
+    /// that processes nothing else.
     pub fn idle_read_time(&self, server: &Server, unread: u64) -> Option<Duration> {
         let candidate = self.candidates.get(server)?;
-        let pace = self.paces.get(&candidate.facts.service)?;
-        Duration::try_from_secs_f64(pace * unread as f64).ok()
+        let token_time = self.token_times.get(&candidate.spec.service)?;
+        Duration::try_from_secs_f64(token_time * unread as f64).ok()
     }
 
-    /// Notes that work ended; `work` is what is left of it.
+    /// Records that work ended; `work` is the part of it that is still counted.
     pub fn done(&mut self, now: Clock, server: &Server, work: Work, outcome: Outcome) {
-        // Thousands of engines are looked at only when one of them failed.
-        let plain = self
+        // The failure shares of thousands of engines are only computed when one of them failed.
+        let is_plain = self
             .candidates
             .get(server)
-            .is_some_and(|candidate| candidate.facts.memory == 0);
-        let (others, better) = match plain || outcome == Outcome::Failed {
-            true => self.others(now, server),
+            .is_some_and(|candidate| candidate.spec.memory == 0);
+        let (failure_share, better_half) = match is_plain || outcome == Outcome::Failed {
+            true => self.failure_shares(now, server),
             false => (0.0, 0.0),
         };
         let Some(candidate) = self.candidates.get_mut(server) else {
             return;
         };
-        candidate.own.subtract(work);
-        let usual = Duration::from_secs(1);
-        candidate.member.done(now, outcome, usual, &self.settings);
-        let answers = matches!(outcome, Outcome::Served { .. } | Outcome::Failed);
-        if plain && answers {
+        candidate.own_work.subtract(work);
+        let mean_time = Duration::from_secs(1);
+        candidate
+            .member
+            .done(now, outcome, mean_time, &self.settings);
+        let was_executed = matches!(outcome, Outcome::Served { .. } | Outcome::Failed);
+        if is_plain && was_executed {
             let failed = outcome == Outcome::Failed;
-            candidate.member.weigh(now, failed, better, &self.settings);
+            candidate
+                .member
+                .update_fault_evidence(now, failed, better_half, &self.settings);
         }
-        // Of engines the time to read a prompt is known, which tells more.
+        // The processing time of prompts says more about an engine and is measured separately.
         if let Outcome::Served { time } = outcome
-            && candidate.facts.memory == 0
+            && candidate.spec.memory == 0
         {
             let time = time.as_secs_f64();
-            let known = self
-                .times
-                .entry(candidate.facts.service.clone())
+            let mean = self
+                .request_times
+                .entry(candidate.spec.service.clone())
                 .or_insert(time);
             candidate
                 .speed
-                .learn(now, time / known.max(f64::MIN_POSITIVE));
-            *known += TIME_FRESH * (time - *known);
+                .record(now, time / mean.max(f64::MIN_POSITIVE));
+            *mean += REQUEST_TIME_EWMA_WEIGHT * (time - *mean);
         }
         if outcome == Outcome::Failed {
-            candidate.member.judge(now, others, &self.settings);
+            candidate
+                .member
+                .eject_if_failing(now, failure_share, &self.settings);
         }
     }
 
-    /// Notes that a server should get no new work for a while.
+    /// Suspends a server from new work for a while.
     pub fn suspend(&mut self, now: Clock, server: &Server, suspicion: Suspicion) {
         let Some(candidate) = self.candidates.get_mut(server) else {
             return;
         };
         candidate.suspend(now, suspicion);
         self.losses
-            .note(now, candidate.domain.clone(), server, suspicion);
+            .record(now, candidate.domain.clone(), server, suspicion);
     }
 
-    /// When this entry or a peer last found a server dark, or enough of its data centre that it is
-    /// probably dark too.
+    /// Returns when this entry or a peer last found the server unresponsive, or enough servers of
+    /// its data centre that it is probably unresponsive too.
     pub fn suspected_since(&self, now: Clock, server: &Server) -> Option<Clock> {
         let candidate = self.candidates.get(server)?;
         self.losses
-            .doubted(now, &candidate.domain, server, candidate.heard)
+            .suspected_since(now, &candidate.domain, server, candidate.last_alive)
     }
 
-    /// Notes that a server answered.
+    /// Records that a server answered, which ends its suspension.
     pub fn mark_alive(&mut self, now: Clock, server: &Server) {
         if let Some(candidate) = self.candidates.get_mut(server) {
-            candidate.alive(now);
+            candidate.mark_alive(now);
         }
     }
 
-    /// Notes a sign of life that was given at a time, such as a heartbeat in the register.
+    /// Records evidence from the time `at` that the server is alive, such as a heartbeat in the
+    /// register.
     pub fn record_heartbeat(&mut self, at: Clock, server: &Server) {
         if let Some(candidate) = self.candidates.get_mut(server) {
-            candidate.heard = candidate.heard.max(at);
+            candidate.last_alive = candidate.last_alive.max(at);
         }
     }
 
-    /// Takes all work that a peer has, in place of what it had before.
+    /// Replaces all work of a peer.
     pub fn set_peer_loads(&mut self, peer: Peer, loads: HashMap<Server, Work>) {
         self.forget_peer(peer);
         for (server, work) in &loads {
             if let Some(candidate) = self.candidates.get_mut(server) {
-                candidate.peers.add(*work);
+                candidate.peer_work.add(*work);
             }
         }
         self.peers.insert(peer, loads);
     }
 
-    /// Takes all work that a peer has at one server, in place of what it had there before.
+    /// Replaces the work of a peer at one server.
     pub fn set_peer_work(&mut self, peer: Peer, server: &Server, work: Work) {
         let loads = self.peers.entry(peer).or_default();
         let before = loads.insert(server.clone(), work).unwrap_or_default();
         if let Some(candidate) = self.candidates.get_mut(server) {
-            candidate.peers.subtract(before);
-            candidate.peers.add(work);
+            candidate.peer_work.subtract(before);
+            candidate.peer_work.add(work);
         }
     }
 
-    /// Work of this entry at a server.
+    /// Returns the work of this entry at a server.
     pub fn own_work(&self, server: &Server) -> Work {
         let candidate = self.candidates.get(server);
-        candidate.map_or_else(Work::default, |candidate| candidate.own)
+        candidate.map_or_else(Work::default, |candidate| candidate.own_work)
     }
 
-    /// Forgets the work of a peer that ended or fell silent.
+    /// Removes the work of a peer that ended or stopped reporting.
     pub fn forget_peer(&mut self, peer: Peer) {
         for (server, work) in self.peers.remove(&peer).unwrap_or_default() {
             if let Some(candidate) = self.candidates.get_mut(&server) {
-                candidate.peers.subtract(work);
+                candidate.peer_work.subtract(work);
             }
         }
     }
 
-    /// Work of this entry, by server.
+    /// Returns the work of this entry, by server.
     pub fn own_loads(&self) -> impl Iterator<Item = (&Server, Work)> {
         let busy = self
             .candidates
             .iter()
-            .filter(|(_, candidate)| candidate.own != Work::default());
-        busy.map(|(server, candidate)| (server, candidate.own))
+            .filter(|(_, candidate)| candidate.own_work != Work::default());
+        busy.map(|(server, candidate)| (server, candidate.own_work))
     }
 
-    /// What this entry or a peer noted of servers a moment ago.
+    /// Returns the recent suspicions of this entry and its peers, with their age.
     pub fn recent_losses(&self, now: Clock) -> Vec<(&Server, Duration, Suspicion)> {
-        self.losses.told(now)
+        self.losses.recent(now)
     }
 
-    /// Takes a loss that a peer saw.
+    /// Records a suspicion of a peer from the time `at`, unless newer evidence is known.
     pub fn record_peer_loss(&mut self, at: Clock, server: &Server, suspicion: Suspicion) {
         let Some(candidate) = self.candidates.get(server) else {
             return;
         };
-        if candidate.knows_better(at) {
+        if candidate.has_newer_evidence(at) {
             return;
         }
         self.suspend(at, server, suspicion);
     }
 
-    /// Notes this entry's place among all, and their number.
-    pub fn set_position(&mut self, place: (usize, usize)) {
-        if self.place == place {
+    /// Sets the index of this entry among all entries, and their number.
+    pub fn set_position(&mut self, position: (usize, usize)) {
+        if self.position == position {
             return;
         }
-        self.place = place;
+        self.position = position;
         for (server, candidate) in &mut self.candidates {
-            candidate.stand(server, place, &self.home);
+            candidate.set_position(server, position, &self.data_centre);
         }
     }
 
-    /// This entry's place among all, and their number.
+    /// Returns the index of this entry among all entries, and their number.
     pub fn position(&self) -> (usize, usize) {
-        self.place
+        self.position
     }
 
-    /// Whether the entries are so many that each has a part of the servers.
+    /// Returns whether each entry has a partition of the servers, as there are many entries.
     pub fn is_partitioned(&self) -> bool {
-        self.place.1 as f64 > FEW
+        self.position.1 as f64 > MAX_UNPARTITIONED_ENTRIES
     }
 
-    /// Whether a server is of this entry's part; in a small fleet all servers are of everybody's.
+    /// Returns whether a server is in the partition of this entry. Without partitions every entry
+    /// owns all servers.
     pub fn owns(&self, server: &Server) -> bool {
         let candidate = self.candidates.get(server);
-        candidate.is_some_and(|candidate| candidate.is_own)
+        candidate.is_some_and(|candidate| candidate.is_owned)
     }
 
-    fn of_peers(&self, server: &Server) -> Work {
+    fn peer_work(&self, server: &Server) -> Work {
         let mut sum = Work::default();
         for loads in self.peers.values() {
             sum.add(loads.get(server).copied().unwrap_or_default());
@@ -422,15 +433,15 @@
         sum
     }
 
-    /// Share of failures among the other servers of the same service, and among the better half of
-    /// them: of three servers two may have the same fault.
-    fn others(&self, now: Clock, server: &Server) -> (f64, f64) {
+    /// Returns the share of failures among the other servers of the same service, and among the
+    /// better half of them, as two of three servers may have the same fault.
+    fn failure_shares(&self, now: Clock, server: &Server) -> (f64, f64) {
         let Some(own) = self.candidates.get(server) else {
             return (0.0, 0.0);
         };
         let mut counts: Vec<(f64, f64)> = Vec::new();
         for (name, candidate) in &self.candidates {
-            if name == server || candidate.facts.service != own.facts.service {
+            if name == server || candidate.spec.service != own.spec.service {
                 continue;
             }
             counts.push(candidate.member.counts(now, &self.settings));
@@ -445,7 +456,7 @@
     }
 }
 
-/// Share of failures, from counts of what was served and what failed.
+/// Returns the share of failures from counts of served and failed requests.
 fn share(counts: &[(f64, f64)]) -> f64 {
     let served: f64 = counts.iter().map(|(served, _)| served).sum();
     let failed: f64 = counts.iter().map(|(_, failed)| failed).sum();
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -1,4 +1,4 @@
-//! What is asked of a placement, and what it chooses.
+//! Requests to a placement, and how it chooses a server.
 
 use std::time::Duration;
 
@@ -15,48 +15,49 @@
 };
 
 use super::{
-    FEW,
+    MAX_UNPARTITIONED_ENTRIES,
     Placement,
     Work,
     candidate::Candidate, //
 };
 use crate::Part;
 
-/// Random part of a load, so that entries which know the same don't all choose the same server.
-const JITTER: f64 = 0.005;
+/// Random load added so that entries with the same knowledge don't all choose the same server.
+const MAX_JITTER: f64 = 0.005;
 
-/// The same in a large fleet, whose entries are too many to be told apart by small offsets.
-const DIVIDED_JITTER: f64 = 0.08;
+/// The same in a large fleet, which has too many entries to separate by small offsets.
+const PARTITIONED_MAX_JITTER: f64 = 0.08;
 
-/// Servers that are looked at for each choice, on the average, at the least.
-const LEAST_DRAWN: f64 = 2.0;
+/// Minimum average number of servers that each choice considers.
+const MIN_CONSIDERED_SERVERS: f64 = 2.0;
 
-// What speaks against a server, each more than all those before it together.
-const NEAR: u8 = 1;
+// Penalties of a server; each outweighs all lower ones together.
+const AVOIDED_DATA_CENTRE: u8 = 1;
 const FULL: u8 = 2;
 const EJECTED: u8 = 4;
-const SHAKEN: u8 = 8;
-const AVOIDED: u8 = 16;
+const SUSPECTED_DATA_CENTRE: u8 = 8;
+const AVOIDED_SERVER: u8 = 16;
 const SUSPENDED: u8 = 32;
 
-/// Part of a server's memory up to which it takes copies of other servers' runs. Beyond it memory is
-/// for new work: a copy saves a prompt if its run is lost, a place serves a caller for sure.
-const COPIES: f64 = 0.75;
+/// Memory use up to which a server takes backup copies of runs of other servers. Beyond it, memory
+/// is reserved for new work: a copy saves a prefill only if its run is lost, while a slot serves a
+/// caller for certain.
+const MAX_BACKUP_MEMORY_USE: f64 = 0.75;
 
 /// Versions that may serve a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Versions<'a> {
-    /// All.
+    /// Any version.
     #[default]
     Any,
-    /// This one.
+    /// Only this version.
     Only(&'a Version),
-    /// All but this one.
+    /// Any version but this one.
     Not(&'a Version),
 }
 
 impl Versions<'_> {
-    /// Whether a version is among them.
+    /// Returns whether a version is allowed.
     pub fn allow(&self, version: &Version) -> bool {
         match self {
             Versions::Any => true,
@@ -66,57 +67,58 @@
     }
 }
 
-/// What is asked of a placement.
+/// A request to a placement.
 #[derive(Clone, Debug)]
 pub struct Request<'a> {
     /// Service that must serve it.
     pub service: &'a Service,
-    /// Where the entry is.
+    /// Data centre of the entry.
     pub data_centre: &'a str,
-    /// The work.
+    /// Work of the request.
     pub work: Work,
-    /// Parts of its prompt, in order.
+    /// Parts of its prompt with their number of tokens, in order.
     pub parts: &'a [(Part, u32)],
-    /// Servers that are only taken when there is no other.
+    /// Servers that are chosen only if there is no other.
     pub avoid: &'a [Server],
     /// Versions that may serve it.
     pub versions: Versions<'a>,
-    /// Data centre that is only taken when there is no other.
+    /// Data centre that is chosen only if there is no other.
     pub avoid_data_centre: Option<&'a DataCentre>,
 }
 
-/// A server that was chosen.
+/// A chosen server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
     /// The server.
     pub server: Server,
-    /// What it was chosen by.
+    /// Score of the server.
     pub score: Score,
 }
 
-/// What a server was chosen by.
+/// Score of a chosen server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Score {
-    /// Its load, with the work.
+    /// Load of the server with the work added.
     pub load: f64,
-    /// What speaks against it, as a sum: 1 the data centre, 2 full, 4 ejected, 8 its data centre is
-    /// doubted, 16 tried before, 32 suspended. More than 0 means that there was no better one.
+    /// Sum of the server's penalties: 1 avoided data centre, 2 full, 4 ejected, 8 suspected data
+    /// centre, 16 already tried, 32 suspended. More than 0 means that there was no better server.
     pub penalties: u8,
-    /// Servers of the service that there were.
+    /// Number of servers of the service that were candidates.
     pub candidates: u32,
 }
 
 impl Score {
-    /// Whether no server had room for the work.
+    /// Returns whether no server had room for the work.
     pub fn is_full(&self) -> bool {
         self.penalties & FULL != 0
     }
 }
 
 impl Placement {
-    /// How many more requests with some work the servers of a service could begin now, with their
-    /// first events within a time. Servers that are in doubt don't count, nor do those of versions
-    /// that may not serve it: while a version gets samples only, its idle servers are no room.
+    /// Returns how many more requests of the size of `work` the servers of a service can begin now,
+    /// with their first events within the time `within`. Suspected servers are excluded, and so are
+    /// those of versions that may not serve the request, such as a version that only gets sampled
+    /// requests.
     pub fn room(
         &self,
         now: Clock,
@@ -125,21 +127,25 @@
         work: Work,
         within: Duration,
     ) -> u32 {
-        let pace = self.paces.get(service).copied();
-        let tokens = pace.map(|pace| within.as_secs_f64() / pace.max(f64::MIN_POSITIVE));
+        let token_time = self.token_times.get(service).copied();
+        let tokens =
+            token_time.map(|token_time| within.as_secs_f64() / token_time.max(f64::MIN_POSITIVE));
         let mut room = 0_u32;
         for candidate in self.candidates.values() {
             if candidate.leaving
-                || candidate.facts.service != *service
+                || candidate.spec.service != *service
                 || candidate.is_suspended(now)
             {
                 continue;
             }
-            if !versions.allow(&candidate.facts.version) {
+            if !versions.allow(&candidate.spec.version) {
                 continue;
             }
-            let doubted = self.losses.shaken(now, &candidate.domain, candidate.heard);
-            if doubted || candidate.member.ejected(now) || candidate.member.refusing(now) {
+            let is_suspected =
+                self.losses
+                    .is_domain_suspected(now, &candidate.domain, candidate.last_alive);
+            if is_suspected || candidate.member.is_ejected(now) || candidate.member.is_refusing(now)
+            {
                 continue;
             }
             room = room.saturating_add(candidate.room(now, work, tokens));
@@ -147,23 +153,23 @@
         room
     }
 
-    /// Part of the memory of a service's servers that is taken, among those that can be reached.
+    /// Returns the share of memory in use on the reachable servers of a service.
     pub fn memory_use(&self, now: Clock, service: &Service) -> f64 {
-        let (mut taken, mut memory) = (0, 0);
+        let (mut used, mut memory) = (0, 0);
         for candidate in self.candidates.values() {
             if candidate.leaving
-                || candidate.facts.service != *service
+                || candidate.spec.service != *service
                 || candidate.is_unreachable(now)
             {
                 continue;
             }
-            taken += candidate.all().tokens;
-            memory += candidate.facts.memory;
+            used += candidate.total_work().tokens;
+            memory += candidate.spec.memory;
         }
-        taken as f64 / memory.max(1) as f64
+        used as f64 / memory.max(1) as f64
     }
 
-    /// Whether a server is known, takes work and can be reached as far as is known.
+    /// Returns whether a server is known, accepts work and is not known to be unreachable.
     pub fn is_usable(&self, now: Clock, server: &Server) -> bool {
         let Some(candidate) = self.candidates.get(server) else {
             return false;
@@ -171,77 +177,88 @@
         !candidate.leaving && !candidate.is_unreachable(now)
     }
 
-    /// Chooses a server: the least loaded of those that can be used.
+    /// Chooses the server with the lowest penalties and, among those, the lowest load.
     pub fn choose(&self, now: Clock, request: &Request<'_>, rng: &mut impl Rng) -> Option<Choice> {
         self.pick(now, request, u8::MAX, f64::INFINITY, rng)
     }
 
-    /// Chooses a server that has room for a copy. A copy is worth no more than the work that it
-    /// would take the place of, so a server that is only just good enough isn't taken.
+    /// Chooses a server for a backup copy. A copy is worth no more than the work that it displaces,
+    /// so a server with any higher penalty than the avoided data centre is not chosen.
     pub fn choose_backup(
         &self,
         now: Clock,
         request: &Request<'_>,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
-        self.pick(now, request, NEAR, COPIES, rng)
+        self.pick(
+            now,
+            request,
+            AVOIDED_DATA_CENTRE,
+            MAX_BACKUP_MEMORY_USE,
+            rng,
+        )
     }
 
-    /// The least loaded server against which at most `worst` speaks, and of whose memory at most a
-    /// `part` is taken with the work.
+    /// Chooses the best server whose penalties are at most `max_penalties` and whose memory use
+    /// with the work is at most `max_memory_use`.
     fn pick(
         &self,
         now: Clock,
         request: &Request<'_>,
-        worst: u8,
-        part: f64,
+        max_penalties: u8,
+        max_memory_use: f64,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
         let mut best: Option<((u8, bool, f64), &Server)> = None;
-        let candidates = self.candidates.iter().filter(|(_, candidate)| {
-            let serves = !candidate.leaving && candidate.facts.service == *request.service;
-            serves && request.versions.allow(&candidate.facts.version)
+        let eligible = self.candidates.iter().filter(|(_, candidate)| {
+            let serves = !candidate.leaving && candidate.spec.service == *request.service;
+            serves && request.versions.allow(&candidate.spec.version)
         });
-        let among = u32::try_from(candidates.clone().count()).unwrap_or(u32::MAX);
-        let drawn = self.drawn(among);
+        let candidates = u32::try_from(eligible.clone().count()).unwrap_or(u32::MAX);
+        let probability = self.sampling_probability(candidates);
         let jitter = if self.is_partitioned() {
-            DIVIDED_JITTER
+            PARTITIONED_MAX_JITTER
         } else {
-            JITTER
+            MAX_JITTER
         };
-        for (server, candidate) in candidates {
-            let tier = self.tier(now, server, candidate, request);
-            if tier > worst || candidate.use_with(request.work) > part {
+        for (server, candidate) in eligible {
+            let penalties = self.penalties(now, server, candidate, request);
+            if penalties > max_penalties || candidate.memory_use_with(request.work) > max_memory_use
+            {
                 continue;
             }
-            let known = self.prompts.known(now, request.parts, server);
-            let load = candidate.load(now, request, known) + rng.random_range(0.0..jitter);
-            let looked_at = candidate.followed || candidate.is_own;
-            let passed_over = known == 0 && !looked_at && !rng.random_bool(drawn);
-            let rank = (tier, passed_over, load);
-            if best.is_none_or(|(known, _)| rank < known) {
+            let cached = self.prompts.cached_tokens(now, request.parts, server);
+            let load = candidate.load(now, request, cached) + rng.random_range(0.0..jitter);
+            let is_considered = candidate.is_tracked || candidate.is_owned;
+            let is_skipped = cached == 0 && !is_considered && !rng.random_bool(probability);
+            let rank = (penalties, is_skipped, load);
+            if best.is_none_or(|(best, _)| rank < best) {
                 best = Some((rank, server));
             }
         }
-        best.map(|((against, _, load), server)| Choice {
+        best.map(|((penalties, _, load), server)| Choice {
             server: server.clone(),
             score: Score {
                 load,
-                penalties: against,
-                candidates: among,
+                penalties,
+                candidates,
             },
         })
     }
 
-    /// Probability with which each of a service's servers is looked at.
-    fn drawn(&self, among: u32) -> f64 {
-        let entries = self.place.1.max(1) as f64;
-        let least = LEAST_DRAWN / f64::from(among.max(1));
-        (FEW / entries).powi(2).max(least).min(1.0)
+    /// Returns the probability with which each server outside this entry's partition and data
+    /// centre is considered.
+    fn sampling_probability(&self, candidates: u32) -> f64 {
+        let entries = self.position.1.max(1) as f64;
+        let minimum = MIN_CONSIDERED_SERVERS / f64::from(candidates.max(1));
+        (MAX_UNPARTITIONED_ENTRIES / entries)
+            .powi(2)
+            .max(minimum)
+            .min(1.0)
     }
 
-    /// 0 for a server that is wanted, more for one that is only taken for want of others.
-    fn tier(
+    /// Returns the sum of the server's penalties, 0 for a server without any.
+    fn penalties(
         &self,
         now: Clock,
         server: &Server,
@@ -249,16 +266,18 @@
         request: &Request<'_>,
     ) -> u8 {
         let avoided = request.avoid.contains(server);
-        let ejected = candidate.member.ejected(now);
-        let full = candidate.member.refusing(now) || !candidate.fits(request.work);
-        let near = request.avoid_data_centre == Some(&candidate.facts.data_centre);
+        let ejected = candidate.member.is_ejected(now);
+        let full = candidate.member.is_refusing(now) || !candidate.fits(request.work);
+        let avoided_data_centre = request.avoid_data_centre == Some(&candidate.spec.data_centre);
         let suspended = candidate.is_suspended(now);
-        let shaken = self.losses.shaken(now, &candidate.domain, candidate.heard);
+        let suspected =
+            self.losses
+                .is_domain_suspected(now, &candidate.domain, candidate.last_alive);
         u8::from(suspended) * SUSPENDED
-            + u8::from(avoided) * AVOIDED
-            + u8::from(shaken) * SHAKEN
+            + u8::from(avoided) * AVOIDED_SERVER
+            + u8::from(suspected) * SUSPECTED_DATA_CENTRE
             + u8::from(ejected) * EJECTED
             + u8::from(full) * FULL
-            + u8::from(near) * NEAR
+            + u8::from(avoided_data_centre) * AVOIDED_DATA_CENTRE
     }
 }
--- a/components/routing/src/placement/suspicion.rs
+++ b/components/routing/src/placement/suspicion.rs
@@ -1,4 +1,4 @@
-//! What speaks against servers, and against the data centres that they are in.
+//! Suspicions against servers, and against the data centres that they are in.
 
 use std::{
     collections::HashMap,
@@ -12,57 +12,59 @@
     Service, //
 };
 
-/// Age up to which a loss is told to peers.
-const TOLD: Duration = Duration::from_millis(700);
+/// Age up to which a suspicion is shared with peers.
+const MAX_SHARED_AGE: Duration = Duration::from_millis(700);
 
-/// Time for which the rest of a data centre is doubted after losses there, unless it is heard.
-const DOUBTED: Duration = Duration::from_secs(3);
+/// Time for which the other servers of a data centre are suspected after losses there, unless they
+/// prove alive.
+const DOMAIN_SUSPICION_TIME: Duration = Duration::from_secs(3);
 
-/// Servers of a data centre that are lost together before the rest of it is avoided: power and
-/// switches are shared, and the others are probably lost too.
-const MANY: usize = 2;
+/// Number of servers of a data centre that are lost together before its other servers are avoided.
+/// Power and switches are shared, so that the others are probably lost too.
+const DOMAIN_LOSS_THRESHOLD: usize = 2;
 
-/// What speaks against sending new work to a server for a while.
+/// Reason not to send new work to a server for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It refused a connection: its process is gone, and its host is there.
+    /// It refused a connection: its process is gone, but its host is up.
     Refused,
-    /// Nothing comes back from it at all. One server that goes dark says more of its data centre
-    /// than one whose process is gone, and each look at another costs a time-out.
+    /// It does not respond at all. This is stronger evidence against its data centre than a missing
+    /// process, and each attempt to reach another server there costs a timeout.
     Dark,
-    /// It broke a connection as soon as it had the request.
+    /// It closed a connection as soon as it had the request.
     Broke,
     /// It is full.
     Full,
 }
 
 impl Suspicion {
-    /// How much it says of the rest of the data centre, see [`MANY`].
+    /// Returns the weight of the suspicion against the rest of the data centre, see
+    /// [`DOMAIN_LOSS_THRESHOLD`].
     fn weight(self) -> usize {
         match self {
             Suspicion::Refused => 1,
-            Suspicion::Dark => MANY,
+            Suspicion::Dark => DOMAIN_LOSS_THRESHOLD,
             Suspicion::Broke | Suspicion::Full => 0,
         }
     }
 
-    /// Whether what the server holds is out of reach as well.
-    pub(super) fn unreachable(self) -> bool {
+    /// Returns whether runs and copies on the server are unreachable as well.
+    pub(super) fn is_unreachable(self) -> bool {
         matches!(self, Suspicion::Refused | Suspicion::Dark)
     }
 }
 
-/// Where servers were lost together: a data centre's servers of one service.
+/// Failure domain: the servers of one service in a data centre.
 pub(super) type Domain = (DataCentre, Service);
 
-/// Servers that were lost of late.
+/// Servers that were recently suspected, by failure domain.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Losses {
     domains: HashMap<Domain, HashMap<Server, (Clock, Suspicion)>>,
 }
 
 impl Losses {
-    pub(super) fn note(
+    pub(super) fn record(
         &mut self,
         now: Clock,
         domain: Domain,
@@ -70,60 +72,67 @@
         suspicion: Suspicion,
     ) {
         let lost = self.domains.entry(domain).or_default();
-        lost.retain(|_, (at, _)| now.saturating_sub(*at) <= DOUBTED);
+        lost.retain(|_, (at, _)| now.saturating_sub(*at) <= DOMAIN_SUSPICION_TIME);
         lost.insert(server.clone(), (now, suspicion));
     }
 
-    /// Whether so many servers were lost together that another one of the domain, which was last
-    /// heard at `heard`, is probably lost too.
-    pub(super) fn shaken(&self, now: Clock, domain: &Domain, heard: Clock) -> bool {
+    /// Returns whether so many servers were lost together that another server of the domain, last
+    /// known to be alive at `last_alive`, is probably lost too.
+    pub(super) fn is_domain_suspected(
+        &self,
+        now: Clock,
+        domain: &Domain,
+        last_alive: Clock,
+    ) -> bool {
         let Some(lost) = self.domains.get(domain) else {
             return false;
         };
         let mut weight = 0;
         for (at, suspicion) in lost.values() {
-            // Whoever was heard since is not meant.
-            if now.saturating_sub(*at) <= DOUBTED && heard <= *at {
+            // Losses from before the last evidence that the server is alive don't count.
+            if now.saturating_sub(*at) <= DOMAIN_SUSPICION_TIME && last_alive <= *at {
                 weight += suspicion.weight();
             }
         }
-        weight >= MANY
+        weight >= DOMAIN_LOSS_THRESHOLD
     }
 
-    /// When a server was last found dark, or the last of so many of its domain that it is probably
-    /// dark too; it was last heard at `heard`. A process that is gone breaks its connections itself.
-    pub(super) fn doubted(
+    /// Returns when the server was last found unresponsive, or the last of so many servers of its
+    /// domain that it is probably unresponsive too. It was last known to be alive at `last_alive`.
+    /// A process that exits closes its connections itself, so that only [`Suspicion::Dark`] counts.
+    pub(super) fn suspected_since(
         &self,
         now: Clock,
         domain: &Domain,
         server: &Server,
-        heard: Clock,
+        last_alive: Clock,
     ) -> Option<Clock> {
         let lost = self.domains.get(domain)?;
-        let dark =
-            |(at, suspicion): &(Clock, Suspicion)| *suspicion == Suspicion::Dark && *at >= heard;
-        let own = lost.get(server).copied().filter(dark);
+        let is_dark = |(at, suspicion): &(Clock, Suspicion)| {
+            *suspicion == Suspicion::Dark && *at >= last_alive
+        };
+        let own = lost.get(server).copied().filter(is_dark);
         if let Some((at, _)) = own {
             return Some(at);
         }
-        if !self.shaken(now, domain, heard) {
+        if !self.is_domain_suspected(now, domain, last_alive) {
             return None;
         }
-        let all = lost.values().copied().filter(dark);
+        let all = lost.values().copied().filter(is_dark);
         all.map(|(at, _)| at).max()
     }
 
-    /// Losses that peers are told of, with their age.
-    pub(super) fn told(&self, now: Clock) -> Vec<(&Server, Duration, Suspicion)> {
-        let mut told = Vec::new();
+    /// Returns the suspicions to share with peers, with their age.
+    pub(super) fn recent(&self, now: Clock) -> Vec<(&Server, Duration, Suspicion)> {
+        let mut recent = Vec::new();
         for lost in self.domains.values() {
             for (server, (at, suspicion)) in lost {
                 let age = now.saturating_sub(*at);
-                if age <= TOLD {
-                    told.push((server, age, *suspicion));
+                if age <= MAX_SHARED_AGE {
+                    recent.push((server, age, *suspicion));
                 }
             }
         }
-        told
+        recent
     }
 }
--- a/components/routing/src/pool.rs
+++ b/components/routing/src/pool.rs
@@ -1,4 +1,4 @@
-//! What is known about the replicas.
+//! State of the known replicas.
 
 use std::{
     collections::HashMap,
@@ -22,52 +22,52 @@
     Settings,
     Summary,
     cache::Cache,
-    far::Far,
     member::Member, //
+    remote::Remote,
 };
 
-/// Time that a request is taken to need before any was served.
-const USUAL: Duration = Duration::from_secs(10);
+/// Assumed time of a request before any was served.
+const INITIAL_REQUEST_TIME: Duration = Duration::from_secs(10);
 
-/// Weight of a new reading in the usual time, once there have been some.
-const FRESH: f64 = 0.05;
+/// Weight of a new measurement in the mean time, after the first few.
+const MIN_EWMA_WEIGHT: f64 = 0.05;
 
-/// What a replica serves, and where.
+/// A version of a service in one data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Deployment {
-    /// Service that it belongs to.
+    /// Service.
     pub service: Service,
-    /// Version that it runs.
+    /// Version of the service.
     pub version: Version,
-    /// Its data centre.
+    /// Data centre.
     pub data_centre: DataCentre,
 }
 
-/// Replicas of one version in one data centre.
+/// Replicas of one deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Group {
     pub(crate) members: Vec<usize>,
     /// Mean time of a served request.
-    pub(crate) usual: Duration,
-    /// Served requests that went into it.
+    pub(crate) mean_time: Duration,
+    /// Served requests that the mean includes.
     served: u32,
 }
 
-/// The replicas that work can go to.
+/// The replicas that can serve work.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     pub(crate) settings: Settings,
-    /// Members by number; a vacant number keeps its last member, which no group names.
+    /// Members by index; a vacant index keeps its last member, which no group refers to.
     pub(crate) members: Vec<Member>,
-    vacant: Vec<usize>,
+    free_indices: Vec<usize>,
     index: HashMap<Server, (usize, Deployment)>,
     pub(crate) groups: HashMap<Deployment, Group>,
-    pub(crate) far: HashMap<(Service, Version), Vec<Far>>,
+    pub(crate) remotes: HashMap<(Service, Version), Vec<Remote>>,
     pub(crate) cache: Cache,
 }
 
 impl Pool {
-    /// A pool without replicas.
+    /// Creates a pool without replicas.
     pub fn new(settings: Settings) -> Pool {
         Pool {
             settings,
@@ -75,17 +75,17 @@
         }
     }
 
-    /// Takes in a replica, or moves it. One that is known at that place stays as it is; call
-    /// [`Pool::remove`] before when its process is another.
-    pub fn insert(&mut self, now: Clock, server: &Server, place: &Deployment) {
+    /// Adds a replica, or moves it to another deployment. A known replica of the same deployment
+    /// stays unchanged; if its process was replaced, call [`Pool::remove`] first.
+    pub fn insert(&mut self, now: Clock, server: &Server, deployment: &Deployment) {
         if let Some((_, known)) = self.index.get(server) {
-            if known == place {
+            if known == deployment {
                 return;
             }
             self.remove(server);
         }
         let member = Member::new(now, server.clone());
-        let number = match self.vacant.pop() {
+        let number = match self.free_indices.pop() {
             Some(number) => {
                 self.members[number] = member;
                 number
@@ -95,54 +95,61 @@
                 self.members.len() - 1
             }
         };
-        let group = self.groups.entry(place.clone()).or_insert_with(|| Group {
-            members: Vec::new(),
-            usual: USUAL,
-            served: 0,
-        });
+        let group = self
+            .groups
+            .entry(deployment.clone())
+            .or_insert_with(|| Group {
+                members: Vec::new(),
+                mean_time: INITIAL_REQUEST_TIME,
+                served: 0,
+            });
         group.members.push(number);
-        self.index.insert(server.clone(), (number, place.clone()));
+        self.index
+            .insert(server.clone(), (number, deployment.clone()));
     }
 
-    /// Forgets a replica.
+    /// Removes a replica.
     pub fn remove(&mut self, server: &Server) {
-        let Some((number, place)) = self.index.remove(server) else {
+        let Some((number, deployment)) = self.index.remove(server) else {
             return;
         };
-        self.vacant.push(number);
-        if let Some(group) = self.groups.get_mut(&place) {
+        self.free_indices.push(number);
+        if let Some(group) = self.groups.get_mut(&deployment) {
             group.members.retain(|member| *member != number);
             if group.members.is_empty() {
-                self.groups.remove(&place);
+                self.groups.remove(&deployment);
             }
         }
     }
 
-    /// The servers that are known.
+    /// Returns the known servers.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.index.keys()
     }
 
-    /// Takes a replica's report. Reports of servers that are not known are ignored.
+    /// Records a report of a replica. Reports of unknown servers are ignored.
     pub fn record_report(&mut self, now: Clock, server: &Server, report: &Report) {
-        let Some((number, place)) = self.index.get(server) else {
+        let Some((number, deployment)) = self.index.get(server) else {
             return;
         };
-        self.members[*number].learn(now, report);
-        let mut guess = None;
-        if self.members[*number].implausible() {
-            guess = self.groups.get(place).map(|group| self.others_each(group));
+        self.members[*number].record_report(now, report);
+        let mut ratio = None;
+        if self.members[*number].is_implausible() {
+            ratio = self
+                .groups
+                .get(deployment)
+                .map(|group| self.others_per_own(group));
         }
-        self.members[*number].guess(guess);
+        self.members[*number].set_others_per_own(ratio);
     }
 
-    /// Work of other senders for each piece of own work, over the replicas of a group whose
-    /// reports can be true.
-    fn others_each(&self, group: &Group) -> f64 {
+    /// Returns the runs of other senders per own run, over the replicas of a group whose reports
+    /// are plausible.
+    fn others_per_own(&self, group: &Group) -> f64 {
         let (mut own, mut all) = (0, 0);
         for number in &group.members {
             let member = &self.members[*number];
-            if member.implausible() {
+            if member.is_implausible() {
                 continue;
             }
             let reported = member.reported();
@@ -152,38 +159,38 @@
         f64::from(all.saturating_sub(own)) / f64::from(own.max(1))
     }
 
-    /// Takes another data centre's summary of a version.
-    pub fn record_summary(&mut self, now: Clock, place: &Deployment, summary: &Summary) {
-        // Versions come and go all day; what is no longer spoken of is forgotten.
-        self.far.retain(|_, fars| {
-            fars.retain(|far| !far.stale(now));
-            !fars.is_empty()
+    /// Records a summary that another data centre published.
+    pub fn record_summary(&mut self, now: Clock, deployment: &Deployment, summary: &Summary) {
+        // Versions change throughout the day; expired summaries are dropped.
+        self.remotes.retain(|_, remotes| {
+            remotes.retain(|remote| !remote.is_stale(now));
+            !remotes.is_empty()
         });
-        let version = (place.service.clone(), place.version.clone());
-        let fars = self.far.entry(version).or_default();
-        let known = fars
+        let version = (deployment.service.clone(), deployment.version.clone());
+        let remotes = self.remotes.entry(version).or_default();
+        let known = remotes
             .iter()
-            .position(|far| far.data_centre == place.data_centre);
+            .position(|remote| remote.data_centre == deployment.data_centre);
         let number = known.unwrap_or_else(|| {
-            fars.push(Far::new(now, place.data_centre.clone()));
-            fars.len() - 1
+            remotes.push(Remote::new(now, deployment.data_centre.clone()));
+            remotes.len() - 1
         });
-        fars[number].learn(now, summary);
+        remotes[number].record_summary(now, summary);
     }
 
-    /// Sums up the replicas of a place, for other data centres.
-    pub fn summary(&self, now: Clock, place: &Deployment) -> Summary {
+    /// Returns the summary of a deployment's replicas for other data centres.
+    pub fn summary(&self, now: Clock, deployment: &Deployment) -> Summary {
         let mut summary = Summary {
             load: 0,
             capacity: 0,
             age: Duration::ZERO,
         };
-        let Some(group) = self.groups.get(place) else {
+        let Some(group) = self.groups.get(deployment) else {
             return summary;
         };
         for number in &group.members {
             let member = &self.members[*number];
-            if member.leaving || !member.healthy || member.ejected(now) {
+            if member.leaving || !member.healthy || member.is_ejected(now) {
                 continue;
             }
             summary.load += member.load() as u32;
@@ -192,102 +199,106 @@
         summary
     }
 
-    /// Notes that work was sent to a server. The prompt's prefix will be cached there.
+    /// Records that work was sent to a server, whose cache will hold the prefix of the prompt.
     pub fn sent(&mut self, now: Clock, server: &Server, prefix: Option<Prefix>) {
         let Some((number, _)) = self.index.get(server) else {
             return;
         };
         self.members[*number].sent(now);
         if let Some(prefix) = prefix {
-            self.cache.seen(now, prefix, *number, &self.settings);
+            self.cache.insert(now, prefix, *number, &self.settings);
         }
     }
 
-    /// Notes that work sent to a server has begun to be answered, with its first token or byte.
+    /// Records that a server sent the first token or byte of its answer.
     pub fn answered(&mut self, server: &Server) {
         if let Some((number, _)) = self.index.get(server) {
             self.members[*number].answered();
         }
     }
 
-    /// Notes what came of work that was sent.
+    /// Records the outcome of work that was sent.
     pub fn done(&mut self, now: Clock, server: &Server, outcome: Outcome) {
-        let Some((number, place)) = self.index.get(server) else {
+        let Some((number, deployment)) = self.index.get(server) else {
             return;
         };
-        let Some(group) = self.groups.get_mut(place) else {
+        let Some(group) = self.groups.get_mut(deployment) else {
             return;
         };
         let member = &mut self.members[*number];
-        member.done(now, outcome, group.usual, &self.settings);
+        member.done(now, outcome, group.mean_time, &self.settings);
         match outcome {
             Outcome::Served { time } => {
-                // The first ones count more, so that a wrong first guess is soon forgotten.
+                // Early measurements weigh more, so that they quickly replace the assumed time.
                 group.served = group.served.saturating_add(1);
-                let weight = FRESH.max(1.0 / f64::from(group.served.saturating_add(1)));
-                group.usual = group.usual.mul_f64(1.0 - weight) + time.mul_f64(weight);
+                let weight = MIN_EWMA_WEIGHT.max(1.0 / f64::from(group.served.saturating_add(1)));
+                group.mean_time = group.mean_time.mul_f64(1.0 - weight) + time.mul_f64(weight);
             }
             Outcome::Failed => {
-                let others = others(&self.members, group, *number, now, &self.settings);
-                self.members[*number].judge(now, others, &self.settings);
+                let elsewhere =
+                    failure_share_without(&self.members, group, *number, now, &self.settings);
+                self.members[*number].eject_if_failing(now, elsewhere, &self.settings);
             }
             Outcome::Refused { .. } | Outcome::Cancelled => {}
         }
     }
 
-    /// Notes that work was sent to another data centre.
-    pub fn sent_remote(&mut self, now: Clock, place: &Deployment) {
-        if let Some(far) = self.far_mut(place) {
-            far.sent(now);
+    /// Records that work was sent to another data centre.
+    pub fn sent_remote(&mut self, now: Clock, deployment: &Deployment) {
+        if let Some(remote) = self.remote_mut(deployment) {
+            remote.sent(now);
         }
     }
 
-    /// Notes that work sent to another data centre has ended.
-    pub fn done_remote(&mut self, now: Clock, place: &Deployment) {
-        if let Some(far) = self.far_mut(place) {
-            far.done(now);
+    /// Records that work sent to another data centre has ended.
+    pub fn done_remote(&mut self, now: Clock, deployment: &Deployment) {
+        if let Some(remote) = self.remote_mut(deployment) {
+            remote.done(now);
         }
     }
 
-    fn far_mut(&mut self, place: &Deployment) -> Option<&mut Far> {
-        let version = (place.service.clone(), place.version.clone());
-        let fars = self.far.get_mut(&version)?;
-        fars.iter_mut()
-            .find(|far| far.data_centre == place.data_centre)
+    fn remote_mut(&mut self, deployment: &Deployment) -> Option<&mut Remote> {
+        let version = (deployment.service.clone(), deployment.version.clone());
+        let remotes = self.remotes.get_mut(&version)?;
+        remotes
+            .iter_mut()
+            .find(|remote| remote.data_centre == deployment.data_centre)
     }
 
-    /// Takes a replica's cache event.
+    /// Records a cache event of a replica. Events with an old sequence number are ignored.
     pub fn record_cache_event(&mut self, now: Clock, server: &Server, event: Event) {
         let Some((number, _)) = self.index.get(server) else {
             return;
         };
         let member = &mut self.members[*number];
-        if event.seq <= member.seq {
+        if event.seq <= member.last_seq {
             return;
         }
-        if event.seq > member.seq + 1 {
-            // An eviction may be among the lost ones.
-            member.doubt = now;
+        if event.seq > member.last_seq + 1 {
+            // The lost events may include evictions.
+            member.cache_doubtful_before = now;
         }
-        member.seq = event.seq;
+        member.last_seq = event.seq;
         match event.kind {
-            Kind::Stored => self.cache.seen(now, event.prefix, *number, &self.settings),
-            Kind::Evicted => self.cache.gone(event.prefix, *number),
+            Kind::Stored => self
+                .cache
+                .insert(now, event.prefix, *number, &self.settings),
+            Kind::Evicted => self.cache.remove(event.prefix, *number),
         }
     }
 }
 
-/// Share of failures of a group without one of its members.
-fn others(
+/// Returns the share of failures in a group without one of its members.
+fn failure_share_without(
     members: &[Member],
     group: &Group,
-    without: usize,
+    excluded: usize,
     now: Clock,
     settings: &Settings,
 ) -> f64 {
     let (mut served, mut failed) = (0.0, 0.0);
     for number in &group.members {
-        if *number == without {
+        if *number == excluded {
             continue;
         }
         let counts = members[*number].counts(now, settings);
--- a/components/routing/src/prompts.rs
+++ b/components/routing/src/prompts.rs
@@ -1,8 +1,7 @@
-//! Which servers have read which parts of prompts of late.
+//! Index of the servers that recently processed each part of a prompt.
 //!
-//! The load that it answers: a caller whose connection broke comes back at once, through any entry,
-//! and many requests may begin with the same part. Reading a part again costs time on the engine
-//! and delays all that runs beside it.
+//! A caller whose connection breaks retries at once, through any entry, and many requests share a
+//! common prefix. Processing a part again costs engine time and delays every run on that engine.
 
 use std::{
     collections::{
@@ -20,63 +19,63 @@
 /// Hash of a part of a prompt.
 pub type Part = u64;
 
-/// Time for which a part is believed to be cached. Engines drop what was used longest ago first;
-/// a caller that comes back does so within seconds.
-const KEPT: Duration = Duration::from_secs(10);
+/// Time for which a part is assumed to be cached. Engines evict the least recently used part first;
+/// callers that retry do so within seconds.
+const CACHE_TTL: Duration = Duration::from_secs(10);
 
-/// Parts that are remembered at most.
-const MOST: usize = 16_384;
+const MAX_PARTS: usize = 16_384;
 
-/// Servers that are remembered for one part; the newest stay.
-const HOLDERS: usize = 4;
+/// The most recent servers of a part are kept.
+const MAX_SERVERS_PER_PART: usize = 4;
 
-/// Parts and the servers that have read them.
+/// Parts of prompts and the servers that processed them.
 #[derive(Clone, Debug, Default)]
 pub struct Prompts {
-    holders: HashMap<Part, Vec<(Server, Clock)>>,
-    order: VecDeque<Part>,
+    servers: HashMap<Part, Vec<(Server, Clock)>>,
+    insertion_order: VecDeque<Part>,
 }
 
 impl Prompts {
-    /// Notes that a server had read a part at a time.
-    pub fn read(&mut self, at: Clock, part: Part, server: &Server) {
-        if !self.holders.contains_key(&part) {
-            self.order.push_back(part);
+    /// Records that `server` processed `part` at the time `at`.
+    pub fn record(&mut self, at: Clock, part: Part, server: &Server) {
+        if !self.servers.contains_key(&part) {
+            self.insertion_order.push_back(part);
         }
-        let holders = self.holders.entry(part).or_default();
-        holders.retain(|(holder, _)| holder != server);
-        if holders.len() >= HOLDERS {
-            holders.remove(0);
+        let servers = self.servers.entry(part).or_default();
+        servers.retain(|(known, _)| known != server);
+        if servers.len() >= MAX_SERVERS_PER_PART {
+            servers.remove(0);
         }
-        holders.push((server.clone(), at));
-        while self.order.len() > MOST {
-            if let Some(oldest) = self.order.pop_front() {
-                self.holders.remove(&oldest);
+        servers.push((server.clone(), at));
+        while self.insertion_order.len() > MAX_PARTS {
+            if let Some(oldest) = self.insertion_order.pop_front() {
+                self.servers.remove(&oldest);
             }
         }
     }
 
-    /// Whether a server is believed to have a part.
+    /// Returns whether `server` is assumed to have `part` in its cache.
     pub fn holds(&self, now: Clock, part: Part, server: &Server) -> bool {
-        let Some(holders) = self.holders.get(&part) else {
+        let Some(servers) = self.servers.get(&part) else {
             return false;
         };
-        let fresh =
-            |(holder, at): &(Server, Clock)| holder == server && now.saturating_sub(*at) <= KEPT;
-        holders.iter().any(fresh)
+        let is_cached =
+            |(known, at): &(Server, Clock)| known == server && now.saturating_sub(*at) <= CACHE_TTL;
+        servers.iter().any(is_cached)
     }
 
-    /// Tokens at the beginning of a prompt that a server is believed to have. It reads parts in
-    /// order, so that it has all before one that it has.
-    pub fn known(&self, now: Clock, parts: &[(Part, u32)], server: &Server) -> u64 {
-        let mut known = 0;
+    /// Returns the number of leading tokens of a prompt that `server` is assumed to have cached.
+    /// Servers process parts in order, so a cached part implies that all parts before it are
+    /// cached.
+    pub fn cached_tokens(&self, now: Clock, parts: &[(Part, u32)], server: &Server) -> u64 {
+        let mut cached = 0;
         let mut tokens = 0;
         for (part, size) in parts {
             tokens += u64::from(*size);
             if self.holds(now, *part, server) {
-                known = tokens;
+                cached = tokens;
             }
         }
-        known
+        cached
     }
 }
--- a/components/routing/src/settings.rs
+++ b/components/routing/src/settings.rs
@@ -1,46 +1,46 @@
-//! What the choice can be tuned by.
+//! Tuning parameters of replica selection.
 
 use std::time::Duration;
 
-/// Settings of a pool. The defaults are those measured in `docs/design/routing.md`.
+/// Settings of a pool. `docs/design/routing.md` gives the measurements behind the defaults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Replicas that a prefix is kept on while they are not too loaded.
+    /// Number of replicas that serve a prefix while their load allows it.
     pub affine_replicas: usize,
     /// Load, relative to the mean of the group, up to which a replica gets work for its prefixes.
     pub affinity_bound: f64,
-    /// Load, relative to capacity, above which it gets work for its prefixes only while it is
-    /// below the mean.
+    /// Load, relative to capacity, above which a replica gets work for its prefixes only while its
+    /// load is below the group's mean.
     pub affinity_load: f64,
-    /// Runs beyond that bound that are always allowed, so that small groups can keep prefixes.
+    /// Runs allowed beyond `affinity_bound`, so that small groups can keep prefixes.
     pub affinity_slack: f64,
     /// Load, relative to capacity, at which a replica gets no new work.
     pub full_load: f64,
-    /// Capacity of a replica that has not reported yet, in runs.
+    /// Assumed capacity, in runs, of a replica that has not reported yet.
     pub assumed_capacity: u32,
-    /// Share of a group that stays in use whatever probes and failures say.
+    /// Minimum share of a group that stays in use regardless of health checks and failures.
     pub min_usable_share: f64,
-    /// Share of failures above which a replica is ejected.
+    /// Share of failed requests above which a replica is ejected.
     pub max_failure_share: f64,
-    /// Failures, decayed, below which none is ejected for its share.
+    /// Decayed number of failures below which a replica is not ejected for its share of failures.
     pub min_failures: f64,
-    /// Failures in a row for which a replica is ejected.
+    /// Consecutive failures after which a replica is ejected.
     pub max_consecutive_failures: u32,
-    /// Half-life of the memory of failures.
+    /// Half-life of the counts of served and failed requests.
     pub failure_half_life: Duration,
-    /// Time of a first ejection; each further one doubles it.
+    /// Duration of the first ejection; it doubles with each further one.
     pub first_ejection: Duration,
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     pub max_ejection: Duration,
-    /// How long a prefix is believed to be cached after it was last seen there.
+    /// Time after its last cache event or use for which a prefix is assumed to be cached.
     pub prefix_ttl: Duration,
-    /// The same, for what was seen before events of that replica were lost.
+    /// The same for prefixes last seen before cache events of the replica were lost.
     pub doubtful_prefix_ttl: Duration,
-    /// Prefixes remembered; the ones seen first are forgotten first.
+    /// Maximum number of prefixes in the cache index; the oldest are evicted first.
     pub max_prefixes: usize,
-    /// Load, relative to capacity, from which on other data centres are looked at.
+    /// Load, relative to capacity, from which other data centres are considered.
     pub spill_load: f64,
-    /// How much less loaded another data centre must be, in shares of its capacity.
+    /// How much lower the load of another data centre must be, as a share of capacity.
     pub spill_margin: f64,
 }
 
--- a/components/routing/src/subset.rs
+++ b/components/routing/src/subset.rs
@@ -1,10 +1,10 @@
-//! Which sidecars an entry keeps a link to.
+//! Selection of the sidecars that an entry keeps a link to.
 //!
-//! A link costs heartbeats on both sides all the time. With a link from each of 340 entries to each
-//! of 2,000 sidecars the heartbeats alone would be many times what a node may spend on control. So
-//! beyond a bound an entry keeps links to a part of the sidecars only: those of its own data centre
-//! first, then others, spread evenly over the fleet by rendezvous hashing. Any other sidecar is
-//! dialled when it is needed.
+//! Each link costs periodic heartbeats on both sides. With a link from each of 340 entries to each
+//! of 2,000 sidecars, the heartbeats alone would cost many times the control budget of a node.
+//! Above a limit, an entry therefore links to a subset of the sidecars: first those of its own data
+//! centre, then others, spread evenly over the fleet by rendezvous hashing. It dials any other
+//! sidecar on demand.
 
 use names::{
     DataCentre,
@@ -12,44 +12,49 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Of the bound, the share that the own data centre may take, in tenths: the others need some too,
-/// so that an answer can go on when the own data centre is lost.
-const NEAR_TENTHS: usize = 7;
+/// Maximum share, in tenths, of the links that go to the local data centre. The remaining links let
+/// a response continue when the local data centre is lost.
+const LOCAL_SHARE_TENTHS: usize = 7;
 
-/// A sidecar that could be linked.
+/// A sidecar that an entry can link to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its host.
+    /// Host of the sidecar.
     pub host: Host,
-    /// Its data centre.
+    /// Data centre of the sidecar.
     pub data_centre: DataCentre,
 }
 
-/// Chooses at most `most` hosts. The choice depends only on the names, so that it changes little
-/// when hosts come and go, and each sidecar gets about as many links as every other one.
+/// Chooses at most `max_links` hosts. The choice depends only on the names, so that it changes
+/// little when hosts join or leave, and each sidecar gets about the same number of links.
 pub fn choose(
     own: &Host,
     data_centre: &DataCentre,
     candidates: &[Candidate],
-    most: usize,
+    max_links: usize,
 ) -> Vec<Host> {
-    if candidates.len() <= most {
+    if candidates.len() <= max_links {
         return candidates
             .iter()
             .map(|candidate| candidate.host.clone())
             .collect();
     }
-    let is_near = |candidate: &&Candidate| candidate.data_centre == *data_centre;
-    let mut near: Vec<&Candidate> = candidates.iter().filter(is_near).collect();
-    let mut far: Vec<&Candidate> = candidates.iter().filter(|one| !is_near(one)).collect();
-    near.sort_by_key(|candidate| rank(own, &candidate.host));
-    far.sort_by_key(|candidate| rank(own, &candidate.host));
-    near.truncate((most * NEAR_TENTHS / 10).max(most.saturating_sub(far.len())));
-    far.truncate(most - near.len());
-    let chosen = near.into_iter().chain(far);
+    let is_local = |candidate: &&Candidate| candidate.data_centre == *data_centre;
+    let mut local: Vec<&Candidate> = candidates.iter().filter(is_local).collect();
+    let mut remote: Vec<&Candidate> = candidates
+        .iter()
+        .filter(|candidate| !is_local(candidate))
+        .collect();
+    local.sort_by_key(|candidate| score(own, &candidate.host));
+    remote.sort_by_key(|candidate| score(own, &candidate.host));
+    local.truncate(
+        (max_links * LOCAL_SHARE_TENTHS / 10).max(max_links.saturating_sub(remote.len())),
+    );
+    remote.truncate(max_links - local.len());
+    let chosen = local.into_iter().chain(remote);
     chosen.map(|candidate| candidate.host.clone()).collect()
 }
 
-fn rank(own: &str, host: &str) -> u64 {
+fn score(own: &str, host: &str) -> u64 {
     xxh3_64(format!("{own}\n{host}").as_bytes())
 }
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A pool with replicas, and short ways to speak to it.
+//! Test harness: a pool with replicas, a clock and a seeded random generator.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 
 pub const CAPACITY: u32 = 10;
 
-pub struct Bench {
+pub struct Harness {
     pub pool: Pool,
     pub now: Clock,
     pub rng: StdRng,
@@ -35,11 +35,11 @@
     near: DataCentre,
 }
 
-pub fn name(number: usize) -> Server {
+pub fn server_name(number: usize) -> Server {
     format!("s{number:03}")
 }
 
-pub fn place(data_centre: &str) -> Deployment {
+pub fn deployment(data_centre: &str) -> Deployment {
     Deployment {
         service: "letters".to_string(),
         version: "v1".to_string(),
@@ -59,10 +59,10 @@
 }
 
 #[allow(dead_code, reason = "each test file uses its part of this module")]
-impl Bench {
-    /// Idle replicas in the data centre "near".
-    pub fn new(replicas: usize, settings: Settings, seed: u64) -> Bench {
-        let mut bench = Bench {
+impl Harness {
+    /// Creates idle replicas in the data centre "near".
+    pub fn new(replicas: usize, settings: Settings, seed: u64) -> Harness {
+        let mut harness = Harness {
             pool: Pool::new(settings),
             now: Duration::from_secs(1),
             rng: StdRng::seed_from_u64(seed),
@@ -71,22 +71,30 @@
             near: "near".to_string(),
         };
         for number in 0..replicas {
-            bench.pool.insert(bench.now, &name(number), &place("near"));
-            bench.report(number, report(0));
+            harness
+                .pool
+                .insert(harness.now, &server_name(number), &deployment("near"));
+            harness.report(number, report(0));
         }
-        bench
+        harness
     }
 
     pub fn report(&mut self, number: usize, report: Report) {
-        self.pool.record_report(self.now, &name(number), &report);
+        self.pool
+            .record_report(self.now, &server_name(number), &report);
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         self.now += time;
     }
 
-    pub fn ask(&mut self, prefix: Option<Prefix>, avoid: &[Server], resume: bool) -> Choice {
-        let ask = Request {
+    pub fn choose_with(
+        &mut self,
+        prefix: Option<Prefix>,
+        avoid: &[Server],
+        resume: bool,
+    ) -> Choice {
+        let request = Request {
             service: &self.service,
             version: &self.version,
             data_centre: &self.near,
@@ -94,21 +102,21 @@
             avoid,
             resume,
         };
-        self.pool.choose(self.now, &ask, &mut self.rng)
+        self.pool.choose(self.now, &request, &mut self.rng)
     }
 
     pub fn choose(&mut self, prefix: Option<Prefix>) -> Choice {
-        self.ask(prefix, &[], false)
+        self.choose_with(prefix, &[], false)
     }
 
-    /// Chooses and sends.
+    /// Chooses a server and sends a request to it.
     pub fn send(&mut self, prefix: Option<Prefix>) -> Server {
         match self.choose(prefix) {
             Choice::Server(server) => {
                 self.pool.sent(self.now, &server, prefix);
                 server
             }
-            other => panic!("there is a server for this: {other:?}"),
+            other => panic!("expected a server: {other:?}"),
         }
     }
 
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement by many entries that can't see what the others send at the same moment.
+//! Placement by many entries that don't see what the others send at the same moment.
 
 use std::{
     collections::HashMap,
@@ -23,16 +23,16 @@
 };
 use rstest::rstest;
 
-const WORK: Work = Work {
+const PROMPT_WORK: Work = Work {
     requests: 1,
     tokens: 6000,
     unread: 5000,
 };
 
-const ANSWER: Duration = Duration::from_secs(2);
+const FIRST_EVENT_TIME: Duration = Duration::from_secs(2);
 
-/// The entries, each of which knows all servers; `busy` tells the tokens at each server, which all
-/// know of from a peer.
+/// Creates entries that know all servers; `busy` returns the tokens at each server, which a peer
+/// has reported to every entry.
 fn entries(count: usize, servers: usize, busy: impl Fn(usize) -> u64) -> Vec<Placement> {
     let one = |place| {
         let mut placement = Placement::default();
@@ -65,23 +65,23 @@
     choose_at(placement, "dc0", rng)
 }
 
-fn choose_at(placement: &Placement, home: &str, rng: &mut SmallRng) -> Server {
+fn choose_at(placement: &Placement, data_centre: &str, rng: &mut SmallRng) -> Server {
     let service = "draft".to_string();
     let request = Request {
         service: &service,
-        data_centre: home,
-        work: WORK,
+        data_centre,
+        work: PROMPT_WORK,
         parts: &[],
         avoid: &[],
         versions: Versions::Any,
         avoid_data_centre: None,
     };
     let choice = placement.choose(Duration::ZERO, &request, rng);
-    choice.expect("there are servers").server
+    choice.expect("a server is available").server
 }
 
-/// Asserts how many of the prompts that all entries send at the same moment go to one server at the most.
-/// `home` tells an entry where it is.
+/// Asserts that at most `most` of the prompts that all entries send at the same moment go to one
+/// server. `home` returns the data centre of an entry.
 fn assert_burst_spreads(
     count: usize,
     servers: usize,
@@ -97,7 +97,7 @@
             let home = home(&mut placement, place);
             for _ in 0..each {
                 let server = choose_at(&placement, &home, &mut rng);
-                placement.sent(Duration::ZERO, &server, WORK);
+                placement.sent(Duration::ZERO, &server, PROMPT_WORK);
                 *counts.entry(server).or_default() += 1;
             }
         }
@@ -106,13 +106,14 @@
     }
 }
 
-/// A data centre's engines are lost, and each of 28 entries has two prompts to begin anew at the same
-/// moment. All know that the same few of the 66 that are left have the least to do. If all prompts go
-/// there, their callers wait for one another for seconds while the other engines stand idle.
+/// Guards against a burst of prompts on a few engines: the engines of a data centre are lost, and
+/// each of 28 entries has two prompts to restart at the same moment. All know the same least loaded
+/// of the remaining 66. If all prompts went there, callers would queue for seconds while other
+/// engines stay idle.
 #[rstest]
 #[case::many_entries(28, 66, 2, 4)]
 #[case::a_large_fleet(340, 2000, 1, 3)]
-fn a_burst_of_all_entries_spreads(
+fn distributes_a_burst_of_all_entries(
     #[case] count: usize,
     #[case] servers: usize,
     #[case] each: usize,
@@ -122,12 +123,12 @@
     assert_burst_spreads(count, servers, each, most, home);
 }
 
-/// The same of entries that follow the engines of their data centre: the messages that they send one
-/// another at once are under way while they choose.
+/// The same for entries that track the engines of their data centre: the messages between them are
+/// in transit while they choose.
 #[rstest]
 #[case::many_entries(28, 66, 2, 4)]
 #[case::a_large_fleet(340, 2000, 1, 4)]
-fn a_burst_of_entries_that_follow_their_data_centre_spreads(
+fn distributes_a_burst_of_entries_that_track_their_data_centre(
     #[case] count: usize,
     #[case] servers: usize,
     #[case] each: usize,
@@ -140,16 +141,16 @@
     });
 }
 
-/// Guards against prompts that are sent behind others while engines stand idle: entries of a large fleet
-/// looked at a few engines each, and heard of the others' work seconds later.
+/// Guards against prompts that queue while engines are idle: entries of a large fleet considered
+/// only a few engines each and learned of each other's work seconds later.
 #[test]
-fn entries_of_a_data_centre_do_not_send_prompts_behind_one_another() {
+fn entries_of_a_data_centre_do_not_queue_prompts_behind_each_other() {
     let mut behind = 0;
     for seed in 0..10 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let home = "dc0".to_string();
         let mut entries = entries(102, 255, |_| 0);
-        // Those of the data centre.
+        // Entries of the data centre.
         entries.truncate(34);
         for placement in &mut entries {
             placement.set_data_centre(&home);
@@ -158,7 +159,7 @@
         for sent in 0..60 {
             let at = sent * 7 % entries.len();
             let server = choose_at(&entries[at], &home, &mut rng);
-            entries[at].sent(Duration::ZERO, &server, WORK);
+            entries[at].sent(Duration::ZERO, &server, PROMPT_WORK);
             let work = entries[at].own_work(&server);
             for (peer, placement) in entries.iter_mut().enumerate() {
                 if peer != at {
@@ -173,9 +174,9 @@
     assert!(behind <= 10, "{behind} of 600 prompts behind another one");
 }
 
-/// One entry alone knows all there is to know. It takes the server with the least to do.
+/// A single entry knows the load of all servers and chooses the least loaded one.
 #[test]
-fn one_entry_takes_the_least_loaded() {
+fn single_entry_chooses_the_least_loaded_server() {
     let entries = entries(1, 20, |number| if number == 13 { 0 } else { 30_000 });
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -183,9 +184,9 @@
     }
 }
 
-/// Servers that the entry would pass over are taken all the same when the others are worse.
+/// Servers that sampling excludes are chosen when the others have higher penalties.
 #[test]
-fn a_full_server_is_not_taken_while_another_has_room() {
+fn full_servers_are_not_chosen_while_another_has_room() {
     let entries = entries(100, 10, |number| if number == 4 { 0 } else { 54_000 });
     for seed in 0..50 {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -193,10 +194,10 @@
     }
 }
 
-/// New servers of a version that gets samples only have come, and stand idle. Streams that wait for room
-/// must not be let go on for them: they would be sent to the old ones, which are full.
+/// Guards against counting idle servers of a version that only gets sampled requests: queued
+/// streams would be released for them and sent to the old servers, which are full.
 #[test]
-fn servers_of_a_version_that_may_not_serve_are_no_room() {
+fn servers_of_disallowed_versions_do_not_count_as_room() {
     let mut placement = Placement::default();
     for (name, version) in [("s0", "v1"), ("s1", "v2"), ("s2", "v2")] {
         let facts = Spec {
@@ -209,16 +210,24 @@
         placement.upsert(Duration::ZERO, &name.to_string(), facts, false);
     }
     let (service, new) = ("draft".to_string(), "v2".to_string());
-    let room = |versions| placement.room(Duration::ZERO, &service, versions, WORK, ANSWER);
+    let room = |versions| {
+        placement.room(
+            Duration::ZERO,
+            &service,
+            versions,
+            PROMPT_WORK,
+            FIRST_EVENT_TIME,
+        )
+    };
     assert_eq!(room(Versions::Any), 12);
     assert_eq!(room(Versions::Only(&new)), 8);
     assert_eq!(room(Versions::Not(&new)), 4);
 }
 
-/// Guards against a long prompt, or the memory of one, that makes all servers look full: reading it takes
-/// longer than the time that is asked for, and no server would read it sooner than one that reads nothing.
+/// Guards against a long prompt, or the memory of one, that makes all servers look full: processing
+/// it takes longer than the given time, and no server would finish it sooner than an idle one.
 #[test]
-fn a_server_that_reads_nothing_has_room_for_a_long_prompt() {
+fn idle_server_has_room_for_a_long_prompt() {
     let mut placement = entries(1, 1, |_| 0).remove(0);
     let (service, server) = ("draft".to_string(), "s0".to_string());
     let second = Duration::from_secs(1);
@@ -235,18 +244,18 @@
     assert_eq!(room(&placement), 0);
 }
 
-/// What others saw of a server, or of its data centre, is news for a stream there: servers that went
-/// dark with it, but not those that broke a connection or answered since.
+/// Suspicions of peers against a server or its data centre apply to its streams: to servers that
+/// became unresponsive together, but not to those that closed a connection or answered since.
 #[rstest]
 #[case::itself(&[("s0", Suspicion::Dark)], None, true)]
-#[case::one_beside_it(&[("s3", Suspicion::Dark)], None, true)]
+#[case::same_data_centre(&[("s3", Suspicion::Dark)], None, true)]
 #[case::another_data_centre(&[("s1", Suspicion::Dark)], None, false)]
-#[case::processes_that_are_gone(&[("s0", Suspicion::Refused), ("s3", Suspicion::Refused)], None, false)]
-#[case::heard_since(&[("s3", Suspicion::Dark)], Some(2), false)]
-fn a_server_is_doubted(
+#[case::processes_that_exited(&[("s0", Suspicion::Refused), ("s3", Suspicion::Refused)], None, false)]
+#[case::alive_since(&[("s3", Suspicion::Dark)], Some(2), false)]
+fn suspects_servers_by_their_data_centre(
     #[case] lost: &[(&str, Suspicion)],
-    #[case] heard: Option<u64>,
-    #[case] doubted: bool,
+    #[case] alive_at_s: Option<u64>,
+    #[case] suspected: bool,
 ) {
     let mut placement = entries(1, 6, |_| 0).remove(0);
     let second = Duration::from_secs(1);
@@ -254,49 +263,49 @@
         placement.suspend(second, &server.to_string(), *suspicion);
     }
     let server = "s0".to_string();
-    if let Some(heard) = heard {
-        placement.mark_alive(second * heard as u32, &server);
+    if let Some(alive_at_s) = alive_at_s {
+        placement.mark_alive(second * alive_at_s as u32, &server);
     }
     let since = placement.suspected_since(second * 3, &server);
-    assert_eq!(since, doubted.then_some(second));
+    assert_eq!(since, suspected.then_some(second));
 }
 
-/// Two of three servers of a payout service begin to lose answers. A payout whose answer is lost can't
-/// be sent again, and its caller has to find out by hand whether it ran. What the servers did well
-/// before must not hide that, and the third can do the work.
+/// Guards against earlier successes that hide a new fault: two of three servers of a payout service
+/// begin to lose responses. A payout whose response is lost can't be sent again, and its caller
+/// must find out manually whether it was executed. The third server can do the work.
 #[test]
-fn servers_that_begin_to_lose_answers_get_little_more() {
+fn servers_that_begin_to_lose_responses_get_little_work() {
     let (mut lost, mut sent) = (0, 0);
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut placement = plain(3);
+        let mut placement = plain_servers(3);
         for number in 0..480 {
             let now = Duration::from_millis(50) * number;
             let faulty = now >= Duration::from_secs(20);
-            let server = request(&mut placement, now, &mut rng);
+            let server = send_request(&mut placement, now, &mut rng);
             let fails = faulty && server != "s2" && rng.random_bool(0.4);
-            end(&mut placement, now, &server, fails);
+            finish_request(&mut placement, now, &server, fails);
             lost += u32::from(fails);
             sent += u32::from(faulty);
         }
     }
-    // 27 of 100 without a sign.
+    // Without the log likelihood ratio, 27 of 100 are lost.
     assert!(lost * 100 <= sent * 12, "{lost} of {sent}");
 }
 
-/// All servers fail one request in seven, whatever server it is sent to: the cause is elsewhere.
-/// Taking servers out for that would send their work to fewer and fewer.
+/// Guards against ejections for a common fault: all servers fail one request in seven, as the cause
+/// lies elsewhere, and ejections would send the work to fewer and fewer servers.
 #[test]
-fn servers_that_all_fail_now_and_then_stay() {
+fn common_failures_do_not_eject_servers() {
     let mut ejected = 0;
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut placement = plain(3);
+        let mut placement = plain_servers(3);
         let mut most = [0_u32; 3];
         for number in 0..2000 {
             let now = Duration::from_millis(50) * number;
-            let server = request(&mut placement, now, &mut rng);
-            end(&mut placement, now, &server, rng.random_bool(1.0 / 7.0));
+            let server = send_request(&mut placement, now, &mut rng);
+            finish_request(&mut placement, now, &server, rng.random_bool(1.0 / 7.0));
             let which: usize = server[1..].parse().expect("a number");
             most[which] += 1;
         }
@@ -305,8 +314,8 @@
     assert!(ejected <= 1, "{ejected} of 10");
 }
 
-/// Servers of a plain service.
-fn plain(servers: usize) -> Placement {
+/// Creates servers of a plain service.
+fn plain_servers(servers: usize) -> Placement {
     let mut placement = Placement::default();
     for number in 0..servers {
         let facts = Spec {
@@ -321,40 +330,42 @@
     placement
 }
 
-/// What one request is to a plain service.
-const CALL: Work = Work {
+/// Work of one request of a plain service.
+const REQUEST_WORK: Work = Work {
     requests: 1,
     tokens: 0,
     unread: 0,
 };
 
-fn request(placement: &mut Placement, now: Duration, rng: &mut SmallRng) -> Server {
-    let (service, home) = ("draft".to_string(), "elsewhere");
+fn send_request(placement: &mut Placement, now: Duration, rng: &mut SmallRng) -> Server {
+    let (service, data_centre) = ("draft".to_string(), "elsewhere");
     let request = Request {
         service: &service,
-        data_centre: home,
-        work: CALL,
+        data_centre,
+        work: REQUEST_WORK,
         parts: &[],
         avoid: &[],
         versions: Versions::Any,
         avoid_data_centre: None,
     };
-    let choice = placement.choose(now, &request, rng).expect("a server");
-    placement.sent(now, &choice.server, CALL);
+    let choice = placement
+        .choose(now, &request, rng)
+        .expect("a server is available");
+    placement.sent(now, &choice.server, REQUEST_WORK);
     choice.server
 }
 
-fn end(placement: &mut Placement, now: Duration, server: &Server, fails: bool) {
+fn finish_request(placement: &mut Placement, now: Duration, server: &Server, fails: bool) {
     let outcome = match fails {
         true => Outcome::Failed,
         false => Outcome::Served {
             time: Duration::from_millis(15),
         },
     };
-    placement.done(now, server, CALL, outcome);
+    placement.done(now, server, REQUEST_WORK, outcome);
 }
 
-/// Asserts to which of two servers prompts go, with what others have there.
+/// Asserts which of two servers prompts go to, given the work of other entries there.
 fn assert_prompts_go(loads: &[Work; 2], expected: &str) {
     let mut placement = entries(1, 2, |_| 0).remove(0);
     let names = ["s0", "s1"].map(str::to_string);
@@ -365,10 +376,10 @@
     }
 }
 
-/// Guards against streams that stand still while a prompt is read beside them: an engine that runs
-/// nothing but holds copies of other engines' runs is passed over for one that runs a stream.
+/// Guards against streams that stall while a prompt is processed beside them: an engine that runs
+/// nothing but holds copies of runs of other engines was passed over for one that runs a stream.
 #[test]
-fn a_prompt_is_read_where_it_delays_nobody() {
+fn prompt_goes_where_it_delays_no_stream() {
     let run = Work {
         requests: 1,
         tokens: 6000,
@@ -384,7 +395,7 @@
 
 /// Guards against prompts that queue on one engine because it runs the fewest streams.
 #[test]
-fn a_prompt_does_not_wait_behind_others_to_spare_a_stream() {
+fn prompt_does_not_queue_behind_others_to_spare_a_stream() {
     let streams = Work {
         requests: 2,
         tokens: 12_000,
--- a/components/routing/tests/subset.rs
+++ b/components/routing/tests/subset.rs
@@ -1,4 +1,5 @@
-//! The links of an entry: bounded, near first, even over the fleet, steady under change.
+//! Selection of the links of an entry: their number, preference for the local data centre, balance
+//! over the fleet and stability under changes.
 
 use std::collections::{
     BTreeMap,
@@ -11,7 +12,7 @@
 };
 
 const DATA_CENTRES: usize = 20;
-const MOST: usize = 128;
+const MAX_LINKS: usize = 128;
 
 fn fleet(count: usize) -> Vec<Candidate> {
     (0..count)
@@ -23,37 +24,37 @@
 }
 
 #[test]
-fn a_small_fleet_is_linked_whole() {
+fn links_to_all_sidecars_of_a_small_fleet() {
     let fleet = fleet(28);
     assert_eq!(
-        choose(&"entry".into(), &"dc0".into(), &fleet, MOST).len(),
+        choose(&"entry".into(), &"dc0".into(), &fleet, MAX_LINKS).len(),
         28
     );
 }
 
 #[test]
-fn a_large_fleet_is_linked_up_to_the_bound_with_the_own_data_centre_first() {
+fn prefers_the_local_data_centre_within_the_link_limit() {
     let fleet = fleet(2000);
-    let chosen = choose(&"entry".into(), &"dc0".into(), &fleet, MOST);
-    assert_eq!(chosen.len(), MOST);
+    let chosen = choose(&"entry".into(), &"dc0".into(), &fleet, MAX_LINKS);
+    assert_eq!(chosen.len(), MAX_LINKS);
     let chosen: BTreeSet<_> = chosen.into_iter().collect();
-    let near = fleet
+    let local = fleet
         .iter()
-        .filter(|one| one.data_centre == "dc0" && chosen.contains(&one.host))
+        .filter(|candidate| candidate.data_centre == "dc0" && chosen.contains(&candidate.host))
         .count();
-    assert_eq!(near, MOST * 7 / 10);
+    assert_eq!(local, MAX_LINKS * 7 / 10);
 }
 
-/// Without an even spread some sidecars would have so many links that heartbeats eat their budget,
-/// and a few would have none and stand idle.
+/// Guards against an uneven distribution of links: some sidecars would have so many that heartbeats
+/// use up their budget, while others had none and stayed idle.
 #[test]
-fn every_sidecar_is_linked_about_as_often_as_every_other() {
+fn distributes_links_evenly_over_the_sidecars() {
     let fleet = fleet(2000);
     let mut links: BTreeMap<String, usize> = BTreeMap::new();
     for number in 0..340 {
         let entry = format!("entry-{number}");
         let data_centre = format!("dc{}", number % DATA_CENTRES);
-        for host in choose(&entry, &data_centre, &fleet, MOST) {
+        for host in choose(&entry, &data_centre, &fleet, MAX_LINKS) {
             *links.entry(host).or_default() += 1;
         }
     }
@@ -63,21 +64,21 @@
     assert!(most <= 3 * least, "{least} to {most}");
 }
 
-/// A host fails and another comes. If that moved many links, each of 32 failures a day would make
+/// Guards against a change of one host that moves many links: each of 32 failures a day would cause
 /// a storm of handshakes.
 #[test]
-fn one_host_that_goes_moves_one_link() {
+fn removing_one_host_moves_one_link() {
     let fleet = fleet(2000);
-    let before: BTreeSet<_> = choose(&"entry".into(), &"dc0".into(), &fleet, MOST)
+    let before: BTreeSet<_> = choose(&"entry".into(), &"dc0".into(), &fleet, MAX_LINKS)
         .into_iter()
         .collect();
-    for gone in before.iter().take(10) {
+    for removed in before.iter().take(10) {
         let rest: Vec<_> = fleet
             .iter()
-            .filter(|one| one.host != *gone)
+            .filter(|candidate| candidate.host != *removed)
             .cloned()
             .collect();
-        let after: BTreeSet<_> = choose(&"entry".into(), &"dc0".into(), &rest, MOST)
+        let after: BTreeSet<_> = choose(&"entry".into(), &"dc0".into(), &rest, MAX_LINKS)
             .into_iter()
             .collect();
         assert_eq!(after.difference(&before).count(), 1);
