--- a/components/admission/src/budget.rs
+++ b/components/admission/src/budget.rs
@@ -1,43 +1,45 @@
-//! The retry budget.
+//! Retry budget.
 
-/// Retries that one request pays for.
-const SHARE: f64 = 0.1;
+const RETRIES_PER_REQUEST: f64 = 0.1;
 
-/// Retries that can be saved up, and the debt that resumes can run up.
-const MOST: f64 = 50.0;
+/// Maximum number of retries that can be saved up, and of continuations that can be owed.
+const MAX_BALANCE: f64 = 50.0;
 
-/// Bounds retries of every kind to a tenth of the requests. Without it, a fault that makes each
-/// request fail doubles or triples the load just when there is least capacity, and the extra load
-/// keeps the fault up after its cause is gone.
+/// Bounds retries of every kind to a tenth of the requests. Without the bound, a fault that makes
+/// each request fail doubles or triples the load just when capacity is lowest, and the extra load
+/// sustains the fault after its cause is gone.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    left: f64,
+    balance: f64,
 }
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget { left: MOST / 5.0 }
+        Budget {
+            balance: MAX_BALANCE / 5.0,
+        }
     }
 }
 
 impl Budget {
-    /// Counts a request that came from a caller.
+    /// Counts a request of a caller.
     pub fn request(&mut self) {
-        self.left = (self.left + SHARE).min(MOST);
+        self.balance = (self.balance + RETRIES_PER_REQUEST).min(MAX_BALANCE);
     }
 
-    /// Takes a retry out of the budget; `false` when there is none left, and it must not be made.
+    /// Takes a retry out of the budget. Returns `false` if none is available and the retry must not
+    /// be made.
     pub fn retry(&mut self) -> bool {
-        if self.left < 1.0 {
+        if self.balance < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.balance -= 1.0;
         true
     }
 
     /// Takes the continuation of an answer out of the budget. It is always allowed, as giving up
-    /// wastes what was done; retries pay for it later.
+    /// would waste the work done so far; later retries pay for it.
     pub fn resume(&mut self) {
-        self.left = (self.left - 1.0).max(-MOST);
+        self.balance = (self.balance - 1.0).max(-MAX_BALANCE);
     }
 }
--- a/components/admission/src/fair.rs
+++ b/components/admission/src/fair.rs
@@ -1,4 +1,4 @@
-//! Order among the teams that wait: start-time fair queueing within each priority.
+//! Start-time fair queueing of the waiting teams within each priority.
 
 use std::collections::{
     BTreeMap,
@@ -6,52 +6,53 @@
 };
 
 /// Virtual time of one unit of cost at weight 1.
-const UNIT: u64 = 1 << 10;
+const VIRTUAL_TIME_UNIT: u64 = 1 << 10;
 
-/// Virtual time that work takes.
-pub(crate) fn length(cost: u64, weight: u64) -> u64 {
-    cost.saturating_mul(UNIT) / weight.max(1)
+/// Returns the virtual time of work.
+pub(crate) fn virtual_duration(cost: u64, weight: u64) -> u64 {
+    cost.saturating_mul(VIRTUAL_TIME_UNIT) / weight.max(1)
 }
 
-/// One priority: its virtual time, and the teams that wait by the time at which they start.
+/// A priority level: its virtual time and the waiting teams by start time.
 #[derive(Clone, Debug, Default)]
 struct Level {
-    time: u64,
+    virtual_time: u64,
     waiting: BTreeSet<(u64, usize)>,
-    /// Sum of the weights of the teams that wait.
+    /// Sum of the weights of the waiting teams.
     weight: u64,
 }
 
-/// All priorities.
+/// Fair queue over all priorities.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Order {
+pub(crate) struct Queue {
     levels: BTreeMap<u8, Level>,
 }
 
-impl Order {
-    /// Virtual time of a priority.
-    pub(crate) fn time(&self, priority: u8) -> u64 {
-        self.levels.get(&priority).map_or(0, |level| level.time)
+impl Queue {
+    /// Returns the virtual time of a priority.
+    pub(crate) fn virtual_time(&self, priority: u8) -> u64 {
+        self.levels
+            .get(&priority)
+            .map_or(0, |level| level.virtual_time)
     }
 
-    /// Starts work of a team that didn't wait, while nobody else did; gives the time at which it
-    /// starts.
-    pub(crate) fn start(&mut self, priority: u8, paid: u64) -> u64 {
+    /// Starts work of a team while no team waits. Returns its start time.
+    pub(crate) fn start(&mut self, priority: u8, paid_until: u64) -> u64 {
         let level = self.levels.entry(priority).or_default();
-        level.time = level.time.max(paid);
-        level.time
+        level.virtual_time = level.virtual_time.max(paid_until);
+        level.virtual_time
     }
 
-    /// Puts a team in, to start at the time at which its work so far is paid.
-    pub(crate) fn wait(&mut self, priority: u8, paid: u64, team: usize, weight: u64) {
+    /// Adds a waiting team, which starts when its previous work is paid for.
+    pub(crate) fn insert(&mut self, priority: u8, paid_until: u64, team: usize, weight: u64) {
         let level = self.levels.entry(priority).or_default();
-        let start = level.time.max(paid);
+        let start = level.virtual_time.max(paid_until);
         level.waiting.insert((start, team));
         level.weight += weight;
     }
 
-    /// Takes a team out that no longer waits.
-    pub(crate) fn leave(&mut self, priority: u8, team: usize, weight: u64) {
+    /// Removes a team that no longer waits.
+    pub(crate) fn remove(&mut self, priority: u8, team: usize, weight: u64) {
         let Some(level) = self.levels.get_mut(&priority) else {
             return;
         };
@@ -62,24 +63,27 @@
         }
     }
 
-    /// Takes out the team that goes next, with the time at which it starts: of the highest
-    /// priority the one that starts first.
-    pub(crate) fn next(&mut self, weight: impl Fn(usize) -> u64) -> Option<(u64, usize)> {
+    /// Removes and returns the next team and its start time: of the highest priority, the one that
+    /// starts first.
+    pub(crate) fn pop(&mut self, weight: impl Fn(usize) -> u64) -> Option<(u64, usize)> {
         for level in self.levels.values_mut().rev() {
             if let Some((start, team)) = level.waiting.pop_first() {
                 level.weight -= weight(team);
-                level.time = start;
+                level.virtual_time = start;
                 return Some((start, team));
             }
         }
         None
     }
 
-    /// The team whose last request would be served last, with its priority: of the lowest priority
-    /// that anything waits in.
-    pub(crate) fn last(&self, tail: impl Fn(usize) -> u64) -> Option<(u8, usize)> {
+    /// Returns the team whose last request would be served last, and its priority: of the lowest
+    /// priority in which a team waits.
+    pub(crate) fn last(&self, finish_time: impl Fn(usize) -> u64) -> Option<(u8, usize)> {
         for (priority, level) in &self.levels {
-            let last = level.waiting.iter().max_by_key(|(_, team)| tail(*team));
+            let last = level
+                .waiting
+                .iter()
+                .max_by_key(|(_, team)| finish_time(*team));
             if let Some((_, team)) = last {
                 return Some((*priority, *team));
             }
@@ -87,7 +91,7 @@
         None
     }
 
-    /// Weights of all waiting teams.
+    /// Returns the sum of the weights of all waiting teams.
     pub(crate) fn weight(&self) -> u64 {
         self.levels.values().map(|level| level.weight).sum()
     }
--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -1,13 +1,14 @@
-//! Limits, team fairness, priorities, retry budgets, shedding.
+//! Admission control: limits, team fairness, priorities, retry budgets and load shedding.
 //!
-//! [`Gate`] decides which piece of work goes on, waits, or is refused; [`Budget`] bounds retries;
-//! [`Outlook`] tells which streams can't be complete in time. All are plain state machines. `docs/design/admission.md` gives the reasons and the figures.
+//! [`Gate`] decides whether a request is admitted, queued or refused; [`Budget`] and [`Retries`]
+//! bound retries; [`Forecast`] estimates which streams can't complete in time. All are state
+//! machines without I/O. `docs/design/admission.md` gives the reasons and the figures.
 
 mod budget;
+mod concurrency;
 mod fair;
+mod forecast;
 mod gate;
-mod outlook;
-mod pace;
 mod quota;
 mod request;
 mod retries;
@@ -17,11 +18,11 @@
 pub mod wait;
 
 pub use budget::Budget;
-pub use gate::Gate;
-pub use outlook::{
+pub use forecast::{
     Answer,
     Forecast, //
 };
+pub use gate::Gate;
 pub use quota::{
     Bound,
     Peers,
--- a/components/admission/src/quota.rs
+++ b/components/admission/src/quota.rs
@@ -1,9 +1,8 @@
 //! Retries of one service, bounded over a sliding window and over all entries together.
 //!
-//! The load that it answers: servers that refuse or fall over, one after the other, while every
-//! request that they fail is sent again at once. Entries tell one another what they sent, so that
-//! one whose servers fail may use what the others leave; no agreement is needed, as each keeps clear
-//! of the bound by a margin.
+//! When servers refuse requests or fail one after the other, every failed request is retried at
+//! once. Entries share their counts, so that an entry whose servers fail may use what the others
+//! leave. No agreement is needed, as each entry stays below the bound by a margin.
 
 use std::{
     collections::VecDeque,
@@ -12,29 +11,29 @@
 
 use names::Clock;
 
-/// Buckets of a window.
-const BUCKETS: u32 = 20;
+/// Number of buckets of a window.
+const BUCKETS_PER_WINDOW: u32 = 20;
 
-/// Part of the bound that is used: entries' windows don't begin at the same moment, what others sent
-/// is known a little later, and what one sent before it was restarted is known to nobody.
-const USED: f64 = 0.8;
+/// Share of the bound that is used. Windows of entries don't begin at the same moment, counts of
+/// other entries are known with a delay, and the counts of an entry before its restart are lost.
+const USABLE_SHARE: f64 = 0.8;
 
-/// Part of that which first answers may use; the rest is kept for answers that have begun, whose
-/// loss costs more.
-const FIRST: f64 = 0.75;
+/// Share of that for requests without an answer; the rest is reserved for answers that have begun,
+/// whose loss costs more.
+const FIRST_ATTEMPT_SHARE: f64 = 0.75;
 
-/// The bound over all entries.
+/// Bound over all entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries besides, in each window.
+    /// Additional retries per window.
     pub slack: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// What a retry is for.
+/// Purpose of a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// A request that has no answer yet.
@@ -48,19 +47,19 @@
 pub struct Totals {
     /// First sends of requests.
     pub requests: u32,
-    /// Sends beyond the first.
+    /// Sends after the first one.
     pub retries: u32,
 }
 
-/// What the other entries sent.
+/// Retries of the other entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Peers {
-    /// Their sums.
+    /// Sum of their totals.
     pub totals: Totals,
-    /// Part of all entries whose sums are known, this one's among them. What the others may have
-    /// sent is left to them.
+    /// Share of all entries whose totals are known, including this one. The rest of the slack is
+    /// left to the unknown entries.
     pub coverage: f64,
-    /// Retries that they are taken to have sent since they told their sums.
+    /// Estimated retries since their last reports.
     pub unreported: f64,
 }
 
@@ -78,29 +77,29 @@
 }
 
 impl Quota {
-    /// Counts a request's first send.
+    /// Counts the first send of a request.
     pub fn request(&mut self, now: Clock, bound: &Bound) {
         self.bucket(now, bound).requests += 1;
     }
 
-    /// Takes a retry out of the quota, if there is one left over all entries.
-    pub fn retry(&mut self, now: Clock, bound: &Bound, others: Peers, purpose: Purpose) -> bool {
+    /// Takes a retry out of the quota. Returns `false` if none is available over all entries.
+    pub fn retry(&mut self, now: Clock, bound: &Bound, peers: Peers, purpose: Purpose) -> bool {
         let own = self.totals(now, bound);
-        let requests = own.requests + others.totals.requests;
-        let retries = own.retries + others.totals.retries;
-        let slack = bound.slack * others.coverage.clamp(0.0, 1.0);
-        let mut allowed = (bound.ratio * f64::from(requests) + slack) * USED;
+        let requests = own.requests + peers.totals.requests;
+        let retries = own.retries + peers.totals.retries;
+        let slack = bound.slack * peers.coverage.clamp(0.0, 1.0);
+        let mut allowed = (bound.ratio * f64::from(requests) + slack) * USABLE_SHARE;
         if purpose == Purpose::First {
-            allowed *= FIRST;
+            allowed *= FIRST_ATTEMPT_SHARE;
         }
-        if f64::from(retries) + others.unreported + 1.0 > allowed {
+        if f64::from(retries) + peers.unreported + 1.0 > allowed {
             return false;
         }
         self.bucket(now, bound).retries += 1;
         true
     }
 
-    /// What this entry sent within the window.
+    /// Returns what this entry sent within the window.
     pub fn totals(&mut self, now: Clock, bound: &Bound) -> Totals {
         self.bucket(now, bound);
         let mut totals = Totals::default();
@@ -112,17 +111,17 @@
     }
 
     fn bucket(&mut self, now: Clock, bound: &Bound) -> &mut Bucket {
-        let length = bound.window / BUCKETS;
+        let length = bound.window / BUCKETS_PER_WINDOW;
         while let Some(first) = self.buckets.front()
             && now.saturating_sub(first.start) > bound.window + length
         {
             self.buckets.pop_front();
         }
-        let fresh = self
+        let needs_bucket = self
             .buckets
             .back()
             .is_none_or(|last| now.saturating_sub(last.start) >= length);
-        if fresh {
+        if needs_bucket {
             self.buckets.push_back(Bucket {
                 start: now,
                 requests: 0,
--- a/components/admission/src/request.rs
+++ b/components/admission/src/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of a gate and what it answers.
+//! Requests to a gate and its decisions.
 
 use std::time::Duration;
 
@@ -6,92 +6,94 @@
 
 use crate::Limit;
 
-/// Number of a request that waits.
+/// Identifier of a queued request.
 pub type Ticket = u64;
 
-/// A request that wants to go on.
+/// A request that arrives at a gate.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
-    /// Its team.
+    /// Team of the request.
     pub team: &'a Team,
-    /// The team's limits at this entry.
+    /// Limits of the team at this entry.
     pub limit: Limit,
     /// Expected work, in tokens or any other unit that all requests share; 0 counts as 1. For a
-    /// continuation, what is left of it.
+    /// continuation, the remaining work.
     pub cost: u64,
-    /// Longest wait with which the first-token target can still be met.
+    /// Maximum wait with which the target for the first token can still be met.
     pub max_wait: Duration,
-    /// Continues an answer that has begun.
+    /// Whether the request continues an answer that has begun.
     pub resume: bool,
 }
 
-/// What becomes of an arrival.
+/// Decision on an arrival.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It goes on; [`crate::Gate::finish`] must follow.
+    /// The request goes on; [`crate::Gate::finish`] must follow.
     Admit,
-    /// It waits until [`crate::Gate::tick`] releases the ticket, or [`crate::Gate::cancel`] is called.
+    /// The request waits until [`crate::Gate::tick`] releases the ticket, or
+    /// [`crate::Gate::cancel`] is called.
     Queue(Ticket),
-    /// It is refused, and was not run.
+    /// The request is refused and was not run.
     Refuse {
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
-        /// When to come back.
+        /// Delay after which to retry.
         retry_after: Duration,
     },
 }
 
-/// Why a request is refused.
+/// Reason of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The team has as many requests in flight as it may.
+    /// The team is at its limit of requests in flight.
     InFlight,
-    /// The team is over its rate.
+    /// The team is over its rate limit.
     Rate,
-    /// It could not be served in time.
+    /// The request could not be served in time.
     Full,
-    /// It waited as long as it could.
+    /// The request reached its maximum wait.
     Late,
 }
 
-/// What becomes of a request that waited.
+/// Decision on a queued request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Released {
-    /// It goes on; [`crate::Gate::finish`] must follow.
+    /// The request goes on; [`crate::Gate::finish`] must follow.
     Admit(Ticket),
-    /// It is refused, and was not run.
+    /// The request is refused and was not run.
     Refuse {
-        /// Which.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
-        /// When to come back.
+        /// Delay after which to retry.
         retry_after: Duration,
     },
 }
 
-/// What replicas report, taken together.
+/// Sum of the reports of the replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Runs at full speed, of the replicas that can be used.
+    /// Runs that the usable replicas can execute at full speed.
     pub capacity: u32,
-    /// Runs in progress or waiting, of all entries, with this entry's own as of now.
+    /// Runs in progress or queued, of all entries, with the current number of this entry's own
+    /// runs.
     pub load: u32,
-    /// Entries that share the capacity.
+    /// Number of entries that share the capacity.
     pub entries: u32,
 }
 
-/// A request that ended.
+/// A finished request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Done {
-    /// The priority that it was admitted with.
+    /// Priority with which it was admitted.
     pub priority: u8,
-    /// The cost that it was admitted with.
+    /// Cost with which it was admitted.
     pub cost: u64,
-    /// The work that it was; the team's share is corrected by the difference.
+    /// Actual work; the share of the team is corrected by the difference.
     pub used: u64,
-    /// From admission to the end.
+    /// Time from admission to the end.
     pub time: Duration,
-    /// From arrival to the first token; `None` when there was none.
+    /// Time from arrival to the first token; `None` without any token.
     pub first_token: Option<Duration>,
 }
--- a/components/admission/src/retries.rs
+++ b/components/admission/src/retries.rs
@@ -1,10 +1,10 @@
 //! Retries of one service over all entries of a fleet.
 //!
-//! The load that it answers: the servers of a data centre end at one moment, and every entry sends
-//! again what it had there. In a large fleet entries hear from one another seconds apart, so that
-//! sums alone would let each of them use up what is left. Those of a data centre tell one another of
-//! retries at once; the other data centres are taken to have sent as many since they were last
-//! heard.
+//! When the servers of a data centre fail together, every entry retries what it had there. In a
+//! large fleet, reports between entries are seconds apart, so that with the totals alone each entry
+//! would use up the remaining retries. Entries of one data centre therefore report retries to each
+//! other at once, and those of other data centres are assumed to have sent as many since their last
+//! reports.
 
 use std::{
     collections::{
@@ -24,81 +24,82 @@
     Totals, //
 };
 
-/// Number of a peer.
+/// Identifier of a peer entry.
 pub type Peer = u64;
 
-/// Time for which retries of the data centre are remembered one by one. A peer of another data
-/// centre that was heard before that is silent.
-const REMEMBERED: Duration = Duration::from_secs(30);
+/// Time for which retries of the data centre are kept individually. A peer of another data centre
+/// whose last report is older counts as silent.
+const RETRY_HISTORY: Duration = Duration::from_secs(30);
 
-/// What a peer says that it sent.
+/// Retry counts of an entry, as it reports them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Within the window.
+    /// Totals within the window.
     pub totals: Totals,
-    /// Retries since it started.
+    /// Retries since the entry started.
     pub retries: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
-    told: Counts,
-    at: Clock,
+struct Reported {
+    counts: Counts,
+    reported_at: Clock,
     near: bool,
 }
 
-/// Retries of one service: this entry's, and what is known of the others'.
+/// Retries of one service: those of this entry and the reported ones of its peers.
 #[derive(Clone, Debug, Default)]
 pub struct Retries {
     own: Quota,
     /// Retries of this entry since it started.
     sent: u32,
-    heard: HashMap<Peer, Heard>,
-    /// Retries of the data centre's entries, this one's among them, as they were heard of.
+    reported: HashMap<Peer, Reported>,
+    /// Retries of the entries of this data centre, including this one, by the time of their
+    /// reports.
     near: VecDeque<(Clock, u32)>,
 }
 
 impl Retries {
-    /// Counts a request's first send.
+    /// Counts the first send of a request.
     pub fn request(&mut self, now: Clock, bound: &Bound) {
         self.own.request(now, bound);
     }
 
-    /// Takes a retry, if there is one left over all entries. `known` is the part of all entries that
-    /// are heard, this one among them.
-    pub fn retry(&mut self, now: Clock, bound: &Bound, known: f64, purpose: Purpose) -> bool {
-        let others = self.others(known);
-        let left = self.own.retry(now, bound, others, purpose);
-        if left {
+    /// Takes a retry. Returns `false` if none is available over all entries. `coverage` is the
+    /// share of all entries whose reports are known, including this one.
+    pub fn retry(&mut self, now: Clock, bound: &Bound, coverage: f64, purpose: Purpose) -> bool {
+        let others = self.others(coverage);
+        let is_allowed = self.own.retry(now, bound, others, purpose);
+        if is_allowed {
             self.sent = self.sent.wrapping_add(1);
-            self.note_near(now, 1);
+            self.record_near(now, 1);
         }
-        left
+        is_allowed
     }
 
-    /// What the others sent, as far as it is known or has to be assumed.
-    pub fn others(&self, known: f64) -> Peers {
+    /// Returns the retries of the other entries, as reported or estimated.
+    pub fn others(&self, coverage: f64) -> Peers {
         let mut totals = Totals::default();
         let mut near = 1;
-        let mut unheard = 0;
-        for heard in self.heard.values() {
-            totals.requests += heard.told.totals.requests;
-            totals.retries += heard.told.totals.retries;
-            match heard.near {
+        let mut unreported = 0;
+        for reported in self.reported.values() {
+            totals.requests += reported.counts.totals.requests;
+            totals.retries += reported.counts.totals.retries;
+            match reported.near {
                 true => near += 1,
-                false => unheard += self.near_since(heard.at),
+                false => unreported += self.near_since(reported.reported_at),
             }
         }
-        // For each entry elsewhere, as many as one of the data centre's sent.
-        let unheard = f64::from(unheard) / f64::from(near);
+        // Each remote entry is assumed to send as many as one of this data centre.
+        let unreported = f64::from(unreported) / f64::from(near);
         Peers {
             totals,
-            coverage: known,
-            unreported: unheard,
+            coverage,
+            unreported,
         }
     }
 
-    /// What this entry sent.
+    /// Returns the counts that this entry reports to its peers.
     pub fn counts(&mut self, now: Clock, bound: &Bound) -> Counts {
         Counts {
             totals: self.own.totals(now, bound),
@@ -106,29 +107,36 @@
         }
     }
 
-    /// Takes what a peer sent; `near` when it is of the same data centre.
-    pub fn record_peer(&mut self, now: Clock, peer: Peer, told: Counts, near: bool) {
-        let at = now;
-        let before = self.heard.insert(peer, Heard { told, at, near });
+    /// Records the counts that a peer reported; `near` tells whether it is in the same data centre.
+    pub fn record_peer(&mut self, now: Clock, peer: Peer, counts: Counts, near: bool) {
+        let reported_at = now;
+        let before = self.reported.insert(
+            peer,
+            Reported {
+                counts,
+                reported_at,
+                near,
+            },
+        );
         let Some(before) = before.filter(|_| near) else {
             return;
         };
-        let more = told.retries.wrapping_sub(before.told.retries);
-        // Messages may overtake one another.
-        if more > 0 && more < u32::MAX / 2 {
-            self.note_near(now, more);
+        let added = counts.retries.wrapping_sub(before.counts.retries);
+        // Messages can arrive out of order.
+        if added > 0 && added < u32::MAX / 2 {
+            self.record_near(now, added);
         }
     }
 
-    /// Forgets a peer that ended or fell silent.
+    /// Removes a peer that ended or stopped reporting.
     pub fn forget(&mut self, peer: Peer) {
-        self.heard.remove(&peer);
+        self.reported.remove(&peer);
     }
 
-    fn note_near(&mut self, now: Clock, retries: u32) {
+    fn record_near(&mut self, now: Clock, retries: u32) {
         self.near.push_back((now, retries));
         while let Some((first, _)) = self.near.front()
-            && now.saturating_sub(*first) > REMEMBERED
+            && now.saturating_sub(*first) > RETRY_HISTORY
         {
             self.near.pop_front();
         }
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -1,33 +1,35 @@
-//! What admission can be tuned by.
+//! Tuning parameters of admission control.
 
 use std::time::Duration;
 
-/// Settings of a gate. The defaults are those measured in `docs/design/admission.md`.
+/// Settings of a gate. `docs/design/admission.md` gives the measurements behind the defaults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Concurrency before any report. Rather too high: an entry that has just begun gets a burst
-    /// before it hears of its replicas, and the first report sets it right.
+    /// Concurrency limit before the first report. It is rather high: a new entry may get a burst
+    /// before it receives reports of its replicas, and the first report corrects it.
     pub initial_limit: u32,
-    /// Time of a request before any was finished. Rather too short: then some wait for nothing, and
-    /// no longer than their patience; too long, and those are refused that could be served.
+    /// Assumed time of a request before any has finished. It is rather short: with a value that is
+    /// too short some requests queue in vain, but no longer than their maximum wait; with one that
+    /// is too long, requests are refused that could be served.
     pub initial_time: Duration,
-    /// Share of capacity that is aimed at; the rest is for what other entries do meanwhile.
+    /// Target share of the capacity; the rest covers what other entries admit in the meantime.
     pub target_utilization: f64,
-    /// Concurrency above the limit that is kept for continuing answers, as a share; at least one.
+    /// Concurrency above the limit that is reserved for continuations, as a share of the limit; at
+    /// least one.
     pub resume_reserve: f64,
-    /// First-token time above which a request counts as late.
+    /// Time to the first token above which a request counts as late.
     pub first_token_target: Duration,
-    /// Share of late requests above which the concurrency is lowered.
+    /// Share of late requests above which the concurrency limit is lowered.
     pub max_late_share: f64,
-    /// Lowest factor that late requests bring the concurrency to.
+    /// Lowest factor that late requests can bring the concurrency limit to.
     pub min_factor: f64,
-    /// Requests that wait, at most.
+    /// Maximum number of queued requests.
     pub max_waiting: usize,
-    /// Teams that are known at once, at most.
+    /// Maximum number of teams that are known at once.
     pub max_teams: usize,
-    /// Share of the finished work's rate that refused callers are asked to come back at.
+    /// Rate at which refused callers are told to retry, as a share of the completion rate.
     pub retry_share: f64,
-    /// Shortest and longest time that a refused caller is asked to wait.
+    /// Shortest and longest retry delay of refused callers.
     pub retry_after: (Duration, Duration),
 }
 
--- a/components/admission/src/table.rs
+++ b/components/admission/src/table.rs
@@ -1,4 +1,4 @@
-//! The teams that are known.
+//! Table of the known teams.
 
 use std::{
     collections::{
@@ -18,27 +18,27 @@
 
 use crate::{
     Limit,
-    fair::Order,
+    fair::Queue,
     team::Member, //
 };
 
-/// How many teams are looked at in a tick for being idle.
-const SWEEP: usize = 64;
+/// Number of teams that one tick checks for being idle.
+const TEAMS_PER_SWEEP: usize = 64;
 
-/// Teams by number. Teams come and go all day; those that are idle are forgotten, so that their
-/// state doesn't grow for ever.
+/// Teams by index. Teams appear and disappear all the time; idle ones are dropped, so that the
+/// table doesn't grow without bound.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
-    /// A vacant number keeps its last team, which no name leads to.
+    /// A vacant index keeps its last team, which no name refers to.
     members: Vec<Member>,
-    vacant: Vec<usize>,
-    /// By team and priority: requests of one team that go at different priorities stand in lines of
-    /// their own, and the team's limits hold for each.
+    free_indices: Vec<usize>,
+    /// Index by team and priority: requests of one team with different priorities have separate
+    /// queues, and the limits of the team apply to each.
     names: HashMap<Team, BTreeMap<u8, usize>>,
-    /// Lines that are known.
-    known: usize,
-    /// Next team to look at for being idle.
-    sweep: usize,
+    /// Number of known queues.
+    queues: usize,
+    /// Index of the team that was last checked for being idle.
+    sweep_index: usize,
 }
 
 impl Index<usize> for Table {
@@ -57,35 +57,35 @@
 
 impl Table {
     pub(crate) fn len(&self) -> usize {
-        self.known
+        self.queues
     }
 
-    pub(crate) fn number(&self, team: &Team, priority: u8) -> Option<usize> {
+    pub(crate) fn index_of(&self, team: &Team, priority: u8) -> Option<usize> {
         self.names.get(team)?.get(&priority).copied()
     }
 
-    /// The team's number, with its limits as they are now; `None` when there is no room for
-    /// another team.
-    pub(crate) fn take(
+    /// Returns the index of the team with its current limits, adding it if necessary, or `None` if
+    /// the table is full.
+    pub(crate) fn get_or_insert(
         &mut self,
         now: Clock,
         team: &Team,
         limit: Limit,
-        most: usize,
+        max_teams: usize,
     ) -> Option<usize> {
-        if let Some(number) = self.number(team, limit.priority) {
+        if let Some(number) = self.index_of(team, limit.priority) {
             let member = &mut self.members[number];
             if member.queue.is_empty() {
-                // The weight of a queue stays as it was while it stands.
+                // The weight of a queue must not change while requests wait in it.
                 member.limit = limit;
             }
             return Some(number);
         }
-        if self.known >= most {
+        if self.queues >= max_teams {
             return None;
         }
         let member = Member::new(now, team.clone(), limit);
-        let number = match self.vacant.pop() {
+        let number = match self.free_indices.pop() {
             Some(number) => {
                 self.members[number] = member;
                 number
@@ -95,34 +95,36 @@
                 self.members.len() - 1
             }
         };
-        let lines = self.names.entry(team.clone()).or_default();
-        lines.insert(limit.priority, number);
-        self.known += 1;
+        let priorities = self.names.entry(team.clone()).or_default();
+        priorities.insert(limit.priority, number);
+        self.queues += 1;
         Some(number)
     }
 
-    /// Forgets some of the teams that are idle.
-    pub(crate) fn drop_idle(&mut self, now: Clock, order: &Order) {
-        for _ in 0..SWEEP.min(self.members.len()) {
-            self.sweep = (self.sweep + 1) % self.members.len();
-            let member = &self.members[self.sweep];
-            let lines = self.names.get(&member.name);
-            if lines.and_then(|lines| lines.get(&member.level)) != Some(&self.sweep) {
+    /// Drops teams that are idle, checking a part of the table.
+    pub(crate) fn drop_idle(&mut self, now: Clock, queue: &Queue) {
+        for _ in 0..TEAMS_PER_SWEEP.min(self.members.len()) {
+            self.sweep_index = (self.sweep_index + 1) % self.members.len();
+            let member = &self.members[self.sweep_index];
+            let priorities = self.names.get(&member.name);
+            if priorities.and_then(|priorities| priorities.get(&member.level))
+                != Some(&self.sweep_index)
+            {
                 continue;
             }
-            // While nobody waits, shares mean nothing, and time may stand still.
-            let paid = if order.weight() == 0 {
+            // While no request waits, shares have no effect and virtual time may stand still.
+            let paid_until = if queue.weight() == 0 {
                 u64::MAX
             } else {
-                order.time(member.level)
+                queue.virtual_time(member.level)
             };
-            if member.idle(now, paid) {
+            if member.is_idle(now, paid_until) {
                 let (name, level) = (member.name.clone(), member.level);
-                self.vacant.push(self.sweep);
-                self.known -= 1;
-                if let Some(lines) = self.names.get_mut(&name) {
-                    lines.remove(&level);
-                    if lines.is_empty() {
+                self.free_indices.push(self.sweep_index);
+                self.queues -= 1;
+                if let Some(priorities) = self.names.get_mut(&name) {
+                    priorities.remove(&level);
+                    if priorities.is_empty() {
                         self.names.remove(&name);
                     }
                 }
--- a/components/admission/src/team.rs
+++ b/components/admission/src/team.rs
@@ -1,4 +1,4 @@
-//! One team.
+//! State of one team, its limits and its queue.
 
 use std::{
     collections::VecDeque,
@@ -17,26 +17,26 @@
 use crate::{
     Settings,
     Ticket,
-    fair::length, //
+    fair::virtual_duration, //
 };
 
 /// Limits of a team at one entry. A limit for the whole system is divided among the entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
-    /// Requests that may be in flight at once; 0 is no limit.
+    /// Maximum number of requests in flight; 0 means no limit.
     pub in_flight: u32,
-    /// Requests a second; 0 is no limit.
+    /// Requests per second; 0 means no limit.
     pub rate: u32,
     /// Weight of the fair share; 0 counts as 1.
     pub weight: u32,
-    /// Priority: higher goes first.
+    /// Priority; higher values go first.
     pub priority: u8,
 }
 
 impl Limit {
-    /// A limit for the whole system, as one of so many entries has to keep it. It is rounded up,
-    /// so that small limits don't become none: with more entries than the limit, a team can have
-    /// as many requests as there are entries.
+    /// Returns the part of a system-wide limit that one of `entries` entries enforces. It is
+    /// rounded up, so that small limits don't become 0, which means no limit: with more entries
+    /// than the limit, a team can have as many requests as there are entries.
     pub fn divided(self, entries: u32) -> Limit {
         Limit {
             in_flight: self.in_flight.div_ceil(entries.max(1)),
@@ -46,28 +46,28 @@
     }
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Waiting {
     pub(crate) ticket: Ticket,
     pub(crate) cost: u64,
 }
 
-/// What is known of a team while it has work, or had some a moment ago.
+/// State of a team while it has work, and for a short time after.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub(crate) name: Team,
     pub(crate) limit: Limit,
-    /// Priority level that its queue stands in.
+    /// Priority level of its queue.
     pub(crate) level: u8,
     pub(crate) queue: VecDeque<Waiting>,
     pub(crate) running: u32,
     /// Virtual time at which all its work so far is paid for.
-    pub(crate) paid: u64,
-    /// Requests that its rate still allows, and when that was worked out.
-    bucket: (f64, Clock),
-    /// Time that the next refused caller is told.
-    next: Clock,
+    pub(crate) paid_until: u64,
+    /// Tokens of the rate limiter, and the time of their last update.
+    rate_tokens: (f64, Clock),
+    /// Time at which the next refused caller is told to retry, before jitter.
+    next_retry_at: Clock,
 }
 
 impl Member {
@@ -78,69 +78,75 @@
             level: limit.priority,
             queue: VecDeque::new(),
             running: 0,
-            paid: 0,
-            bucket: (f64::from(limit.rate), now),
-            next: now,
+            paid_until: 0,
+            rate_tokens: (f64::from(limit.rate), now),
+            next_retry_at: now,
         }
     }
 
-    /// Virtual time at which its last waiting request, and one more of that cost, is paid for.
-    pub(crate) fn tail(&self, time: u64, cost: u64) -> u64 {
+    /// Returns the virtual time at which its last queued request, and one more of the given cost,
+    /// is paid for.
+    pub(crate) fn finish_time(&self, time: u64, cost: u64) -> u64 {
         let queued: u64 = self.queue.iter().map(|waiting| waiting.cost.max(1)).sum();
-        let length = length(queued.saturating_add(cost), self.weight());
-        self.paid.max(time).saturating_add(length)
+        let duration = virtual_duration(queued.saturating_add(cost), self.weight());
+        self.paid_until.max(time).saturating_add(duration)
     }
 
     pub(crate) fn weight(&self) -> u64 {
         u64::from(self.limit.weight.max(1))
     }
 
-    pub(crate) fn full(&self) -> bool {
-        let held = self.running as usize + self.queue.len();
-        self.limit.in_flight > 0 && held >= self.limit.in_flight as usize
+    pub(crate) fn is_full(&self) -> bool {
+        let in_flight = self.running as usize + self.queue.len();
+        self.limit.in_flight > 0 && in_flight >= self.limit.in_flight as usize
     }
 
-    /// Takes a request out of the rate.
-    pub(crate) fn take(&mut self, now: Clock) -> bool {
+    /// Takes a token out of the rate limiter. Returns `false` if none is available.
+    pub(crate) fn take_rate_token(&mut self, now: Clock) -> bool {
         if self.limit.rate == 0 {
             return true;
         }
         let rate = f64::from(self.limit.rate);
-        let passed = now.saturating_sub(self.bucket.1).as_secs_f64();
-        let left = (self.bucket.0 + passed * rate).min(rate);
-        let enough = left >= 1.0;
-        self.bucket = (if enough { left - 1.0 } else { left }, now);
-        enough
+        let elapsed = now.saturating_sub(self.rate_tokens.1).as_secs_f64();
+        let tokens = (self.rate_tokens.0 + elapsed * rate).min(rate);
+        let is_allowed = tokens >= 1.0;
+        self.rate_tokens = (if is_allowed { tokens - 1.0 } else { tokens }, now);
+        is_allowed
     }
 
-    /// Whether forgetting the team loses nothing: a new one would be treated the same.
-    pub(crate) fn idle(&self, now: Clock, paid: u64) -> bool {
+    /// Returns whether the team can be dropped without loss: a new state would be treated the same.
+    pub(crate) fn is_idle(&self, now: Clock, paid_until: u64) -> bool {
         let second = Duration::from_secs(1);
-        let rested = now.saturating_sub(self.bucket.1) >= second;
-        let expected = self.next > now;
-        self.running == 0 && self.queue.is_empty() && self.paid <= paid && rested && !expected
+        let has_full_rate = now.saturating_sub(self.rate_tokens.1) >= second;
+        let has_pending_retries = self.next_retry_at > now;
+        self.running == 0
+            && self.queue.is_empty()
+            && self.paid_until <= paid_until
+            && has_full_rate
+            && !has_pending_retries
     }
 
-    /// When a refused caller shall come back. Each is told a later time than the one before, so
-    /// that together they come back at a rate that can be served; all coming back together would
-    /// be refused together again, for as long as they try.
-    pub(crate) fn come_back(
+    /// Returns the delay after which a refused caller shall retry. Each caller gets a later time
+    /// than the one before, so that together they return at a rate that can be served; if all
+    /// returned together, they would be refused together again for as long as they retry.
+    pub(crate) fn retry_after(
         &mut self,
         now: Clock,
         rate: f64,
         settings: &Settings,
         rng: &mut impl Rng,
     ) -> Duration {
-        let (least, most) = settings.retry_after;
-        let gap = Duration::from_secs_f64((1.0 / rate.max(0.001)).min(most.as_secs_f64()));
-        self.next = self.next.clamp(now + least, now + most);
-        let jitter = gap.max(least).mul_f64(rng.random_range(0.0..1.0));
-        let mut time = self.next - now + jitter;
-        if time >= most {
-            // Beyond the longest time all are told the same; so they are spread below it.
-            time = most.mul_f64(rng.random_range(0.5..1.0));
+        let (min, max) = settings.retry_after;
+        let interval = Duration::from_secs_f64((1.0 / rate.max(0.001)).min(max.as_secs_f64()));
+        self.next_retry_at = self.next_retry_at.clamp(now + min, now + max);
+        let jitter = interval.max(min).mul_f64(rng.random_range(0.0..1.0));
+        let mut delay = self.next_retry_at - now + jitter;
+        if delay >= max {
+            // Above the maximum all callers would get the same delay, so the delays are spread
+            // below it.
+            delay = max.mul_f64(rng.random_range(0.5..1.0));
         }
-        self.next += gap;
-        time
+        self.next_retry_at += interval;
+        delay
     }
 }
--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -1,106 +1,105 @@
-//! How long a stream may wait for an engine, and behind whom.
+//! How long a stream may wait for an engine, and with which priority.
 //!
-//! The load that it answers: several times more callers than the engines can serve. Whoever can
-//! still have its first event in time goes before all of its rank who can't; whoever can't waits for
-//! a small part of its time only, as it may be served when the rush is over, and hears at once that
-//! it can't otherwise. A caller that hears so early can still go elsewhere.
+//! Under several times more load than the engines can serve, streams whose first event can still be
+//! on time go before all others of their rank. The others wait for a small part of their remaining
+//! time only, as the overload may end meanwhile, and are refused early otherwise. A caller that is
+//! refused early can still go elsewhere.
 
 use std::time::Duration;
 
 use crate::Limit;
 
-/// Part of the objective that an engine may need for the first event; the rest can be spent
-/// waiting. An engine reads one prompt after the other, and a second one that waits there keeps it
-/// at work.
-const ENGINE: f64 = 0.5;
+/// Share of the objective reserved for the engine to produce the first event; the rest can be spent
+/// waiting. An engine processes one prompt at a time, and a second one that is queued there keeps
+/// it busy.
+const ENGINE_TIME_SHARE: f64 = 0.5;
 
-/// Part of the time that is left that a request waits at most, when it is late already. With 0.5
-/// callers were held for seconds and refused then; with none, twice as many were refused in a rush
-/// of three times the capacity.
-const LATE: f64 = 0.15;
+/// Share of the remaining time that a late request waits at most. With 0.5, callers were held for
+/// seconds and then refused; with 0, twice as many were refused under three times the capacity.
+const MAX_LATE_WAIT_SHARE: f64 = 0.15;
 
-/// What is known of a request that wants an engine.
+/// Time constraints of a request that needs an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Constraints {
-    /// Rank of its route, 0 first.
+    /// Rank of its route; 0 goes first.
     pub rank: u8,
-    /// Time for the first event.
+    /// Objective for the time to the first event.
     pub objective: Duration,
-    /// Longest time that its route gives to the whole answer.
+    /// Time limit of the route for the whole answer.
     pub timeout: Option<Duration>,
-    /// Time that the caller gives from now on, where it says.
+    /// Time from now until the caller's deadline, if it set one.
     pub deadline: Option<Duration>,
-    /// Time that the whole answer takes, where that is known.
+    /// Expected time of the whole answer, if known.
     pub expected: Option<Duration>,
 }
 
 /// How a request may wait.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wait {
-    /// Whether its first event can still be in time.
+    /// Whether its first event can still be on time.
     pub in_time: bool,
-    /// Its place among others.
+    /// Limit with the priority of the request.
     pub limit: Limit,
-    /// Longest wait.
+    /// Maximum wait.
     pub max_wait: Duration,
 }
 
-/// Time that an engine may need for the first event.
+/// Returns the time reserved for the engine to produce the first event.
 pub fn engine_time(objective: Duration) -> Duration {
-    objective.mul_f64(ENGINE)
+    objective.mul_f64(ENGINE_TIME_SHARE)
 }
 
-/// Room that is left for a request which is late already, behind those that wait at other entries and
-/// can still be in time. In a large fleet some wait nearly always, also while most engines are idle.
-pub fn room_behind(room: u32, hurried: u32) -> u32 {
-    room.saturating_sub(hurried)
+/// Returns the room for late requests, behind requests on time that wait at other entries. In a
+/// large fleet some wait nearly always, even while most engines are idle.
+pub fn room_behind(room: u32, on_time_elsewhere: u32) -> u32 {
+    room.saturating_sub(on_time_elsewhere)
 }
 
-/// What one of several entries may take of the engines' room now. Each of them sees the same room
-/// for as long as it takes to hear of the others' sends, and together they would fill it several
-/// times over. A part of a place is taken with its probability, as otherwise nobody would take the
-/// last places; `draw` is a random number from 0 to 1.
+/// Returns the share of the engines' room that one of several entries may take now. Each entry sees
+/// the same room until it learns what the others sent, and together they would fill it several
+/// times over. A fractional slot is taken with its probability, as otherwise no entry would take
+/// the last slots; `draw` is a random number from 0 to 1.
 pub fn share(room: u32, entries: u32, draw: f64) -> u32 {
-    let part = f64::from(room) / f64::from(entries.max(1));
-    part.floor() as u32 + u32::from(draw < part.fract())
+    let share = f64::from(room) / f64::from(entries.max(1));
+    share.floor() as u32 + u32::from(draw < share.fract())
 }
 
 impl Constraints {
-    /// The ways to wait, one after the other: to be in time, if that is possible; then to be late.
+    /// Returns the ways to wait, in order: on time, if possible, then late.
     pub fn waits(&self) -> impl Iterator<Item = Wait> {
         self.in_time().into_iter().chain([self.late()])
     }
 
     fn in_time(&self) -> Option<Wait> {
-        // A caller that has asked before has less time than its route gives.
+        // A caller that retries has less time than its route allows.
         let spent = match (self.timeout, self.deadline) {
-            (Some(timeout), Some(left)) => timeout.saturating_sub(left),
+            (Some(timeout), Some(remaining)) => timeout.saturating_sub(remaining),
             _ => Duration::ZERO,
         };
-        let patience = self
+        let max_wait = self
             .objective
             .checked_sub(spent + engine_time(self.objective))?;
         Some(Wait {
             in_time: true,
             limit: self.limit(true),
-            max_wait: patience,
+            max_wait,
         })
     }
 
     fn late(&self) -> Wait {
-        let left = match (self.timeout, self.deadline) {
-            (Some(timeout), Some(left)) => timeout.min(left),
-            (Some(left), None) | (None, Some(left)) => left,
+        let remaining = match (self.timeout, self.deadline) {
+            (Some(timeout), Some(remaining)) => timeout.min(remaining),
+            (Some(remaining), None) | (None, Some(remaining)) => remaining,
             (None, None) => self.objective,
         };
-        let part = left.mul_f64(LATE);
+        let max_late_wait = remaining.mul_f64(MAX_LATE_WAIT_SHARE);
         let spare = self
             .expected
-            .map_or(part, |usual| left.saturating_sub(usual));
+            .map_or(max_late_wait, |expected| remaining.saturating_sub(expected));
         Wait {
             in_time: false,
             limit: self.limit(false),
-            max_wait: spare.min(part),
+            max_wait: spare.min(max_late_wait),
         }
     }
 
--- a/components/admission/tests/budget.rs
+++ b/components/admission/tests/budget.rs
@@ -1,9 +1,9 @@
-//! The retry budget.
+//! Retry budget.
 
 use admission::Budget;
 
-// Every request fails and is retried. Unbounded, each layer doubles the load while capacity is
-// least; the budget holds retries at a tenth.
+// Guards against retry storms: if every request fails and is retried without a bound, each layer
+// doubles the load while capacity is lowest.
 #[test]
 fn retries_stay_at_a_tenth() {
     let mut budget = Budget::default();
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn quiet_times_save_up_a_bounded_number() {
+fn saved_retries_are_bounded() {
     let mut budget = Budget::default();
     for _ in 0..1_000_000 {
         budget.request();
@@ -30,10 +30,10 @@
     assert!((49..=50).contains(&retries), "{retries}");
 }
 
-// Engines die, and many answers are continued at once. They all go on, and other retries wait
-// until the budget has recovered.
+// Guards against lost continuations: when engines fail, many answers are continued at once. All of
+// them go on, and other retries wait until the budget has recovered.
 #[test]
-fn resumes_are_never_refused_and_retries_pay() {
+fn continuations_are_always_allowed_and_reduce_retries() {
     let mut budget = Budget::default();
     for _ in 0..1000 {
         budget.resume();
--- a/components/admission/tests/gate.rs
+++ b/components/admission/tests/gate.rs
@@ -1,4 +1,4 @@
-//! What goes on, waits, and is refused.
+//! Admission, queueing and refusal by the gate.
 
 use std::{
     collections::{
@@ -31,15 +31,15 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-const FREE: Limit = Limit {
+const UNLIMITED: Limit = Limit {
     in_flight: 0,
     rate: 0,
     weight: 1,
     priority: 1,
 };
 
-/// A gate with a time, and the requests that run through it.
-struct Bench {
+/// Test harness: a gate, a clock, and the requests that run through it.
+struct Harness {
     gate: Gate,
     now: Duration,
     rng: StdRng,
@@ -47,14 +47,14 @@
     /// Teams and priorities of the running requests, the oldest first.
     running: Vec<(Team, u8)>,
     served: BTreeMap<Team, u32>,
-    /// Work that a request turns out to be.
+    /// Actual work of a request.
     used: u64,
 }
 
-impl Bench {
-    /// A gate with that concurrency, where requests take a second.
-    fn new(limit: u32) -> Bench {
-        Bench::with(
+impl Harness {
+    /// Creates a gate with a concurrency limit, whose requests take a second.
+    fn new(limit: u32) -> Harness {
+        Harness::with_settings(
             limit,
             Settings {
                 initial_time: SECOND,
@@ -63,8 +63,8 @@
         )
     }
 
-    fn with(limit: u32, settings: Settings) -> Bench {
-        let mut bench = Bench {
+    fn with_settings(limit: u32, settings: Settings) -> Harness {
+        let mut harness = Harness {
             gate: Gate::new(settings),
             now: Duration::from_secs(100),
             rng: StdRng::seed_from_u64(7),
@@ -73,8 +73,8 @@
             served: BTreeMap::new(),
             used: 1,
         };
-        bench.report(limit, 0, 1);
-        bench
+        harness.report(limit, 0, 1);
+        harness
     }
 
     fn report(&mut self, capacity: u32, load: u32, entries: u32) {
@@ -99,7 +99,7 @@
             Verdict::Admit => self.running.push((team, limit.priority)),
             Verdict::Queue(ticket) => {
                 self.waiting.insert(*ticket, (team, limit.priority));
-                // Another may have made room for it.
+                // Another request may have been displaced.
                 self.tick();
             }
             Verdict::Refuse { .. } => {}
@@ -107,11 +107,11 @@
         verdict
     }
 
-    fn new_work(&mut self, team: &str) -> Verdict {
-        self.arrive(team, FREE, false)
+    fn arrive_new(&mut self, team: &str) -> Verdict {
+        self.arrive(team, UNLIMITED, false)
     }
 
-    /// Ends the oldest request and lets others go on.
+    /// Finishes the oldest request and admits others.
     fn finish(&mut self) -> Vec<Released> {
         let (team, priority) = self.running.remove(0);
         let done = Done {
@@ -128,8 +128,8 @@
 
     fn tick(&mut self) -> Vec<Released> {
         let released = self.gate.tick(self.now, &mut self.rng);
-        for one in &released {
-            match one {
+        for decision in &released {
+            match decision {
                 Released::Admit(ticket) => {
                     let team = self.waiting.remove(ticket);
                     self.running.push(team.expect("a ticket is released once"));
@@ -145,106 +145,113 @@
 }
 
 #[test]
-fn work_goes_on_up_to_the_limit_and_then_waits() {
-    let mut bench = Bench::new(2);
-    assert_eq!(bench.new_work("a"), Verdict::Admit);
-    assert_eq!(bench.new_work("a"), Verdict::Admit);
-    let Verdict::Queue(ticket) = bench.new_work("a") else {
-        panic!("the third waits");
+fn requests_are_admitted_up_to_the_limit_and_then_queued() {
+    let mut harness = Harness::new(2);
+    assert_eq!(harness.arrive_new("a"), Verdict::Admit);
+    assert_eq!(harness.arrive_new("a"), Verdict::Admit);
+    let Verdict::Queue(ticket) = harness.arrive_new("a") else {
+        panic!("expected the third request to be queued");
     };
-    assert_eq!(bench.tick(), []);
-    assert_eq!(bench.finish(), [Released::Admit(ticket)]);
-    assert_eq!(bench.gate.running(), 2);
+    assert_eq!(harness.tick(), []);
+    assert_eq!(harness.finish(), [Released::Admit(ticket)]);
+    assert_eq!(harness.gate.running(), 2);
 }
 
-// One team sends three times what there is, the others a little. Without shares its requests fill
-// the queue, and the small teams' callers wait behind them or are refused.
+// Guards against a large team that fills the queue: it sends three times the capacity, and requests
+// of small teams would wait behind it or be refused.
 #[rstest]
 #[case::even(1, 1)]
 #[case::weighted(3, 3)]
-fn large_team_leaves_small_ones_their_share(#[case] weight: u32, #[case] expected: u32) {
-    let mut bench = Bench::new(10);
-    let large = Limit { weight, ..FREE };
+fn large_team_does_not_take_the_share_of_small_ones(#[case] weight: u32, #[case] expected: u32) {
+    let mut harness = Harness::new(10);
+    let large = Limit {
+        weight,
+        ..UNLIMITED
+    };
     let mut refused = 0;
     for _ in 0..2000 {
         for _ in 0..3 {
-            bench.arrive("large", large, false);
+            harness.arrive("large", large, false);
         }
         for small in ["b", "c", "d", "e"] {
-            let verdict = bench.new_work(small);
-            // A small team with its one request waiting may not get another in.
+            let verdict = harness.arrive_new(small);
+            // A small team with one queued request may be refused another.
             refused += u32::from(matches!(verdict, Verdict::Refuse { .. }));
         }
-        if bench.running.len() >= 10 {
+        if harness.running.len() >= 10 {
             for _ in 0..2 {
-                bench.finish();
+                harness.finish();
             }
         }
-        bench.now += SECOND / 10;
+        harness.now += SECOND / 10;
     }
-    let small = bench.served["b"];
-    let ratio = f64::from(bench.served["large"]) / f64::from(small);
+    let small = harness.served["b"];
+    let ratio = f64::from(harness.served["large"]) / f64::from(small);
     let expected = f64::from(expected);
-    assert!((ratio / expected - 1.0).abs() < 0.05, "{:?}", bench.served);
+    assert!(
+        (ratio / expected - 1.0).abs() < 0.05,
+        "{:?}",
+        harness.served
+    );
     assert!(refused > 0);
 }
 
-// A team comes while others have waited for long. It gets its share from then on, not all that it
-// left to the others before.
+// A team that arrives while others have long been waiting gets its share from then on, without
+// credit for the time before.
 #[test]
-fn newcomer_gets_a_share_and_no_more() {
-    let mut bench = Bench::new(1);
+fn new_team_gets_its_share_and_no_more() {
+    let mut harness = Harness::new(1);
     for turn in 0..330 {
         for team in ["a", "b"] {
-            bench.new_work(team);
+            harness.arrive_new(team);
         }
         if turn >= 300 {
-            bench.new_work("new");
+            harness.arrive_new("new");
         }
-        bench.finish();
-        bench.now += SECOND / 2;
+        harness.finish();
+        harness.now += SECOND / 2;
     }
-    let new = bench.served["new"];
-    assert!((9..=11).contains(&new), "{:?}", bench.served);
+    let new = harness.served["new"];
+    assert!((9..=11).contains(&new), "{:?}", harness.served);
 }
 
-// A team's request turned out a hundred times as large as it said. The team rests for a moment,
-// is forgotten, and would begin anew without its debt while others wait.
+// Guards against dropping a team with a debt: its request needed a hundred times the declared work,
+// and after an idle moment it would start without that debt while others wait.
 #[test]
-fn debts_are_not_forgotten_while_others_wait() {
-    let mut bench = Bench::new(1);
-    bench.new_work("sly");
-    bench.used = 100;
+fn debts_are_kept_while_others_wait() {
+    let mut harness = Harness::new(1);
+    harness.arrive_new("sly");
+    harness.used = 100;
     for _ in 0..2 {
         for team in ["a", "b"] {
-            bench.new_work(team);
+            harness.arrive_new(team);
         }
     }
-    bench.finish();
-    bench.used = 1;
+    harness.finish();
+    harness.used = 1;
     for turn in 0..60 {
         for team in ["a", "b"] {
-            bench.new_work(team);
+            harness.arrive_new(team);
         }
         if turn > 10 {
-            bench.new_work("sly");
+            harness.arrive_new("sly");
         }
-        bench.finish();
-        bench.now += SECOND / 2;
+        harness.finish();
+        harness.now += SECOND / 2;
     }
-    assert_eq!(bench.served["sly"], 1, "{:?}", bench.served);
+    assert_eq!(harness.served["sly"], 1, "{:?}", harness.served);
 }
 
 #[test]
 fn waiting_requests_count_as_in_flight() {
-    let mut bench = Bench::new(1);
+    let mut harness = Harness::new(1);
     let two = Limit {
         in_flight: 2,
-        ..FREE
+        ..UNLIMITED
     };
-    assert_eq!(bench.arrive("a", two, false), Verdict::Admit);
-    assert_matches!(bench.arrive("a", two, false), Verdict::Queue(_));
-    let refused = bench.arrive("a", two, false);
+    assert_eq!(harness.arrive("a", two, false), Verdict::Admit);
+    assert_matches!(harness.arrive("a", two, false), Verdict::Queue(_));
+    let refused = harness.arrive("a", two, false);
     assert_matches!(
         refused,
         Verdict::Refuse {
@@ -254,101 +261,100 @@
     );
 }
 
-// A team says that its requests are small, and they are not. Its share is that of the work that
-// they turn out to be.
+// Guards against teams that declare too little work: their share is charged by the actual work.
 #[test]
-fn work_is_charged_as_it_turns_out() {
-    let mut bench = Bench::new(4);
+fn actual_work_is_charged() {
+    let mut harness = Harness::new(4);
     for _ in 0..1000 {
         for team in ["sly", "fair"] {
             for _ in 0..2 {
-                bench.new_work(team);
+                harness.arrive_new(team);
             }
         }
         for _ in 0..2 {
-            bench.used = if bench.running[0].0 == "sly" { 4 } else { 1 };
-            bench.finish();
+            harness.used = if harness.running[0].0 == "sly" { 4 } else { 1 };
+            harness.finish();
         }
-        bench.now += SECOND / 10;
+        harness.now += SECOND / 10;
     }
-    let ratio = f64::from(bench.served["fair"]) / f64::from(bench.served["sly"]);
-    assert!((3.5..4.5).contains(&ratio), "{:?}", bench.served);
+    let ratio = f64::from(harness.served["fair"]) / f64::from(harness.served["sly"]);
+    assert!((3.5..4.5).contains(&ratio), "{:?}", harness.served);
 }
 
 #[test]
 fn higher_priority_goes_first() {
-    let mut bench = Bench::new(1);
-    bench.new_work("a");
-    bench.new_work("low");
+    let mut harness = Harness::new(1);
+    harness.arrive_new("a");
+    harness.arrive_new("low");
     let high = Limit {
         priority: 5,
-        ..FREE
+        ..UNLIMITED
     };
-    let Verdict::Queue(ticket) = bench.arrive("high", high, false) else {
-        panic!("it waits");
+    let Verdict::Queue(ticket) = harness.arrive("high", high, false) else {
+        panic!("expected the request to be queued");
     };
-    assert_eq!(bench.finish(), [Released::Admit(ticket)]);
+    assert_eq!(harness.finish(), [Released::Admit(ticket)]);
 }
 
-// Three callers of a team can't be in time any more, and wait behind all who can. A new one of the
-// same team can, and must not stand behind them.
+// Three requests of a team can't be served in time any more and wait behind all that can. A new
+// request of the team that can still be served in time must not wait behind them.
 #[test]
-fn one_team_s_requests_go_by_their_priorities() {
-    let mut bench = Bench::new(1);
-    bench.new_work("a");
+fn requests_of_one_team_are_ordered_by_priority() {
+    let mut harness = Harness::new(1);
+    harness.arrive_new("a");
     let late = Limit {
         priority: 0,
-        ..FREE
+        ..UNLIMITED
     };
     for _ in 0..3 {
-        assert_matches!(bench.arrive("a", late, false), Verdict::Queue(_));
+        assert_matches!(harness.arrive("a", late, false), Verdict::Queue(_));
     }
-    let Verdict::Queue(ticket) = bench.new_work("a") else {
-        panic!("it waits");
+    let Verdict::Queue(ticket) = harness.arrive_new("a") else {
+        panic!("expected the request to be queued");
     };
-    assert_eq!(bench.finish(), [Released::Admit(ticket)]);
+    assert_eq!(harness.finish(), [Released::Admit(ticket)]);
 }
 
-// An engine dies, and the answers that it was writing must go on within seconds; new work that
-// waits would hold them up, and so would limits that their callers had kept when they came.
+// Guards against continuations that wait behind new work or for limits of their team: the answers
+// of a failed engine must continue within seconds.
 #[test]
-fn continuations_go_before_new_work_and_past_limits() {
-    let mut bench = Bench::new(2);
+fn continuations_go_before_new_work_and_ignore_limits() {
+    let mut harness = Harness::new(2);
     let one = Limit {
         in_flight: 1,
         rate: 1,
-        ..FREE
+        ..UNLIMITED
     };
-    bench.arrive("a", one, false);
-    bench.new_work("b");
+    harness.arrive("a", one, false);
+    harness.arrive_new("b");
     let high = Limit {
         priority: 200,
-        ..FREE
+        ..UNLIMITED
     };
-    bench.arrive("high", high, false);
-    // One place above the limit is kept for continuations.
-    assert_eq!(bench.arrive("a", one, true), Verdict::Admit);
-    let Verdict::Queue(ticket) = bench.arrive("a", one, true) else {
-        panic!("it waits for a place");
+    harness.arrive("high", high, false);
+    // One slot above the limit is reserved for continuations.
+    assert_eq!(harness.arrive("a", one, true), Verdict::Admit);
+    let Verdict::Queue(ticket) = harness.arrive("a", one, true) else {
+        panic!("expected the continuation to be queued");
     };
-    assert_eq!(bench.finish(), [Released::Admit(ticket)]);
-    assert_eq!(bench.waiting.len(), 1);
+    assert_eq!(harness.finish(), [Released::Admit(ticket)]);
+    assert_eq!(harness.waiting.len(), 1);
 }
 
 #[rstest]
-#[case::in_flight(Limit { in_flight: 2, ..FREE }, Reason::InFlight)]
-#[case::rate(Limit { rate: 2, ..FREE }, Reason::Rate)]
-fn team_limits_refuse_at_once(#[case] limit: Limit, #[case] reason: Reason) {
-    let mut bench = Bench::new(100);
+#[case::in_flight(Limit { in_flight: 2, ..UNLIMITED }, Reason::InFlight)]
+#[case::rate(Limit { rate: 2, ..UNLIMITED }, Reason::Rate)]
+fn team_limits_refuse_immediately(#[case] limit: Limit, #[case] reason: Reason) {
+    let mut harness = Harness::new(100);
     for _ in 0..2 {
-        assert_eq!(bench.arrive("a", limit, false), Verdict::Admit);
+        assert_eq!(harness.arrive("a", limit, false), Verdict::Admit);
     }
-    let refused = bench.arrive("a", limit, false);
+    let refused = harness.arrive("a", limit, false);
     assert_matches!(refused, Verdict::Refuse { reason: because, .. } if because == reason);
-    assert_eq!(bench.new_work("b"), Verdict::Admit);
-    bench.now += SECOND;
-    bench.finish();
-    assert_eq!(bench.arrive("a", limit, false), Verdict::Admit);
+    assert_eq!(harness.arrive_new("b"), Verdict::Admit);
+    harness.now += SECOND;
+    harness.finish();
+    assert_eq!(harness.arrive("a", limit, false), Verdict::Admit);
 }
 
 #[rstest]
@@ -356,24 +362,24 @@
 #[case::rounded_up(2, 4, 1)]
 #[case::none(0, 4, 0)]
 fn limits_are_divided_among_entries(#[case] limit: u32, #[case] entries: u32, #[case] own: u32) {
-    let whole = Limit {
+    let system_limit = Limit {
         in_flight: limit,
         rate: limit,
-        ..FREE
+        ..UNLIMITED
     };
-    let divided = whole.divided(entries);
+    let divided = system_limit.divided(entries);
     assert_eq!((divided.in_flight, divided.rate), (own, own));
 }
 
-// Load is far beyond capacity. A request that can't be served in time is refused at once, not
-// held until its caller has given up.
+// Under overload, a request that can't be served in time is refused at once, not held until its
+// caller has given up.
 #[test]
-fn queue_holds_only_what_can_be_in_time() {
-    let mut bench = Bench::new(2);
+fn queue_holds_only_requests_that_can_be_in_time() {
+    let mut harness = Harness::new(2);
     let mut verdicts = BTreeMap::new();
     for number in 0..100 {
-        // Each its own team: fair shares alone would let all of them wait.
-        let verdict = match bench.new_work(&format!("t{number}")) {
+        // Each request has its own team: with fair shares alone all of them would wait.
+        let verdict = match harness.arrive_new(&format!("t{number}")) {
             Verdict::Admit => "admitted",
             Verdict::Queue(_) => "waiting",
             Verdict::Refuse { reason, .. } => {
@@ -383,111 +389,117 @@
         };
         *verdicts.entry(verdict).or_insert(0) += 1;
     }
-    // Two a second for ten seconds.
+    // Two per second for ten seconds.
     assert_eq!(verdicts["waiting"], 20);
     assert_eq!(verdicts["admitted"], 2);
 }
 
-/// A gate whose one place and whole queue one team has; it serves one in a second.
-fn taken(limit: Limit) -> Bench {
-    let mut bench = Bench::new(1);
+/// Creates a gate whose only slot and whole queue one team uses; it serves one request per second.
+fn full_gate(limit: Limit) -> Harness {
+    let mut harness = Harness::new(1);
     for _ in 0..11 {
-        bench.arrive("first", limit, false);
+        harness.arrive("first", limit, false);
     }
-    assert_eq!((bench.running.len(), bench.waiting.len()), (1, 10));
-    bench
+    assert_eq!((harness.running.len(), harness.waiting.len()), (1, 10));
+    harness
 }
 
-// The queue is full when a team comes that had less than its share. Refused for that, it gets its
-// share only by luck; so the request that would be served last makes room, and its caller is told
-// at once. Work of a higher priority and continuations never make room for lower.
+// Guards against a full queue that denies a team its share: the request that would be served last
+// is displaced and refused at once. Higher priorities and continuations are never displaced by
+// lower ones.
 #[rstest]
-#[case::smaller_team(FREE, "other", FREE, true)]
-#[case::same_team(FREE, "first", FREE, false)]
-#[case::higher(FREE, "other", Limit { priority: 2, ..FREE }, true)]
-#[case::same_team_higher(FREE, "first", Limit { priority: 2, ..FREE }, true)]
-#[case::lower(FREE, "other", Limit { priority: 0, ..FREE }, false)]
-#[case::far_lighter(Limit { weight: 100, ..FREE }, "other", FREE, false)]
-fn last_in_line_makes_room(
+#[case::smaller_team(UNLIMITED, "other", UNLIMITED, true)]
+#[case::same_team(UNLIMITED, "first", UNLIMITED, false)]
+#[case::higher(UNLIMITED, "other", Limit { priority: 2, ..UNLIMITED }, true)]
+#[case::same_team_higher(UNLIMITED, "first", Limit { priority: 2, ..UNLIMITED }, true)]
+#[case::lower(UNLIMITED, "other", Limit { priority: 0, ..UNLIMITED }, false)]
+#[case::far_lighter(Limit { weight: 100, ..UNLIMITED }, "other", UNLIMITED, false)]
+fn last_queued_request_is_displaced(
     #[case] first: Limit,
     #[case] team: &str,
     #[case] limit: Limit,
-    #[case] room: bool,
+    #[case] displaces: bool,
 ) {
-    let mut bench = taken(first);
-    let last = bench.waiting.keys().max().copied();
-    let verdict = bench.arrive(team, limit, false);
-    assert_eq!(matches!(verdict, Verdict::Queue(_)), room, "{verdict:?}");
-    assert_eq!(bench.waiting.len(), 10);
-    let made_room = !bench.waiting.contains_key(&last.expect("some wait"));
-    assert_eq!(made_room, room);
+    let mut harness = full_gate(first);
+    let last = harness.waiting.keys().max().copied();
+    let verdict = harness.arrive(team, limit, false);
+    assert_eq!(
+        matches!(verdict, Verdict::Queue(_)),
+        displaces,
+        "{verdict:?}"
+    );
+    assert_eq!(harness.waiting.len(), 10);
+    let was_displaced = !harness
+        .waiting
+        .contains_key(&last.expect("requests are queued"));
+    assert_eq!(was_displaced, displaces);
 }
 
 #[test]
-fn continuations_don_t_make_room() {
-    let mut bench = Bench::new(1);
+fn continuations_are_not_displaced() {
+    let mut harness = Harness::new(1);
     for _ in 0..12 {
-        bench.arrive("first", FREE, true);
+        harness.arrive("first", UNLIMITED, true);
     }
-    let waiting = bench.waiting.clone();
+    let waiting = harness.waiting.clone();
     let high = Limit {
         priority: 9,
-        ..FREE
+        ..UNLIMITED
     };
-    assert_matches!(bench.arrive("b", high, false), Verdict::Refuse { .. });
-    assert_eq!(bench.waiting, waiting);
+    assert_matches!(harness.arrive("b", high, false), Verdict::Refuse { .. });
+    assert_eq!(harness.waiting, waiting);
 }
 
-// The replicas slow down while requests wait. Those that can't be in time any more are refused
-// when their time is over, and don't take a place from others.
+// Replicas slow down while requests wait. Requests that reach their maximum wait are refused and
+// take no slot from others.
 #[test]
-fn late_requests_are_refused_when_their_time_is_over() {
-    let mut bench = Bench::new(1);
-    bench.new_work("a");
-    let Verdict::Queue(ticket) = bench.new_work("b") else {
-        panic!("it waits");
+fn queued_requests_are_refused_at_their_deadline() {
+    let mut harness = Harness::new(1);
+    harness.arrive_new("a");
+    let Verdict::Queue(ticket) = harness.arrive_new("b") else {
+        panic!("expected the request to be queued");
     };
-    assert_eq!(bench.gate.deadline(), Some(bench.now + 10 * SECOND));
-    bench.now += 10 * SECOND;
-    let released = bench.tick();
+    assert_eq!(harness.gate.deadline(), Some(harness.now + 10 * SECOND));
+    harness.now += 10 * SECOND;
+    let released = harness.tick();
     assert_matches!(
         released[..],
         [Released::Refuse { ticket: late, reason: Reason::Late, .. }] if late == ticket
     );
-    assert_eq!(bench.gate.deadline(), None);
-    assert_eq!(bench.finish(), []);
+    assert_eq!(harness.gate.deadline(), None);
+    assert_eq!(harness.finish(), []);
 }
 
 #[test]
-fn cancelled_requests_leave_no_trace() {
-    let mut bench = Bench::new(1);
-    bench.new_work("a");
+fn cancelled_requests_are_removed() {
+    let mut harness = Harness::new(1);
+    harness.arrive_new("a");
     for team in ["b", "c"] {
-        let Verdict::Queue(ticket) = bench.new_work(team) else {
-            panic!("it waits");
+        let Verdict::Queue(ticket) = harness.arrive_new(team) else {
+            panic!("expected the request to be queued");
         };
         if team == "b" {
-            bench.gate.cancel(ticket);
-            bench.gate.cancel(ticket);
-            bench.waiting.remove(&ticket);
+            harness.gate.cancel(ticket);
+            harness.gate.cancel(ticket);
+            harness.waiting.remove(&ticket);
         }
     }
-    assert_eq!(bench.finish().len(), 1);
-    assert_eq!(bench.running, [("c".to_string(), 1)]);
-    assert_eq!(bench.gate.waiting(), 0);
+    assert_eq!(harness.finish().len(), 1);
+    assert_eq!(harness.running, [("c".to_string(), 1)]);
+    assert_eq!(harness.gate.waiting(), 0);
 }
 
-// An outage ends, and a thousand callers that were refused come back when they were told. If all
-// were told the same time, all but a few would be refused again, and again.
+// Guards against refused callers that all retry at the same time after an outage: all but a few of
+// a thousand callers would be refused again and again.
 #[test]
-fn refused_callers_come_back_at_a_rate_that_can_be_served() {
-    let mut bench = Bench::new(20);
+fn refused_callers_return_at_a_rate_that_can_be_served() {
+    let mut harness = Harness::new(20);
     let mut times = Vec::new();
     for _ in 0..20 {
-        bench.new_work("a");
+        harness.arrive_new("a");
     }
     for _ in 0..500 {
-        if let Verdict::Refuse { retry_after, .. } = bench.new_work("a") {
+        if let Verdict::Refuse { retry_after, .. } = harness.arrive_new("a") {
             times.push(retry_after);
         }
     }
@@ -497,17 +509,17 @@
         assert!(*time >= SECOND / 2 && *time <= 60 * SECOND);
         *seconds.entry(time.as_secs()).or_default() += 1;
     }
-    // Twenty finish in a second, and refused callers shall come back at half of that.
+    // Twenty finish per second, and refused callers shall return at half of that rate.
     let most = seconds.values().max().copied().unwrap_or_default();
     assert!(most <= 20, "{seconds:?}");
 }
 
 #[test]
-fn longest_time_to_come_back_is_no_meeting_point() {
-    let mut bench = Bench::new(1);
+fn delays_at_the_maximum_are_distributed() {
+    let mut harness = Harness::new(1);
     let mut seconds: BTreeMap<u64, u32> = BTreeMap::new();
     for _ in 0..5000 {
-        if let Verdict::Refuse { retry_after, .. } = bench.new_work("a") {
+        if let Verdict::Refuse { retry_after, .. } = harness.arrive_new("a") {
             assert!(retry_after <= 60 * SECOND);
             *seconds.entry(retry_after.as_secs()).or_default() += 1;
         }
@@ -517,42 +529,42 @@
 }
 
 #[test]
-fn callers_that_retry_at_once_harm_only_their_team() {
-    let mut bench = Bench::new(10);
+fn immediate_retries_affect_only_their_team() {
+    let mut harness = Harness::new(10);
     for _ in 0..500 {
         for _ in 0..50 {
-            bench.new_work("hasty");
+            harness.arrive_new("hasty");
         }
-        bench.new_work("calm");
-        if bench.running.len() >= 10 {
-            bench.finish();
+        harness.arrive_new("calm");
+        if harness.running.len() >= 10 {
+            harness.finish();
         }
-        bench.now += SECOND / 10;
+        harness.now += SECOND / 10;
     }
-    // A place every tenth of a second for both: each gets half.
-    assert!(bench.served["calm"] >= 230, "{:?}", bench.served);
+    // With one slot every tenth of a second, each of the two teams gets half.
+    assert!(harness.served["calm"] >= 230, "{:?}", harness.served);
 }
 
-// Thousands of teams come and go. What is kept of them must not grow for ever, and dropping a team
-// must not give it a fresh rate or forgive its share.
+// Guards against state of idle teams that grows without bound. Dropping a team must not give it a
+// fresh rate or cancel its debt.
 #[test]
 fn idle_teams_are_dropped() {
-    let mut bench = Bench::new(100);
+    let mut harness = Harness::new(100);
     for round in 0..50 {
         for number in 0..100 {
-            bench.new_work(&format!("t{round}-{number}"));
+            harness.arrive_new(&format!("t{round}-{number}"));
         }
         for _ in 0..100 {
-            bench.finish();
+            harness.finish();
         }
-        bench.now += 2 * SECOND;
+        harness.now += 2 * SECOND;
     }
-    assert!(bench.gate.teams() < 400, "{}", bench.gate.teams());
+    assert!(harness.gate.teams() < 400, "{}", harness.gate.teams());
 }
 
 #[test]
 fn table_of_teams_is_bounded() {
-    let mut bench = Bench::with(
+    let mut harness = Harness::with_settings(
         100,
         Settings {
             max_teams: 10,
@@ -560,10 +572,10 @@
         },
     );
     for number in 0..10 {
-        assert_eq!(bench.new_work(&format!("t{number}")), Verdict::Admit);
+        assert_eq!(harness.arrive_new(&format!("t{number}")), Verdict::Admit);
     }
-    assert_matches!(bench.new_work("one-more"), Verdict::Refuse { .. });
-    assert_eq!(bench.new_work("t3"), Verdict::Admit);
+    assert_matches!(harness.arrive_new("one-more"), Verdict::Refuse { .. });
+    assert_eq!(harness.arrive_new("t3"), Verdict::Admit);
 }
 
 #[rstest]
@@ -577,64 +589,65 @@
     #[case] entries: u32,
     #[case] limit: u32,
 ) {
-    let mut bench = Bench::new(1);
-    bench.report(capacity, load, entries);
-    assert_eq!(bench.gate.limit(), limit);
+    let mut harness = Harness::new(1);
+    harness.report(capacity, load, entries);
+    assert_eq!(harness.gate.limit(), limit);
 }
 
-// Four entries share ten places. Each rounds its two and a half up, and the engines are always
-// over capacity by two, so that no answer is in time.
+// Guards against rounding up fractional slots: four entries share ten slots, and if each rounded
+// its two and a half up, the engines would always be two over capacity and no answer would be in
+// time.
 #[test]
-fn parts_of_places_are_no_places() {
+fn fractional_slots_do_not_count() {
     let mut running = 0;
     for _ in 0..4 {
-        let mut bench = Bench::new(1);
-        bench.report(10, 0, 4);
+        let mut harness = Harness::new(1);
+        harness.report(10, 0, 4);
         for _ in 0..5 {
-            bench.new_work("a");
+            harness.arrive_new("a");
         }
-        running += bench.running.len();
+        running += harness.running.len();
     }
     assert_eq!(running, 8);
 }
 
-/// Finishes requests over some seconds, each with that first-token time.
-fn serve(bench: &mut Bench, seconds: u32, first: Duration) {
+/// Finishes requests over some seconds, each with the given time to the first token.
+fn serve_with_first_token(harness: &mut Harness, seconds: u32, first_token: Duration) {
     for _ in 0..seconds {
         for _ in 0..20 {
-            bench.new_work("a");
-            let (team, priority) = bench.running.remove(0);
+            harness.arrive_new("a");
+            let (team, priority) = harness.running.remove(0);
             let done = Done {
                 priority,
                 cost: 1,
                 used: 1,
                 time: SECOND,
-                first_token: Some(first),
+                first_token: Some(first_token),
             };
-            bench.gate.finish(&team, &done);
+            harness.gate.finish(&team, &done);
         }
-        bench.now += SECOND;
-        bench.tick();
+        harness.now += SECOND;
+        harness.tick();
     }
 }
 
-// The engines say that they have room, yet first tokens come late: something queues that no report
-// shows. The concurrency goes down until they are in time, and comes back afterwards.
+// First tokens are late although the engines report room, so there is a queue that no report shows.
+// The limit is lowered until first tokens are in time, and recovers afterwards.
 #[test]
 fn late_first_tokens_lower_the_concurrency() {
-    let mut bench = Bench::new(100);
-    serve(&mut bench, 5, 3 * SECOND);
-    assert!(bench.gate.limit() < 65, "{}", bench.gate.limit());
-    serve(&mut bench, 100, 3 * SECOND);
-    assert_eq!(bench.gate.limit(), 30);
-    serve(&mut bench, 40, SECOND / 10);
-    assert_eq!(bench.gate.limit(), 100);
+    let mut harness = Harness::new(100);
+    serve_with_first_token(&mut harness, 5, 3 * SECOND);
+    assert!(harness.gate.limit() < 65, "{}", harness.gate.limit());
+    serve_with_first_token(&mut harness, 100, 3 * SECOND);
+    assert_eq!(harness.gate.limit(), 30);
+    serve_with_first_token(&mut harness, 40, SECOND / 10);
+    assert_eq!(harness.gate.limit(), 100);
 }
 
 #[test]
-fn any_order_of_events_keeps_the_counts() {
+fn counts_are_consistent_for_any_order_of_events() {
     for seed in 0..50 {
-        let mut bench = Bench::new(5);
+        let mut harness = Harness::new(5);
         let mut draw = StdRng::seed_from_u64(seed);
         let mut tickets = BTreeSet::new();
         for _ in 0..2000 {
@@ -648,46 +661,45 @@
             match draw.random_range(0..6) {
                 0..3 => {
                     let resume = draw.random_range(0..5) == 0;
-                    if let Verdict::Queue(ticket) = bench.arrive(&team, limit, resume) {
+                    if let Verdict::Queue(ticket) = harness.arrive(&team, limit, resume) {
                         assert!(tickets.insert(ticket));
                     }
                 }
-                3 if !bench.running.is_empty() => {
-                    bench.finish();
+                3 if !harness.running.is_empty() => {
+                    harness.finish();
                 }
                 4 => {
-                    if let Some(ticket) = bench.waiting.keys().next().copied() {
-                        bench.gate.cancel(ticket);
-                        bench.waiting.remove(&ticket);
+                    if let Some(ticket) = harness.waiting.keys().next().copied() {
+                        harness.gate.cancel(ticket);
+                        harness.waiting.remove(&ticket);
                     }
                 }
                 _ => {
-                    bench.now += SECOND / 4;
-                    bench.tick();
+                    harness.now += SECOND / 4;
+                    harness.tick();
                 }
             }
-            assert_eq!(bench.gate.running() as usize, bench.running.len());
-            assert_eq!(bench.gate.waiting(), bench.waiting.len());
+            assert_eq!(harness.gate.running() as usize, harness.running.len());
+            assert_eq!(harness.gate.waiting(), harness.waiting.len());
         }
-        while !bench.running.is_empty() {
-            bench.finish();
+        while !harness.running.is_empty() {
+            harness.finish();
         }
-        assert_eq!(bench.gate.waiting(), 0, "seed {seed}");
+        assert_eq!(harness.gate.waiting(), 0, "seed {seed}");
     }
 }
 
-// An entry has just begun, and sixty callers come to it at once before any replica has reported
-// and any request has ended. Refused for what the entry doesn't know, they would be told to come
-// back to engines that are idle.
+// Guards against refusals of a new entry: sixty callers arrive before any replica has reported and
+// any request has ended, and would be told to retry while engines are idle.
 #[test]
-fn burst_at_the_begin_is_served() {
+fn initial_burst_is_served() {
     let mut gate = Gate::new(Settings::default());
     let mut rng = StdRng::seed_from_u64(1);
     let team = "a".to_string();
     for _ in 0..60 {
         let arrival = Arrival {
             team: &team,
-            limit: FREE,
+            limit: UNLIMITED,
             cost: 1,
             max_wait: SECOND,
             resume: false,
--- a/components/admission/tests/quota.rs
+++ b/components/admission/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Retries over a sliding window.
+//! Retry quota over a sliding window.
 
 use std::time::Duration;
 
@@ -18,10 +18,10 @@
 
 const ENTRIES: usize = 28;
 
-/// What the other entries sent, as it was known a moment ago.
-fn others(told: &[Totals], own: usize) -> Peers {
+/// Returns the retries of the other entries, as reported a moment ago.
+fn peers(reported: &[Totals], own: usize) -> Peers {
     let mut totals = Totals::default();
-    for (entry, sums) in told.iter().enumerate() {
+    for (entry, sums) in reported.iter().enumerate() {
         if entry == own {
             continue;
         }
@@ -35,7 +35,7 @@
     }
 }
 
-const ALONE: Peers = Peers {
+const NO_PEERS: Peers = Peers {
     totals: Totals {
         requests: 0,
         retries: 0,
@@ -44,28 +44,28 @@
     unreported: 0.0,
 };
 
-/// Servers go down and up by turns, and each request is refused by several of them. Sent on until
-/// one takes it, requests arrive three times over, and the servers that are up are pressed most
-/// when they are fewest. The bound must hold over all entries in any window, also at its worst.
+/// Guards against retry amplification: servers fail in turns, and several of them refuse each
+/// request. Retried without a bound, requests arrive three times over, and the remaining servers
+/// get the most load when they are fewest. The bound must hold over all entries in any window.
 #[test]
-fn all_entries_together_keep_to_the_bound() {
+fn all_entries_together_stay_within_the_bound() {
     let mut quotas = vec![Quota::default(); ENTRIES];
-    let mut told = vec![Totals::default(); ENTRIES];
+    let mut reported = vec![Totals::default(); ENTRIES];
     let mut sends: Vec<(Duration, bool)> = Vec::new();
     for step in 0..3000_u32 {
         let now = Duration::from_millis(10) * step;
         if step % 25 == 0 {
-            for (sums, quota) in told.iter_mut().zip(&mut quotas) {
+            for (sums, quota) in reported.iter_mut().zip(&mut quotas) {
                 *sums = quota.totals(now, &BOUND);
             }
         }
         let entry = step as usize % ENTRIES;
-        let others = others(&told, entry);
+        let peers = peers(&reported, entry);
         let quota = &mut quotas[entry];
         quota.request(now, &BOUND);
         sends.push((now, false));
         for _ in 0..4 {
-            if quota.retry(now, &BOUND, others, Purpose::Resume) {
+            if quota.retry(now, &BOUND, peers, Purpose::Resume) {
                 sends.push((now, true));
             }
         }
@@ -92,29 +92,29 @@
     }
 }
 
-/// First answers are sent again until nothing is left. A stream that then loses its server could
-/// not go on, and its caller would lose what it has.
+/// Guards against a quota that requests without an answer use up: a stream that then loses its
+/// server could not continue, and its caller would lose the answer so far.
 #[test]
-fn something_is_left_for_answers_that_have_begun() {
+fn reserves_retries_for_answers_that_have_begun() {
     let mut quota = Quota::default();
     let now = Duration::from_secs(1);
     quota.request(now, &BOUND);
-    while quota.retry(now, &BOUND, ALONE, Purpose::First) {}
-    assert!(quota.retry(now, &BOUND, ALONE, Purpose::Resume));
+    while quota.retry(now, &BOUND, NO_PEERS, Purpose::First) {}
+    assert!(quota.retry(now, &BOUND, NO_PEERS, Purpose::Resume));
 }
 
-/// An entry is cut off from the others. Were it to take the whole slack, all of them together would
-/// exceed the bound; it keeps to its part.
+/// An entry is cut off from the others. It must keep to its part of the slack, as otherwise all
+/// entries together would exceed the bound.
 #[test]
-fn an_entry_that_hears_nobody_keeps_to_its_part() {
+fn isolated_entry_stays_within_its_part() {
     let mut quota = Quota::default();
     let now = Duration::from_secs(1);
     let mut retries = 0;
-    let others = Peers {
+    let peers = Peers {
         coverage: 1.0 / ENTRIES as f64,
-        ..ALONE
+        ..NO_PEERS
     };
-    while quota.retry(now, &BOUND, others, Purpose::Resume) {
+    while quota.retry(now, &BOUND, peers, Purpose::Resume) {
         retries += 1;
     }
     assert!(retries <= BOUND.slack as usize / ENTRIES);
--- a/components/admission/tests/retries.rs
+++ b/components/admission/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries over a fleet whose entries hear from one another seconds apart.
+//! Retries over a fleet whose entries receive each other's reports with a delay of seconds.
 
 use std::time::Duration;
 
@@ -24,11 +24,11 @@
 
 const STEP: Duration = Duration::from_millis(10);
 
-/// A fleet in five data centres. Beacons go to all, each entry's at its own moment; within a data
-/// centre retries are told with the next step.
+/// A fleet in five data centres. Each entry sends beacons to all others at its own moments; within
+/// a data centre, retries are reported with the next step.
 struct Fleet {
     entries: Vec<Retries>,
-    told: Vec<Counts>,
+    counts: Vec<Counts>,
     data_centres: usize,
     beacon_interval: Duration,
     now: Clock,
@@ -41,7 +41,7 @@
     fn new(entries: usize, beacon_interval: Duration) -> Fleet {
         Fleet {
             entries: vec![Retries::default(); entries],
-            told: vec![Counts::default(); entries],
+            counts: vec![Counts::default(); entries],
             data_centres: 5,
             beacon_interval,
             now: Duration::ZERO,
@@ -55,18 +55,18 @@
         one % self.data_centres == other % self.data_centres
     }
 
-    /// Lets a step pass; `failing` is the probability with which an entry wants to send again.
+    /// Advances one step; `failing` returns the probability with which an entry tries to retry.
     fn step(&mut self, requests_per_s: f64, failing: impl Fn(usize) -> f64) {
         self.now += STEP;
         let count = self.entries.len();
-        let part = requests_per_s * STEP.as_secs_f64() / count as f64;
+        let probability = requests_per_s * STEP.as_secs_f64() / count as f64;
         for entry in 0..count {
-            if self.rng.random_bool(part) {
+            if self.rng.random_bool(probability) {
                 self.entries[entry].request(self.now, &BOUND);
                 self.requests.push(self.now);
             }
-            let wanted = self.rng.random_bool(failing(entry));
-            if wanted && self.entries[entry].retry(self.now, &BOUND, 1.0, Purpose::Resume) {
+            let retries = self.rng.random_bool(failing(entry));
+            if retries && self.entries[entry].retry(self.now, &BOUND, 1.0, Purpose::Resume) {
                 self.retries.push(self.now);
             }
         }
@@ -74,62 +74,63 @@
         for from in 0..count {
             let offset = interval * from as u128 / count as u128;
             let beacon = (self.now.as_millis() + offset) % interval < STEP.as_millis();
-            let told = self.entries[from].counts(self.now, &BOUND);
-            let changed = told.retries != std::mem::replace(&mut self.told[from], told).retries;
+            let counts = self.entries[from].counts(self.now, &BOUND);
+            let changed =
+                counts.retries != std::mem::replace(&mut self.counts[from], counts).retries;
             for to in 0..count {
                 let near = self.near(from, to);
                 if from != to && (near && changed || beacon) {
-                    self.entries[to].record_peer(self.now, from as u64, told, near);
+                    self.entries[to].record_peer(self.now, from as u64, counts, near);
                 }
             }
         }
     }
 
-    /// The largest part of the bound that any window used, over whole windows.
-    fn most(&self) -> f64 {
-        let mut most = 0.0_f64;
+    /// Returns the largest share of the bound that any whole window used.
+    fn max_use(&self) -> f64 {
+        let mut max_use = 0.0_f64;
         let mut start = Duration::ZERO;
         while start + BOUND.window <= self.now {
             let within = |at: &&Clock| **at >= start && **at < start + BOUND.window;
             let requests = self.requests.iter().filter(within).count() as f64;
             let retries = self.retries.iter().filter(within).count() as f64;
-            most = most.max(retries / (BOUND.ratio * requests + BOUND.slack));
+            max_use = max_use.max(retries / (BOUND.ratio * requests + BOUND.slack));
             start += Duration::from_millis(500);
         }
-        most
+        max_use
     }
 }
 
-/// Guards against a hundred entries and more that each use up what is left of the retries, as they hear
-/// of one another's only seconds later.
+/// Guards against a hundred or more entries that each use up the remaining retries, as they learn
+/// of each other's retries only seconds later.
 #[rstest]
 #[case::a_hundred(100, Duration::from_secs(4))]
 #[case::three_hundred(300, Duration::from_secs(10))]
-fn a_fleet_that_hears_late_keeps_to_the_bound(
+fn fleet_with_delayed_reports_stays_within_the_bound(
     #[case] entries: usize,
     #[case] beacon_interval: Duration,
 ) {
     let mut fleet = Fleet::new(entries, beacon_interval);
     for step in 0..3000 {
-        // From the twelfth second on everybody wants to send again, at once and then again and again.
+        // From the twelfth second on, all entries try to retry continuously.
         let wanted = if step > 1200 { 0.05 } else { 0.0 };
         fleet.step(66.0, |_| wanted);
     }
-    let most = fleet.most();
-    assert!(most <= 1.0, "{most} of the bound");
-    assert!(most >= 0.4, "{most} of the bound: too strict");
+    let max_use = fleet.max_use();
+    assert!(max_use <= 1.0, "{max_use} of the bound");
+    assert!(max_use >= 0.4, "{max_use} of the bound: too strict");
 }
 
-/// Guards against an estimate that keeps the entries of one failing data centre from what the others
-/// don't use.
+/// Guards against an estimate that keeps the entries of one failing data centre from the retries
+/// that the others don't use.
 #[test]
-fn one_data_centre_may_use_what_the_others_leave() {
+fn one_data_centre_may_use_the_retries_that_others_leave() {
     let mut fleet = Fleet::new(100, Duration::from_secs(4));
     let failing = |entry: usize| if entry.is_multiple_of(5) { 0.05 } else { 0.0 };
     for step in 0..3000 {
         fleet.step(66.0, |entry| if step > 1200 { failing(entry) } else { 0.0 });
     }
-    let most = fleet.most();
-    assert!(most <= 1.0, "{most} of the bound");
-    assert!(most >= 0.2, "{most} of the bound: too strict");
+    let max_use = fleet.max_use();
+    assert!(max_use <= 1.0, "{max_use} of the bound");
+    assert!(max_use >= 0.2, "{max_use} of the bound: too strict");
 }
