--- a/components/admission/src/retries.rs
+++ b/components/admission/src/retries.rs
@@ -68,8 +68,8 @@
     /// Takes a retry. Returns `false` if none is available over all entries. `coverage` is the
     /// share of all entries whose reports are known, including this one.
     pub fn retry(&mut self, now: Clock, bound: &Bound, coverage: f64, purpose: Purpose) -> bool {
-        let others = self.others(coverage);
-        let is_allowed = self.own.retry(now, bound, others, purpose);
+        let peers = self.peers(coverage);
+        let is_allowed = self.own.retry(now, bound, peers, purpose);
         if is_allowed {
             self.sent = self.sent.wrapping_add(1);
             self.record_near(now, 1);
@@ -78,7 +78,7 @@
     }
 
     /// Returns the retries of the other entries, as reported or estimated.
-    pub fn others(&self, coverage: f64) -> Peers {
+    pub fn peers(&self, coverage: f64) -> Peers {
         let mut totals = Totals::default();
         let mut near = 1;
         let mut unreported = 0;
--- a/components/gateway/src/quotas.rs
+++ b/components/gateway/src/quotas.rs
@@ -51,7 +51,7 @@
         let own = retries.counts(now, bound).totals;
         let left = retries.retry(now, bound, known, purpose);
         if !left {
-            let others = retries.others(known);
+            let others = retries.peers(known);
             note!(
                 direct::SPENT,
                 service = service.as_str(),
