--- a/components/admission/src/concurrency.rs
+++ b/components/admission/src/concurrency.rs
@@ -13,7 +13,7 @@
 const ADAPTATION_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Number of requests in an interval below which the limit is not adapted.
-const MIN_REQUESTS: u32 = 10;
+const MIN_REQUESTS_PER_INTERVAL: u32 = 10;
 
 /// Factor by which the limit is lowered, and the share that it regains in an interval.
 const LIMIT_STEPS: (f64, f64) = (0.9, 0.02);
@@ -70,7 +70,8 @@
     }
 
     pub(crate) fn tick(&mut self, now: Clock, settings: &Settings) {
-        if now.saturating_sub(self.adapted_at) < ADAPTATION_INTERVAL || self.answered < MIN_REQUESTS
+        if now.saturating_sub(self.adapted_at) < ADAPTATION_INTERVAL
+            || self.answered < MIN_REQUESTS_PER_INTERVAL
         {
             return;
         }
--- a/components/admission/src/forecast.rs
+++ b/components/admission/src/forecast.rs
@@ -17,10 +17,10 @@
 use names::Route;
 
 /// Number of recent answers that the estimate of a route uses, as engines and prompts change.
-const MAX_ANSWERS: usize = 32;
+const MAX_ANSWERS_PER_ROUTE: usize = 32;
 
 /// Number of answers below which a route has no estimate.
-const MIN_ANSWERS: usize = 8;
+const MIN_ANSWERS_PER_ROUTE: usize = 8;
 
 /// Share of the answers that may be shorter or faster than the estimated minimum.
 const MINIMUM_QUANTILE: f64 = 0.1;
@@ -47,7 +47,7 @@
             return;
         }
         let answers = self.routes.entry(route.clone()).or_default();
-        if answers.len() == MAX_ANSWERS {
+        if answers.len() == MAX_ANSWERS_PER_ROUTE {
             answers.pop_front();
         }
         answers.push_back(answer);
@@ -57,7 +57,7 @@
     /// the first `after` events, or `None` if the route has too few answers.
     pub fn remaining_time(&self, route: &Route, after: u64) -> Option<Duration> {
         let answers = self.routes.get(route)?;
-        if answers.len() < MIN_ANSWERS {
+        if answers.len() < MIN_ANSWERS_PER_ROUTE {
             return None;
         }
         let index = (answers.len() as f64 * MINIMUM_QUANTILE) as usize;
--- a/components/admission/src/retries.rs
+++ b/components/admission/src/retries.rs
@@ -44,7 +44,7 @@
 struct Reported {
     counts: Counts,
     reported_at: Clock,
-    near: bool,
+    is_local: bool,
 }
 
 /// Retries of one service: those of this entry and the reported ones of its peers.
@@ -56,7 +56,7 @@
     reported: HashMap<Peer, Reported>,
     /// Retries of the entries of this data centre, including this one, by the time of their
     /// reports.
-    near: VecDeque<(Clock, u32)>,
+    local_retries: VecDeque<(Clock, u32)>,
 }
 
 impl Retries {
@@ -72,7 +72,7 @@
         let is_allowed = self.own.retry(now, bound, peers, purpose);
         if is_allowed {
             self.sent = self.sent.wrapping_add(1);
-            self.record_near(now, 1);
+            self.record_local(now, 1);
         }
         is_allowed
     }
@@ -80,18 +80,18 @@
     /// Returns the retries of the other entries, as reported or estimated.
     pub fn peers(&self, coverage: f64) -> Peers {
         let mut totals = Totals::default();
-        let mut near = 1;
+        let mut local_entries = 1;
         let mut unreported = 0;
         for reported in self.reported.values() {
             totals.requests += reported.counts.totals.requests;
             totals.retries += reported.counts.totals.retries;
-            match reported.near {
-                true => near += 1,
-                false => unreported += self.near_since(reported.reported_at),
+            match reported.is_local {
+                true => local_entries += 1,
+                false => unreported += self.local_since(reported.reported_at),
             }
         }
         // Each remote entry is assumed to send as many as one of this data centre.
-        let unreported = f64::from(unreported) / f64::from(near);
+        let unreported = f64::from(unreported) / f64::from(local_entries);
         Peers {
             totals,
             coverage,
@@ -107,24 +107,25 @@
         }
     }
 
-    /// Records the counts that a peer reported; `near` tells whether it is in the same data centre.
-    pub fn record_peer(&mut self, now: Clock, peer: Peer, counts: Counts, near: bool) {
+    /// Records the counts that a peer reported; `is_local` tells whether it is in the same data
+    /// centre.
+    pub fn record_peer(&mut self, now: Clock, peer: Peer, counts: Counts, is_local: bool) {
         let reported_at = now;
         let before = self.reported.insert(
             peer,
             Reported {
                 counts,
                 reported_at,
-                near,
+                is_local,
             },
         );
-        let Some(before) = before.filter(|_| near) else {
+        let Some(before) = before.filter(|_| is_local) else {
             return;
         };
         let added = counts.retries.wrapping_sub(before.counts.retries);
         // Messages can arrive out of order.
         if added > 0 && added < u32::MAX / 2 {
-            self.record_near(now, added);
+            self.record_local(now, added);
         }
     }
 
@@ -133,17 +134,21 @@
         self.reported.remove(&peer);
     }
 
-    fn record_near(&mut self, now: Clock, retries: u32) {
-        self.near.push_back((now, retries));
-        while let Some((first, _)) = self.near.front()
+    fn record_local(&mut self, now: Clock, retries: u32) {
+        self.local_retries.push_back((now, retries));
+        while let Some((first, _)) = self.local_retries.front()
             && now.saturating_sub(*first) > RETRY_HISTORY
         {
-            self.near.pop_front();
+            self.local_retries.pop_front();
         }
     }
 
-    fn near_since(&self, at: Clock) -> u32 {
-        let since = self.near.iter().rev().take_while(|(sent, _)| *sent >= at);
+    fn local_since(&self, at: Clock) -> u32 {
+        let since = self
+            .local_retries
+            .iter()
+            .rev()
+            .take_while(|(sent, _)| *sent >= at);
         since.map(|(_, retries)| retries).sum()
     }
 }
--- a/components/admission/tests/gate.rs
+++ b/components/admission/tests/gate.rs
@@ -510,8 +510,8 @@
         *seconds.entry(time.as_secs()).or_default() += 1;
     }
     // Twenty finish per second, and refused callers shall return at half of that rate.
-    let most = seconds.values().max().copied().unwrap_or_default();
-    assert!(most <= 20, "{seconds:?}");
+    let highest = seconds.values().max().copied().unwrap_or_default();
+    assert!(highest <= 20, "{seconds:?}");
 }
 
 #[test]
@@ -524,8 +524,8 @@
             *seconds.entry(retry_after.as_secs()).or_default() += 1;
         }
     }
-    let most = seconds.values().max().copied().unwrap_or_default();
-    assert!((100..300).contains(&most), "{seconds:?}");
+    let highest = seconds.values().max().copied().unwrap_or_default();
+    assert!((100..300).contains(&highest), "{seconds:?}");
 }
 
 #[test]
--- a/components/admission/tests/quota.rs
+++ b/components/admission/tests/quota.rs
@@ -18,7 +18,7 @@
 
 const ENTRIES: usize = 28;
 
-/// Returns the retries of the other entries, as reported a moment ago.
+/// Returns the retries of the other entries according to their last reports.
 fn peers(reported: &[Totals], own: usize) -> Peers {
     let mut totals = Totals::default();
     for (entry, sums) in reported.iter().enumerate() {
--- a/components/admission/tests/retries.rs
+++ b/components/admission/tests/retries.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    fn near(&self, one: usize, other: usize) -> bool {
+    fn is_local(&self, one: usize, other: usize) -> bool {
         one % self.data_centres == other % self.data_centres
     }
 
@@ -78,9 +78,9 @@
             let changed =
                 counts.retries != std::mem::replace(&mut self.counts[from], counts).retries;
             for to in 0..count {
-                let near = self.near(from, to);
-                if from != to && (near && changed || beacon) {
-                    self.entries[to].record_peer(self.now, from as u64, counts, near);
+                let is_local = self.is_local(from, to);
+                if from != to && (is_local && changed || beacon) {
+                    self.entries[to].record_peer(self.now, from as u64, counts, is_local);
                 }
             }
         }
--- a/components/admission/tests/wait.rs
+++ b/components/admission/tests/wait.rs
@@ -71,6 +71,6 @@
         rank: 0,
         ..constraints()
     });
-    let usual = waits(&constraints());
-    assert!(urgent[1].limit.priority > usual[0].limit.priority);
+    let normal = waits(&constraints());
+    assert!(urgent[1].limit.priority > normal[0].limit.priority);
 }
--- a/components/routing/tests/common/mod.rs
+++ b/components/routing/tests/common/mod.rs
@@ -32,7 +32,7 @@
     pub rng: StdRng,
     service: Service,
     version: Version,
-    near: DataCentre,
+    local: DataCentre,
 }
 
 pub fn server_name(number: usize) -> Server {
@@ -68,7 +68,7 @@
             rng: StdRng::seed_from_u64(seed),
             service: "letters".to_string(),
             version: "v1".to_string(),
-            near: "near".to_string(),
+            local: "near".to_string(),
         };
         for number in 0..replicas {
             harness
@@ -97,7 +97,7 @@
         let request = Request {
             service: &self.service,
             version: &self.version,
-            data_centre: &self.near,
+            data_centre: &self.local,
             prefix,
             avoid,
             resume,
--- a/components/routing/tests/failures.rs
+++ b/components/routing/tests/failures.rs
@@ -36,7 +36,7 @@
 fn run_requests(
     harness: &mut Harness,
     replicas: usize,
-    bad: &[(usize, u32)],
+    faulty: &[(usize, u32)],
     ticks: usize,
 ) -> Vec<u32> {
     let step = Duration::from_millis(20);
@@ -51,7 +51,7 @@
         let server = harness.send(None);
         let number: usize = server[1..].parse().expect("servers are numbered");
         received[number] += 1;
-        let share = bad.iter().find(|(bad, _)| *bad == number);
+        let share = faulty.iter().find(|(replica, _)| *replica == number);
         let fails = share.is_some_and(|(_, share)| (tick * 37 % 100) < *share as usize);
         if fails {
             harness.done(&server, Outcome::Failed);
@@ -72,13 +72,16 @@
 fn fast_failures_attract_little_traffic(
     #[case] settings: Settings,
     #[case] share: u32,
-    #[case] most: u32,
+    #[case] max_percent: u32,
 ) {
     for seed in 0..10 {
         let mut harness = Harness::new(10, settings.clone(), seed);
         let received = run_requests(&mut harness, 10, &[(3, share)], 3000);
         let percent = received[3] * 100 / 3000;
-        assert!(percent <= most, "seed {seed}: {percent}% of {received:?}");
+        assert!(
+            percent <= max_percent,
+            "seed {seed}: {percent}% of {received:?}"
+        );
         assert!(received[3] > 0, "seed {seed}: the replica is probed");
     }
 }
--- a/components/routing/tests/load.rs
+++ b/components/routing/tests/load.rs
@@ -61,9 +61,9 @@
                 *counts.entry(harness.send(None)).or_default() += 1;
             }
         }
-        let most = counts.values().max().copied().unwrap_or_default();
+        let highest = counts.values().max().copied().unwrap_or_default();
         let mean = counts.values().sum::<u32>() / 10;
-        assert!(most <= mean + 3, "seed {seed}: {counts:?}");
+        assert!(highest <= mean + 3, "seed {seed}: {counts:?}");
         assert_eq!(counts.len(), 10, "seed {seed}: {counts:?}");
     }
 }
@@ -297,10 +297,12 @@
 fn known_replicas_of_other_data_centres_are_chosen_directly() {
     let mut harness = Harness::new(1, Settings::default(), 1);
     harness.report(0, report(CAPACITY));
-    let far = "far-1".to_string();
-    harness.pool.insert(harness.now, &far, &deployment("far"));
-    harness.pool.record_report(harness.now, &far, &report(2));
-    assert_eq!(harness.choose(None), Choice::Server(far.clone()));
-    let sum = harness.pool.summary(harness.now, &deployment("far"));
-    assert_eq!((sum.load, sum.capacity), (2, CAPACITY));
+    let remote = "far-1".to_string();
+    harness
+        .pool
+        .insert(harness.now, &remote, &deployment("far"));
+    harness.pool.record_report(harness.now, &remote, &report(2));
+    assert_eq!(harness.choose(None), Choice::Server(remote.clone()));
+    let summary = harness.pool.summary(harness.now, &deployment("far"));
+    assert_eq!((summary.load, summary.capacity), (2, CAPACITY));
 }
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -289,7 +289,7 @@
             sent += u32::from(faulty);
         }
     }
-    // Without the log likelihood ratio, 27 of 100 are lost.
+    // Without fault detection, 27 of 100 are lost.
     assert!(lost * 100 <= sent * 12, "{lost} of {sent}");
 }
 
@@ -301,15 +301,15 @@
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut placement = plain_servers(3);
-        let mut most = [0_u32; 3];
+        let mut sends = [0_u32; 3];
         for number in 0..2000 {
             let now = Duration::from_millis(50) * number;
             let server = send_request(&mut placement, now, &mut rng);
             finish_request(&mut placement, now, &server, rng.random_bool(1.0 / 7.0));
             let which: usize = server[1..].parse().expect("a number");
-            most[which] += 1;
+            sends[which] += 1;
         }
-        ejected += u32::from(most.iter().any(|sent| *sent < 400));
+        ejected += u32::from(sends.iter().any(|sent| *sent < 400));
     }
     assert!(ejected <= 1, "{ejected} of 10");
 }
--- a/components/routing/tests/prefixes.rs
+++ b/components/routing/tests/prefixes.rs
@@ -64,8 +64,8 @@
     }
     // The bound is a quarter and one run above the mean of six, and a replica chosen at the bound
     // gets one more.
-    let most = counts.values().max().copied();
-    assert!(most <= Some(9), "{counts:?}");
+    let highest = counts.values().max().copied();
+    assert!(highest <= Some(9), "{counts:?}");
     assert!(counts.len() >= 7, "{counts:?}");
 }
 
@@ -215,6 +215,6 @@
     for _ in 0..750 {
         *counts.entry(harness.send(Some(PREFIX))).or_default() += 1;
     }
-    let most = counts.values().max().copied();
-    assert!(most <= Some(82), "{counts:?}");
+    let highest = counts.values().max().copied();
+    assert!(highest <= Some(82), "{counts:?}");
 }
--- a/components/routing/tests/subset.rs
+++ b/components/routing/tests/subset.rs
@@ -59,9 +59,9 @@
         }
     }
     assert_eq!(links.len(), fleet.len());
-    let most = links.values().max().copied().unwrap_or_default();
-    let least = links.values().min().copied().unwrap_or_default();
-    assert!(most <= 3 * least, "{least} to {most}");
+    let highest = links.values().max().copied().unwrap_or_default();
+    let lowest = links.values().min().copied().unwrap_or_default();
+    assert!(highest <= 3 * lowest, "{lowest} to {highest}");
 }
 
 /// Guards against a change of one host that moves many links: each of 32 failures a day would cause
