--- a/components/admission/src/lib.rs
+++ b/components/admission/src/lib.rs
@@ -1,30 +1,31 @@
-//! Limits, team fairness, priorities, retry budgets, shedding.
+//! Admission control: limits, team fairness, priorities, retry budgets and load shedding.
 //!
-//! [`Gate`] decides which piece of work goes on, waits, or is refused; [`Budget`] bounds retries;
-//! [`Outlook`] tells which streams can't be complete in time. All are plain state machines. `docs/design/admission.md` gives the reasons and the figures.
+//! [`Gate`] decides whether a request is admitted, queued or refused; [`Budget`] and [`Retries`]
+//! bound retries; [`Forecast`] estimates which streams can't complete in time. All are state
+//! machines without I/O. `docs/design/admission.md` gives the reasons and the figures.
 
 mod budget;
+mod concurrency;
 mod fair;
+mod forecast;
 mod gate;
-mod outlook;
-mod pace;
 mod quota;
 mod request;
 mod retries;
 mod settings;
 mod table;
 mod team;
-pub mod turn;
+pub mod wait;
 
 pub use budget::Budget;
-pub use gate::Gate;
-pub use outlook::{
+pub use forecast::{
     Answer,
-    Outlook, //
+    Forecast, //
 };
+pub use gate::Gate;
 pub use quota::{
     Bound,
-    Others,
+    Peers,
     Purpose,
     Quota,
     Totals, //
@@ -39,8 +40,8 @@
     Verdict, //
 };
 pub use retries::{
-    Retries,
-    Told, //
+    Counts,
+    Retries, //
 };
 pub use settings::Settings;
 pub use team::Limit;
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -1,50 +1,52 @@
-//! What admission can be tuned by.
+//! Tuning parameters of admission control.
 
 use std::time::Duration;
 
-/// Settings of a gate. The defaults are those measured in `docs/design/admission.md`.
+/// Settings of a gate. `docs/design/admission.md` gives the measurements behind the defaults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Concurrency before any report. Rather too high: an entry that has just begun gets a burst
-    /// before it hears of its replicas, and the first report sets it right.
-    pub start: u32,
-    /// Time of a request before any was finished. Rather too short: then some wait for nothing, and
-    /// no longer than their patience; too long, and those are refused that could be served.
-    pub usual: Duration,
-    /// Share of capacity that is aimed at; the rest is for what other entries do meanwhile.
-    pub aim: f64,
-    /// Concurrency above the limit that is kept for continuing answers, as a share; at least one.
-    pub reserve: f64,
-    /// First-token time above which a request counts as late.
-    pub first: Duration,
-    /// Share of late requests above which the concurrency is lowered.
-    pub late: f64,
-    /// Lowest factor that late requests bring the concurrency to.
-    pub lowest: f64,
-    /// Requests that wait, at most.
-    pub waiting: usize,
-    /// Teams that are known at once, at most.
-    pub teams: usize,
-    /// Share of the finished work's rate that refused callers are asked to come back at.
-    pub returning: f64,
-    /// Shortest and longest time that a refused caller is asked to wait.
-    pub come_back: (Duration, Duration),
+    /// Concurrency limit before the first report. It is rather high: a new entry may get a burst
+    /// before it receives reports of its replicas, and the first report corrects it.
+    pub initial_limit: u32,
+    /// Assumed time of a request before any has finished. It is rather short: with a value that is
+    /// too short some requests queue in vain, but no longer than their maximum wait; with one that
+    /// is too long, requests are refused that could be served.
+    pub initial_time: Duration,
+    /// Target share of the capacity; the rest covers what other entries admit in the meantime.
+    pub target_utilization: f64,
+    /// Concurrency above the limit that is reserved for continuations, as a share of the limit; at
+    /// least one.
+    pub resume_reserve: f64,
+    /// Time to the first token above which a request counts as late.
+    pub first_token_target: Duration,
+    /// Share of late requests above which the concurrency limit is lowered.
+    pub max_late_share: f64,
+    /// Lowest factor that late requests can bring the concurrency limit to.
+    pub min_factor: f64,
+    /// Maximum number of queued requests.
+    pub max_waiting: usize,
+    /// Maximum number of teams that are known at once.
+    pub max_teams: usize,
+    /// Rate at which refused callers are told to retry, as a share of the completion rate.
+    pub retry_share: f64,
+    /// Shortest and longest retry delay of refused callers.
+    pub retry_after: (Duration, Duration),
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            start: 128,
-            usual: Duration::from_secs(1),
-            aim: 1.0,
-            reserve: 0.1,
-            first: Duration::from_millis(1900),
-            late: 0.05,
-            lowest: 0.3,
-            waiting: 4096,
-            teams: 8192,
-            returning: 0.5,
-            come_back: (Duration::from_millis(500), Duration::from_secs(60)),
+            initial_limit: 128,
+            initial_time: Duration::from_secs(1),
+            target_utilization: 1.0,
+            resume_reserve: 0.1,
+            first_token_target: Duration::from_millis(1900),
+            max_late_share: 0.05,
+            min_factor: 0.3,
+            max_waiting: 4096,
+            max_teams: 8192,
+            retry_share: 0.5,
+            retry_after: (Duration::from_millis(500), Duration::from_secs(60)),
         }
     }
 }
--- a/components/entry/src/gates.rs
+++ b/components/entry/src/gates.rs
@@ -39,13 +39,13 @@
 
 /// Time to the first token above which a request counts as late.
 pub(crate) fn objective() -> Duration {
-    Settings::default().first
+    Settings::default().first_token_target
 }
 
 /// Part of the concurrency that late first tokens may lower it to: what replicas report is old, and
 /// late tokens show queues that no report does.
 pub(crate) fn lowest() -> f64 {
-    Settings::default().lowest
+    Settings::default().min_factor
 }
 
 impl Gates {
--- a/components/entry/src/pool.rs
+++ b/components/entry/src/pool.rs
@@ -20,12 +20,12 @@
     rngs::SmallRng, //
 };
 use routing::{
-    Ask,
     Choice,
+    Deployment,
     Outcome,
-    Place,
     Prefix,
-    Report, //
+    Report,
+    Request, //
 };
 use tokio::{
     sync::watch,
@@ -57,7 +57,7 @@
 struct Inner {
     pool: routing::Pool,
     /// Places with replicas, for the summaries of other data centres.
-    places: Vec<Place>,
+    places: Vec<Deployment>,
     rng: SmallRng,
 }
 
@@ -109,14 +109,14 @@
         let Some(backend) = &hello.backend else {
             return;
         };
-        let place = Place {
+        let place = Deployment {
             service: backend.service.clone(),
             version: backend.version.clone(),
             data_centre: hello.data_centre.clone(),
         };
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic while held");
-        inner.pool.place(now, &backend.server, &place);
+        inner.pool.insert(now, &backend.server, &place);
         if !inner.places.contains(&place) {
             inner.places.push(place);
         }
@@ -135,7 +135,7 @@
         };
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic while held");
-        inner.pool.learn(now, server, &report);
+        inner.pool.record_report(now, server, &report);
     }
 
     /// The link was lost.
@@ -155,7 +155,7 @@
         let mut avoided = None;
         let mut wait = Duration::ZERO;
         for _ in 0..TRIES {
-            let ask = Ask {
+            let ask = Request {
                 service: wish.service,
                 version: &wish.release.name,
                 data_centre: &data_centre,
@@ -180,7 +180,7 @@
                 Choice::Server(server) if avoid.contains(&server) => break,
                 // It says that it runs the version, but the document doesn't name it.
                 Choice::Server(server) => avoid.push(server),
-                Choice::Elsewhere(other) => {
+                Choice::Remote(other) => {
                     asked.push(other.clone());
                     data_centre = other;
                 }
@@ -237,7 +237,7 @@
                 continue;
             }
             let summary = self.pool.summary(now, place);
-            self.pool.learn_summary(now, place, &summary);
+            self.pool.record_summary(now, place, &summary);
         }
     }
 }
--- a/components/experiment/src/world.rs
+++ b/components/experiment/src/world.rs
@@ -8,7 +8,7 @@
 
 use admission::{
     Done,
-    turn::Ask, //
+    wait::Constraints, //
 };
 use names::{
     Clock,
@@ -22,7 +22,7 @@
 use routing::{
     Outcome,
     placement::{
-        Facts,
+        Spec,
         Suspicion,
         Work, //
     },
@@ -139,7 +139,7 @@
             cost,
             used: cost,
             time,
-            first: first.map(|first| first - self.asked),
+            first_token: first.map(|first| first - self.asked),
         }
     }
 }
@@ -152,7 +152,7 @@
             .collect();
         for entry in &mut entries {
             for engine in 0..setup.engines {
-                let facts = Facts {
+                let facts = Spec {
                     service: service(),
                     version: "v1".into(),
                     data_centre: centre(engine),
@@ -161,7 +161,7 @@
                 };
                 entry
                     .placement
-                    .put(Clock::ZERO, &name(engine), facts, false);
+                    .upsert(Clock::ZERO, &name(engine), facts, false);
             }
         }
         World {
@@ -307,14 +307,14 @@
     fn enqueue(&mut self, id: Id) {
         let request = &self.requests[id];
         let deadline = request.until.saturating_sub(self.now);
-        let ask = Ask {
+        let ask = Constraints {
             rank: 1,
             objective: self.setup.objective,
             timeout: Some(self.setup.timeout),
             deadline: Some(deadline),
-            usual: Some(self.setup.step.mul_f64(self.setup.size.1 * 2.0)),
+            expected: Some(self.setup.step.mul_f64(self.setup.size.1 * 2.0)),
         };
-        let turn = ask.turns().find(|turn| !request.late || !turn.in_time);
+        let turn = ask.waits().find(|turn| !request.late || !turn.in_time);
         let Some(turn) = turn else {
             return;
         };
@@ -390,12 +390,14 @@
             };
             if self.engines[number(&server)].lost {
                 let placement = &mut self.entries[entry].placement;
-                placement.lost(self.now, &server, Suspicion::Refused);
+                placement.suspend(self.now, &server, Suspicion::Refused);
                 avoid.push(server);
                 continue;
             }
             let placement = &self.entries[entry].placement;
-            work.unread -= placement.known(self.now, &parts, &server).min(work.unread);
+            work.unread -= placement
+                .cached_tokens(self.now, &parts, &server)
+                .min(work.unread);
             self.place(id, &server, work);
             return;
         }
@@ -407,7 +409,7 @@
         let entry = &mut self.entries[self.requests[id].entry];
         let holder = entry.backup(now, work, server, &mut self.rng);
         entry.placement.sent(now, server, work);
-        let ahead = entry.placement.unread(server);
+        let ahead = entry.placement.unread_tokens(server);
         let copied = Work {
             requests: 0,
             unread: 0,
@@ -447,9 +449,9 @@
                 let time = now - place.sent;
                 entry
                     .placement
-                    .read(now, &server, unread, place.ahead, time);
-                entry.placement.has_read(now, &request.parts, &server);
-                entry.placement.alive(now, &server);
+                    .record_read(now, &server, unread, place.ahead, time);
+                entry.placement.record_cached(now, &request.parts, &server);
+                entry.placement.mark_alive(now, &server);
             }
         }
         if let Some(hit) = request.hit.take() {
@@ -536,7 +538,7 @@
         let copy = copy.filter(|(holder, _)| begun && !self.engines[*holder].lost);
         self.entries[entry]
             .placement
-            .lost(self.now, &server, Suspicion::Refused);
+            .suspend(self.now, &server, Suspicion::Refused);
         let request = &self.requests[id];
         let work = Work {
             requests: 1,
@@ -564,7 +566,7 @@
             .entries
             .iter()
             .map(|entry| {
-                let own = entry.placement.own();
+                let own = entry.placement.own_loads();
                 own.map(|(server, work)| (server.clone(), work)).collect()
             })
             .collect();
@@ -574,7 +576,7 @@
             for (peer, loads) in told.iter().enumerate() {
                 if peer != place {
                     let loads: std::collections::HashMap<_, _> = Clone::clone(loads);
-                    entry.placement.peer(peer as u64, loads);
+                    entry.placement.set_peer_loads(peer as u64, loads);
                 }
             }
         }
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -38,12 +38,12 @@
     /// Adds loads, prompts and lost servers to a beacon.
     pub fn fill_beacon(&mut self, beacon: &mut Beacon) {
         self.changed = false;
-        let own = self.placement.own();
+        let own = self.placement.own_loads();
         beacon
             .loads
             .extend(own.map(|(server, work)| load(server, work)));
         self.fill_prompts(beacon);
-        for (server, age, suspicion) in self.placement.losses(clock::now()) {
+        for (server, age, suspicion) in self.placement.recent_losses(clock::now()) {
             beacon.losses.push(Loss {
                 server: beacon::number(server),
                 age_ms: age.as_millis() as u32,
@@ -67,7 +67,7 @@
 
     /// Sets the data centre of this gateway.
     pub fn set_home(&mut self, home: &DataCentre) {
-        self.placement.set_home(home);
+        self.placement.set_data_centre(home);
     }
 
     /// Returns the handle that is notified when this gateway's work changes.
@@ -116,7 +116,7 @@
         let now = clock::now();
         for read in reads {
             if let Some(server) = self.servers_by_number.get(&read.server) {
-                self.placement.has_read(now, &[(read.part, 0)], server);
+                self.placement.record_cached(now, &[(read.part, 0)], server);
             }
         }
     }
@@ -130,7 +130,7 @@
             };
             loads.insert(server.clone(), work(load));
         }
-        self.placement.peer(beacon.incarnation, loads);
+        self.placement.set_peer_loads(beacon.incarnation, loads);
         self.apply_cached(&beacon.prompts);
         let now = clock::now();
         for loss in &beacon.losses {
@@ -139,29 +139,29 @@
             };
             let at = now.saturating_sub(Duration::from_millis(u64::from(loss.age_ms)));
             self.placement
-                .peer_lost(at, server, from_beacon(loss.suspicion));
+                .record_peer_loss(at, server, from_beacon(loss.suspicion));
         }
     }
 
     /// Removes the work of a peer that ended or stopped sending.
     pub fn remove_peer(&mut self, peer: Incarnation) {
         self.loads_sequences.remove(&peer);
-        self.placement.forget(peer);
+        self.placement.forget_peer(peer);
     }
 
     /// Sets the index of this gateway among all, and their number.
     pub fn set_position(&mut self, place: (usize, usize)) {
-        self.placement.stand(place);
+        self.placement.set_position(place);
     }
 
     /// Returns the index of this gateway among all, and their number.
     pub fn position(&self) -> (usize, usize) {
-        self.placement.place()
+        self.placement.position()
     }
 
     /// Returns whether there are so many gateways that each has a partition of the servers.
     pub fn is_partitioned(&self) -> bool {
-        self.placement.divided()
+        self.placement.is_partitioned()
     }
 
     /// Returns whether a server belongs to this gateway's partition.
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -10,7 +10,7 @@
 };
 
 use admission::{
-    Outlook,
+    Forecast,
     Purpose, //
 };
 use bytes::{
@@ -109,7 +109,7 @@
     /// Initial read of the store.
     pub initial_sync: InitialSync,
     /// Estimates of how long answers take.
-    pub outlook: RefCell<Outlook>,
+    pub outlook: RefCell<Forecast>,
     /// Graceful shutdown.
     pub shutdown: Rc<Shutdown>,
     /// When the process started.
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -158,7 +158,7 @@
         let home = self.context.settings.borrow().data_centre.clone();
         let request = Request {
             service: &self.call.service,
-            home: &home,
+            data_centre: &home,
             work: PLAIN_WORK,
             parts: &[],
             versions: self.selection.versions(),
@@ -257,8 +257,8 @@
         id = call.request.metadata.id.as_str(),
         server = target.server.as_str(),
         load = round_load(target.why.load),
-        against = target.why.against,
-        among = target.why.among,
+        against = target.why.penalties,
+        among = target.why.candidates,
         document = call.document.version
     );
     let began = Instant::now();
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -21,9 +21,9 @@
 use admission::{
     Reason,
     Report,
-    turn::{
+    wait::{
         self,
-        Ask, //
+        Constraints, //
     }, //
 };
 use events::{
@@ -165,21 +165,21 @@
         retry_after: POLL_INTERVAL,
     };
     let team = call.team.clone().unwrap_or_default();
-    let ask = Ask {
+    let ask = Constraints {
         rank: call.pass.rank,
         objective: call.pass.objective,
         timeout: call.pass.timeout,
         deadline: call.request.metadata.deadline,
-        usual: context.shutdown.duration_estimate(&call.route),
+        expected: context.shutdown.duration_estimate(&call.route),
     };
-    for turn in ask.turns() {
+    for turn in ask.waits() {
         report_capacity(context, turn.in_time.then_some(&call.service));
         let admitted = context.queue.gates.admit(Request {
             service: &call.service,
             team: &team,
             limit: turn.limit,
             cost: work.tokens,
-            max_wait: turn.patience,
+            max_wait: turn.max_wait,
             objective: call.pass.objective,
             min_concurrency_factor: 1.0,
             resume: call.request.metadata.after.is_some(),
@@ -307,7 +307,7 @@
         sizes.entry(call.service.clone()).or_insert(Size {
             tokens: work.tokens as f64,
             unread: work.unread as f64,
-            within: turn::engine(call.pass.objective),
+            within: wait::engine_time(call.pass.objective),
         });
     }
 
@@ -346,9 +346,9 @@
         let mut room = fleet.room(service, versions, size.work(), size.within);
         // Requests that are late here come after those at peers that can still be in time.
         if arriving != Some(service) && !queue.has_urgent(service) {
-            room = turn::behind(room, queue.urgent_at_peers(service));
+            room = wait::room_behind(room, queue.urgent_at_peers(service));
         }
-        let room = turn::share(room, queue.gateways.get(), rand::random());
+        let room = wait::share(room, queue.gateways.get(), rand::random());
         Some(Report {
             capacity: running.saturating_add(room),
             load: running,
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -350,7 +350,7 @@
             self.context
                 .outlook
                 .borrow_mut()
-                .learn(&self.call.route, answer);
+                .record(&self.call.route, answer);
         }
         meter::outcome("answered", self.call.arrived.elapsed());
         meter::event_gap(self.longest_gap);
--- a/components/gateway/src/stream/selection.rs
+++ b/components/gateway/src/stream/selection.rs
@@ -109,7 +109,7 @@
     fn request<'a>(&'a self, home: &'a str, work: Work) -> Request<'a> {
         Request {
             service: &self.call.service,
-            home,
+            data_centre: home,
             work,
             parts: self.parts(),
             versions: self.selection.versions(),
@@ -168,12 +168,16 @@
     /// Returns whether an attempt at a server is worthwhile: it has spare capacity, so that nothing
     /// is taken from others, or the answer is expected to be complete in time.
     pub(super) fn worth_trying(&self, target: &Target) -> bool {
-        if !target.why.full() {
+        if !target.why.is_full() {
             return true;
         }
         let left = self.call.until.saturating_duration_since(Instant::now());
         let after = self.sequence.last().unwrap_or(0);
-        let rest = self.context.outlook.borrow().rest(&self.call.route, after);
+        let rest = self
+            .context
+            .outlook
+            .borrow()
+            .remaining_time(&self.call.route, after);
         let Some(rest) = rest else {
             return true;
         };
--- a/components/gateway/tests/unreachable.rs
+++ b/components/gateway/tests/unreachable.rs
@@ -25,7 +25,7 @@
     State, //
 };
 use names::Clock;
-use routing::placement::Facts;
+use routing::placement::Spec;
 
 /// Time between two events of an engine.
 const EVENT_INTERVAL: Duration = Duration::from_millis(10);
@@ -64,7 +64,7 @@
 }
 
 fn register(harness: &Harness, server: &str, version: &str, address: SocketAddr) {
-    let facts = Facts {
+    let facts = Spec {
         service: "draft".into(),
         version: version.into(),
         data_centre: "a".into(),
--- a/components/measure/src/admission/policy.rs
+++ b/components/measure/src/admission/policy.rs
@@ -64,7 +64,7 @@
         Self {
             policy,
             gate: Gate::new(Settings {
-                start: CAPACITY,
+                initial_limit: CAPACITY,
                 ..Settings::default()
             }),
             running: 0,
@@ -105,7 +105,7 @@
                 priority: 1,
             },
             cost: 1,
-            patience: PATIENCE,
+            max_wait: PATIENCE,
             resume: false,
         };
         match self.gate.arrive(now, &arrival, rng) {
@@ -127,7 +127,7 @@
                 cost: 1,
                 used: 1,
                 time,
-                first: Some(Duration::from_secs(1)),
+                first_token: Some(Duration::from_secs(1)),
             },
         );
     }
