--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -53,7 +53,7 @@
 };
 use moves::brief::Exposure;
 use routing::placement::Facts;
-use spread::fresh::Claim;
+use spread::freshness::Claim;
 use tokio::{
     io::{
         AsyncReadExt,
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -23,7 +23,7 @@
         Echo,
         Incarnation, //
     },
-    fresh::Claim, //
+    freshness::Claim, //
 };
 
 /// One unit of the specification's time, in milliseconds.
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -21,7 +21,7 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::fresh::Claim;
+use crate::freshness::Claim;
 
 mod fragment;
 mod table;
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod event;
 mod exchange;
 pub mod fact;
-pub mod fresh;
+pub mod freshness;
 pub mod gate;
 pub mod membership;
 pub mod message;
@@ -30,7 +30,7 @@
     Facts,
     Key, //
 };
-pub use fresh::Fresh;
+pub use freshness::Fresh;
 pub use gate::Gate;
 pub use membership::Membership;
 pub use message::Message;
--- a/components/spread/tests/fresh.rs
+++ b/components/spread/tests/freshness.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use spread::fresh::{
+use spread::freshness::{
     Claim,
     Fresh, //
 };
