--- a/components/entry/src/documents.rs
+++ b/components/entry/src/documents.rs
@@ -25,7 +25,7 @@
     Event,
     Fact,
     Key,
-    board::PAUSED,
+    replica::PAUSED,
     message::Account, //
 };
 use tokio::{
--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::{
-    board::Board,
+    replica::Board,
     delta::Delta,
     event::Action,
     fact::{
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -4,7 +4,7 @@
 //! whole of one process; its parts stand alone, so that each can be read, tested and searched.
 
 pub mod beacon;
-pub mod board;
+pub mod replica;
 pub mod delta;
 pub mod edit;
 pub mod event;
@@ -18,7 +18,7 @@
 pub mod slot;
 pub mod watch;
 
-pub use board::Board;
+pub use replica::Board;
 pub use edit::Edit;
 pub use event::{
     Action,
--- a/components/spread/src/reach.rs
+++ b/components/spread/src/reach.rs
@@ -16,7 +16,7 @@
 };
 
 use crate::{
-    board::{
+    replica::{
         Board,
         READERS, //
     },
