--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -18,7 +18,7 @@
 };
 use http::StatusCode;
 use spread::{
-    Fresh,
+    Freshness,
     beacon::{
         Changes,
         Number,
@@ -143,7 +143,7 @@
     }
 
     /// How current what is known is. Whoever reads the store keeps this up to date.
-    pub fn fresh(&self) -> &RefCell<Fresh> {
+    pub fn fresh(&self) -> &RefCell<Freshness> {
         &self.context.fresh
     }
 
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -45,7 +45,7 @@
     Service,
     Team, //
 };
-use spread::Fresh;
+use spread::Freshness;
 use tokio::time::{
     Instant,
     timeout_at, //
@@ -93,7 +93,7 @@
     /// The document.
     pub document_cache: RefCell<DocumentCache>,
     /// How current it is.
-    pub fresh: Rc<RefCell<Fresh>>,
+    pub fresh: Rc<RefCell<Freshness>>,
     /// The backend servers.
     pub fleet: Rc<RefCell<Fleet>>,
     /// The way to them.
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -13,7 +13,7 @@
 };
 use names::Clock;
 use spread::{
-    Fresh,
+    Freshness,
     beacon::{
         self,
         Age,
@@ -88,7 +88,7 @@
     /// Work at servers, and servers that were lost.
     pub fleet: Rc<RefCell<Fleet>>,
     /// How current what is known is.
-    pub fresh: Rc<RefCell<Fresh>>,
+    pub fresh: Rc<RefCell<Freshness>>,
     /// Retries.
     pub quotas: Rc<RefCell<Quotas>>,
     /// Requests that wait.
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -16,7 +16,7 @@
     Revision, //
 };
 use spread::{
-    Fresh,
+    Freshness,
     beacon::{
         Age,
         Beacon,
@@ -118,7 +118,7 @@
     incarnation: Incarnation,
     /// Its clock is this many ticks ahead of the specification's time.
     ahead: u64,
-    fresh: Fresh,
+    fresh: Freshness,
     /// It holds all changes up to this revision, whatever it believes.
     held: Revision,
     /// Of each peer: its run, its last stamp, and when that was heard.
@@ -209,7 +209,7 @@
         Host {
             incarnation,
             ahead,
-            fresh: Fresh::default(),
+            fresh: Freshness::default(),
             held: 0,
             peers: BTreeMap::new(),
             turned_away: false,
--- a/components/spread/src/freshness.rs
+++ b/components/spread/src/freshness.rs
@@ -57,7 +57,7 @@
 
 /// What is known, and how current it is.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Fresh {
+pub struct Freshness {
     /// All changes up to this revision are known.
     revision: Option<Revision>,
     /// What is known was complete at this time.
@@ -82,7 +82,7 @@
     count: u32,
 }
 
-impl Fresh {
+impl Freshness {
     /// All changes up to a revision are known; `None` before the first reading.
     pub fn revision(&self) -> Option<Revision> {
         self.revision
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -30,7 +30,7 @@
     Facts,
     Key, //
 };
-pub use freshness::Fresh;
+pub use freshness::Freshness;
 pub use gate::Gate;
 pub use membership::Membership;
 pub use message::Message;
--- a/components/spread/tests/freshness.rs
+++ b/components/spread/tests/freshness.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use spread::freshness::{
     Claim,
-    Fresh, //
+    Freshness, //
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -18,7 +18,7 @@
 /// that it is current says nothing of this process, which would go on to accept the key.
 #[test]
 fn a_claim_of_changes_that_are_missing_confirms_nothing() {
-    let mut fresh = Fresh::default();
+    let mut fresh = Freshness::default();
     fresh.learned(7);
     fresh.hear(SECOND, claim(7, SECOND));
     assert_eq!(fresh.confirmed(), Some(SECOND));
@@ -33,7 +33,7 @@
 /// A late message claims less than is known. What is known must not become less current by it.
 #[test]
 fn an_old_claim_changes_nothing() {
-    let mut fresh = Fresh::default();
+    let mut fresh = Freshness::default();
     fresh.learned(7);
     fresh.hear(SECOND * 5, claim(7, SECOND * 5));
     fresh.hear(SECOND * 6, claim(6, SECOND));
@@ -47,7 +47,7 @@
 fn processes_ask_in_turns() {
     let mut dues = Vec::new();
     for place in 0..300 {
-        let mut fresh = Fresh::default();
+        let mut fresh = Freshness::default();
         fresh.learned(7);
         fresh.stand((place, 300), place);
         fresh.hear(SECOND, claim(7, SECOND));
@@ -63,7 +63,7 @@
 #[test]
 fn who_finds_changes_missing_reads_them_before_the_others() {
     let process = |near: usize| {
-        let mut fresh = Fresh::default();
+        let mut fresh = Freshness::default();
         fresh.learned(7);
         fresh.stand((near, 2), near);
         fresh
@@ -87,7 +87,7 @@
 /// would be the newest for as long as it lies ahead.
 #[test]
 fn a_claim_of_a_time_to_come_is_not_taken() {
-    let mut fresh = Fresh::default();
+    let mut fresh = Freshness::default();
     fresh.learned(7);
     fresh.hear(SECOND, claim(7, SECOND));
     let due = fresh.due();
@@ -100,7 +100,7 @@
 /// others, whose claims come every second.
 #[test]
 fn claims_of_others_do_not_hurry_a_process_that_is_turned_away() {
-    let mut fresh = Fresh::default();
+    let mut fresh = Freshness::default();
     fresh.learned(7);
     let mut now = SECOND;
     let mut calls = 0;
@@ -122,7 +122,7 @@
 /// Guards against a slow return after an outage: the first claim after it shows that the store is back.
 #[test]
 fn the_first_claim_after_an_outage_ends_the_backoff() {
-    let mut fresh = Fresh::default();
+    let mut fresh = Freshness::default();
     fresh.learned(7);
     fresh.hear(SECOND, claim(7, SECOND));
     let now = SECOND * 10;
@@ -143,7 +143,7 @@
 fn a_large_fleet_tries_no_more_often_than_a_small_one(#[case] count: usize, #[case] most: usize) {
     let mut tries = Vec::new();
     for place in 0..count {
-        let mut fresh = Fresh::default();
+        let mut fresh = Freshness::default();
         fresh.learned(7);
         fresh.stand((place, count), place / 5);
         fresh.hear(SECOND, claim(7, SECOND));
