--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -320,7 +320,7 @@
 
 fn level<E>(context: &Context<E>) -> Level {
     let document_cache = context.document_cache.borrow();
-    let confirmed = context.fresh.borrow().confirmed();
+    let confirmed = context.fresh.borrow().confirmed_at();
     Level {
         connections: context.connections.get(),
         running: context.running.get(),
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -181,7 +181,7 @@
     /// What decisions go by now, for logs.
     fn basis(&self) -> Basis {
         let document_cache = self.document_cache.borrow();
-        let confirmed = self.fresh.borrow().confirmed();
+        let confirmed = self.fresh.borrow().confirmed_at();
         Basis {
             document: document_cache
                 .edition()
@@ -192,7 +192,7 @@
 
     /// What requests can go by now.
     pub fn state(&self, settings: &Settings) -> State {
-        let confirmed = self.fresh.borrow().confirmed();
+        let confirmed = self.fresh.borrow().confirmed_at();
         let revocation = settings.bounds.revocation;
         self.document_cache
             .borrow()
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -149,7 +149,7 @@
         let mut bytes = vec![0; MAX_DATAGRAM];
         loop {
             let now = Instant::now();
-            let confirmed = self.shared.fresh.borrow().confirmed();
+            let confirmed = self.shared.fresh.borrow().confirmed_at();
             self.grown |= self.table.grown();
             let news = self.grown || self.shared.fleet.borrow().changed() || confirmed != self.told;
             let due = sent + self.table.pace(news, self.size);
@@ -202,7 +202,7 @@
         self.shared
             .fresh
             .borrow_mut()
-            .stand(self.table.place(), near);
+            .set_rank(self.table.place(), near);
         let neighbours = self.table.neighbours(&settings.data_centre);
         self.shared.departure.set_neighbours(neighbours);
         self.table.reseed_from(&settings.seeds);
@@ -382,7 +382,7 @@
         let mut quotas = self.shared.quotas.borrow_mut();
         quotas.hear(beacon.incarnation, &beacon.sends, near);
         if let Some(claim) = beacon.claim(self.incarnation) {
-            self.shared.fresh.borrow_mut().hear(clock::now(), claim);
+            self.shared.fresh.borrow_mut().receive(clock::now(), claim);
         }
     }
 }
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -575,9 +575,9 @@
         self.gateway
             .learn(Update::Document(Edition { version, index }));
         let mut fresh = self.gateway.fresh().borrow_mut();
-        fresh.learned(version);
+        fresh.advance(version);
         let at = clock::now();
-        fresh.hear(
+        fresh.receive(
             at,
             Claim {
                 revision: version,
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -159,7 +159,7 @@
     let host = |number: usize| {
         let mut host = Host::new(number as Incarnation, CLOCK);
         host.read(1);
-        host.fresh.stand((number, hosts), number);
+        host.fresh.set_rank((number, hosts), number);
         host
     };
     State {
@@ -187,7 +187,7 @@
 /// The invariant that a state breaks.
 pub fn broken(state: &State) -> Option<&'static str> {
     for host in &state.hosts {
-        let Some(confirmed) = host.fresh.confirmed() else {
+        let Some(confirmed) = host.fresh.confirmed_at() else {
             continue;
         };
         if confirmed > host.clock(state.now) {
@@ -219,7 +219,7 @@
     /// Takes all changes up to a revision.
     fn read(&mut self, revision: Revision) {
         self.held = revision;
-        self.fresh.learned(revision);
+        self.fresh.advance(revision);
     }
 
     fn clock(&self, time: u64) -> Clock {
@@ -270,12 +270,12 @@
             }
             let now = host.clock(self.now);
             if !host.turned_away {
-                if self.left.questions > 0 && host.fresh.due() <= now {
+                if self.left.questions > 0 && host.fresh.next_check() <= now {
                     actions.push(Action::Ask(at));
                 }
                 if host.fresh.revision().is_none()
-                    || host.fresh.listens(now)
-                    || host.fresh.missing().is_some()
+                    || host.fresh.watches_store(now)
+                    || host.fresh.behind_since().is_some()
                 {
                     actions.push(Action::Read(at));
                 }
@@ -336,7 +336,7 @@
                 let turned_away = host.turned_away;
                 let mut host = Host::new(incarnation, host.ahead - EARLIER);
                 host.turned_away = turned_away;
-                host.fresh.stand((*at, self.hosts.len()), *at);
+                host.fresh.set_rank((*at, self.hosts.len()), *at);
                 self.hosts[*at] = host;
             }
         }
@@ -379,9 +379,9 @@
                     claim.at = now;
                 }
                 if twin == Twin::Raises {
-                    host.fresh.learned(claim.revision);
+                    host.fresh.advance(claim.revision);
                 }
-                host.fresh.hear(now, claim);
+                host.fresh.receive(now, claim);
             }
             Packet::Changes { to, revision } => {
                 let host = &mut self.hosts[*to];
@@ -405,7 +405,7 @@
                     _ => *at,
                 };
                 let revision = *revision;
-                host.fresh.asked(now, Claim { revision, at });
+                host.fresh.confirm(now, Claim { revision, at });
             }
         }
     }
--- a/components/spread/src/freshness.rs
+++ b/components/spread/src/freshness.rs
@@ -89,7 +89,7 @@
     }
 
     /// When what is known was last known to be complete.
-    pub fn confirmed(&self) -> Option<Clock> {
+    pub fn confirmed_at(&self) -> Option<Clock> {
         self.confirmed
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Notes this process's place among all, their number, and its place in its data centre.
-    pub fn stand(&mut self, (place, count): (usize, usize), near: usize) {
+    pub fn set_rank(&mut self, (place, count): (usize, usize), near: usize) {
         self.place = u32::try_from(place).unwrap_or(u32::MAX);
         self.count = u32::try_from(count).unwrap_or(u32::MAX);
         self.place_near = u32::try_from(near).unwrap_or(u32::MAX);
@@ -115,7 +115,7 @@
     }
 
     /// Takes note that all changes up to a revision are known now.
-    pub fn learned(&mut self, revision: Revision) {
+    pub fn advance(&mut self, revision: Revision) {
         self.revision = self.revision.max(Some(revision));
         let Some(ahead) = self
             .ahead
@@ -131,7 +131,7 @@
 
     /// Takes a claim, this process's own or a peer's. One of a time that is still to come can't be
     /// true: taken, it would keep all from asking, and call what is known current until then.
-    pub fn hear(&mut self, now: Clock, claim: Claim) {
+    pub fn receive(&mut self, now: Clock, claim: Claim) {
         if claim.at > now {
             return;
         }
@@ -159,13 +159,13 @@
     }
 
     /// Takes the store's answer to this process's question.
-    pub fn asked(&mut self, now: Clock, claim: Claim) {
-        self.hear(now, claim);
+    pub fn confirm(&mut self, now: Clock, claim: Claim) {
+        self.receive(now, claim);
         self.found = self.behind.is_some();
     }
 
     /// Notes that the store answered a call of this process.
-    pub fn answered(&mut self) {
+    pub fn store_answered(&mut self) {
         self.turned_away = false;
         self.failures = 0;
         self.again = Clock::ZERO;
@@ -173,7 +173,7 @@
 
     /// Notes that the store didn't answer a call of this process. Where it answers others, their claims
     /// are no reason to call sooner.
-    pub fn failed(&mut self, now: Clock) {
+    pub fn store_failed(&mut self, now: Clock) {
         let age = self.newest.map(|newest| now.saturating_sub(newest));
         self.turned_away = age.is_some_and(|age| age <= TAKEOVER_AGE);
         let mut wait = (BACKOFF * (1 << self.failures.min(5))).min(MAX_BACKOFF);
@@ -190,25 +190,25 @@
     }
 
     /// When this process may call the store again after it got no answer.
-    pub fn again(&self) -> Clock {
+    pub fn retry_at(&self) -> Clock {
         self.again
     }
 
     /// When this process asks the store whether what is known is current.
-    pub fn due(&self) -> Clock {
+    pub fn next_check(&self) -> Clock {
         let turn = QUESTION_INTERVAL + TURN_DELAY * self.place.min(MAX_TURNS) + self.spread();
         let due = self.newest.map_or(Clock::ZERO, |newest| newest + turn);
         due.max(self.again)
     }
 
     /// Since when changes are missing that peers or the store have.
-    pub fn missing(&self) -> Option<Clock> {
+    pub fn behind_since(&self) -> Option<Clock> {
         self.behind
     }
 
     /// When this process reads missing changes itself, instead of waiting for a peer's message. The
     /// one that found them out does so at once, and tells the others.
-    pub fn fetch(&self) -> Option<Clock> {
+    pub fn fetch_at(&self) -> Option<Clock> {
         let (listening, other) = FETCH_DELAYS;
         let patience = match (self.found, self.place_near) {
             (true, _) => Duration::ZERO,
@@ -219,7 +219,7 @@
     }
 
     /// Whether this process listens to the store for changes, or to its peers.
-    pub fn listens(&self, now: Clock) -> bool {
+    pub fn watches_store(&self, now: Clock) -> bool {
         let age = self.newest.map(|newest| now.saturating_sub(newest));
         self.place_near == 0 || age.is_none_or(|age| age > TAKEOVER_AGE + self.spread())
     }
