--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -22,7 +22,7 @@
     beacon::{
         Changes,
         Number,
-        Reach, //
+        Scope, //
     },
 };
 use tokio::{
@@ -168,7 +168,7 @@
     }
 
     /// Tells peers what was heard from the store, or from another peer.
-    pub fn tell(&self, changes: Changes, reach: Reach) {
+    pub fn tell(&self, changes: Changes, reach: Scope) {
         // Nobody listens any more when the process ends.
         let _ = self.told.send(Outgoing::Changes(changes, reach));
     }
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -24,7 +24,7 @@
         Message,
         News,
         Number,
-        Reach,
+        Scope,
         Read,
         Reassembly,
         Table, //
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug)]
 pub enum Outgoing {
     /// What it heard from the store.
-    Changes(Changes, Reach),
+    Changes(Changes, Scope),
     /// A caller came back whose prompt may be at any engine of a service.
     Lookup(Number),
     /// What engines hold, as they said.
@@ -260,7 +260,7 @@
     }
 
     /// Passes changes on to the peers, in as many datagrams as it takes.
-    fn pass_on(&self, changes: Changes, reach: Reach) {
+    fn pass_on(&self, changes: Changes, reach: Scope) {
         let home = self.shared.settings.borrow().data_centre.clone();
         let audience = self.table.audience(&home, reach);
         for message in beacon::split(changes) {
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -34,7 +34,7 @@
 };
 pub use table::{
     News,
-    Reach,
+    Scope,
     Table, //
 };
 
--- a/components/spread/src/beacon/table.rs
+++ b/components/spread/src/beacon/table.rs
@@ -65,11 +65,11 @@
 
 /// Whom changes of the store are for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Scope {
     /// Everybody: they were heard from the store.
     All,
     /// The own data centre: they were heard from a peer of another one, who told the rest.
-    Near,
+    Local,
 }
 
 /// A peer as it is known.
@@ -322,11 +322,11 @@
 
     /// Who is told what this process heard: all peers of a small fleet, by who heard it from the
     /// store; otherwise those of its data centre, and one of each other one, which passes it on.
-    pub fn audience(&self, home: &str, reach: Reach) -> Vec<SocketAddr> {
+    pub fn audience(&self, home: &str, reach: Scope) -> Vec<SocketAddr> {
         match (self.peers.len() <= TOLD_ALL, reach) {
-            (true, Reach::All) => return self.peers.keys().copied().collect(),
-            (true, Reach::Near) => return Vec::new(),
-            (false, Reach::All | Reach::Near) => {}
+            (true, Scope::All) => return self.peers.keys().copied().collect(),
+            (true, Scope::Local) => return Vec::new(),
+            (false, Scope::All | Scope::Local) => {}
         }
         let mut audience = Vec::new();
         let mut firsts: HashMap<&str, (Incarnation, SocketAddr)> = HashMap::new();
@@ -335,7 +335,7 @@
                 audience.push(*address);
                 continue;
             }
-            if peer.silent || peer.leaving || reach == Reach::Near {
+            if peer.silent || peer.leaving || reach == Scope::Local {
                 continue;
             }
             let one = (peer.incarnation, *address);
--- a/components/spread/tests/beacon.rs
+++ b/components/spread/tests/beacon.rs
@@ -11,7 +11,7 @@
     Age,
     Beacon,
     Incarnation,
-    Reach,
+    Scope,
     Table, //
 };
 
@@ -90,8 +90,8 @@
         audience.sort_unstable();
         audience
     };
-    assert_eq!(audience(Reach::All), [1, 3, 5, 6, 9].map(address));
-    assert_eq!(audience(Reach::Near), [3, 6, 9].map(address));
+    assert_eq!(audience(Scope::All), [1, 3, 5, 6, 9].map(address));
+    assert_eq!(audience(Scope::Local), [3, 6, 9].map(address));
 }
 
 /// In a small fleet who hears changes from the store tells everybody, and nobody passes them on.
@@ -105,8 +105,8 @@
         };
         table.hear(Clock::ZERO, address(number), &beacon);
     }
-    assert_eq!(table.audience("dc0", Reach::All).len(), 4);
-    assert!(table.audience("dc0", Reach::Near).is_empty());
+    assert_eq!(table.audience("dc0", Scope::All).len(), 4);
+    assert!(table.audience("dc0", Scope::Local).is_empty());
 }
 
 /// Guards against stamps of another clock: a host that lost its power is back at its old address, and
