--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -22,7 +22,7 @@
         Loads,
         MAX_DATAGRAM,
         Message,
-        News,
+        Receipt,
         Number,
         Scope,
         Read,
@@ -354,7 +354,7 @@
                 return;
             }
         };
-        let News::Fresh { ended, back } = self.table.hear(clock::now(), from, &beacon) else {
+        let Receipt::Accepted { ended, back } = self.table.hear(clock::now(), from, &beacon) else {
             return;
         };
         let addresses = self.table.introduction(clock::now(), from);
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -33,7 +33,7 @@
     split, //
 };
 pub use table::{
-    News,
+    Receipt,
     Scope,
     Table, //
 };
--- a/components/spread/src/beacon/table.rs
+++ b/components/spread/src/beacon/table.rs
@@ -91,11 +91,11 @@
 
 /// What a beacon meant.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum Receipt {
     /// It is old, or our own.
-    Nothing,
+    Ignored,
     /// It counts; what the peer said before under another incarnation is void.
-    Fresh {
+    Accepted {
         /// Another run of the same peer that ended.
         ended: Option<Incarnation>,
         /// The peer is new, or was silent.
@@ -136,9 +136,9 @@
     }
 
     /// Takes a beacon from an address.
-    pub fn hear(&mut self, now: Clock, from: SocketAddr, beacon: &Beacon) -> News {
+    pub fn hear(&mut self, now: Clock, from: SocketAddr, beacon: &Beacon) -> Receipt {
         if beacon.incarnation == self.incarnation {
-            return News::Nothing;
+            return Receipt::Ignored;
         }
         let mut ended = None;
         let mut back = true;
@@ -146,7 +146,7 @@
         if let Some(peer) = self.peers.get(&from) {
             let same = peer.incarnation == beacon.incarnation;
             if same && peer.sequence >= beacon.sequence {
-                return News::Nothing;
+                return Receipt::Ignored;
             }
             if !same {
                 ended = Some(peer.incarnation);
@@ -154,7 +154,7 @@
             back = !same || peer.silent;
             introduced = peer.introduced.filter(|_| same);
         } else if self.peers.len() >= MOST {
-            return News::Nothing;
+            return Receipt::Ignored;
         }
         self.peers.insert(
             from,
@@ -173,7 +173,7 @@
             },
         );
         self.learn(now, &beacon.known);
-        News::Fresh { ended, back }
+        Receipt::Accepted { ended, back }
     }
 
     /// Takes addresses of peers from one that hears more. Only those that this process turned to are
