--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -150,9 +150,9 @@
         loop {
             let now = Instant::now();
             let confirmed = self.shared.fresh.borrow().confirmed_at();
-            self.grown |= self.table.grown();
+            self.grown |= self.table.take_grown();
             let news = self.grown || self.shared.fleet.borrow().changed() || confirmed != self.told;
-            let due = sent + self.table.pace(news, self.size);
+            let due = sent + self.table.beacon_interval(news, self.size);
             if now >= due {
                 self.size = self.send().await;
                 sent = now;
@@ -187,25 +187,25 @@
 
     fn tick(&mut self) {
         let mut fleet = self.shared.fleet.borrow_mut();
-        for silent in self.table.silent(clock::now()) {
-            note!(links::SILENT, peer = silent, alive = self.table.place().1);
+        for silent in self.table.expire(clock::now()) {
+            note!(links::SILENT, peer = silent, alive = self.table.rank().1);
             fleet.forget(silent);
             self.shared.queue.forget(silent);
             self.shared.quotas.borrow_mut().forget(silent);
         }
-        fleet.stand(self.table.place());
-        self.shared.queue.stand(self.table.place().1);
-        self.shared.moving.stand(self.table.place());
+        fleet.stand(self.table.rank());
+        self.shared.queue.stand(self.table.rank().1);
+        self.shared.moving.stand(self.table.rank());
         drop(fleet);
         let settings = self.shared.settings.borrow();
-        let near = self.table.place_near(&settings.data_centre);
+        let near = self.table.local_rank(&settings.data_centre);
         self.shared
             .fresh
             .borrow_mut()
-            .set_rank(self.table.place(), near);
-        let neighbours = self.table.neighbours(&settings.data_centre);
+            .set_rank(self.table.rank(), near);
+        let neighbours = self.table.local_count(&settings.data_centre);
         self.shared.departure.set_neighbours(neighbours);
-        self.table.reseed_from(&settings.seeds);
+        self.table.add_seeds(&settings.seeds);
     }
 
     async fn send(&mut self) -> usize {
@@ -218,7 +218,7 @@
             data_centre: settings.data_centre.clone(),
             sequence: self.sequence,
             leaving: self.shared.departure.begun(),
-            known: self.table.known(),
+            known: self.table.sample_addresses(),
             peers: self.table.count() as u32,
             ..Beacon::default()
         };
@@ -231,7 +231,7 @@
         let claim = self.shared.fresh.borrow().claim();
         self.told = claim.map(|claim| claim.at);
         beacon.stamp = now.as_millis() as u64;
-        beacon.pace_ms = self.table.pace(false, self.size).as_millis() as u32;
+        beacon.pace_ms = self.table.beacon_interval(false, self.size).as_millis() as u32;
         beacon.fresh = claim.map(|claim| Age {
             revision: claim.revision,
             // Rounded up: it may look older than it is, never newer.
@@ -262,7 +262,7 @@
     /// Passes changes on to the peers, in as many datagrams as it takes.
     fn pass_on(&self, changes: Changes, reach: Scope) {
         let home = self.shared.settings.borrow().data_centre.clone();
-        let audience = self.table.audience(&home, reach);
+        let audience = self.table.recipients(&home, reach);
         for message in beacon::split(changes) {
             for target in &audience {
                 self.post(&message, *target);
@@ -279,7 +279,7 @@
         let settings = self.shared.settings.borrow().clone();
         let bound = settings.bounds.retries();
         let sends = self.shared.quotas.borrow_mut().sends(&bound);
-        let targets = self.table.peers_near(&settings.data_centre);
+        let targets = self.table.local_peers(&settings.data_centre);
         for loads in loads.chunks(MAX_LOADS) {
             self.loads_sequence += 1;
             let message = Message::Loads(Loads {
@@ -303,7 +303,7 @@
 
     /// Takes changes from a peer that is heard.
     fn heard(&self, from: SocketAddr, changes: Changes) {
-        if self.table.knows(from) {
+        if self.table.contains(from) {
             // Nobody listens any more when the process ends.
             let _ = self.exchange.inward.send(changes);
         }
@@ -326,27 +326,27 @@
                 return;
             }
             Ok(Message::Loads(loads)) => {
-                if self.table.knows(from) && self.shared.fleet.borrow_mut().apply_loads(&loads) {
+                if self.table.contains(from) && self.shared.fleet.borrow_mut().apply_loads(&loads) {
                     let mut quotas = self.shared.quotas.borrow_mut();
                     quotas.hear(loads.incarnation, &loads.sends, true);
                 }
                 return;
             }
             Ok(Message::Lookup(service)) => {
-                if self.table.knows(from) {
+                if self.table.contains(from) {
                     // Nobody asks any more when the process ends.
                     let _ = self.exchange.lookups.send(service);
                 }
                 return;
             }
             Ok(Message::Held(reads)) => {
-                if self.table.knows(from) {
+                if self.table.contains(from) {
                     self.shared.fleet.borrow_mut().held(&reads);
                 }
                 return;
             }
             Ok(Message::Introduction(addresses)) => {
-                self.table.introduce(clock::now(), from, &addresses);
+                self.table.add_introduced(clock::now(), from, &addresses);
                 return;
             }
             Err(_) => {
@@ -354,7 +354,7 @@
                 return;
             }
         };
-        let Receipt::Accepted { ended, back } = self.table.hear(clock::now(), from, &beacon) else {
+        let Receipt::Accepted { ended, back } = self.table.receive(clock::now(), from, &beacon) else {
             return;
         };
         let addresses = self.table.introduction(clock::now(), from);
@@ -366,7 +366,7 @@
                 links::HEARD,
                 peer = beacon.incarnation,
                 host = beacon.host.as_str(),
-                alive = self.table.place().1
+                alive = self.table.rank().1
             );
         }
         let mut fleet = self.shared.fleet.borrow_mut();
--- a/components/spread/src/beacon/table.rs
+++ b/components/spread/src/beacon/table.rs
@@ -127,7 +127,7 @@
     }
 
     /// Takes the seeds of changed settings besides those that are known.
-    pub fn reseed_from(&mut self, seeds: &[SocketAddr]) {
+    pub fn add_seeds(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
             if !self.seeds.contains(seed) {
                 self.seeds.push(*seed);
@@ -136,7 +136,7 @@
     }
 
     /// Takes a beacon from an address.
-    pub fn hear(&mut self, now: Clock, from: SocketAddr, beacon: &Beacon) -> Receipt {
+    pub fn receive(&mut self, now: Clock, from: SocketAddr, beacon: &Beacon) -> Receipt {
         if beacon.incarnation == self.incarnation {
             return Receipt::Ignored;
         }
@@ -178,16 +178,16 @@
 
     /// Takes addresses of peers from one that hears more. Only those that this process turned to are
     /// believed.
-    pub fn introduce(&mut self, now: Clock, from: SocketAddr, addresses: &[SocketAddr]) {
+    pub fn add_introduced(&mut self, now: Clock, from: SocketAddr, addresses: &[SocketAddr]) {
         let asked = self.seeds.contains(&from) || self.told.contains_key(&from);
-        if asked || self.knows(from) {
+        if asked || self.contains(from) {
             self.learn(now, addresses);
         }
     }
 
     fn learn(&mut self, now: Clock, addresses: &[SocketAddr]) {
         for address in addresses {
-            if self.knows(*address) || self.seeds.contains(address) {
+            if self.contains(*address) || self.seeds.contains(address) {
                 continue;
             }
             let known = self.told.contains_key(address);
@@ -223,12 +223,12 @@
     }
 
     /// Whether a process was told of since the last call; the next beacon is for it too.
-    pub fn grown(&mut self) -> bool {
+    pub fn take_grown(&mut self) -> bool {
         std::mem::take(&mut self.grown)
     }
 
     /// Peers that fell silent since the last call: their work no longer counts.
-    pub fn silent(&mut self, now: Clock) -> Vec<Incarnation> {
+    pub fn expire(&mut self, now: Clock) -> Vec<Incarnation> {
         let mut silent = Vec::new();
         for peer in self.peers.values_mut() {
             let after = SILENT.max(peer.pace * SILENT_BEACONS);
@@ -256,7 +256,7 @@
     }
 
     /// Addresses of the other processes of the data centre that live.
-    pub fn peers_near(&self, data_centre: &str) -> Vec<SocketAddr> {
+    pub fn local_peers(&self, data_centre: &str) -> Vec<SocketAddr> {
         let live = |peer: &Peer| !peer.silent && peer.data_centre == data_centre;
         let near = self.peers.iter().filter(|(_, peer)| live(peer));
         near.map(|(address, _)| *address).collect()
@@ -267,12 +267,12 @@
         let mut targets = self.peers();
         let told = self.told.keys().filter(|told| !self.seeds.contains(told));
         let others = self.seeds.iter().chain(told);
-        targets.extend(others.filter(|address| !self.knows(**address)));
+        targets.extend(others.filter(|address| !self.contains(**address)));
         targets
     }
 
     /// Some peers' addresses, by turns, for those that know fewer.
-    pub fn known(&mut self) -> Vec<SocketAddr> {
+    pub fn sample_addresses(&mut self) -> Vec<SocketAddr> {
         self.rotated(KNOWN)
     }
 
@@ -289,7 +289,7 @@
     }
 
     /// This process's place among those that live, and their number.
-    pub fn place(&self) -> (usize, usize) {
+    pub fn rank(&self) -> (usize, usize) {
         let alive = self
             .peers
             .values()
@@ -304,13 +304,13 @@
     }
 
     /// This process's place among those of its data centre that live.
-    pub fn place_near(&self, data_centre: &str) -> usize {
+    pub fn local_rank(&self, data_centre: &str) -> usize {
         let before = |peer: &&Peer| peer.incarnation < self.incarnation;
         self.near(data_centre).filter(before).count()
     }
 
     /// Number of the other processes of the data centre that live.
-    pub fn neighbours(&self, data_centre: &str) -> usize {
+    pub fn local_count(&self, data_centre: &str) -> usize {
         self.near(data_centre).count()
     }
 
@@ -322,7 +322,7 @@
 
     /// Who is told what this process heard: all peers of a small fleet, by who heard it from the
     /// store; otherwise those of its data centre, and one of each other one, which passes it on.
-    pub fn audience(&self, home: &str, reach: Scope) -> Vec<SocketAddr> {
+    pub fn recipients(&self, home: &str, reach: Scope) -> Vec<SocketAddr> {
         match (self.peers.len() <= TOLD_ALL, reach) {
             (true, Scope::All) => return self.peers.keys().copied().collect(),
             (true, Scope::Local) => return Vec::new(),
@@ -358,7 +358,7 @@
     }
 
     /// Whether an address is a peer's that was heard.
-    pub fn knows(&self, from: SocketAddr) -> bool {
+    pub fn contains(&self, from: SocketAddr) -> bool {
         self.peers.contains_key(&from)
     }
 
@@ -368,7 +368,7 @@
     }
 
     /// Time until the next beacon of a size, with or without news.
-    pub fn pace(&self, news: bool, bytes: usize) -> Duration {
+    pub fn beacon_interval(&self, news: bool, bytes: usize) -> Duration {
         let usual = if news { NEWS } else { CALM };
         let all = bytes * self.targets().len();
         usual.max(Duration::from_secs_f64(all as f64 / BUDGET))
--- a/components/spread/tests/beacon.rs
+++ b/components/spread/tests/beacon.rs
@@ -45,18 +45,18 @@
         // One in seven is lost each time, once all know how many they are.
         for number in (1..count).filter(|number| (u64::from(*number) + round) % 7 != 0 || round < 2)
         {
-            table.hear(now, address(number), &beacon(number, round + 1, pace));
+            table.receive(now, address(number), &beacon(number, round + 1, pace));
         }
-        pace = table.pace(false, bytes);
+        pace = table.beacon_interval(false, bytes);
         now += pace - MILLISECOND;
-        let silent = table.silent(now);
+        let silent = table.expire(now);
         assert!(
             round < 2 || silent.is_empty(),
             "round {round}: {} silent",
             silent.len()
         );
     }
-    assert_eq!(table.place().1, usize::from(count));
+    assert_eq!(table.rank().1, usize::from(count));
 }
 
 /// A peer that ended must not hold its part of what all share for long.
@@ -64,12 +64,12 @@
 fn a_peer_that_ended_is_silent_after_a_few_beacons() {
     let mut table = Table::new(0, Vec::new());
     let pace = Duration::from_secs(4);
-    table.hear(Clock::ZERO, address(1), &beacon(1, 1, pace));
-    assert!(table.silent(pace * 3).is_empty());
-    assert_eq!(table.silent(pace * 3 + MILLISECOND), [1]);
-    assert_eq!(table.place(), (0, 1));
-    table.silent(pace * 6 + MILLISECOND);
-    assert!(!table.knows(address(1)));
+    table.receive(Clock::ZERO, address(1), &beacon(1, 1, pace));
+    assert!(table.expire(pace * 3).is_empty());
+    assert_eq!(table.expire(pace * 3 + MILLISECOND), [1]);
+    assert_eq!(table.rank(), (0, 1));
+    table.expire(pace * 6 + MILLISECOND);
+    assert!(!table.contains(address(1)));
 }
 
 /// Servers of a large fleet come and go by hundreds. Told to every process by each that listens to the
@@ -83,10 +83,10 @@
             leaving: number == 2,
             ..beacon(number, 1, Duration::ZERO)
         };
-        table.hear(Clock::ZERO, address(number), &beacon);
+        table.receive(Clock::ZERO, address(number), &beacon);
     }
     let audience = |reach| {
-        let mut audience = table.audience("dc0", reach);
+        let mut audience = table.recipients("dc0", reach);
         audience.sort_unstable();
         audience
     };
@@ -103,10 +103,10 @@
             data_centre: format!("dc{}", number % 2),
             ..beacon(number, 1, Duration::ZERO)
         };
-        table.hear(Clock::ZERO, address(number), &beacon);
+        table.receive(Clock::ZERO, address(number), &beacon);
     }
-    assert_eq!(table.audience("dc0", Scope::All).len(), 4);
-    assert!(table.audience("dc0", Scope::Local).is_empty());
+    assert_eq!(table.recipients("dc0", Scope::All).len(), 4);
+    assert!(table.recipients("dc0", Scope::Local).is_empty());
 }
 
 /// Guards against stamps of another clock: a host that lost its power is back at its old address, and
@@ -118,7 +118,7 @@
         stamp: 62_000_000,
         ..beacon(2, 1, Duration::ZERO)
     };
-    table.hear(Clock::ZERO, address(2), &sent);
+    table.receive(Clock::ZERO, address(2), &sent);
     let answer = Beacon {
         fresh: Some(Age {
             revision: 7,
@@ -155,17 +155,17 @@
             let number = from as u16;
             let table = &mut self.tables[from];
             let sent = Beacon {
-                known: table.known(),
+                known: table.sample_addresses(),
                 peers: table.count() as u32,
                 ..beacon(number, self.sequence, Duration::ZERO)
             };
             for target in table.targets() {
                 let to = usize::from(target.port() - 1000);
                 let receiver = &mut self.tables[to];
-                receiver.hear(now, address(number), &sent);
+                receiver.receive(now, address(number), &sent);
                 if to != from {
                     let answer = receiver.introduction(now, address(number));
-                    self.tables[from].introduce(now, target, &answer);
+                    self.tables[from].add_introduced(now, target, &answer);
                 }
             }
         }
@@ -198,18 +198,18 @@
             peers: 19,
             ..beacon(number, 1, Duration::ZERO)
         };
-        table.hear(Clock::ZERO, address(number), &sent);
+        table.receive(Clock::ZERO, address(number), &sent);
     }
     assert!(table.introduction(MILLISECOND, address(7)).is_empty());
     let alone = Beacon {
         peers: 2,
         ..beacon(7, 2, Duration::ZERO)
     };
-    table.hear(MILLISECOND, address(7), &alone);
+    table.receive(MILLISECOND, address(7), &alone);
     let told = table.introduction(MILLISECOND, address(7));
     assert_eq!(told.len(), 19);
     // What is on its way is not sent again.
-    table.hear(
+    table.receive(
         MILLISECOND * 2,
         address(7),
         &Beacon {
@@ -219,9 +219,9 @@
     );
     assert!(table.introduction(MILLISECOND * 2, address(7)).is_empty());
     let mut back = Table::new(7, vec![address(1)]);
-    back.introduce(Duration::ZERO, address(2), &told);
+    back.add_introduced(Duration::ZERO, address(2), &told);
     assert_eq!(back.targets(), vec![address(1)]);
-    back.introduce(Duration::ZERO, address(1), &told);
+    back.add_introduced(Duration::ZERO, address(1), &told);
     assert_eq!(back.targets().len(), 19);
 }
 
@@ -230,13 +230,13 @@
 fn an_address_that_is_not_heard_is_forgotten_in_the_end() {
     let minute = Duration::from_secs(60);
     let mut table = Table::new(0, vec![address(1)]);
-    table.introduce(Clock::ZERO, address(1), &[address(2), address(3)]);
-    table.hear(Clock::ZERO, address(2), &beacon(2, 1, Duration::ZERO));
-    table.silent(minute);
+    table.add_introduced(Clock::ZERO, address(1), &[address(2), address(3)]);
+    table.receive(Clock::ZERO, address(2), &beacon(2, 1, Duration::ZERO));
+    table.expire(minute);
     assert_eq!(table.count(), 0);
     assert_eq!(table.targets().len(), 3, "a cut may end");
-    table.introduce(minute * 6, address(1), &[address(3)]);
-    table.silent(minute * 11);
+    table.add_introduced(minute * 6, address(1), &[address(3)]);
+    table.expire(minute * 11);
     let mut left = table.targets();
     left.sort_unstable();
     assert_eq!(left, vec![address(1), address(3)]);
