--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -34,7 +34,7 @@
 use routing::Part;
 use spread::beacon::{
     Number,
-    Read,
+    Prompt,
     number, //
 };
 use tokio::{
@@ -262,7 +262,7 @@
 }
 
 /// Tells the others what engines of this entry's part hold.
-fn tell<E>(context: &Context<E>, held: Vec<Read>) {
+fn tell<E>(context: &Context<E>, held: Vec<Prompt>) {
     if context.fleet.borrow().divided() && !held.is_empty() {
         context.cache_lookup.tell(Outgoing::Held(held));
     }
@@ -293,7 +293,7 @@
         let count = engines.len();
         let calls = engines.into_iter().map(|engine| ask(&context, engine));
         let answers = stream::iter(calls).buffer_unordered(MAX_CONCURRENT_LOOKUPS);
-        let held: Vec<Read> = answers.concat().await;
+        let held: Vec<Prompt> = answers.concat().await;
         note!(
             direct::SURVEYED,
             service = service.as_str(),
@@ -309,7 +309,7 @@
 }
 
 /// Asks an engine what its cache holds.
-async fn ask<E: Edge>(context: &Context<E>, engine: Chosen) -> Vec<Read> {
+async fn ask<E: Edge>(context: &Context<E>, engine: Chosen) -> Vec<Prompt> {
     let edge = context.sender.edge();
     let call = context
         .sender
@@ -323,6 +323,6 @@
     let server = number(&engine.server);
     parts
         .into_iter()
-        .map(|(part, _)| Read { part, server })
+        .map(|(part, _)| Prompt { hash: part, server })
         .collect()
 }
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -21,7 +21,7 @@
     Load,
     Loads,
     Loss,
-    Read, //
+    Prompt, //
 };
 use tokio::sync::Notify;
 
@@ -57,8 +57,8 @@
             if now.saturating_sub(*at) > TOLD {
                 continue;
             }
-            beacon.prompts.push(Read {
-                part: *part,
+            beacon.prompts.push(Prompt {
+                hash: *part,
                 server: beacon::number(server),
             });
         }
@@ -108,11 +108,11 @@
     }
 
     /// Takes what engines told a peer that they hold.
-    pub fn held(&mut self, reads: &[Read]) {
+    pub fn held(&mut self, reads: &[Prompt]) {
         let now = clock::now();
         for read in reads {
             if let Some(server) = self.numbers.get(&read.server) {
-                self.placement.has_read(now, &[(read.part, 0)], server);
+                self.placement.has_read(now, &[(read.hash, 0)], server);
             }
         }
     }
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -25,7 +25,7 @@
         Receipt,
         Number,
         Scope,
-        Read,
+        Prompt,
         Reassembly,
         Table, //
     },
@@ -109,7 +109,7 @@
     /// A caller came back whose prompt may be at any engine of a service.
     Lookup(Number),
     /// What engines hold, as they said.
-    Held(Vec<Read>),
+    Held(Vec<Prompt>),
 }
 
 /// The other side of what goes to peers, and comes from them.
--- a/components/gateway/tests/divided.rs
+++ b/components/gateway/tests/divided.rs
@@ -19,7 +19,7 @@
     Load,
     Loads,
     Message,
-    Read,
+    Prompt,
     Sends, //
 };
 use tokio::{
@@ -184,8 +184,8 @@
 fn a_caller_gets_to_the_engine_that_a_peer_has_asked() {
     common::run(async {
         let fleet = Fleet::start("").await;
-        let read = Read {
-            part: PART,
+        let read = Prompt {
+            hash: PART,
             server: beacon::number(&name(17)),
         };
         send(&fleet.peer, &fleet.harness, Message::Held(vec![read])).await;
@@ -309,7 +309,7 @@
                 servers.sort_unstable();
                 read.sort_unstable();
                 assert_eq!(read, servers);
-                assert!(reads.iter().all(|read| read.part == PART));
+                assert!(reads.iter().all(|read| read.hash == PART));
             }
             other => assert!(mine.is_empty(), "{other:?} of {mine:?}"),
         }
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -69,7 +69,7 @@
     /// What it sent of late, by service.
     pub sends: Vec<Sends>,
     /// Prompts that servers have read for it.
-    pub prompts: Vec<Read>,
+    pub prompts: Vec<Prompt>,
     /// Requests that wait there and can still be in time, by service.
     pub hurries: Vec<(Number, u32)>,
     /// Moves between versions: the service, and what was counted.
@@ -138,7 +138,7 @@
     /// Each peer should ask its part of a service's engines what their caches hold.
     Lookup(Number),
     /// What engines said that they hold.
-    Held(Vec<Read>),
+    Held(Vec<Prompt>),
 }
 
 /// Work at one server.
@@ -169,9 +169,9 @@
 
 /// A prompt that a server has read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Read {
+pub struct Prompt {
     /// Hash of its last part, which no other prompt shares as a rule.
-    pub part: u64,
+    pub hash: u64,
     /// The server.
     pub server: Number,
 }
