--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -176,7 +176,7 @@
                     Some(Outgoing::Lookup(service)) => self.tell(&Message::Lookup(service)),
                     Some(Outgoing::Held(reads)) => {
                         for reads in reads.chunks(MAX_READS) {
-                            self.tell(&Message::Held(reads.to_vec()));
+                            self.tell(&Message::CachedPrompts(reads.to_vec()));
                         }
                     }
                 },
@@ -339,7 +339,7 @@
                 }
                 return;
             }
-            Ok(Message::Held(reads)) => {
+            Ok(Message::CachedPrompts(reads)) => {
                 if self.table.contains(from) {
                     self.shared.fleet.borrow_mut().held(&reads);
                 }
--- a/components/gateway/tests/divided.rs
+++ b/components/gateway/tests/divided.rs
@@ -188,7 +188,7 @@
             hash: PART,
             server: beacon::number(&name(17)),
         };
-        send(&fleet.peer, &fleet.harness, Message::Held(vec![read])).await;
+        send(&fleet.peer, &fleet.harness, Message::CachedPrompts(vec![read])).await;
         let behind = Beacon {
             sequence: 2,
             stamp: 1234,
@@ -297,12 +297,12 @@
         for _ in 0..2 {
             send(&fleet.peer, &fleet.harness, Message::Lookup(service)).await;
         }
-        let held = |message: &Message| matches!(message, Message::Held(_));
+        let held = |message: &Message| matches!(message, Message::CachedPrompts(_));
         let mine = (0..ENGINES).filter(|number| fleet.engines[*number].count() > 0);
         let told = timeout(Duration::from_secs(1), hear(&fleet.peer, held)).await;
         let mine: Vec<_> = mine.collect();
         match told {
-            Ok(Message::Held(reads)) => {
+            Ok(Message::CachedPrompts(reads)) => {
                 let servers = mine.iter().map(|number| beacon::number(&name(*number)));
                 let mut servers: Vec<_> = servers.collect();
                 let mut read: Vec<_> = reads.iter().map(|read| read.server).collect();
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -138,7 +138,7 @@
     /// Each peer should ask its part of a service's engines what their caches hold.
     Lookup(Number),
     /// What engines said that they hold.
-    Held(Vec<Prompt>),
+    CachedPrompts(Vec<Prompt>),
 }
 
 /// Work at one server.
