--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -218,8 +218,8 @@
             data_centre: settings.data_centre.clone(),
             sequence: self.sequence,
             leaving: self.shared.departure.begun(),
-            known: self.table.sample_addresses(),
-            peers: self.table.count() as u32,
+            addresses: self.table.sample_addresses(),
+            peer_count: self.table.count() as u32,
             ..Beacon::default()
         };
         self.shared.fleet.borrow_mut().tell(&mut beacon);
@@ -230,9 +230,9 @@
         let now = clock::now();
         let claim = self.shared.fresh.borrow().claim();
         self.told = claim.map(|claim| claim.at);
-        beacon.stamp = now.as_millis() as u64;
-        beacon.pace_ms = self.table.beacon_interval(false, self.size).as_millis() as u32;
-        beacon.fresh = claim.map(|claim| Age {
+        beacon.timestamp = now.as_millis() as u64;
+        beacon.interval_ms = self.table.beacon_interval(false, self.size).as_millis() as u32;
+        beacon.freshness = claim.map(|claim| Age {
             revision: claim.revision,
             // Rounded up: it may look older than it is, never newer.
             ms: now.saturating_sub(claim.at).as_millis() as u64 + 1,
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -241,15 +241,15 @@
         let hurried = self.hurried.borrow();
         let waiting = hurried.iter().filter(|(_, count)| **count > 0);
         let waiting = waiting.map(|(service, count)| (beacon::number(service), *count));
-        beacon.hurries.extend(waiting);
+        beacon.queued.extend(waiting);
     }
 
     /// Takes what a peer tells.
     pub fn hear(&self, beacon: &Beacon) {
         let mut peers = self.peers.borrow_mut();
-        match beacon.hurries.is_empty() {
+        match beacon.queued.is_empty() {
             true => peers.remove(&beacon.incarnation),
-            false => peers.insert(beacon.incarnation, beacon.hurries.clone()),
+            false => peers.insert(beacon.incarnation, beacon.queued.clone()),
         };
     }
 
--- a/components/gateway/tests/divided.rs
+++ b/components/gateway/tests/divided.rs
@@ -112,7 +112,7 @@
     async fn heard_in_order(&self) {
         let behind = Beacon {
             sequence: 2,
-            stamp: 1234,
+            timestamp: 1234,
             ..fleet_beacon(2)
         };
         let other = &self.others[0];
@@ -136,8 +136,8 @@
         incarnation: number,
         sequence: 1,
         data_centre: "a".into(),
-        pace_ms: 10_000,
-        peers: PEERS as u32,
+        interval_ms: 10_000,
+        peer_count: PEERS as u32,
         ..Beacon::default()
     }
 }
@@ -191,7 +191,7 @@
         send(&fleet.peer, &fleet.harness, Message::CachedPrompts(vec![read])).await;
         let behind = Beacon {
             sequence: 2,
-            stamp: 1234,
+            timestamp: 1234,
             ..fleet_beacon(1)
         };
         send(
--- a/components/gateway/tests/queue.rs
+++ b/components/gateway/tests/queue.rs
@@ -128,8 +128,8 @@
         let beacon = Beacon {
             incarnation: 7,
             sequence: 1,
-            pace_ms: 10_000,
-            hurries: vec![(beacon::number("draft"), waiting)],
+            interval_ms: 10_000,
+            queued: vec![(beacon::number("draft"), waiting)],
             ..Beacon::default()
         };
         let bytes = postcard::to_stdvec(&Message::Beacon(Box::new(beacon))).expect("encoded");
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -360,7 +360,7 @@
                 }
                 host.peers.insert(*from, (*incarnation, *stamp, now));
                 let beacon = Beacon {
-                    fresh: fresh.map(|(revision, ms)| Age { revision, ms }),
+                    freshness: fresh.map(|(revision, ms)| Age { revision, ms }),
                     echo: echo.map(|(incarnation, stamp, held_ms)| Echo {
                         incarnation,
                         stamp,
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -71,19 +71,19 @@
     /// Prompts that servers have read for it.
     pub prompts: Vec<Prompt>,
     /// Requests that wait there and can still be in time, by service.
-    pub hurries: Vec<(Number, u32)>,
+    pub queued: Vec<(Number, u32)>,
     /// Moves between versions: the service, and what was counted.
     pub moves: Vec<(Number, Tale)>,
     /// Some other peers' addresses.
-    pub known: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// Peers that the sender hears.
-    pub peers: u32,
+    pub peer_count: u32,
     /// Time until the next beacon at the latest, in milliseconds.
-    pub pace_ms: u32,
+    pub interval_ms: u32,
     /// The sender's clock, in milliseconds.
-    pub stamp: u64,
+    pub timestamp: u64,
     /// How current the sender's knowledge is.
-    pub fresh: Option<Age>,
+    pub freshness: Option<Age>,
     /// The receiver's last stamp, given back.
     pub echo: Option<Echo>,
 }
@@ -217,7 +217,7 @@
     /// What a beacon says of the store, by the clock of the receiver's run; `None` when it can't be
     /// told when the beacon was made.
     pub fn claim(&self, receiver: Incarnation) -> Option<Claim> {
-        let fresh = self.fresh?;
+        let fresh = self.freshness?;
         let echo = self.echo.filter(|echo| echo.incarnation == receiver)?;
         let made = Duration::from_millis(echo.stamp + echo.held_ms);
         Some(Claim {
--- a/components/spread/src/beacon/table.rs
+++ b/components/spread/src/beacon/table.rs
@@ -163,16 +163,16 @@
                 incarnation: beacon.incarnation,
                 sequence: beacon.sequence,
                 heard: now,
-                pace: Duration::from_millis(u64::from(beacon.pace_ms)),
+                pace: Duration::from_millis(u64::from(beacon.interval_ms)),
                 leaving: beacon.leaving,
                 silent: false,
                 data_centre: beacon.data_centre.clone(),
-                stamp: beacon.stamp,
-                peers: beacon.peers as usize,
+                stamp: beacon.timestamp,
+                peers: beacon.peer_count as usize,
                 introduced,
             },
         );
-        self.learn(now, &beacon.known);
+        self.learn(now, &beacon.addresses);
         Receipt::Accepted { ended, back }
     }
 
--- a/components/spread/tests/beacon.rs
+++ b/components/spread/tests/beacon.rs
@@ -25,7 +25,7 @@
     Beacon {
         incarnation: Incarnation::from(number),
         sequence,
-        pace_ms: pace.as_millis() as u32,
+        interval_ms: pace.as_millis() as u32,
         ..Beacon::default()
     }
 }
@@ -115,12 +115,12 @@
 fn a_stamp_of_an_earlier_run_claims_nothing() {
     let mut table = Table::new(1, Vec::new());
     let sent = Beacon {
-        stamp: 62_000_000,
+        timestamp: 62_000_000,
         ..beacon(2, 1, Duration::ZERO)
     };
     table.receive(Clock::ZERO, address(2), &sent);
     let answer = Beacon {
-        fresh: Some(Age {
+        freshness: Some(Age {
             revision: 7,
             ms: 100,
         }),
@@ -155,8 +155,8 @@
             let number = from as u16;
             let table = &mut self.tables[from];
             let sent = Beacon {
-                known: table.sample_addresses(),
-                peers: table.count() as u32,
+                addresses: table.sample_addresses(),
+                peer_count: table.count() as u32,
                 ..beacon(number, self.sequence, Duration::ZERO)
             };
             for target in table.targets() {
@@ -195,14 +195,14 @@
     let mut table = Table::new(0, Vec::new());
     for number in 1..=20 {
         let sent = Beacon {
-            peers: 19,
+            peer_count: 19,
             ..beacon(number, 1, Duration::ZERO)
         };
         table.receive(Clock::ZERO, address(number), &sent);
     }
     assert!(table.introduction(MILLISECOND, address(7)).is_empty());
     let alone = Beacon {
-        peers: 2,
+        peer_count: 2,
         ..beacon(7, 2, Duration::ZERO)
     };
     table.receive(MILLISECOND, address(7), &alone);
