--- a/components/gateway/tests/divided.rs
+++ b/components/gateway/tests/divided.rs
@@ -118,7 +118,7 @@
         let other = &self.others[0];
         send(other, &self.harness, Message::Beacon(Box::new(behind))).await;
         let echoed = |message: &Message| match message {
-            Message::Beacon(beacon) => beacon.echo.is_some_and(|echo| echo.stamp == 1234),
+            Message::Beacon(beacon) => beacon.echo.is_some_and(|echo| echo.timestamp == 1234),
             _ => false,
         };
         hear(other, echoed).await;
@@ -201,7 +201,7 @@
         )
         .await;
         let echoed = |message: &Message| match message {
-            Message::Beacon(beacon) => beacon.echo.is_some_and(|echo| echo.stamp == 1234),
+            Message::Beacon(beacon) => beacon.echo.is_some_and(|echo| echo.timestamp == 1234),
             _ => false,
         };
         hear(&fleet.peer, echoed).await;
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -363,8 +363,8 @@
                     freshness: fresh.map(|(revision, ms)| Age { revision, ms }),
                     echo: echo.map(|(incarnation, stamp, held_ms)| Echo {
                         incarnation,
-                        stamp,
-                        held_ms,
+                        timestamp: stamp,
+                        delay_ms: held_ms,
                     }),
                     ..Beacon::default()
                 };
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -106,9 +106,9 @@
     /// stamp of an earlier run means nothing to the next one at the same address.
     pub incarnation: Incarnation,
     /// The receiver's stamp.
-    pub stamp: u64,
+    pub timestamp: u64,
     /// Milliseconds that it lay at the sender.
-    pub held_ms: u64,
+    pub delay_ms: u64,
 }
 
 /// Changes of the store, from one revision to another.
@@ -219,7 +219,7 @@
     pub fn claim(&self, receiver: Incarnation) -> Option<Claim> {
         let fresh = self.freshness?;
         let echo = self.echo.filter(|echo| echo.incarnation == receiver)?;
-        let made = Duration::from_millis(echo.stamp + echo.held_ms);
+        let made = Duration::from_millis(echo.timestamp + echo.delay_ms);
         Some(Claim {
             revision: fresh.revision,
             at: made.saturating_sub(Duration::from_millis(fresh.ms)),
--- a/components/spread/src/beacon/table.rs
+++ b/components/spread/src/beacon/table.rs
@@ -352,8 +352,8 @@
         let held = now.saturating_sub(peer.heard);
         Some(Echo {
             incarnation: peer.incarnation,
-            stamp: peer.stamp,
-            held_ms: u64::try_from(held.as_millis()).unwrap_or(u64::MAX),
+            timestamp: peer.stamp,
+            delay_ms: u64::try_from(held.as_millis()).unwrap_or(u64::MAX),
         })
     }
 
