--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -20,7 +20,7 @@
         Beacon,
         Changes,
         Loads,
-        MAX_DATAGRAM,
+        MAX_DATAGRAM_BYTES,
         Message,
         Receipt,
         Number,
@@ -146,7 +146,7 @@
     pub async fn run(mut self, stop: CancellationToken) {
         let changed = self.shared.fleet.borrow().wake();
         let mut sent = Instant::now();
-        let mut bytes = vec![0; MAX_DATAGRAM];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let now = Instant::now();
             let confirmed = self.shared.fresh.borrow().confirmed_at();
@@ -391,7 +391,7 @@
 fn fit(beacon: &mut Beacon) {
     let loads = &mut beacon.loads;
     loads.sort_unstable_by_key(|load| std::cmp::Reverse(load.unread + load.tokens));
-    while postcard::to_stdvec(&*beacon).is_ok_and(|bytes| bytes.len() > MAX_DATAGRAM - ECHO_BYTES) {
+    while postcard::to_stdvec(&*beacon).is_ok_and(|bytes| bytes.len() > MAX_DATAGRAM_BYTES - ECHO_BYTES) {
         let keep = beacon.loads.len().max(beacon.losses.len()) * 3 / 4;
         beacon.loads.truncate(keep);
         beacon.losses.truncate(keep);
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -28,7 +28,7 @@
 
 pub use fragment::{
     Fragment,
-    MAX_DATAGRAM,
+    MAX_DATAGRAM_BYTES,
     Reassembly,
     split, //
 };
--- a/components/spread/src/beacon/fragment.rs
+++ b/components/spread/src/beacon/fragment.rs
@@ -25,7 +25,7 @@
 };
 
 /// Longest datagram that is sent, in bytes.
-pub const MAX_DATAGRAM: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// Bytes of a fragment beside its content: the message's kind, numbers, length.
 const HEAD: usize = 24;
@@ -61,11 +61,11 @@
     let Ok(bytes) = postcard::to_stdvec(&changes) else {
         return Vec::new();
     };
-    if bytes.len() < MAX_DATAGRAM {
+    if bytes.len() < MAX_DATAGRAM_BYTES {
         return vec![Message::Changes(changes)];
     }
     let bytes = compress_to_vec_zlib(&bytes, LEVEL);
-    let chunks = bytes.chunks(MAX_DATAGRAM - HEAD);
+    let chunks = bytes.chunks(MAX_DATAGRAM_BYTES - HEAD);
     let count = chunks.len();
     if count > MAX_FRAGMENTS {
         return Vec::new();
