--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -21,7 +21,7 @@
 };
 use spread::{
     Action,
-    Board,
+    Replica,
     Edition,
     Event,
     Message,
@@ -51,7 +51,7 @@
 
 struct Driver {
     state: Arc<State>,
-    board: Board,
+    board: Replica,
     /// Calls to the store that haven't answered.
     calls: HashMap<u64, AbortHandle>,
     /// The last call failed, and that was said.
@@ -76,7 +76,7 @@
     };
     let rng = StdRng::seed_from_u64(rand::random());
     let mut driver = Driver {
-        board: Board::new(place, state.now(), rng),
+        board: Replica::new(place, state.now(), rng),
         state: state.clone(),
         calls: HashMap::new(),
         out: false,
@@ -116,7 +116,7 @@
             self.act(action);
         }
         if ticks {
-            let reads = self.board.reads(self.state.now());
+            let reads = self.board.is_reader(self.state.now());
             let changed = |last: &mut bool| std::mem::replace(last, reads) != reads;
             self.state.documents.reads.send_if_modified(changed);
         }
--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::{
-    replica::Board,
+    replica::Replica,
     delta::Delta,
     event::Action,
     fact::{
@@ -45,7 +45,7 @@
 /// Shortest time between two lists of summaries, which differ most of the time during a move.
 const SUMMARIES: Duration = Duration::from_secs(5);
 
-impl Board {
+impl Replica {
     /// Sends the heartbeat that is due.
     pub(crate) fn beat(&mut self, now: Clock, actions: &mut Vec<Action>) {
         let question = match self.gate.is_open() {
@@ -57,7 +57,7 @@
             self.members.asked(&to, now);
             actions.push(send(to, Message::Beat(beat.clone())));
         }
-        if self.gate.is_open() && !self.reads(now) {
+        if self.gate.is_open() && !self.is_reader(now) {
             return;
         }
         // Other data centres don't beat by themselves; they are asked to answer.
@@ -357,7 +357,7 @@
         actions: &mut Vec<Action>,
     ) {
         let distant = !self.is_neighbour(from);
-        let reads = self.reads(now);
+        let reads = self.is_reader(now);
         let mut urgent = Vec::new();
         for (key, fact) in facts {
             if !self.facts.join(&key, &fact, self.wall) {
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod slot;
 pub mod watch;
 
-pub use replica::Board;
+pub use replica::Replica;
 pub use edit::Edit;
 pub use event::{
     Action,
--- a/components/spread/src/reach.rs
+++ b/components/spread/src/reach.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     replica::{
-        Board,
+        Replica,
         READERS, //
     },
     event::Action,
@@ -45,7 +45,7 @@
 /// Purpose of the rendezvous order of readers.
 const PURPOSE: &str = "reader";
 
-impl Board {
+impl Replica {
     /// The other entries of the data centre, suspect ones too: they may be well.
     pub(crate) fn neighbours(&self) -> Vec<Host> {
         let own = &self.place;
@@ -89,7 +89,7 @@
     }
 
     /// Tells whether this process is a reader.
-    pub fn reads(&self, now: Clock) -> bool {
+    pub fn is_reader(&self, now: Clock) -> bool {
         self.readers(now).contains(&self.place.host)
     }
 
--- a/components/spread/src/replica.rs
+++ b/components/spread/src/replica.rs
@@ -112,7 +112,7 @@
 
 /// Documents and facts of one process.
 #[derive(Debug)]
-pub struct Board {
+pub struct Replica {
     pub(crate) place: Place,
     pub(crate) rng: StdRng,
     pub(crate) slots: BTreeMap<Environment, Slot>,
@@ -132,7 +132,7 @@
     pub(crate) times: Times,
 }
 
-impl Board {
+impl Replica {
     /// A board that knows nothing yet.
     pub fn new(place: Place, now: Clock, rng: StdRng) -> Self {
         Self {
@@ -236,7 +236,7 @@
         self.times.tick = now;
         self.members.forget(now);
         self.facts.expire(wall);
-        let reads = self.reads(now);
+        let reads = self.is_reader(now);
         let stop = self.watch.want(reads, now);
         actions.extend(stop.map(Action::from));
         for call in self.watch.tick(now, &mut self.rng) {
--- a/components/spread/tests/common/mesh.rs
+++ b/components/spread/tests/common/mesh.rs
@@ -23,7 +23,7 @@
 };
 use spread::{
     Action,
-    Board,
+    Replica,
     Edition,
     Event,
     Message,
@@ -62,7 +62,7 @@
 /// One host.
 pub struct Node {
     /// Its process; none while it is down.
-    pub board: Option<Board>,
+    pub board: Option<Replica>,
     /// Its data centre.
     pub data_centre: String,
     /// What it sent and asked for.
@@ -172,7 +172,7 @@
             data_centre: node.data_centre.clone(),
             incarnation,
         };
-        node.board = Some(Board::new(place, now, rng));
+        node.board = Some(Replica::new(place, now, rng));
         node.in_force.clear();
         node.ready = None;
         node.inbox.clear();
@@ -319,7 +319,7 @@
     pub fn all_ready(&self) -> bool {
         self.nodes
             .values()
-            .all(|node| node.board.as_ref().is_none_or(Board::is_ready))
+            .all(|node| node.board.as_ref().is_none_or(Replica::is_ready))
     }
 
     /// Number of watches that wait in the store.
--- a/components/spread/tests/replica.rs
+++ b/components/spread/tests/replica.rs
@@ -86,7 +86,7 @@
         let reads = mesh.nodes[&host]
             .board
             .as_ref()
-            .is_some_and(|board| board.reads(now));
+            .is_some_and(|board| board.is_reader(now));
         if reads {
             mesh.kill(&host);
         }
@@ -141,7 +141,7 @@
         mesh.nodes["dc1-0"]
             .board
             .as_ref()
-            .is_some_and(spread::Board::is_ready)
+            .is_some_and(spread::Replica::is_ready)
     );
     mesh.cut.clear();
     mesh.storeless.clear();
@@ -274,7 +274,7 @@
         mesh.nodes["dc0-1"]
             .board
             .as_ref()
-            .is_some_and(spread::Board::is_ready)
+            .is_some_and(spread::Replica::is_ready)
     };
     assert!(
         mesh.until(BOUND, ready).is_some(),
