--- a/components/entry/src/documents.rs
+++ b/components/entry/src/documents.rs
@@ -25,7 +25,7 @@
     Event,
     Fact,
     Key,
-    replica::PAUSED,
+    replica::PAUSE_THRESHOLD,
     message::Account, //
 };
 use tokio::{
@@ -108,7 +108,7 @@
     /// before the board is: so the board's last tick must not lie far back either.
     pub(crate) fn serves(&self) -> bool {
         let ticked = Duration::from_millis(self.ticked.load(Ordering::Acquire));
-        *self.ready.borrow() && self.origin.elapsed().saturating_sub(ticked) < PAUSED
+        *self.ready.borrow() && self.origin.elapsed().saturating_sub(ticked) < PAUSE_THRESHOLD
     }
 
     /// The board has seen that time passed, and its actions were done.
--- a/components/spread/src/replica.rs
+++ b/components/spread/src/replica.rs
@@ -79,7 +79,7 @@
 const FLUSH: Duration = Duration::from_secs(2);
 
 /// Time between two ticks that shows that this process was paused.
-pub const PAUSED: Duration = Duration::from_secs(5);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(5);
 
 /// How long a process that isn't ready waits for its neighbours.
 pub const GATHER: Duration = Duration::from_secs(3);
@@ -184,7 +184,7 @@
     /// Takes an event and says what is to be done.
     pub fn handle(&mut self, event: Event, now: Clock) -> Vec<Action> {
         let mut actions = Vec::new();
-        if now.saturating_sub(self.times.tick) >= PAUSED {
+        if now.saturating_sub(self.times.tick) >= PAUSE_THRESHOLD {
             self.wake(now, &mut actions);
         }
         match event {
