--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -25,7 +25,7 @@
     Edition,
     Event,
     Message,
-    Place, //
+    Identity, //
 };
 use store::store::Entry;
 use tokio::{
@@ -69,7 +69,7 @@
     let Some(mut waiting) = waiting else {
         return;
     };
-    let place = Place {
+    let place = Identity {
         host: state.settings.name.clone(),
         data_centre: state.settings.data_centre.clone(),
         incarnation: state.hello.incarnation.max(1),
--- a/components/spread/src/event.rs
+++ b/components/spread/src/event.rs
@@ -148,7 +148,7 @@
 
 /// Who this process is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Identity {
     /// Its host.
     pub host: Host,
     /// Its data centre.
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -23,7 +23,7 @@
 pub use event::{
     Action,
     Event,
-    Place, //
+    Identity, //
 };
 pub use fact::{
     Fact,
--- a/components/spread/src/replica.rs
+++ b/components/spread/src/replica.rs
@@ -47,7 +47,7 @@
     event::{
         Action,
         Event,
-        Place, //
+        Identity, //
     },
     fact::{
         Facts,
@@ -113,7 +113,7 @@
 /// Documents and facts of one process.
 #[derive(Debug)]
 pub struct Replica {
-    pub(crate) place: Place,
+    pub(crate) place: Identity,
     pub(crate) rng: StdRng,
     pub(crate) slots: BTreeMap<Environment, Slot>,
     pub(crate) facts: Facts,
@@ -134,7 +134,7 @@
 
 impl Replica {
     /// A board that knows nothing yet.
-    pub fn new(place: Place, now: Clock, rng: StdRng) -> Self {
+    pub fn new(place: Identity, now: Clock, rng: StdRng) -> Self {
         Self {
             gate: Gate::new(place.incarnation),
             watch: Watch::new(now),
--- a/components/spread/tests/common/mesh.rs
+++ b/components/spread/tests/common/mesh.rs
@@ -27,7 +27,7 @@
     Edition,
     Event,
     Message,
-    Place,
+    Identity,
     membership::{
         Listing,
         Role, //
@@ -167,7 +167,7 @@
         let phase = TICK.mul_f64(self.rng.random_range(0.0..1.0));
         let now = self.now;
         let node = self.node(host);
-        let place = Place {
+        let place = Identity {
             host: host.into(),
             data_centre: node.data_centre.clone(),
             incarnation,
