--- a/components/entry/src/documents.rs
+++ b/components/entry/src/documents.rs
@@ -140,7 +140,7 @@
 
     /// Spreads a fact that this entry found out.
     pub(crate) fn learn(&self, key: Key, fact: Fact) {
-        self.event(Event::Learn { key, fact });
+        self.event(Event::AddFact { key, fact });
     }
 
     /// Facts that other processes found out, from now on. Whoever lags by [`WAITING`] of
--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -134,7 +134,7 @@
                 }
                 self.out = true;
             }
-            Event::Read { call, .. } | Event::Changed { call, .. } | Event::Forgotten { call } => {
+            Event::Read { call, .. } | Event::Changed { call, .. } | Event::Compacted { call } => {
                 self.calls.remove(call);
                 self.out = false;
             }
@@ -251,7 +251,7 @@
                 revision: change.revision,
             }
         }
-        Err(store::Error::Compacted) => Event::Forgotten { call },
+        Err(store::Error::Compacted) => Event::Compacted { call },
         Err(_) => Event::Failed { call },
     };
     answer(&state, event).await;
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -252,7 +252,7 @@
     let Ok(Some(stored)) = edit::stored(&state.platform, environment).await else {
         return;
     };
-    state.documents.event(spread::Event::Seen {
+    state.documents.event(spread::Event::Observed {
         environment: environment.to_string(),
         edition: stored.edition(),
     });
--- a/components/spread/src/event.rs
+++ b/components/spread/src/event.rs
@@ -33,7 +33,7 @@
         wall: Duration,
     },
     /// The platform's host list came.
-    List(Vec<Listing>),
+    HostList(Vec<Listing>),
     /// Another process said something.
     Message {
         /// Its host.
@@ -60,7 +60,7 @@
         revision: Revision,
     },
     /// The store has forgotten the revision that a watch went on from.
-    Forgotten {
+    Compacted {
         /// Number of the call.
         call: u64,
     },
@@ -70,14 +70,14 @@
         call: u64,
     },
     /// This process wrote a document, or saw it in the store by other means.
-    Seen {
+    Observed {
         /// Its environment.
         environment: Environment,
         /// The document.
         edition: Edition,
     },
     /// This process found a fact out.
-    Learn {
+    AddFact {
         /// What it is about.
         key: Key,
         /// What is known.
--- a/components/spread/src/replica.rs
+++ b/components/spread/src/replica.rs
@@ -189,7 +189,7 @@
         }
         match event {
             Event::Tick { wall } => self.tick(wall, now, &mut actions),
-            Event::List(list) => self.members.list(&list, now),
+            Event::HostList(list) => self.members.list(&list, now),
             Event::Message { from, message } => self.message(from, message, now, &mut actions),
             Event::Read {
                 call,
@@ -210,16 +210,16 @@
                 self.store(documents, now, &mut actions);
                 self.watch.answered(call, revision, now);
             }
-            Event::Forgotten { call } => self.watch.forgotten(call, now),
+            Event::Compacted { call } => self.watch.forgotten(call, now),
             Event::Failed { call } => {
                 self.watch.failed(call, now, &mut self.rng);
                 self.gate.store_failed();
             }
-            Event::Seen {
+            Event::Observed {
                 environment,
                 edition,
             } => self.store(vec![(environment, edition)], now, &mut actions),
-            Event::Learn { key, fact } => self.learn(&key, &fact, &mut actions, now),
+            Event::AddFact { key, fact } => self.learn(&key, &fact, &mut actions, now),
             Event::Leave => {
                 self.leaving = true;
                 self.times.beat = now;
--- a/components/spread/tests/common/mesh.rs
+++ b/components/spread/tests/common/mesh.rs
@@ -177,7 +177,7 @@
         node.ready = None;
         node.inbox.clear();
         node.tick = now + phase;
-        self.event(host, Event::List(list));
+        self.event(host, Event::HostList(list));
         self.schedule(now + phase, Due::Tick(host.into()));
     }
 
--- a/components/spread/tests/replica.rs
+++ b/components/spread/tests/replica.rs
@@ -129,7 +129,7 @@
         until: None,
         body: b"fails".to_vec(),
     };
-    let event = Event::Learn {
+    let event = Event::AddFact {
         key: veto.clone(),
         fact,
     };
@@ -181,7 +181,7 @@
     };
     mesh.event(
         "dc1-2",
-        Event::Learn {
+        Event::AddFact {
             key: key.clone(),
             fact,
         },
@@ -243,7 +243,7 @@
             let environment = "production".into();
             mesh.event(
                 &host,
-                Event::Seen {
+                Event::Observed {
                     environment,
                     edition: edition.clone(),
                 },
@@ -308,7 +308,7 @@
 fn an_empty_host_list_stops_nothing() {
     let mut mesh = settled(2, 3, 1);
     for host in mesh.hosts() {
-        mesh.event(&host, Event::List(Vec::new()));
+        mesh.event(&host, Event::HostList(Vec::new()));
     }
     mesh.run(300 * SECOND);
     mesh.write(2, "a: 2\n");
