--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -174,7 +174,7 @@
                 events::emit!(documents::PAUSED, "host={}", self.state.settings.name);
                 self.state.documents.ready.send_replace(false);
             }
-            Action::Known { key } => {
+            Action::FactReceived { key } => {
                 if let Some(fact) = self.board.facts().get(&key) {
                     // Nobody listens while no move is under way.
                     let _ = self.state.documents.known.send((key, fact.clone()));
--- a/components/spread/src/event.rs
+++ b/components/spread/src/event.rs
@@ -129,7 +129,7 @@
         revision: Revision,
     },
     /// A fact came from another process; [`crate::Board::facts`] has it.
-    Known {
+    FactReceived {
         /// What it is about.
         key: Key,
     },
--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -363,7 +363,7 @@
             if !self.facts.join(&key, &fact, self.wall) {
                 continue;
             }
-            actions.push(Action::Known { key: key.clone() });
+            actions.push(Action::FactReceived { key: key.clone() });
             match key.class() {
                 Class::Urgent if distant => urgent.push((key, fact)),
                 Class::Summary if distant && reads => {
--- a/components/spread/tests/common/mesh.rs
+++ b/components/spread/tests/common/mesh.rs
@@ -393,7 +393,7 @@
                 node.ready = None;
                 node.unready += 1;
             }
-            Action::Known { key } => self.node(host).known.push(key),
+            Action::FactReceived { key } => self.node(host).known.push(key),
             Action::Account { .. } => {}
         }
     }
