--- a/components/entry/src/documents.rs
+++ b/components/entry/src/documents.rs
@@ -26,7 +26,7 @@
     Fact,
     Key,
     replica::PAUSE_THRESHOLD,
-    message::Account, //
+    message::Inventory, //
 };
 use tokio::{
     sync::{
@@ -58,7 +58,7 @@
     known: broadcast::Sender<(Key, Fact)>,
     /// This entry watches the store, and sums up its data centre's evidence.
     reads: watch::Sender<bool>,
-    surveys: Mutex<HashMap<u64, mpsc::UnboundedSender<Account>>>,
+    surveys: Mutex<HashMap<u64, mpsc::UnboundedSender<Inventory>>>,
     survey: AtomicU64,
 }
 
@@ -169,7 +169,7 @@
     }
 
     /// Asks all data centres what is in force there; answers come as long as the number is kept.
-    pub(crate) fn survey(&self) -> (u64, mpsc::UnboundedReceiver<Account>) {
+    pub(crate) fn survey(&self) -> (u64, mpsc::UnboundedReceiver<Inventory>) {
         let number = self.survey.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = mpsc::unbounded_channel();
         let mut surveys = self.surveys.lock().expect("no panic while held");
@@ -185,7 +185,7 @@
         surveys.remove(&number);
     }
 
-    fn account(&self, number: u64, account: Account) {
+    fn account(&self, number: u64, account: Inventory) {
         let surveys = self.surveys.lock().expect("no panic while held");
         if let Some(survey) = surveys.get(&number) {
             let _ = survey.send(account);
--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -180,7 +180,7 @@
                     let _ = self.state.documents.known.send((key, fact.clone()));
                 }
             }
-            Action::Account { survey, account } => {
+            Action::Inventory { survey, account } => {
                 self.state.documents.account(survey, account);
             }
         }
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -33,7 +33,7 @@
         Pin,
         Record, //
     },
-    message::Account, //
+    message::Inventory, //
 };
 use tokio::time::{
     Instant,
@@ -294,7 +294,7 @@
     environment: String,
     /// Highest revision that any answer names.
     revision: Revision,
-    data_centres: Vec<Account>,
+    data_centres: Vec<Inventory>,
 }
 
 #[handler]
--- a/components/spread/src/event.rs
+++ b/components/spread/src/event.rs
@@ -17,7 +17,7 @@
     },
     membership::Listing,
     message::{
-        Account,
+        Inventory,
         Message, //
     },
     slot::Edition,
@@ -138,11 +138,11 @@
     /// The process may have missed something and must not serve until [`Action::Ready`].
     Unready,
     /// What the hosts of a data centre hold.
-    Account {
+    Inventory {
         /// Number of the survey.
         survey: u64,
         /// What they hold.
-        account: Account,
+        account: Inventory,
     },
 }
 
--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -150,10 +150,10 @@
             }
             Message::Survey { survey } => {
                 let account = self.account(now);
-                actions.push(send(from, Message::Account { survey, account }));
+                actions.push(send(from, Message::Inventory { survey, account }));
             }
-            Message::Account { survey, account } => {
-                actions.push(Action::Account { survey, account });
+            Message::Inventory { survey, account } => {
+                actions.push(Action::Inventory { survey, account });
             }
         }
     }
--- a/components/spread/src/message.rs
+++ b/components/spread/src/message.rs
@@ -61,11 +61,11 @@
         survey: u64,
     },
     /// What the hosts of a data centre hold.
-    Account {
+    Inventory {
         /// Number of the survey.
         survey: u64,
         /// What they hold.
-        account: Account,
+        account: Inventory,
     },
 }
 
@@ -146,7 +146,7 @@
 
 /// What the hosts of one data centre hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Account {
+pub struct Inventory {
     /// The data centre.
     pub data_centre: DataCentre,
     /// Hosts by environment and revision; revision 0 is none.
--- a/components/spread/src/reach.rs
+++ b/components/spread/src/reach.rs
@@ -32,7 +32,7 @@
         weight, //
     },
     message::{
-        Account,
+        Inventory,
         Message,
         Standing, //
     },
@@ -179,14 +179,14 @@
     /// Asks what is in force where.
     pub(crate) fn survey(&mut self, survey: u64, now: Clock, actions: &mut Vec<Action>) {
         let account = self.account(now);
-        actions.push(Action::Account { survey, account });
+        actions.push(Action::Inventory { survey, account });
         for to in self.all_readers(now) {
             actions.push(send(to, Message::Survey { survey }));
         }
     }
 
     /// What the entries of this data centre hold.
-    pub(crate) fn account(&self, now: Clock) -> Account {
+    pub(crate) fn account(&self, now: Clock) -> Inventory {
         let mut standings: BTreeMap<_, Vec<Host>> = BTreeMap::new();
         let mut silent = Vec::new();
         let digest = self.digest();
@@ -218,7 +218,7 @@
             revision,
             hosts,
         };
-        Account {
+        Inventory {
             data_centre: self.place.data_centre.clone(),
             standings: standings.into_iter().map(standing).collect(),
             silent,
--- a/components/spread/tests/common/mesh.rs
+++ b/components/spread/tests/common/mesh.rs
@@ -394,7 +394,7 @@
                 node.unready += 1;
             }
             Action::FactReceived { key } => self.node(host).known.push(key),
-            Action::Account { .. } => {}
+            Action::Inventory { .. } => {}
         }
     }
 
