--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -25,7 +25,7 @@
         Sign, //
     },
     message::{
-        Beat,
+        Heartbeat,
         Body,
         Holding,
         Message,
@@ -55,7 +55,7 @@
         let beat = self.own_beat(question);
         for to in self.neighbours() {
             self.members.asked(&to, now);
-            actions.push(send(to, Message::Beat(beat.clone())));
+            actions.push(send(to, Message::Heartbeat(beat.clone())));
         }
         if self.gate.is_open() && !self.is_reader(now) {
             return;
@@ -64,12 +64,12 @@
         let beat = self.own_beat(self.gate.question());
         for to in self.distant(now) {
             self.members.asked(&to, now);
-            actions.push(send(to, Message::Beat(beat.clone())));
+            actions.push(send(to, Message::Heartbeat(beat.clone())));
         }
     }
 
-    fn own_beat(&self, question: Nonce) -> Beat {
-        Beat {
+    fn own_beat(&self, question: Nonce) -> Heartbeat {
+        Heartbeat {
             data_centre: self.place.data_centre.clone(),
             incarnation: self.place.incarnation,
             leaving: self.leaving,
@@ -115,7 +115,7 @@
         actions: &mut Vec<Action>,
     ) {
         match message {
-            Message::Beat(beat) => self.take_beat(from, beat, now, actions),
+            Message::Heartbeat(beat) => self.take_beat(from, beat, now, actions),
             Message::Holding(holding) => self.take_holding(from, holding, actions),
             Message::Push(push) => self.take_push(from, push, actions),
             Message::Ack {
@@ -158,7 +158,7 @@
         }
     }
 
-    fn take_beat(&mut self, from: Host, beat: Beat, now: Clock, actions: &mut Vec<Action>) {
+    fn take_beat(&mut self, from: Host, beat: Heartbeat, now: Clock, actions: &mut Vec<Action>) {
         let sign = Sign {
             data_centre: beat.data_centre,
             role: Role::Entry,
@@ -174,7 +174,7 @@
         peer.store_fails = beat.store_fails;
         if beat.question != 0 {
             let answer = match beat.ready {
-                true => Message::Beat(self.own_beat(0)),
+                true => Message::Heartbeat(self.own_beat(0)),
                 false => self.holding(beat.question, true),
             };
             actions.push(send(from.clone(), answer));
--- a/components/spread/src/message.rs
+++ b/components/spread/src/message.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// A heartbeat with digests of all that the sender holds.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// What the sender holds; the receiver sends what is newer.
     Holding(Holding),
     /// A document.
@@ -71,7 +71,7 @@
 
 /// A heartbeat. Digests that differ lead to [`Message::Holding`] and [`Message::Have`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender's data centre.
     pub data_centre: DataCentre,
     /// Random number of the sender's process.
