--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -27,7 +27,7 @@
     message::{
         Heartbeat,
         Body,
-        Holding,
+        Holdings,
         Message,
         Push, //
     },
@@ -98,7 +98,7 @@
             .slots
             .iter()
             .map(|(e, slot)| (e.clone(), slot.revision()));
-        Message::Holding(Holding {
+        Message::Holdings(Holdings {
             held: held.collect(),
             ready: self.gate.is_open(),
             answers,
@@ -116,7 +116,7 @@
     ) {
         match message {
             Message::Heartbeat(beat) => self.take_beat(from, beat, now, actions),
-            Message::Holding(holding) => self.take_holding(from, holding, actions),
+            Message::Holdings(holding) => self.take_holding(from, holding, actions),
             Message::Push(push) => self.take_push(from, push, actions),
             Message::Ack {
                 environment,
@@ -199,7 +199,7 @@
         Message::Have { class, marks }
     }
 
-    fn take_holding(&mut self, from: Host, holding: Holding, actions: &mut Vec<Action>) {
+    fn take_holding(&mut self, from: Host, holding: Holdings, actions: &mut Vec<Action>) {
         let peer = self.peers.entry(from.clone()).or_default();
         peer.held = holding.held.iter().cloned().collect();
         self.gate.answer(
--- a/components/spread/src/message.rs
+++ b/components/spread/src/message.rs
@@ -29,7 +29,7 @@
     /// A heartbeat with digests of all that the sender holds.
     Heartbeat(Heartbeat),
     /// What the sender holds; the receiver sends what is newer.
-    Holding(Holding),
+    Holdings(Holdings),
     /// A document.
     Push(Push),
     /// The sender holds this revision of a document, or a newer one.
@@ -94,7 +94,7 @@
 
 /// What a process holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct Holdings {
     /// Revisions by environment.
     pub held: Vec<(Environment, Revision)>,
     /// The sender may serve.
