--- a/components/measure/src/spread.rs
+++ b/components/measure/src/spread.rs
@@ -222,7 +222,7 @@
     let size = weigh(message);
     match message {
         Message::Push(push) => match &push.body {
-            Body::Change { delta, .. } => size + (delta.start + delta.end) as usize,
+            Body::Delta { delta, .. } => size + (delta.start + delta.end) as usize,
             Body::Whole(_) => size,
         },
         _ => size,
--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -253,7 +253,7 @@
         };
         let body = match slot.previous() {
             Some(previous) if self.holds_previous(to, environment, previous.revision) => {
-                Body::Change {
+                Body::Delta {
                     base: previous.revision,
                     revision: newest.revision,
                     digest: newest.digest,
@@ -385,7 +385,7 @@
 fn open(slot: &Slot, body: Body) -> Option<Edition> {
     let (base, revision, digest, delta) = match body {
         Body::Whole(edition) => return Some(edition),
-        Body::Change {
+        Body::Delta {
             base,
             revision,
             digest,
--- a/components/spread/src/message.rs
+++ b/components/spread/src/message.rs
@@ -122,7 +122,7 @@
     /// The whole document.
     Whole(Edition),
     /// What changed.
-    Change {
+    Delta {
         /// Revision that the change was made from.
         base: Revision,
         /// The new revision.
@@ -139,7 +139,7 @@
     pub fn revision(&self) -> Revision {
         match self {
             Body::Whole(edition) => edition.revision,
-            Body::Change { revision, .. } => *revision,
+            Body::Delta { revision, .. } => *revision,
         }
     }
 }
