--- a/components/models/src/spread.rs
+++ b/components/models/src/spread.rs
@@ -226,7 +226,7 @@
                 false if at < READERS || !process.ready() => actions.push(Action::Read(at)),
                 false => {}
             }
-            if process.slot.waits() && self.others(at).is_empty() {
+            if process.slot.is_pending() && self.others(at).is_empty() {
                 actions.push(Action::Alone(at));
             }
             if !process.ready() {
@@ -285,7 +285,7 @@
             Action::Answer { from, to } => self.answer(*from, *to, twin),
             Action::Alone(at) => {
                 if let Some(process) = &mut self.hosts[*at].process {
-                    process.slot.alone();
+                    process.slot.activate();
                 }
             }
             Action::Open(at) => self.open(*at, twin),
@@ -312,12 +312,12 @@
         let Some(process) = &mut self.hosts[at].process else {
             return;
         };
-        process.slot.read(edition(revision));
+        process.slot.stage(edition(revision));
         if twin == Twin::Unshared {
-            process.slot.alone();
+            process.slot.activate();
         }
         process.gate.store_read();
-        if process.slot.waits() || twin == Twin::Unshared {
+        if process.slot.is_pending() || twin == Twin::Unshared {
             for to in self.others(at) {
                 self.network.insert(Packet::Push { to, revision });
             }
@@ -343,7 +343,7 @@
             }
             Packet::Ack { to, revision } => {
                 if let Some(process) = &mut self.hosts[*to].process {
-                    process.slot.shared(*revision);
+                    process.slot.confirm(*revision);
                 }
             }
             Packet::Answer {
@@ -397,7 +397,7 @@
         let Some(process) = &mut self.hosts[at].process else {
             return;
         };
-        if process.slot.waits() {
+        if process.slot.is_pending() {
             return;
         }
         let held = process.slot.revision();
@@ -438,8 +438,8 @@
     if let Some(edition) = slot.in_force() {
         plain.receive(edition.clone());
     }
-    if let Some(edition) = slot.newest().filter(|_| slot.waits()) {
-        plain.read(edition.clone());
+    if let Some(edition) = slot.newest().filter(|_| slot.is_pending()) {
+        plain.stage(edition.clone());
     }
     plain
 }
--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -325,7 +325,7 @@
         let Some(slot) = self.slots.get_mut(&environment) else {
             return;
         };
-        if slot.shared(revision) == Step::InForce {
+        if slot.confirm(revision) == Step::InForce {
             self.in_force(environment, actions);
         }
     }
--- a/components/spread/src/replica.rs
+++ b/components/spread/src/replica.rs
@@ -279,7 +279,7 @@
     ) {
         for (environment, edition) in documents {
             let slot = self.slots.entry(environment.clone()).or_default();
-            if slot.read(edition) != Step::Pending {
+            if slot.stage(edition) != Step::Pending {
                 continue;
             }
             self.waiting.insert(environment.clone(), now);
@@ -298,14 +298,14 @@
         let waiting = std::mem::take(&mut self.waiting);
         for (environment, since) in waiting {
             let slot = self.slots.entry(environment.clone()).or_default();
-            if !slot.waits() {
+            if !slot.is_pending() {
                 continue;
             }
             if company && now.saturating_sub(since) < SHARE {
                 self.waiting.insert(environment, since);
                 continue;
             }
-            slot.alone();
+            slot.activate();
             self.in_force(environment, actions);
         }
     }
@@ -342,7 +342,7 @@
             return;
         }
         // A process that is about to serve must have in force what it holds.
-        if self.slots.values().any(Slot::waits) {
+        if self.slots.values().any(Slot::is_pending) {
             return;
         }
         let neighbours = self.neighbours().into_iter().collect();
--- a/components/spread/src/slot.rs
+++ b/components/spread/src/slot.rs
@@ -45,7 +45,7 @@
 
 impl Slot {
     /// Takes a document from the store.
-    pub fn read(&mut self, edition: Edition) -> Step {
+    pub fn stage(&mut self, edition: Edition) -> Step {
         if edition.revision <= self.revision() {
             return Step::Old;
         }
@@ -60,7 +60,7 @@
             return Step::Old;
         }
         if edition.revision == self.revision() {
-            return self.shared(edition.revision);
+            return self.confirm(edition.revision);
         }
         self.previous = self.newest().cloned();
         self.pending = None;
@@ -69,7 +69,7 @@
     }
 
     /// Another process said that it holds this revision or a newer one.
-    pub fn shared(&mut self, revision: Revision) -> Step {
+    pub fn confirm(&mut self, revision: Revision) -> Step {
         match self.pending.take_if(|pending| pending.revision <= revision) {
             Some(pending) => {
                 self.in_force = Some(pending);
@@ -80,8 +80,8 @@
     }
 
     /// There is nobody to share a pending document with: it comes into force all the same.
-    pub fn alone(&mut self) -> Step {
-        self.shared(Revision::MAX)
+    pub fn activate(&mut self) -> Step {
+        self.confirm(Revision::MAX)
     }
 
     /// The document in force.
@@ -100,7 +100,7 @@
     }
 
     /// Tells whether a document waits for another process to hold it.
-    pub fn waits(&self) -> bool {
+    pub fn is_pending(&self) -> bool {
         self.pending.is_some()
     }
 
--- a/components/spread/tests/parts.rs
+++ b/components/spread/tests/parts.rs
@@ -53,11 +53,11 @@
     let mut slot = Slot::default();
     assert_eq!(slot.receive(edition(2)), Step::InForce);
     assert_eq!(slot.receive(edition(1)), Step::Old);
-    assert_eq!(slot.read(edition(1)), Step::Old);
+    assert_eq!(slot.stage(edition(1)), Step::Old);
     assert_eq!(slot.in_force(), Some(&edition(2)));
-    assert_eq!(slot.read(edition(4)), Step::Pending);
+    assert_eq!(slot.stage(edition(4)), Step::Pending);
     assert_eq!(slot.receive(edition(3)), Step::Old);
-    assert_eq!(slot.shared(3), Step::Old);
+    assert_eq!(slot.confirm(3), Step::Old);
     assert_eq!(slot.in_force(), Some(&edition(2)));
     assert_eq!(slot.receive(edition(4)), Step::InForce);
     assert_eq!(slot.previous(), Some(&edition(2)));
