--- a/components/models/src/spread.rs
+++ b/components/models/src/spread.rs
@@ -357,7 +357,7 @@
                     return;
                 };
                 let question = match twin {
-                    Twin::AnyQuestion => process.gate.question(),
+                    Twin::AnyQuestion => process.gate.nonce(),
                     _ => *question,
                 };
                 let ready = *ready || twin == Twin::Unready;
@@ -377,7 +377,7 @@
         let answer = Packet::Answer {
             from,
             to,
-            question: asking.gate.question(),
+            question: asking.gate.nonce(),
             ready: asked.ready(),
             revision,
         };
--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -50,7 +50,7 @@
     pub(crate) fn beat(&mut self, now: Clock, actions: &mut Vec<Action>) {
         let question = match self.gate.is_open() {
             true => 0,
-            false => self.gate.question(),
+            false => self.gate.nonce(),
         };
         let beat = self.own_beat(question);
         for to in self.neighbours() {
@@ -61,7 +61,7 @@
             return;
         }
         // Other data centres don't beat by themselves; they are asked to answer.
-        let beat = self.own_beat(self.gate.question());
+        let beat = self.own_beat(self.gate.nonce());
         for to in self.distant(now) {
             self.members.asked(&to, now);
             actions.push(send(to, Message::Heartbeat(beat.clone())));
--- a/components/spread/src/gate.rs
+++ b/components/spread/src/gate.rs
@@ -67,7 +67,7 @@
     }
 
     /// A closed gate for a process that was ready before, and may have missed something since.
-    pub fn again(question: Nonce) -> Self {
+    pub fn resumed(question: Nonce) -> Self {
         Self {
             kept: true,
             ..Self::new(question)
@@ -75,7 +75,7 @@
     }
 
     /// The number that neighbours' answers must carry.
-    pub fn question(&self) -> Nonce {
+    pub fn nonce(&self) -> Nonce {
         self.question
     }
 
--- a/components/spread/src/replica.rs
+++ b/components/spread/src/replica.rs
@@ -262,7 +262,7 @@
         self.times.tick = now;
         self.members.resume(now);
         if self.gate.is_open() {
-            self.gate = Gate::again(self.rng.random_range(1..Nonce::MAX));
+            self.gate = Gate::resumed(self.rng.random_range(1..Nonce::MAX));
             actions.push(Action::Unready);
         }
         actions.extend(self.watch.restart(now).map(Action::from));
