--- a/components/entry/src/documents/edit.rs
+++ b/components/entry/src/documents/edit.rs
@@ -73,7 +73,7 @@
                 envelope,
             } => write(platform, environment, *expect, envelope).await,
         };
-        if matches!(answer, Answer::Refused | Answer::Silent) {
+        if matches!(answer, Answer::Refused | Answer::Unanswered) {
             failures += 1;
             sleep(PAUSE * failures).await;
         }
@@ -92,9 +92,9 @@
     match platform.put(&key(environment), &value, expect, None).await {
         Ok(Write::Done { revision }) => Answer::Written(revision),
         Ok(Write::Conflict { entry }) => Answer::Conflict(entry.as_ref().map(open)),
-        Err(Error::TooLarge) => Answer::Large,
+        Err(Error::TooLarge) => Answer::TooLarge,
         Err(Error::Outage | Error::Busy { .. }) => Answer::Refused,
         // All that is left may have taken effect.
-        Err(_) => Answer::Silent,
+        Err(_) => Answer::Unanswered,
     }
 }
--- a/components/models/src/edits.rs
+++ b/components/models/src/edits.rs
@@ -218,12 +218,12 @@
                 self.faults -= 1;
                 let step = self.operators[*at].step.clone();
                 self.serve(&step, twin);
-                self.answer(*at, Answer::Silent, twin);
+                self.answer(*at, Answer::Unanswered, twin);
             }
             Action::Delay(at) => {
                 self.faults -= 1;
                 self.on_the_way.push(self.operators[*at].step.clone());
-                self.answer(*at, Answer::Silent, twin);
+                self.answer(*at, Answer::Unanswered, twin);
             }
             Action::Arrive => {
                 let step = self.on_the_way.remove(0);
@@ -241,7 +241,7 @@
             self.changed = stored.as_ref() != Some(&self.tried);
         }
         let answer = match (twin, answer) {
-            (Twin::SilenceIsNo, Answer::Silent) => Answer::Refused,
+            (Twin::SilenceIsNo, Answer::Unanswered) => Answer::Refused,
             (Twin::NoHistory, Answer::Conflict(stored)) => Answer::Conflict(stored.map(forget)),
             (Twin::NoHistory, Answer::Read(stored)) => Answer::Read(stored.map(forget)),
             // Whatever stands there now passes for what was tried.
--- a/components/spread/src/edit.rs
+++ b/components/spread/src/edit.rs
@@ -103,11 +103,11 @@
     /// A write found another revision than it expected: what stands there.
     Conflict(Option<Stored>),
     /// The value is larger than the store takes.
-    Large,
+    TooLarge,
     /// The store answered that it didn't do it; a read also when it didn't answer.
     Refused,
     /// A write got no answer: it may have taken effect, or may still.
-    Silent,
+    Unanswered,
 }
 
 /// What is to be done next.
@@ -231,8 +231,8 @@
                 Some(outcome) => self.done(outcome),
                 None => self.done(raced(stored)),
             },
-            (State::Write(_), Answer::Large) => self.done(Outcome::Large),
-            (State::Write(_), Answer::Silent) => {
+            (State::Write(_), Answer::TooLarge) => self.done(Outcome::Large),
+            (State::Write(_), Answer::Unanswered) => {
                 self.doubt = true;
                 self.again()
             }
--- a/components/spread/tests/edit.rs
+++ b/components/spread/tests/edit.rs
@@ -50,7 +50,7 @@
                 envelope,
             } => {
                 if fault == Fault::LoseWrite {
-                    return Answer::Silent;
+                    return Answer::Unanswered;
                 }
                 let stands = self.documents.get(environment);
                 if stands.map_or(0, |stored| stored.revision) != *expect {
@@ -63,7 +63,7 @@
                 };
                 self.documents.insert(environment.clone(), stored);
                 match fault {
-                    Fault::LoseAnswer => Answer::Silent,
+                    Fault::LoseAnswer => Answer::Unanswered,
                     _ => Answer::Written(self.revision),
                 }
             }
