--- a/components/spread/src/edit.rs
+++ b/components/spread/src/edit.rs
@@ -23,7 +23,7 @@
 use crate::slot::Edition;
 
 /// Number of earlier edits that are kept with a document.
-pub const HISTORY: usize = 50;
+pub const MAX_HISTORY: usize = 50;
 
 /// How often a write is tried before the store counts as out.
 pub const TRIES: u32 = 5;
@@ -274,7 +274,7 @@
         if let Some(stored) = stored {
             history.push(stored.envelope.edit);
             history.extend(stored.envelope.history);
-            history.truncate(HISTORY);
+            history.truncate(MAX_HISTORY);
         }
         let envelope = Envelope {
             edit: Record {
