--- a/components/spread/src/edit.rs
+++ b/components/spread/src/edit.rs
@@ -26,7 +26,7 @@
 pub const MAX_HISTORY: usize = 50;
 
 /// How often a write is tried before the store counts as out.
-pub const TRIES: u32 = 5;
+pub const MAX_ATTEMPTS: u32 = 5;
 
 /// A document with its history, as it stands in the store under `env/<environment>`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -315,7 +315,7 @@
 
     fn again(&mut self) -> Step {
         self.tries += 1;
-        if self.tries >= TRIES {
+        if self.tries >= MAX_ATTEMPTS {
             return self.done(match self.doubt {
                 true => Outcome::Unknown,
                 false => Outcome::Unavailable,
