--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -21,11 +21,11 @@
 };
 use spread::{
     Action,
-    Replica,
     Edition,
     Event,
-    Message,
     Identity, //
+    Message,
+    Replica,
 };
 use store::store::Entry;
 use tokio::{
--- a/components/entry/src/hosts/keeper.rs
+++ b/components/entry/src/hosts/keeper.rs
@@ -76,7 +76,9 @@
             Ok(hosts) => {
                 out = false;
                 due = Instant::now() + pause(hosts.len());
-                state.documents.event(spread::Event::HostList(listings(&hosts)));
+                state
+                    .documents
+                    .event(spread::Event::HostList(listings(&hosts)));
                 learn(&state, hosts);
             }
             Err(error) => {
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -22,11 +22,11 @@
         Loads,
         MAX_DATAGRAM_BYTES,
         Message,
-        Receipt,
         Number,
-        Scope,
         Prompt,
         Reassembly,
+        Receipt,
+        Scope,
         Table, //
     },
 };
@@ -354,7 +354,8 @@
                 return;
             }
         };
-        let Receipt::Accepted { ended, back } = self.table.receive(clock::now(), from, &beacon) else {
+        let Receipt::Accepted { ended, back } = self.table.receive(clock::now(), from, &beacon)
+        else {
             return;
         };
         let addresses = self.table.introduction(clock::now(), from);
@@ -391,7 +392,9 @@
 fn fit(beacon: &mut Beacon) {
     let loads = &mut beacon.loads;
     loads.sort_unstable_by_key(|load| std::cmp::Reverse(load.unread + load.tokens));
-    while postcard::to_stdvec(&*beacon).is_ok_and(|bytes| bytes.len() > MAX_DATAGRAM_BYTES - ECHO_BYTES) {
+    while postcard::to_stdvec(&*beacon)
+        .is_ok_and(|bytes| bytes.len() > MAX_DATAGRAM_BYTES - ECHO_BYTES)
+    {
         let keep = beacon.loads.len().max(beacon.losses.len()) * 3 / 4;
         beacon.loads.truncate(keep);
         beacon.losses.truncate(keep);
--- a/components/gateway/tests/divided.rs
+++ b/components/gateway/tests/divided.rs
@@ -188,7 +188,12 @@
             hash: PART,
             server: beacon::number(&name(17)),
         };
-        send(&fleet.peer, &fleet.harness, Message::CachedPrompts(vec![read])).await;
+        send(
+            &fleet.peer,
+            &fleet.harness,
+            Message::CachedPrompts(vec![read]),
+        )
+        .await;
         let behind = Beacon {
             sequence: 2,
             timestamp: 1234,
--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -12,7 +12,6 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::{
-    replica::Replica,
     delta::Delta,
     event::Action,
     fact::{
@@ -25,12 +24,13 @@
         Sign, //
     },
     message::{
-        Heartbeat,
         Body,
+        Heartbeat,
         Holdings,
         Message,
         Push, //
     },
+    replica::Replica,
     slot::{
         Edition,
         Slot,
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -4,7 +4,6 @@
 //! whole of one process; its parts stand alone, so that each can be read, tested and searched.
 
 pub mod beacon;
-pub mod replica;
 pub mod delta;
 pub mod edit;
 pub mod event;
@@ -15,10 +14,10 @@
 pub mod membership;
 pub mod message;
 mod reach;
+pub mod replica;
 pub mod slot;
 pub mod watch;
 
-pub use replica::Replica;
 pub use edit::Edit;
 pub use event::{
     Action,
@@ -34,6 +33,7 @@
 pub use gate::Gate;
 pub use membership::Membership;
 pub use message::Message;
+pub use replica::Replica;
 pub use slot::{
     Edition,
     Slot, //
--- a/components/spread/src/reach.rs
+++ b/components/spread/src/reach.rs
@@ -16,10 +16,6 @@
 };
 
 use crate::{
-    replica::{
-        Replica,
-        READERS, //
-    },
     event::Action,
     exchange::send,
     fact::{
@@ -36,6 +32,10 @@
         Message,
         Standing, //
     },
+    replica::{
+        READERS, //
+        Replica,
+    },
     slot::Slot, //
 };
 
--- a/components/spread/tests/common/mesh.rs
+++ b/components/spread/tests/common/mesh.rs
@@ -23,11 +23,11 @@
 };
 use spread::{
     Action,
-    Replica,
     Edition,
     Event,
-    Message,
     Identity,
+    Message,
+    Replica,
     membership::{
         Listing,
         Role, //
--- a/components/spread/tests/fragments.rs
+++ b/components/spread/tests/fragments.rs
@@ -58,7 +58,11 @@
     let mut received = None;
     for message in split(changes.clone()) {
         let encoded = postcard::to_stdvec(&message).expect("encoded");
-        assert!(encoded.len() <= MAX_DATAGRAM_BYTES, "{} bytes", encoded.len());
+        assert!(
+            encoded.len() <= MAX_DATAGRAM_BYTES,
+            "{} bytes",
+            encoded.len()
+        );
         received = match postcard::from_bytes(&encoded).expect("decoded") {
             Message::Changes(changes) => Some(changes),
             Message::Fragment(fragment) => reassembly.add(peer(1), fragment),
