--- a/components/entry/src/documents.rs
+++ b/components/entry/src/documents.rs
@@ -25,8 +25,8 @@
     Event,
     Fact,
     Key,
-    message::Inventory, //
-    replica::PAUSE_THRESHOLD,
+    message::Inventory,
+    replica::PAUSE_THRESHOLD, //
 };
 use tokio::{
     sync::{
--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -23,9 +23,9 @@
     Action,
     Edition,
     Event,
-    Identity, //
+    Identity,
     Message,
-    Replica,
+    Replica, //
 };
 use store::store::Entry;
 use tokio::{
@@ -180,8 +180,8 @@
                     let _ = self.state.documents.known.send((key, fact.clone()));
                 }
             }
-            Action::Inventory { survey, account } => {
-                self.state.documents.account(survey, account);
+            Action::Inventory { survey, inventory } => {
+                self.state.documents.account(survey, inventory);
             }
         }
     }
--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -323,6 +323,6 @@
     let server = number(&engine.server);
     parts
         .into_iter()
-        .map(|(part, _)| Prompt { hash: part, server })
+        .map(|(hash, _)| Prompt { hash, server })
         .collect()
 }
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -361,10 +361,10 @@
                 host.peers.insert(*from, (*incarnation, *stamp, now));
                 let beacon = Beacon {
                     freshness: fresh.map(|(revision, ms)| Age { revision, ms }),
-                    echo: echo.map(|(incarnation, stamp, held_ms)| Echo {
+                    echo: echo.map(|(incarnation, timestamp, delay_ms)| Echo {
                         incarnation,
-                        timestamp: stamp,
-                        delay_ms: held_ms,
+                        timestamp,
+                        delay_ms,
                     }),
                     ..Beacon::default()
                 };
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -1,8 +1,8 @@
-//! What entries tell one another a few times a second, in one datagram each.
+//! UDP beacons that entries exchange several times a second, one datagram each.
 //!
-//! The load that it answers: many entries send work to the same engines and none sees what the
-//! others send. Reports of the engines are dear and late; what was sent is known at once. A
-//! datagram that is lost is made up for by the next, as each says all there is.
+//! Many entries send work to the same engines, and none sees what the others send. Load reports
+//! from the engines are expensive and late, while the sending entry knows at once what it sent.
+//! Each beacon carries the sender's full state, so the next one makes up for a lost datagram.
 
 use std::{
     net::SocketAddr,
@@ -38,191 +38,191 @@
     Table, //
 };
 
-/// Number of a server or service in a beacon: the lower half of its name's hash.
+/// Numeric id of a server or service in a beacon: the lower 32 bits of the XXH3 hash of its name.
 pub type Number = u32;
 
-/// Number of a peer's run.
+/// Random id of one run of a peer's process.
 pub type Incarnation = u64;
 
-/// Number of a server or service.
+/// Returns the numeric id of the server or service with this name.
 pub fn number(name: &str) -> Number {
     xxh3_64(name.as_bytes()) as Number
 }
 
-/// One datagram.
+/// State of one process, sent in one datagram.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beacon {
-    /// Who sends it.
+    /// Host of the sender.
     pub host: Host,
-    /// Number of its run.
+    /// Id of the sender's run.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Data centre of the sender.
     pub data_centre: DataCentre,
-    /// Number of the datagram within the run; late ones are dropped.
+    /// Sequence number within the run; receivers drop datagrams that arrive out of order.
     pub sequence: u64,
-    /// It takes no new work.
+    /// Whether the sender is shutting down and accepts no new work.
     pub leaving: bool,
-    /// Work that it has at servers.
+    /// Work that the sender has in progress, by server.
     pub loads: Vec<Load>,
-    /// Servers that should get no new work for a while.
+    /// Servers that should receive no new work for a while.
     pub losses: Vec<Loss>,
-    /// What it sent of late, by service.
+    /// Requests and retries recently sent, by service.
     pub sends: Vec<Sends>,
-    /// Prompts that servers have read for it.
+    /// Prompts that servers have processed for the sender and may have cached.
     pub prompts: Vec<Prompt>,
-    /// Requests that wait there and can still be in time, by service.
+    /// Number of queued requests that can still meet their deadline, by service.
     pub queued: Vec<(Number, u32)>,
-    /// Moves between versions: the service, and what was counted.
+    /// Measurements of moves between versions, by service.
     pub moves: Vec<(Number, Tale)>,
-    /// Some other peers' addresses.
+    /// Addresses of some other peers.
     pub addresses: Vec<SocketAddr>,
-    /// Peers that the sender hears.
+    /// Number of peers that the sender receives beacons from.
     pub peer_count: u32,
-    /// Time until the next beacon at the latest, in milliseconds.
+    /// Longest time until the next beacon, in milliseconds.
     pub interval_ms: u32,
-    /// The sender's clock, in milliseconds.
+    /// The sender's monotonic clock, in milliseconds.
     pub timestamp: u64,
-    /// How current the sender's knowledge is.
+    /// Store revision that the sender is known to be current with.
     pub freshness: Option<Age>,
-    /// The receiver's last stamp, given back.
+    /// The receiver's last timestamp, echoed.
     pub echo: Option<Echo>,
 }
 
-/// The store's revision that the sender knows all changes of, and how long ago it was current.
+/// Store revision whose changes the sender has all applied, and how long ago it was the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Age {
-    /// The revision.
+    /// Store revision.
     pub revision: Revision,
-    /// Milliseconds since it was the store's newest.
+    /// Milliseconds since the revision was the store's newest.
     pub ms: u64,
 }
 
-/// A stamp that is given back, so that its owner can tell when the message was made at the
-/// earliest. The time at which a message is read tells nothing: it may have waited while the reader
-/// was suspended.
+/// Echoed timestamp that gives its owner a lower bound for when the message was created. The time
+/// of receipt gives none: the message may have been queued while the receiver was suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The receiver's run that gave the stamp. A host's clock starts anew with the host, so that a
-    /// stamp of an earlier run means nothing to the next one at the same address.
+    /// Run of the receiver that issued the timestamp. The monotonic clock restarts with the host,
+    /// so a timestamp of an earlier run is meaningless to the next one at the same address.
     pub incarnation: Incarnation,
-    /// The receiver's stamp.
+    /// The receiver's timestamp, in milliseconds.
     pub timestamp: u64,
-    /// Milliseconds that it lay at the sender.
+    /// Milliseconds between receiving the timestamp and echoing it.
     pub delay_ms: u64,
 }
 
-/// Changes of the store, from one revision to another.
+/// Changes of the store between two revisions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Who knows all changes up to here can use them.
+    /// Revision that a receiver must have reached to apply the changes.
     pub from: Revision,
-    /// Who used them knows all changes up to here.
+    /// Revision that a receiver reaches by applying them.
     pub to: Revision,
-    /// Each change in order: its revision, and how the adapter to the store encodes it.
+    /// Revision and encoded change, in order; the store adapter defines the encoding.
     pub items: Vec<(Revision, Vec<u8>)>,
 }
 
-/// What a datagram holds.
+/// Content of a datagram. Postcard encodes variants by position, so their order is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// What a peer says of itself.
+    /// Periodic state of a peer.
     Beacon(Box<Beacon>),
-    /// What it heard from the store.
+    /// Changes that the sender received from the store.
     Changes(Changes),
-    /// A part of what it heard from the store.
+    /// Fragment of changes that are too long for one datagram.
     Fragment(Fragment),
-    /// Addresses of peers, for one that hears few.
+    /// Peer addresses, for a process that receives beacons from few peers.
     Introduction(Vec<SocketAddr>),
-    /// Work that changed, for peers of the same data centre.
+    /// Changed load, for peers of the same data centre.
     Loads(Loads),
-    /// Each peer should ask its part of a service's engines what their caches hold.
+    /// Requests that each peer query its share of a service's engines for their cache content.
     Lookup(Number),
-    /// What engines said that they hold.
+    /// Cache content that engines reported.
     CachedPrompts(Vec<Prompt>),
 }
 
-/// Work at one server.
+/// Work in progress at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// The server.
+    /// Id of the server.
     pub server: Number,
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Tokens that they fill.
+    /// Tokens that the requests occupy.
     pub tokens: u64,
-    /// Tokens of prompts that are still to be read.
+    /// Prompt tokens that the server has not processed yet.
     pub unread: u64,
 }
 
-/// All work of a process at some servers, as it is after a change.
+/// Load of one process at the servers where it changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loads {
-    /// Who sends it.
+    /// Run of the sender.
     pub incarnation: Incarnation,
-    /// Number of the message within the run; late ones are dropped.
+    /// Sequence number within the run; receivers drop messages that arrive out of order.
     pub sequence: u64,
-    /// The work.
+    /// Current load at the changed servers.
     pub loads: Vec<Load>,
-    /// What it sent of late, by service.
+    /// Requests and retries recently sent, by service.
     pub sends: Vec<Sends>,
 }
 
-/// A prompt that a server has read.
+/// Prompt that a server has processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prompt {
-    /// Hash of its last part, which no other prompt shares as a rule.
+    /// Hash of the last block of the prompt; in general it identifies the whole prompt.
     pub hash: u64,
-    /// The server.
+    /// Id of the server.
     pub server: Number,
 }
 
-/// What a process sent to a service within a window that all know.
+/// Requests that a process sent to a service within a window that all processes share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sends {
-    /// The service.
+    /// Id of the service.
     pub service: Number,
-    /// First sends of requests.
+    /// First attempts of requests.
     pub requests: u32,
-    /// Sends beyond the first.
+    /// Attempts after the first.
     pub retries: u32,
-    /// The same since the process started; it wraps around.
+    /// Retries since the process started; wraps around.
     pub total_retries: u32,
 }
 
-/// A server that should get no new work for a while.
+/// Server that should receive no new work for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
-    /// The server.
+    /// Id of the server.
     pub server: Number,
-    /// How long ago, in milliseconds.
+    /// Milliseconds since the failure.
     pub age_ms: u32,
-    /// What speaks against it.
+    /// Kind of failure.
     pub suspicion: Suspicion,
 }
 
-/// What speaks against a server.
+/// Kind of failure that makes a server suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Suspicion {
-    /// It refused a connection.
+    /// The server refused a connection.
     Refused,
-    /// Nothing came back from it, not even a refusal.
+    /// The server did not respond, not even with a refusal.
     Dark,
-    /// It broke a connection as soon as it had the request.
+    /// The server closed a connection as soon as it had received the request.
     Broke,
-    /// It was full.
+    /// The server was at capacity.
     Full,
 }
 
 impl Beacon {
-    /// What a beacon says of the store, by the clock of the receiver's run; `None` when it can't be
-    /// told when the beacon was made.
+    /// Returns the freshness claim of this beacon in terms of the receiver's clock. Returns `None`
+    /// without a claim, and without an echo from the receiver's current run, as the age of the
+    /// beacon is then unknown.
     pub fn claim(&self, receiver: Incarnation) -> Option<Claim> {
-        let fresh = self.freshness?;
+        let age = self.freshness?;
         let echo = self.echo.filter(|echo| echo.incarnation == receiver)?;
-        let made = Duration::from_millis(echo.timestamp + echo.delay_ms);
+        let created = Duration::from_millis(echo.timestamp + echo.delay_ms);
         Some(Claim {
-            revision: fresh.revision,
-            at: made.saturating_sub(Duration::from_millis(fresh.ms)),
+            revision: age.revision,
+            at: created.saturating_sub(Duration::from_millis(age.ms)),
         })
     }
 }
--- a/components/spread/src/beacon/fragment.rs
+++ b/components/spread/src/beacon/fragment.rs
@@ -1,8 +1,8 @@
-//! Changes of the store that don't fit a datagram, in several.
+//! Fragmentation of store changes that do not fit into one datagram.
 //!
-//! The load that it answers: a document of some ten kilobytes changes, or a data centre's servers
-//! register at once. A packet that is too long is lost whole, and then each process of the fleet reads
-//! the change from the store.
+//! This happens when a document of some ten kilobytes changes, or when all servers of a data centre
+//! register at once. IP drops an oversized packet as a whole, and then every process of the fleet
+//! would read the change from the store.
 
 use std::{
     collections::VecDeque,
@@ -24,39 +24,39 @@
     Message, //
 };
 
-/// Longest datagram that is sent, in bytes.
+/// Size limit of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// Bytes of a fragment beside its content: the message's kind, numbers, length.
-const HEAD: usize = 24;
+/// Encoding overhead of a fragment, in bytes: message tag, hash, index, count and length.
+const FRAGMENT_OVERHEAD_BYTES: usize = 24;
 
-/// Fragments of one message at most. What needs more is read from the store.
+/// Limit on the fragments of one message. Receivers read larger changes from the store.
 const MAX_FRAGMENTS: usize = 64;
 
-/// Bytes of changes at most, once they are inflated.
-const MAX_INFLATED: usize = 4 << 20;
+/// Limit on the decompressed size of changes, in bytes.
+const MAX_DECOMPRESSED_BYTES: usize = 4 << 20;
 
-/// Messages that are put together at the same time; the oldest yields.
-const MAX_PENDING: usize = 8;
+/// Limit on messages under reassembly; a new one evicts the oldest.
+const MAX_PENDING_MESSAGES: usize = 8;
 
-/// Effort of compression: names and registrations repeat, so that little finds most.
-const LEVEL: u8 = 3;
+/// Zlib level. Names and registrations are repetitive, so a low level already finds most matches.
+const COMPRESSION_LEVEL: u8 = 3;
 
-/// A part of changes that are too long for one datagram.
+/// Fragment of compressed changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fragment {
-    /// Hash of the whole.
+    /// Hash of the whole compressed message.
     pub whole: u64,
-    /// Its place.
+    /// Position in the message, from 0.
     pub index: u16,
-    /// Number of fragments.
+    /// Number of fragments in the message.
     pub count: u16,
-    /// Content.
+    /// Content of the fragment.
     pub bytes: Vec<u8>,
 }
 
-/// Messages that carry changes, each of which fits a datagram; none when they are too long. Whoever
-/// misses changes reads them from the store.
+/// Encodes changes as messages that each fit into a datagram. Returns no messages if the changes
+/// are too large; processes that lack them then read them from the store.
 pub fn split(changes: Changes) -> Vec<Message> {
     let Ok(bytes) = postcard::to_stdvec(&changes) else {
         return Vec::new();
@@ -64,8 +64,8 @@
     if bytes.len() < MAX_DATAGRAM_BYTES {
         return vec![Message::Changes(changes)];
     }
-    let bytes = compress_to_vec_zlib(&bytes, LEVEL);
-    let chunks = bytes.chunks(MAX_DATAGRAM_BYTES - HEAD);
+    let bytes = compress_to_vec_zlib(&bytes, COMPRESSION_LEVEL);
+    let chunks = bytes.chunks(MAX_DATAGRAM_BYTES - FRAGMENT_OVERHEAD_BYTES);
     let count = chunks.len();
     if count > MAX_FRAGMENTS {
         return Vec::new();
@@ -82,7 +82,7 @@
     chunks.enumerate().map(fragment).collect()
 }
 
-/// Puts fragments together again.
+/// Reassembles fragments of concurrent messages from several peers.
 #[derive(Debug, Default)]
 pub struct Reassembly {
     pending: VecDeque<Pending>,
@@ -92,45 +92,48 @@
 struct Pending {
     from: SocketAddr,
     whole: u64,
-    parts: Vec<Option<Vec<u8>>>,
+    fragments: Vec<Option<Vec<u8>>>,
 }
 
 impl Reassembly {
-    /// Takes a fragment from a peer; gives the changes with the last one.
+    /// Adds a fragment from a peer. Returns the changes when the message is complete and its hash
+    /// matches.
     pub fn add(&mut self, from: SocketAddr, fragment: Fragment) -> Option<Changes> {
         let (index, count) = (usize::from(fragment.index), usize::from(fragment.count));
         if index >= count || count > MAX_FRAGMENTS {
             return None;
         }
-        let known = |pending: &Pending| {
-            pending.from == from && pending.whole == fragment.whole && pending.parts.len() == count
+        let same_message = |pending: &Pending| {
+            pending.from == from
+                && pending.whole == fragment.whole
+                && pending.fragments.len() == count
         };
-        let at = match self.pending.iter().position(known) {
+        let at = match self.pending.iter().position(same_message) {
             Some(at) => at,
-            None => self.begin(from, fragment.whole, count),
+            None => self.insert(from, fragment.whole, count),
         };
         let pending = &mut self.pending[at];
-        pending.parts[index] = Some(fragment.bytes);
-        if pending.parts.iter().any(Option::is_none) {
+        pending.fragments[index] = Some(fragment.bytes);
+        if pending.fragments.iter().any(Option::is_none) {
             return None;
         }
         let pending = self.pending.remove(at)?;
-        let bytes: Vec<u8> = pending.parts.into_iter().flatten().flatten().collect();
+        let bytes: Vec<u8> = pending.fragments.into_iter().flatten().flatten().collect();
         if xxh3_64(&bytes) != pending.whole {
             return None;
         }
-        let bytes = decompress_to_vec_zlib_with_limit(&bytes, MAX_INFLATED).ok()?;
+        let bytes = decompress_to_vec_zlib_with_limit(&bytes, MAX_DECOMPRESSED_BYTES).ok()?;
         postcard::from_bytes(&bytes).ok()
     }
 
-    fn begin(&mut self, from: SocketAddr, whole: u64, count: usize) -> usize {
-        if self.pending.len() >= MAX_PENDING {
+    fn insert(&mut self, from: SocketAddr, whole: u64, count: usize) -> usize {
+        if self.pending.len() >= MAX_PENDING_MESSAGES {
             self.pending.pop_front();
         }
         self.pending.push_back(Pending {
             from,
             whole,
-            parts: vec![None; count],
+            fragments: vec![None; count],
         });
         self.pending.len() - 1
     }
--- a/components/spread/src/beacon/table.rs
+++ b/components/spread/src/beacon/table.rs
@@ -1,4 +1,4 @@
-//! The peers that are heard: whom a beacon goes to, who lives, and who is told what.
+//! Peers whose beacons this process receives: liveness, beacon targets and recipients of changes.
 
 use std::{
     collections::HashMap,
@@ -18,106 +18,109 @@
     Incarnation, //
 };
 
-/// Shortest silence after which a peer's work no longer counts; what it sent before it fell silent
-/// ends soon or is taken up by others.
-const SILENT: Duration = Duration::from_millis(1500);
+/// Shortest silence after which a peer's load no longer counts. Work that it sent before ends soon,
+/// or other processes take it over.
+const MIN_SILENCE: Duration = Duration::from_millis(1500);
 
-/// The same in beacons, as those of a large fleet leave many seconds apart: two may be lost.
-const SILENT_BEACONS: u32 = 3;
+/// The same in beacon intervals, which are many seconds long in a large fleet; two beacons may be
+/// lost.
+const SILENCE_INTERVALS: u32 = 3;
 
-/// Shortest silence after which a peer is forgotten.
-const GONE: Duration = Duration::from_secs(10);
+/// Shortest silence after which a peer is removed.
+const MIN_REMOVAL_SILENCE: Duration = Duration::from_secs(10);
 
-/// The same in beacons.
-const GONE_BEACONS: u32 = 6;
+/// The same in beacon intervals.
+const REMOVAL_INTERVALS: u32 = 6;
 
-/// Addresses of other peers that a beacon carries.
-const KNOWN: usize = 4;
+/// Number of peer addresses in a beacon.
+const ADDRESSES_PER_BEACON: usize = 4;
 
-/// Addresses of an introduction: with their frame they fit a datagram.
-const INTRODUCED: usize = 128;
+/// Number of peer addresses in an introduction, so that it fits into a datagram with its header.
+const ADDRESSES_PER_INTRODUCTION: usize = 128;
 
-/// Time between two introductions of the same peer: it beacons to those that it was told of, and
-/// says then how many it hears.
+/// Interval between two introductions to the same peer. Meanwhile the peer beacons to the addresses
+/// that it received and reports its new number of peers.
 const INTRODUCTION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for which an address that isn't heard gets beacons: a host that was replaced is forgotten, one
-/// behind a cut is found again when that ends.
-const TOLD_TTL: Duration = Duration::from_secs(600);
+/// Time for which an address that sends no beacons remains a beacon target. It bounds the beacons
+/// to replaced hosts, and peers behind a network partition are found again when that ends.
+const CANDIDATE_TTL: Duration = Duration::from_secs(600);
 
-/// Peers that are kept at most.
-const MOST: usize = 1024;
+/// Limit on peers, and on candidate addresses.
+const MAX_PEERS: usize = 1024;
 
-/// Time between two beacons while there is news.
-const NEWS: Duration = Duration::from_millis(60);
+/// Beacon interval while there are changes to report.
+const BUSY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Time between two beacons while there is none.
-const CALM: Duration = Duration::from_millis(500);
+/// Beacon interval while there are none.
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Peers up to which all are told what a process heard from the store. Several listen, each of them
-/// once in a while, so that what the first of them hears is known soonest; in a large fleet that
-/// would be most of the bytes between processes.
-const TOLD_ALL: usize = 8;
+/// Largest number of peers to which a process forwards all changes that it receives from the store.
+/// Several processes watch the store, each of them intermittently, so forwarding to all spreads the
+/// earliest observation fastest. In a large fleet that would be most of the traffic between
+/// processes.
+const MAX_BROADCAST_PEERS: usize = 8;
 
-/// Bytes a second that a process spends on beacons, so that a larger fleet hears less often from
-/// each peer instead of spending more.
-const BUDGET: f64 = 20_000.0;
+/// Bytes per second that a process spends on beacons. In a larger fleet the interval grows instead
+/// of the traffic.
+const BEACON_BYTES_PER_SECOND: f64 = 20_000.0;
 
-/// Whom changes of the store are for.
+/// Recipients of store changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Everybody: they were heard from the store.
+    /// All data centres: the sender received the changes from the store.
     All,
-    /// The own data centre: they were heard from a peer of another one, who told the rest.
+    /// The own data centre: the changes came from a peer in another one, which informed the rest.
     Local,
 }
 
-/// A peer as it is known.
+/// State of a peer as of its last beacon.
 #[derive(Clone, Debug)]
 struct Peer {
     host: Host,
     incarnation: Incarnation,
     sequence: u64,
-    heard: Clock,
-    pace: Duration,
+    received_at: Clock,
+    interval: Duration,
     leaving: bool,
     silent: bool,
     data_centre: DataCentre,
-    stamp: u64,
-    /// Peers that it hears.
-    peers: usize,
-    introduced: Option<Clock>,
+    timestamp: u64,
+    /// Number of peers that it receives beacons from.
+    peer_count: usize,
+    introduced_at: Option<Clock>,
 }
 
-/// What a beacon meant.
+/// Result of processing a beacon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// It is old, or our own.
+    /// The beacon is out of order, or this process sent it.
     Ignored,
-    /// It counts; what the peer said before under another incarnation is void.
+    /// The beacon is current. State of an ended run of the same peer is void.
     Accepted {
-        /// Another run of the same peer that ended.
+        /// Previous run at the same address, if it ended.
         ended: Option<Incarnation>,
-        /// The peer is new, or was silent.
+        /// Whether the peer is new, restarted, or was silent.
         back: bool,
     },
 }
 
-/// The peers.
+/// Table of peers by address.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     incarnation: Incarnation,
     peers: HashMap<SocketAddr, Peer>,
     seeds: Vec<SocketAddr>,
-    /// Addresses that peers told of, or that were heard before, and when that last was.
-    told: HashMap<SocketAddr, Clock>,
-    turn: usize,
-    /// There are addresses that no beacon went to yet.
-    grown: bool,
+    /// Addresses learned from peers or of removed peers, with the time when they were last
+    /// reported.
+    candidates: HashMap<SocketAddr, Clock>,
+    rotation: usize,
+    /// Whether there are candidates that no beacon has been sent to yet.
+    has_new_candidates: bool,
 }
 
 impl Table {
-    /// A table of a run that knows its seeds only.
+    /// Creates a table that knows only its seeds.
     pub fn new(incarnation: Incarnation, seeds: Vec<SocketAddr>) -> Table {
         Table {
             incarnation,
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Takes the seeds of changed settings besides those that are known.
+    /// Adds seed addresses from changed settings to those that are known.
     pub fn add_seeds(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
             if !self.seeds.contains(seed) {
@@ -135,14 +138,14 @@
         }
     }
 
-    /// Takes a beacon from an address.
+    /// Processes a beacon from an address.
     pub fn receive(&mut self, now: Clock, from: SocketAddr, beacon: &Beacon) -> Receipt {
         if beacon.incarnation == self.incarnation {
             return Receipt::Ignored;
         }
         let mut ended = None;
         let mut back = true;
-        let mut introduced = None;
+        let mut introduced_at = None;
         if let Some(peer) = self.peers.get(&from) {
             let same = peer.incarnation == beacon.incarnation;
             if same && peer.sequence >= beacon.sequence {
@@ -152,8 +155,8 @@
                 ended = Some(peer.incarnation);
             }
             back = !same || peer.silent;
-            introduced = peer.introduced.filter(|_| same);
-        } else if self.peers.len() >= MOST {
+            introduced_at = peer.introduced_at.filter(|_| same);
+        } else if self.peers.len() >= MAX_PEERS {
             return Receipt::Ignored;
         }
         self.peers.insert(
@@ -162,133 +165,139 @@
                 host: beacon.host.clone(),
                 incarnation: beacon.incarnation,
                 sequence: beacon.sequence,
-                heard: now,
-                pace: Duration::from_millis(u64::from(beacon.interval_ms)),
+                received_at: now,
+                interval: Duration::from_millis(u64::from(beacon.interval_ms)),
                 leaving: beacon.leaving,
                 silent: false,
                 data_centre: beacon.data_centre.clone(),
-                stamp: beacon.timestamp,
-                peers: beacon.peer_count as usize,
-                introduced,
+                timestamp: beacon.timestamp,
+                peer_count: beacon.peer_count as usize,
+                introduced_at,
             },
         );
-        self.learn(now, &beacon.addresses);
+        self.add_candidates(now, &beacon.addresses);
         Receipt::Accepted { ended, back }
     }
 
-    /// Takes addresses of peers from one that hears more. Only those that this process turned to are
-    /// believed.
+    /// Adds peer addresses from an introduction. Ignores senders that this process has not
+    /// contacted itself.
     pub fn add_introduced(&mut self, now: Clock, from: SocketAddr, addresses: &[SocketAddr]) {
-        let asked = self.seeds.contains(&from) || self.told.contains_key(&from);
-        if asked || self.contains(from) {
-            self.learn(now, addresses);
+        let contacted = self.seeds.contains(&from) || self.candidates.contains_key(&from);
+        if contacted || self.contains(from) {
+            self.add_candidates(now, addresses);
         }
     }
 
-    fn learn(&mut self, now: Clock, addresses: &[SocketAddr]) {
+    fn add_candidates(&mut self, now: Clock, addresses: &[SocketAddr]) {
         for address in addresses {
             if self.contains(*address) || self.seeds.contains(address) {
                 continue;
             }
-            let known = self.told.contains_key(address);
-            if !known && self.told.len() >= MOST {
+            let known = self.candidates.contains_key(address);
+            if !known && self.candidates.len() >= MAX_PEERS {
                 continue;
             }
-            self.told.insert(*address, now);
-            self.grown |= !known;
+            self.candidates.insert(*address, now);
+            self.has_new_candidates |= !known;
         }
     }
 
-    /// Addresses for a peer that hears fewer than three quarters of those that this process hears: it just
-    /// started, or was cut off. In a large fleet beacons are far apart and each carries few addresses;
-    /// until all are known, each process listens to the store by itself.
+    /// Returns addresses for a peer that receives beacons from fewer than three quarters as many
+    /// peers as this process: it has just started, or was partitioned off. In a large fleet beacons
+    /// are infrequent and each carries few addresses, and a process watches the store by itself
+    /// until it knows all peers.
     pub fn introduction(&mut self, now: Clock, target: SocketAddr) -> Vec<SocketAddr> {
         let count = self.peers.len();
         let Some(peer) = self.peers.get_mut(&target) else {
             return Vec::new();
         };
         let lately = |at| now.saturating_sub(at) < INTRODUCTION_INTERVAL;
-        if peer.peers * 4 >= count * 3 || peer.introduced.is_some_and(lately) {
+        if peer.peer_count * 4 >= count * 3 || peer.introduced_at.is_some_and(lately) {
             return Vec::new();
         }
-        peer.introduced = Some(now);
-        let mut addresses = self.rotated(INTRODUCED);
+        peer.introduced_at = Some(now);
+        let mut addresses = self.rotate(ADDRESSES_PER_INTRODUCTION);
         addresses.retain(|address| *address != target);
         addresses
     }
 
-    /// Number of peers that are heard.
+    /// Returns the number of peers.
     pub fn count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Whether a process was told of since the last call; the next beacon is for it too.
+    /// Returns whether candidates were added since the last call; the next beacon should not wait
+    /// then.
     pub fn take_grown(&mut self) -> bool {
-        std::mem::take(&mut self.grown)
+        std::mem::take(&mut self.has_new_candidates)
     }
 
-    /// Peers that fell silent since the last call: their work no longer counts.
+    /// Removes peers that have been silent for long. Returns those that fell silent since the last
+    /// call: their load no longer counts.
     pub fn expire(&mut self, now: Clock) -> Vec<Incarnation> {
         let mut silent = Vec::new();
         for peer in self.peers.values_mut() {
-            let after = SILENT.max(peer.pace * SILENT_BEACONS);
-            if !peer.silent && now.saturating_sub(peer.heard) > after {
+            let after = MIN_SILENCE.max(peer.interval * SILENCE_INTERVALS);
+            if !peer.silent && now.saturating_sub(peer.received_at) > after {
                 peer.silent = true;
                 silent.push(peer.incarnation);
             }
         }
-        let told = &mut self.told;
+        let candidates = &mut self.candidates;
         self.peers.retain(|address, peer| {
-            let after = GONE.max(peer.pace * GONE_BEACONS);
-            let kept = now.saturating_sub(peer.heard) <= after;
+            let after = MIN_REMOVAL_SILENCE.max(peer.interval * REMOVAL_INTERVALS);
+            let kept = now.saturating_sub(peer.received_at) <= after;
             if !kept {
-                told.insert(*address, peer.heard);
+                candidates.insert(*address, peer.received_at);
             }
             kept
         });
-        told.retain(|_, at| now.saturating_sub(*at) <= TOLD_TTL);
+        candidates.retain(|_, at| now.saturating_sub(*at) <= CANDIDATE_TTL);
         silent
     }
 
-    /// Addresses of all peers that are heard.
+    /// Returns the addresses of all peers.
     pub fn peers(&self) -> Vec<SocketAddr> {
         self.peers.keys().copied().collect()
     }
 
-    /// Addresses of the other processes of the data centre that live.
+    /// Returns the addresses of live peers in a data centre.
     pub fn local_peers(&self, data_centre: &str) -> Vec<SocketAddr> {
         let live = |peer: &Peer| !peer.silent && peer.data_centre == data_centre;
-        let near = self.peers.iter().filter(|(_, peer)| live(peer));
-        near.map(|(address, _)| *address).collect()
+        let local = self.peers.iter().filter(|(_, peer)| live(peer));
+        local.map(|(address, _)| *address).collect()
     }
 
-    /// Addresses that a beacon goes to: the peers, and seeds and addresses told of that aren't among them.
+    /// Returns the addresses that beacons are sent to: peers, seeds and candidates.
     pub fn targets(&self) -> Vec<SocketAddr> {
         let mut targets = self.peers();
-        let told = self.told.keys().filter(|told| !self.seeds.contains(told));
-        let others = self.seeds.iter().chain(told);
+        let candidates = self
+            .candidates
+            .keys()
+            .filter(|address| !self.seeds.contains(address));
+        let others = self.seeds.iter().chain(candidates);
         targets.extend(others.filter(|address| !self.contains(**address)));
         targets
     }
 
-    /// Some peers' addresses, by turns, for those that know fewer.
+    /// Returns the addresses of some peers, a different part with each call.
     pub fn sample_addresses(&mut self) -> Vec<SocketAddr> {
-        self.rotated(KNOWN)
+        self.rotate(ADDRESSES_PER_BEACON)
     }
 
-    fn rotated(&mut self, most: usize) -> Vec<SocketAddr> {
+    fn rotate(&mut self, limit: usize) -> Vec<SocketAddr> {
         let mut all: Vec<_> = self.peers.keys().copied().collect();
         if all.is_empty() {
             return all;
         }
         all.sort_unstable();
-        self.turn = (self.turn + most) % all.len();
-        all.rotate_left(self.turn);
-        all.truncate(most);
+        self.rotation = (self.rotation + limit) % all.len();
+        all.rotate_left(self.rotation);
+        all.truncate(limit);
         all
     }
 
-    /// This process's place among those that live, and their number.
+    /// Returns this process's rank among the live processes, and their number.
     pub fn rank(&self) -> (usize, usize) {
         let alive = self
             .peers
@@ -303,27 +312,28 @@
         (place, count)
     }
 
-    /// This process's place among those of its data centre that live.
+    /// Returns this process's rank among the live processes of a data centre.
     pub fn local_rank(&self, data_centre: &str) -> usize {
         let before = |peer: &&Peer| peer.incarnation < self.incarnation;
-        self.near(data_centre).filter(before).count()
+        self.local(data_centre).filter(before).count()
     }
 
-    /// Number of the other processes of the data centre that live.
+    /// Returns the number of live peers in a data centre.
     pub fn local_count(&self, data_centre: &str) -> usize {
-        self.near(data_centre).count()
+        self.local(data_centre).count()
     }
 
-    fn near(&self, data_centre: &str) -> impl Iterator<Item = &Peer> {
-        let near =
+    fn local(&self, data_centre: &str) -> impl Iterator<Item = &Peer> {
+        let local =
             move |peer: &&Peer| !peer.silent && !peer.leaving && peer.data_centre == data_centre;
-        self.peers.values().filter(near)
+        self.peers.values().filter(local)
     }
 
-    /// Who is told what this process heard: all peers of a small fleet, by who heard it from the
-    /// store; otherwise those of its data centre, and one of each other one, which passes it on.
-    pub fn recipients(&self, home: &str, reach: Scope) -> Vec<SocketAddr> {
-        match (self.peers.len() <= TOLD_ALL, reach) {
+    /// Returns the recipients of changes. In a small fleet the process that received them from the
+    /// store sends them to all peers. In a large one it sends them to its data centre and to one
+    /// process of each other data centre, which forwards them.
+    pub fn recipients(&self, own: &str, scope: Scope) -> Vec<SocketAddr> {
+        match (self.peers.len() <= MAX_BROADCAST_PEERS, scope) {
             (true, Scope::All) => return self.peers.keys().copied().collect(),
             (true, Scope::Local) => return Vec::new(),
             (false, Scope::All | Scope::Local) => {}
@@ -331,11 +341,11 @@
         let mut audience = Vec::new();
         let mut firsts: HashMap<&str, (Incarnation, SocketAddr)> = HashMap::new();
         for (address, peer) in &self.peers {
-            if peer.data_centre == home {
+            if peer.data_centre == own {
                 audience.push(*address);
                 continue;
             }
-            if peer.silent || peer.leaving || reach == Scope::Local {
+            if peer.silent || peer.leaving || scope == Scope::Local {
                 continue;
             }
             let one = (peer.incarnation, *address);
@@ -346,31 +356,38 @@
         audience
     }
 
-    /// The stamp of a peer that is given back to it.
+    /// Returns the echo of a peer's last timestamp.
     pub fn echo(&self, now: Clock, target: SocketAddr) -> Option<Echo> {
         let peer = self.peers.get(&target)?;
-        let held = now.saturating_sub(peer.heard);
+        let held = now.saturating_sub(peer.received_at);
         Some(Echo {
             incarnation: peer.incarnation,
-            timestamp: peer.stamp,
+            timestamp: peer.timestamp,
             delay_ms: u64::try_from(held.as_millis()).unwrap_or(u64::MAX),
         })
     }
 
-    /// Whether an address is a peer's that was heard.
+    /// Returns whether this address is a peer's.
     pub fn contains(&self, from: SocketAddr) -> bool {
         self.peers.contains_key(&from)
     }
 
-    /// Hosts that are heard, for logs.
+    /// Returns the hosts of all peers, for logs.
     pub fn hosts(&self) -> impl Iterator<Item = &Host> {
         self.peers.values().map(|peer| &peer.host)
     }
 
-    /// Time until the next beacon of a size, with or without news.
-    pub fn beacon_interval(&self, news: bool, bytes: usize) -> Duration {
-        let usual = if news { NEWS } else { CALM };
+    /// Returns the time until the next beacon of this size, depending on whether there are changes
+    /// to report.
+    pub fn beacon_interval(&self, changes: bool, bytes: usize) -> Duration {
+        let usual = if changes {
+            BUSY_INTERVAL
+        } else {
+            IDLE_INTERVAL
+        };
         let all = bytes * self.targets().len();
-        usual.max(Duration::from_secs_f64(all as f64 / BUDGET))
+        usual.max(Duration::from_secs_f64(
+            all as f64 / BEACON_BYTES_PER_SECOND,
+        ))
     }
 }
--- a/components/spread/src/edit.rs
+++ b/components/spread/src/edit.rs
@@ -1,12 +1,13 @@
-//! Putting and promoting a document by one compare-and-swap.
+//! Writes and promotes documents with a single compare-and-swap.
 //!
-//! What can go wrong: two operators write at once and one's work is lost without a word; the
-//! answer to a write is lost, and the operator writes again what another has replaced since; a
-//! trial is changed between its test and its promotion; the store goes out halfway. So a write
-//! names the revision that it replaces and carries an id, each document keeps the ids of those it
-//! followed, and a write without an answer is *repeated as it was*: the store takes it at most
-//! once, and what stands there then tells whether it did. All of it is one value under one key, so
-//! nothing can be half done.
+//! Failures that this handles: two operators write concurrently and one edit is lost silently; the
+//! response to a write is lost, and the operator's retry overwrites an edit made since; a trial
+//! changes between its test and its promotion; the store becomes unavailable in between.
+//!
+//! Each write therefore names the revision that it replaces and carries an id, and each document
+//! keeps the ids of earlier edits. A write without a response is repeated *unchanged*: the store
+//! applies it at most once, and the stored document then shows whether it did. Everything is one
+//! value under one key, so no edit is ever applied in part.
 
 use std::time::Duration;
 
@@ -22,63 +23,64 @@
 
 use crate::slot::Edition;
 
-/// Number of earlier edits that are kept with a document.
+/// Limit on the earlier edits that a document keeps.
 pub const MAX_HISTORY: usize = 50;
 
-/// How often a write is tried before the store counts as out.
+/// Failed store calls, counted separately for reading and writing, after which the store counts as
+/// unavailable.
 pub const MAX_ATTEMPTS: u32 = 5;
 
-/// A document with its history, as it stands in the store under `env/<environment>`.
+/// Document with its history, as the store keeps it under `env/<environment>`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Envelope {
-    /// How it came here.
+    /// The edit that wrote this version.
     pub edit: Record,
-    /// The YAML text.
+    /// YAML text of the document.
     pub text: String,
     /// Earlier edits, newest first.
     pub history: Vec<Record>,
 }
 
-/// One edit of an environment's document.
+/// Metadata of one edit of an environment's document.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Id of the edit, unique for good.
+    /// Globally unique id of the edit.
     pub id: String,
-    /// Who made it.
+    /// Operator who made the edit.
     pub operator: String,
-    /// When, as wall-clock time since 1970.
+    /// Time of the edit, as wall-clock time since the Unix epoch.
     pub at: Duration,
-    /// Revision that it replaced; 0 for the first.
+    /// Revision that the edit replaced; 0 for the first.
     pub replaced: Revision,
     /// Digest of the document.
     pub digest: u64,
-    /// The trial that was promoted; none for a put.
+    /// Trial that was promoted; `None` for a plain write.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub trial: Option<Pin>,
 }
 
-/// A document at one revision, as it was tried.
+/// Trial document at the revision that was tested.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Pin {
     /// Environment of the trial.
     pub environment: Environment,
-    /// Its revision.
+    /// Revision of the trial.
     pub revision: Revision,
-    /// Its digest.
+    /// Digest of the trial's document.
     pub digest: u64,
 }
 
-/// A document as it was read from the store.
+/// Document as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Stored {
-    /// Its revision.
+    /// Store revision of the document.
     pub revision: Revision,
-    /// The value.
+    /// Stored value.
     pub envelope: Envelope,
 }
 
 impl Stored {
-    /// What is spread of it.
+    /// Returns the part of the document that is replicated to other processes.
     pub fn edition(&self) -> Edition {
         Edition {
             revision: self.revision,
@@ -87,188 +89,189 @@
         }
     }
 
-    fn has(&self, id: &str) -> bool {
+    fn contains_edit(&self, id: &str) -> bool {
         let envelope = &self.envelope;
         envelope.edit.id == id || envelope.history.iter().any(|record| record.id == id)
     }
 }
 
-/// What the store said.
+/// Response of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A read: what stands there.
+    /// Result of a read; `None` if the document does not exist.
     Read(Option<Stored>),
-    /// A write took effect.
+    /// The write took effect at this revision.
     Written(Revision),
-    /// A write found another revision than it expected: what stands there.
+    /// The document is not at the expected revision; holds the current one.
     Conflict(Option<Stored>),
-    /// The value is larger than the store takes.
+    /// The value exceeds the store's size limit.
     TooLarge,
-    /// The store answered that it didn't do it; a read also when it didn't answer.
+    /// The store reported that it did not perform the call, or a read received no response.
     Refused,
-    /// A write got no answer: it may have taken effect, or may still.
+    /// A write received no response: it may have taken effect, or still may.
     Unanswered,
 }
 
-/// What is to be done next.
+/// Next action of the driver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Read a document.
     Read(Environment),
-    /// Write a document if its revision is `expect`, 0 for absent.
+    /// Write a document if its current revision is `expect`; 0 means that it must not exist.
     Write {
-        /// Its environment.
+        /// Environment of the document.
         environment: Environment,
-        /// Revision that it replaces.
+        /// Revision that the write replaces.
         expect: Revision,
-        /// The value.
+        /// New value.
         envelope: Envelope,
     },
-    /// It has ended.
+    /// The edit is complete.
     Done(Outcome),
 }
 
-/// How an edit ended.
+/// Result of an edit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It was accepted.
+    /// The edit was applied.
     Accepted {
-        /// Revision of the document; 0 when another edit replaced it before this was known.
+        /// Revision of the document; 0 if another edit replaced it before the result was known.
         revision: Revision,
-        /// The edit that has replaced it since, if one has.
+        /// Edit that has replaced it since, if any.
         replaced_by: Option<Record>,
     },
-    /// Another edit came first; nothing was written.
+    /// Another edit was applied first; nothing was written.
     Raced {
-        /// The revision that stands there; 0 for none.
+        /// Current revision; 0 if the document does not exist.
         revision: Revision,
         /// The other edit.
         other: Option<Record>,
     },
-    /// The trial isn't what was tried any more; nothing was written.
+    /// The trial has changed since it was tested; nothing was written.
     Changed {
-        /// The revision that the trial has now; 0 when it is gone.
+        /// Current revision of the trial; 0 if it was deleted.
         revision: Revision,
-        /// The edit that changed it.
+        /// Edit that changed the trial.
         other: Option<Record>,
     },
-    /// The document is larger than the store takes; nothing was written.
+    /// The document exceeds the store's size limit; nothing was written.
     Large,
-    /// The store is out; nothing was written.
+    /// The store is unavailable; nothing was written.
     Unavailable,
-    /// The store is out, and whether the document was written isn't known. The same edit, with the
-    /// same id, may be repeated; it takes effect at most once.
+    /// The store is unavailable, and whether the document was written is unknown. Repeating the
+    /// same edit with the same id is safe: it takes effect at most once.
     Unknown,
 }
 
-/// What an operator wants to write.
+/// Edit that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Draft {
-    /// The environment that is written.
+    /// Environment to write to.
     pub environment: Environment,
-    /// Id of the edit; the same for repeats of the same edit.
+    /// Id of the edit; repeats of the same edit carry the same id.
     pub id: String,
-    /// Who makes it.
+    /// Operator who makes the edit.
     pub operator: String,
-    /// When, as wall-clock time since 1970.
+    /// Time of the edit, as wall-clock time since the Unix epoch.
     pub at: Duration,
-    /// Revision that the operator has seen and means to replace; 0 for none.
+    /// Revision that the operator has seen and replaces; 0 for none.
     pub base: Revision,
-    /// The text.
+    /// YAML text of the document.
     pub text: String,
-    /// The trial that is promoted; none for a put.
+    /// Trial to promote; `None` for a plain write.
     pub trial: Option<Pin>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum State {
-    /// The document is read; first of all, since a repeat must find what was accepted earlier.
+    /// Reading the document. This comes first, so that a repeat finds an edit that was applied
+    /// earlier.
     Read,
-    /// The trial is read, to see that it still is what was tried.
+    /// Reading the trial, to verify that it is unchanged since its test.
     Trial(Envelope),
-    /// The document is written.
+    /// Writing the document.
     Write(Envelope),
     Done,
 }
 
-/// One edit on its way to the store.
+/// State machine of one edit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Edit {
     draft: Draft,
     state: State,
-    tries: u32,
-    /// A write got no answer.
-    doubt: bool,
+    attempts: u32,
+    /// Whether a write received no response.
+    write_unanswered: bool,
 }
 
 impl Edit {
-    /// Begins an edit, and says what to do first.
+    /// Starts an edit. Returns its first step.
     pub fn new(draft: Draft) -> (Self, Step) {
         let step = Step::Read(draft.environment.clone());
         let edit = Self {
             draft,
             state: State::Read,
-            tries: 0,
-            doubt: false,
+            attempts: 0,
+            write_unanswered: false,
         };
         (edit, step)
     }
 
-    /// Takes what the store said, and says what to do next.
+    /// Processes a response of the store. Returns the next step.
     pub fn answer(&mut self, answer: Answer) -> Step {
         match (&self.state, answer) {
             (State::Trial(envelope), Answer::Read(stored)) => {
                 let envelope = envelope.clone();
-                self.trial(stored, envelope)
+                self.check_trial(stored, envelope)
             }
-            (State::Read, Answer::Read(stored)) => self.read(stored),
-            (State::Write(_), Answer::Written(revision)) => self.done(Outcome::Accepted {
+            (State::Read, Answer::Read(stored)) => self.check_base(stored),
+            (State::Write(_), Answer::Written(revision)) => self.finish(Outcome::Accepted {
                 revision,
                 replaced_by: None,
             }),
-            (State::Write(_), Answer::Conflict(stored)) => match self.found(&stored) {
-                Some(outcome) => self.done(outcome),
-                None => self.done(raced(stored)),
+            (State::Write(_), Answer::Conflict(stored)) => match self.find_applied(&stored) {
+                Some(outcome) => self.finish(outcome),
+                None => self.finish(raced(stored)),
             },
-            (State::Write(_), Answer::TooLarge) => self.done(Outcome::Large),
+            (State::Write(_), Answer::TooLarge) => self.finish(Outcome::Large),
             (State::Write(_), Answer::Unanswered) => {
-                self.doubt = true;
-                self.again()
+                self.write_unanswered = true;
+                self.retry()
             }
             (State::Done, _) => Step::Done(Outcome::Unknown),
-            _ => self.again(),
+            _ => self.retry(),
         }
     }
 
-    fn trial(&mut self, stored: Option<Stored>, envelope: Envelope) -> Step {
-        let same = stored.as_ref().is_some_and(|stored| {
+    fn check_trial(&mut self, stored: Option<Stored>, envelope: Envelope) -> Step {
+        let unchanged = stored.as_ref().is_some_and(|stored| {
             self.draft.trial.as_ref().is_some_and(|pin| {
                 pin.revision == stored.revision && pin.digest == stored.envelope.edit.digest
             })
         });
-        if !same {
-            return self.done(Outcome::Changed {
+        if !unchanged {
+            return self.finish(Outcome::Changed {
                 revision: stored.as_ref().map_or(0, |stored| stored.revision),
                 other: stored.map(|stored| stored.envelope.edit),
             });
         }
-        self.begin_write(envelope)
+        self.start_write(envelope)
     }
 
-    fn begin_write(&mut self, envelope: Envelope) -> Step {
-        self.tries = 0;
+    fn start_write(&mut self, envelope: Envelope) -> Step {
+        self.attempts = 0;
         self.state = State::Write(envelope.clone());
         self.write(envelope)
     }
 
-    fn read(&mut self, stored: Option<Stored>) -> Step {
-        // A repeat of an edit that was accepted earlier isn't written twice.
-        if let Some(outcome) = self.found(&stored) {
-            return self.done(outcome);
+    fn check_base(&mut self, stored: Option<Stored>) -> Step {
+        // A repeat of an edit that was applied earlier is not written again.
+        if let Some(outcome) = self.find_applied(&stored) {
+            return self.finish(outcome);
         }
         if stored.as_ref().map_or(0, |stored| stored.revision) != self.draft.base {
-            return self.done(raced(stored));
+            return self.finish(raced(stored));
         }
         let mut history = Vec::new();
         if let Some(stored) = stored {
@@ -289,18 +292,18 @@
             history,
         };
         let Some(pin) = &self.draft.trial else {
-            return self.begin_write(envelope);
+            return self.start_write(envelope);
         };
         let step = Step::Read(pin.environment.clone());
         self.state = State::Trial(envelope);
         step
     }
 
-    /// Tells how this edit ended if it stands in the store, or stood there.
-    fn found(&self, stored: &Option<Stored>) -> Option<Outcome> {
+    /// Returns the result if the store shows that this edit was applied, now or earlier.
+    fn find_applied(&self, stored: &Option<Stored>) -> Option<Outcome> {
         let stored = stored
             .as_ref()
-            .filter(|stored| stored.has(&self.draft.id))?;
+            .filter(|stored| stored.contains_edit(&self.draft.id))?;
         if stored.envelope.edit.id == self.draft.id {
             return Some(Outcome::Accepted {
                 revision: stored.revision,
@@ -313,10 +316,10 @@
         })
     }
 
-    fn again(&mut self) -> Step {
-        self.tries += 1;
-        if self.tries >= MAX_ATTEMPTS {
-            return self.done(match self.doubt {
+    fn retry(&mut self) -> Step {
+        self.attempts += 1;
+        if self.attempts >= MAX_ATTEMPTS {
+            return self.finish(match self.write_unanswered {
                 true => Outcome::Unknown,
                 false => Outcome::Unavailable,
             });
@@ -339,7 +342,7 @@
         }
     }
 
-    fn done(&mut self, outcome: Outcome) -> Step {
+    fn finish(&mut self, outcome: Outcome) -> Step {
         self.state = State::Done;
         Step::Done(outcome)
     }
--- a/components/spread/src/event.rs
+++ b/components/spread/src/event.rs
@@ -1,4 +1,4 @@
-//! What a board is told, and what it asks its driver to do.
+//! Inputs of a [`Replica`](crate::Replica), and the actions that it requests from its driver.
 
 use std::time::Duration;
 
@@ -24,136 +24,136 @@
     watch::Call, //
 };
 
-/// What happened.
+/// Input of a replica.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed; due about every 100 ms.
+    /// Periodic timer; due about every 100 ms.
     Tick {
-        /// Wall-clock time since 1970.
+        /// Wall-clock time since the Unix epoch.
         wall: Duration,
     },
-    /// The platform's host list came.
+    /// New host list from the platform.
     HostList(Vec<Listing>),
-    /// Another process said something.
+    /// Message from another process.
     Message {
-        /// Its host.
+        /// Host of the sender.
         from: Host,
-        /// What it said.
+        /// The message.
         message: Message,
     },
-    /// The store answered [`Action::Read`]: all documents.
+    /// Response of the store to [`Action::Read`], with all documents.
     Read {
-        /// Number of the call.
+        /// Id of the call.
         call: u64,
-        /// The documents.
+        /// All documents.
         documents: Vec<(Environment, Edition)>,
-        /// The store's revision.
+        /// Current revision of the store.
         revision: Revision,
     },
-    /// The store answered [`Action::Watch`]: the documents that changed, or none.
+    /// Response of the store to [`Action::Watch`], with the changed documents, if any.
     Changed {
-        /// Number of the call.
+        /// Id of the call.
         call: u64,
-        /// The documents.
+        /// Documents that changed.
         documents: Vec<(Environment, Edition)>,
-        /// The store's revision.
+        /// Current revision of the store.
         revision: Revision,
     },
-    /// The store has forgotten the revision that a watch went on from.
+    /// The store has compacted the revision that a watch continues from.
     Compacted {
-        /// Number of the call.
+        /// Id of the call.
         call: u64,
     },
-    /// The store didn't answer a call as it should.
+    /// A call to the store failed.
     Failed {
-        /// Number of the call.
+        /// Id of the call.
         call: u64,
     },
-    /// This process wrote a document, or saw it in the store by other means.
+    /// This process wrote a document, or found it in the store by other means than a watch.
     Observed {
-        /// Its environment.
+        /// Environment of the document.
         environment: Environment,
         /// The document.
         edition: Edition,
     },
-    /// This process found a fact out.
+    /// This process established a fact.
     AddFact {
-        /// What it is about.
+        /// Key of the fact.
         key: Key,
-        /// What is known.
+        /// The fact.
         fact: Fact,
     },
-    /// This process is leaving.
+    /// This process is shutting down.
     Leave,
-    /// An operator asks what is in force where.
+    /// An operator requests the revisions that each host holds.
     Survey {
-        /// Number of the survey, for its answers.
+        /// Id of the survey, repeated in its results.
         survey: u64,
     },
 }
 
-/// What the driver is to do.
+/// Request to the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message.
     Send {
-        /// To this host.
+        /// Host of the receiver.
         to: Host,
         /// The message.
         message: Message,
     },
     /// Read all documents from the store.
     Read {
-        /// Number of the call.
+        /// Id of the call.
         call: u64,
     },
-    /// Wait in the store for changes.
+    /// Long-poll the store for changes.
     Watch {
-        /// Number of the call.
+        /// Id of the call.
         call: u64,
-        /// Revision after which changes are wanted.
+        /// Revision after which to report changes.
         after: Revision,
-        /// How long to wait.
+        /// Time after which the store responds even without changes.
         wait: Duration,
     },
-    /// Give a call up, with its connection.
+    /// Cancel a call and close its connection.
     StopWatch {
-        /// Number of the call.
+        /// Id of the call.
         call: u64,
     },
-    /// A document came into force; [`crate::Board::document`] has it.
+    /// A document came into force; [`crate::Replica::document`] returns it.
     InForce {
-        /// Its environment.
+        /// Environment of the document.
         environment: Environment,
-        /// Its revision.
+        /// Revision of the document.
         revision: Revision,
     },
-    /// A fact came from another process; [`crate::Board::facts`] has it.
+    /// Another process sent a new fact; [`crate::Replica::facts`] holds it.
     FactReceived {
-        /// What it is about.
+        /// Key of the fact.
         key: Key,
     },
-    /// The process may serve from now on.
+    /// The process may serve requests from now on.
     Ready,
-    /// The process may have missed something and must not serve until [`Action::Ready`].
+    /// The process may have missed changes and must not serve until [`Action::Ready`].
     Unready,
-    /// What the hosts of a data centre hold.
+    /// Part of a survey's result: the revisions that the hosts of one data centre hold.
     Inventory {
-        /// Number of the survey.
+        /// Id of the survey.
         survey: u64,
-        /// What they hold.
-        account: Inventory,
+        /// Revisions by host.
+        inventory: Inventory,
     },
 }
 
-/// Who this process is.
+/// Identity of this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Its host.
+    /// Host that the process runs on.
     pub host: Host,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Random number of this process, not 0.
+    /// Random id of this process; never 0.
     pub incarnation: Nonce,
 }
 
--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What a board says to other processes, and what it makes of what they say.
+//! Message handling of a [`Replica`]: heartbeats, document exchange and facts.
 
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
         Key, //
     },
     membership::{
-        Role,
-        Sign, //
+        Announcement,
+        Role, //
     },
     message::{
         Body,
@@ -33,56 +33,57 @@
     replica::Replica,
     slot::{
         Edition,
-        Slot,
-        Step, //
+        Outcome,
+        Slot, //
     }, //
 };
 
-/// Shortest time between two lists of what this process holds: one missing document shows in the
-/// heartbeats of all neighbours, and one of them is enough to send it.
-const HOLDING: Duration = Duration::from_millis(250);
+/// Shortest interval between two lists of held revisions, or of urgent facts. A missing document
+/// shows in the heartbeats of all neighbours, and one neighbour is enough to send it.
+const HOLDINGS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Shortest time between two lists of summaries, which differ most of the time during a move.
-const SUMMARIES: Duration = Duration::from_secs(5);
+/// Shortest interval between two lists of summaries, which differ most of the time during a move.
+const SUMMARIES_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Replica {
-    /// Sends the heartbeat that is due.
-    pub(crate) fn beat(&mut self, now: Clock, actions: &mut Vec<Action>) {
-        let question = match self.gate.is_open() {
+    /// Sends the heartbeats that are due.
+    pub(crate) fn send_heartbeats(&mut self, now: Clock, actions: &mut Vec<Action>) {
+        let nonce = match self.gate.is_open() {
             true => 0,
             false => self.gate.nonce(),
         };
-        let beat = self.own_beat(question);
+        let heartbeat = self.heartbeat(nonce);
         for to in self.neighbours() {
-            self.members.asked(&to, now);
-            actions.push(send(to, Message::Heartbeat(beat.clone())));
+            self.members.record_probe(&to, now);
+            actions.push(send(to, Message::Heartbeat(heartbeat.clone())));
         }
         if self.gate.is_open() && !self.is_reader(now) {
             return;
         }
-        // Other data centres don't beat by themselves; they are asked to answer.
-        let beat = self.own_beat(self.gate.nonce());
-        for to in self.distant(now) {
-            self.members.asked(&to, now);
-            actions.push(send(to, Message::Heartbeat(beat.clone())));
+        // Entries of other data centres send no heartbeats unless requested, so this one carries a
+        // nonce to answer.
+        let heartbeat = self.heartbeat(self.gate.nonce());
+        for to in self.sample_remote_readers(now) {
+            self.members.record_probe(&to, now);
+            actions.push(send(to, Message::Heartbeat(heartbeat.clone())));
         }
     }
 
-    fn own_beat(&self, question: Nonce) -> Heartbeat {
+    fn heartbeat(&self, nonce: Nonce) -> Heartbeat {
         Heartbeat {
-            data_centre: self.place.data_centre.clone(),
-            incarnation: self.place.incarnation,
+            data_centre: self.identity.data_centre.clone(),
+            incarnation: self.identity.incarnation,
             leaving: self.leaving,
             ready: self.gate.is_open(),
-            store_fails: self.watch.fails(),
+            store_fails: self.watch.is_failing(),
             documents: self.digest(),
             urgent: self.facts.digest(Class::Urgent),
             summaries: self.facts.digest(Class::Summary),
-            question,
+            nonce,
         }
     }
 
-    /// Digest of the revisions that this process holds.
+    /// Returns a digest of the revisions that this process holds.
     pub(crate) fn digest(&self) -> u64 {
         let mut hash = Xxh3::with_seed(0);
         for (environment, slot) in &self.slots {
@@ -93,7 +94,7 @@
         hash.digest()
     }
 
-    fn holding(&self, answers: Nonce, reply: bool) -> Message {
+    fn holdings(&self, in_reply_to: Nonce, reply: bool) -> Message {
         let held = self
             .slots
             .iter()
@@ -101,13 +102,13 @@
         Message::Holdings(Holdings {
             held: held.collect(),
             ready: self.gate.is_open(),
-            answers,
+            in_reply_to,
             reply,
         })
     }
 
-    /// Takes a message.
-    pub(crate) fn message(
+    /// Handles a message.
+    pub(crate) fn on_message(
         &mut self,
         from: Host,
         message: Message,
@@ -115,120 +116,134 @@
         actions: &mut Vec<Action>,
     ) {
         match message {
-            Message::Heartbeat(beat) => self.take_beat(from, beat, now, actions),
-            Message::Holdings(holding) => self.take_holding(from, holding, actions),
-            Message::Push(push) => self.take_push(from, push, actions),
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(from, heartbeat, now, actions),
+            Message::Holdings(holdings) => self.on_holdings(from, holdings, actions),
+            Message::Push(push) => self.on_push(from, push, actions),
             Message::Ack {
                 environment,
                 revision,
             } => {
                 let peer = self.peers.entry(from).or_default();
                 peer.held.insert(environment.clone(), revision);
-                self.shared(environment, revision, actions);
+                self.confirm(environment, revision, actions);
             }
             Message::Ask { environment } => {
                 let newest = self.slots.get(&environment).and_then(Slot::newest);
                 if let Some(edition) = newest.cloned() {
-                    actions.push(send(from, whole(environment, edition)));
+                    actions.push(send(from, full_push(environment, edition)));
                 }
             }
-            Message::Facts(facts) => self.take_facts(&from, facts, now, actions),
-            Message::Have { class, marks } => {
-                let (lacks, wanted) = self.facts.compare(class, &marks);
-                if !lacks.is_empty() {
-                    actions.push(send(from.clone(), Message::Facts(lacks)));
+            Message::Facts(facts) => self.on_facts(&from, facts, now, actions),
+            Message::Have {
+                class,
+                fingerprints,
+            } => {
+                let (lacking, wanted) = self.facts.compare(class, &fingerprints);
+                if !lacking.is_empty() {
+                    actions.push(send(from.clone(), Message::Facts(lacking)));
                 }
                 if !wanted.is_empty() {
                     actions.push(send(from, Message::Want(wanted)));
                 }
             }
-            Message::Want(names) => {
-                let facts = self.facts.named(&names);
+            Message::Want(key_hashes) => {
+                let facts = self.facts.by_hashes(&key_hashes);
                 if !facts.is_empty() {
                     actions.push(send(from, Message::Facts(facts)));
                 }
             }
             Message::Survey { survey } => {
-                let account = self.account(now);
-                actions.push(send(from, Message::Inventory { survey, account }));
+                let inventory = self.inventory(now);
+                actions.push(send(from, Message::Inventory { survey, inventory }));
             }
-            Message::Inventory { survey, account } => {
-                actions.push(Action::Inventory { survey, account });
+            Message::Inventory { survey, inventory } => {
+                actions.push(Action::Inventory { survey, inventory });
             }
         }
     }
 
-    fn take_beat(&mut self, from: Host, beat: Heartbeat, now: Clock, actions: &mut Vec<Action>) {
-        let sign = Sign {
-            data_centre: beat.data_centre,
+    fn on_heartbeat(
+        &mut self,
+        from: Host,
+        heartbeat: Heartbeat,
+        now: Clock,
+        actions: &mut Vec<Action>,
+    ) {
+        let announcement = Announcement {
+            data_centre: heartbeat.data_centre,
             role: Role::Entry,
-            incarnation: beat.incarnation,
-            leaving: beat.leaving,
+            incarnation: heartbeat.incarnation,
+            leaving: heartbeat.leaving,
         };
-        self.members.heard(&from, sign, now);
+        self.members.record_heartbeat(&from, announcement, now);
         let peer = self.peers.entry(from.clone()).or_default();
-        if peer.documents != beat.documents {
+        if peer.documents != heartbeat.documents {
             peer.held.clear();
         }
-        peer.documents = beat.documents;
-        peer.store_fails = beat.store_fails;
-        if beat.question != 0 {
-            let answer = match beat.ready {
-                true => Message::Heartbeat(self.own_beat(0)),
-                false => self.holding(beat.question, true),
+        peer.documents = heartbeat.documents;
+        peer.store_fails = heartbeat.store_fails;
+        if heartbeat.nonce != 0 {
+            let answer = match heartbeat.ready {
+                true => Message::Heartbeat(self.heartbeat(0)),
+                false => self.holdings(heartbeat.nonce, true),
             };
             actions.push(send(from.clone(), answer));
         }
-        if beat.documents != self.digest() && due(&mut self.times.holding, HOLDING, now) {
-            actions.push(send(from.clone(), self.holding(0, true)));
+        if heartbeat.documents != self.digest()
+            && interval_passed(&mut self.times.last_holdings, HOLDINGS_INTERVAL, now)
+        {
+            actions.push(send(from.clone(), self.holdings(0, true)));
         }
-        if beat.urgent != self.facts.digest(Class::Urgent)
-            && due(&mut self.times.urgent, HOLDING, now)
+        if heartbeat.urgent != self.facts.digest(Class::Urgent)
+            && interval_passed(&mut self.times.last_urgent, HOLDINGS_INTERVAL, now)
         {
-            actions.push(send(from.clone(), self.have(Class::Urgent)));
+            actions.push(send(from.clone(), self.fingerprints(Class::Urgent)));
         }
-        if beat.summaries != self.facts.digest(Class::Summary)
-            && due(&mut self.times.summaries, SUMMARIES, now)
+        if heartbeat.summaries != self.facts.digest(Class::Summary)
+            && interval_passed(&mut self.times.last_summaries, SUMMARIES_INTERVAL, now)
         {
-            actions.push(send(from, self.have(Class::Summary)));
+            actions.push(send(from, self.fingerprints(Class::Summary)));
         }
     }
 
-    fn have(&self, class: Class) -> Message {
-        let marks = self.facts.marks(class);
-        Message::Have { class, marks }
+    fn fingerprints(&self, class: Class) -> Message {
+        let fingerprints = self.facts.fingerprints(class);
+        Message::Have {
+            class,
+            fingerprints,
+        }
     }
 
-    fn take_holding(&mut self, from: Host, holding: Holdings, actions: &mut Vec<Action>) {
+    fn on_holdings(&mut self, from: Host, holdings: Holdings, actions: &mut Vec<Action>) {
         let peer = self.peers.entry(from.clone()).or_default();
-        peer.held = holding.held.iter().cloned().collect();
+        peer.held = holdings.held.iter().cloned().collect();
         self.gate.answer(
             from.clone(),
-            holding.answers,
-            holding.ready,
-            holding.held.iter().cloned(),
+            holdings.in_reply_to,
+            holdings.ready,
+            holdings.held.iter().cloned(),
         );
         let mut behind = false;
-        for (environment, revision) in &holding.held {
-            let own = self.slots.get(environment).map_or(0, Slot::revision);
-            behind |= own < *revision;
-            self.shared(environment.clone(), *revision, actions);
+        for (environment, revision) in &holdings.held {
+            let held = self.slots.get(environment).map_or(0, Slot::revision);
+            behind |= held < *revision;
+            self.confirm(environment.clone(), *revision, actions);
         }
         let ahead: Vec<_> = self
             .slots
             .iter()
-            .filter(|(environment, slot)| slot.revision() > self.peer_holds(&from, environment))
+            .filter(|(environment, slot)| slot.revision() > self.revision_of(&from, environment))
             .map(|(environment, _)| environment.clone())
             .collect();
         for environment in ahead {
             self.push(&from, &environment, false, actions);
         }
-        if behind && holding.reply {
-            actions.push(send(from, self.holding(0, false)));
+        if behind && holdings.reply {
+            actions.push(send(from, self.holdings(0, false)));
         }
     }
 
-    fn peer_holds(&self, host: &str, environment: &str) -> Revision {
+    fn revision_of(&self, host: &str, environment: &str) -> Revision {
         let held = self
             .peers
             .get(host)
@@ -236,8 +251,8 @@
         held.copied().unwrap_or_default()
     }
 
-    /// Sends the newest document of an environment: the change alone to a process that is known to
-    /// hold what it was made from.
+    /// Sends the newest document of an environment. A process that is assumed to hold the previous
+    /// document is sent the delta alone.
     pub(crate) fn push(
         &self,
         to: &Host,
@@ -270,8 +285,8 @@
         actions.push(send(to.clone(), Message::Push(push)));
     }
 
-    /// A process that didn't say what it holds is taken to hold what this one did: so it is most
-    /// of the time, and otherwise it asks.
+    /// Assumes that a process which has not reported what it holds has the same previous document
+    /// as this one. That is true in most cases; otherwise the receiver requests the full text.
     fn holds_previous(&self, host: &str, environment: &str, previous: Revision) -> bool {
         let Some(peer) = self.peers.get(host) else {
             return false;
@@ -281,83 +296,93 @@
             .is_none_or(|held| *held == previous)
     }
 
-    fn take_push(&mut self, from: Host, push: Push, actions: &mut Vec<Action>) {
+    fn on_push(&mut self, from: Host, push: Push, actions: &mut Vec<Action>) {
         let Push {
             environment,
             body,
             confirm,
         } = push;
         let slot = self.slots.entry(environment.clone()).or_default();
-        let (before, revision) = (slot.revision(), body.revision());
-        if revision < before {
+        let (held, revision) = (slot.revision(), body.revision());
+        if revision < held {
             if confirm {
-                actions.push(send(from, ack(environment, before)));
+                actions.push(send(from, ack(environment, held)));
             }
             return;
         }
-        let edition = if revision == before {
+        let edition = if revision == held {
             slot.newest().cloned()
         } else {
-            open(slot, body)
+            resolve_edition(slot, body)
         };
         let Some(edition) = edition else {
             actions.push(send(from, Message::Ask { environment }));
             return;
         };
-        let step = slot.receive(edition);
+        let outcome = slot.receive(edition);
         let peer = self.peers.entry(from.clone()).or_default();
         peer.held.insert(environment.clone(), revision);
         if confirm {
             actions.push(send(from.clone(), ack(environment.clone(), revision)));
         }
-        if step == Step::InForce {
-            self.in_force(environment.clone(), actions);
+        if outcome == Outcome::InForce {
+            self.report_in_force(environment.clone(), actions);
         }
-        // Inside the data centre the sender sends to all; what comes from afar is passed on.
-        if revision > before && !self.is_neighbour(&from) {
+        // Inside a data centre the sender sends to all; documents from other data centres are
+        // forwarded.
+        if revision > held && !self.is_neighbour(&from) {
             for to in self.neighbours() {
                 self.push(&to, &environment, false, actions);
             }
         }
     }
 
-    fn shared(&mut self, environment: Environment, revision: Revision, actions: &mut Vec<Action>) {
+    fn confirm(&mut self, environment: Environment, revision: Revision, actions: &mut Vec<Action>) {
         let Some(slot) = self.slots.get_mut(&environment) else {
             return;
         };
-        if slot.confirm(revision) == Step::InForce {
-            self.in_force(environment, actions);
+        if slot.confirm(revision) == Outcome::InForce {
+            self.report_in_force(environment, actions);
         }
     }
 
-    /// Takes a fact that this process found out.
-    pub(crate) fn learn(&mut self, key: &Key, fact: &Fact, actions: &mut Vec<Action>, now: Clock) {
+    /// Adds a fact that this process established, and sends it on.
+    pub(crate) fn add_fact(
+        &mut self,
+        key: &Key,
+        fact: &Fact,
+        actions: &mut Vec<Action>,
+        now: Clock,
+    ) {
         if !self.facts.join(key, fact, self.wall) {
             return;
         }
         match key.class() {
             Class::Urgent => {
                 let facts = vec![(key.clone(), fact.clone())];
-                let to = self.neighbours().into_iter().chain(self.all_readers(now));
+                let to = self
+                    .neighbours()
+                    .into_iter()
+                    .chain(self.remote_readers(now));
                 for to in to.collect::<Vec<_>>() {
                     actions.push(send(to, Message::Facts(facts.clone())));
                 }
             }
             Class::Summary | Class::Detail => {
-                self.grown.insert(key.clone());
+                self.unsent_evidence.insert(key.clone());
             }
         }
     }
 
-    fn take_facts(
+    fn on_facts(
         &mut self,
         from: &Host,
         facts: Vec<(Key, Fact)>,
         now: Clock,
         actions: &mut Vec<Action>,
     ) {
-        let distant = !self.is_neighbour(from);
-        let reads = self.is_reader(now);
+        let remote = !self.is_neighbour(from);
+        let is_reader = self.is_reader(now);
         let mut urgent = Vec::new();
         for (key, fact) in facts {
             if !self.facts.join(&key, &fact, self.wall) {
@@ -365,9 +390,9 @@
             }
             actions.push(Action::FactReceived { key: key.clone() });
             match key.class() {
-                Class::Urgent if distant => urgent.push((key, fact)),
-                Class::Summary if distant && reads => {
-                    self.grown.insert(key);
+                Class::Urgent if remote => urgent.push((key, fact)),
+                Class::Summary if remote && is_reader => {
+                    self.unsent_evidence.insert(key);
                 }
                 Class::Urgent | Class::Summary | Class::Detail => {}
             }
@@ -381,8 +406,8 @@
     }
 }
 
-/// Makes the edition that a message brings; `None` when its base isn't held.
-fn open(slot: &Slot, body: Body) -> Option<Edition> {
+/// Returns the edition that a message carries; `None` when its base is not held.
+fn resolve_edition(slot: &Slot, body: Body) -> Option<Edition> {
     let (base, revision, digest, delta) = match body {
         Body::Whole(edition) => return Some(edition),
         Body::Delta {
@@ -400,7 +425,7 @@
     })
 }
 
-fn whole(environment: Environment, edition: Edition) -> Message {
+fn full_push(environment: Environment, edition: Edition) -> Message {
     Message::Push(Push {
         environment,
         body: Body::Whole(edition),
@@ -415,9 +440,9 @@
     }
 }
 
-/// Tells whether enough time passed since the last time, and takes the new time down.
-fn due(last: &mut Clock, pace: Duration, now: Clock) -> bool {
-    if *last != Clock::ZERO && now.saturating_sub(*last) < pace {
+/// Returns whether the interval has passed since `last`, and sets `last` to now if so.
+fn interval_passed(last: &mut Clock, interval: Duration, now: Clock) -> bool {
+    if *last != Clock::ZERO && now.saturating_sub(*last) < interval {
         return false;
     }
     *last = now;
--- a/components/spread/src/fact.rs
+++ b/components/spread/src/fact.rs
@@ -1,8 +1,8 @@
-//! Facts that only grow: vetoes, poisonous requests, evidence on moves.
+//! Replicated facts that only grow: vetoes, poisonous requests, evidence on moves.
 //!
-//! A fact is joined with what is known of the same key by taking the heavier, so that lost,
-//! repeated and reordered messages do no harm and nothing that was known is forgotten before its
-//! time. What a fact says is opaque here.
+//! Joining two facts with the same key keeps the greater one. The join is commutative, associative
+//! and idempotent, so lost, repeated and reordered messages do no harm, and a fact is only
+//! forgotten when it expires. The content of a fact is opaque here.
 
 use std::{
     collections::BTreeMap,
@@ -25,42 +25,44 @@
     xxh3_64, //
 };
 
-/// Who gathered evidence.
+/// Collector of evidence.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Source {
-    /// One process. It stays inside the data centre, and goes to the readers there.
+    /// One process. Its evidence stays inside the data centre and is sent to the readers there.
     Host(Host),
-    /// The readers of a data centre, from what its processes gathered. It goes everywhere.
+    /// The readers of a data centre, which aggregate the evidence of its processes and send it
+    /// everywhere.
     DataCentre(DataCentre),
 }
 
-/// What a fact is about.
+/// Subject of a fact.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
-    /// A move's version is bad.
+    /// The version of this move is bad.
     Veto(Environment, Move),
-    /// A request brings servers down; the fingerprint is of its content and team.
+    /// Requests with this fingerprint crash servers; it covers their content and team.
     Poison(u64),
-    /// Counts and histograms of a move; the text names what was counted. A process that starts
-    /// anew counts from 0 and would be the lighter, so its incarnation belongs into the text.
+    /// Counts and histograms of a move; the text names what was counted. Counts of a restarted
+    /// process begin at 0 and would have less weight than the old ones, so the text must include
+    /// the process's incarnation.
     Evidence(Source, String),
-    /// What the store keeps of a move. The weight is its revision there.
+    /// State of a move in the store. The weight is its store revision.
     Record(Environment, Move),
 }
 
-/// How a fact travels.
+/// Recipients of a fact, and how fast it reaches them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Class {
-    /// To everybody at once.
+    /// Sent to all processes at once.
     Urgent,
-    /// To everybody within seconds, a few at a time.
+    /// Sent to all processes in batches, within seconds.
     Summary,
-    /// To the readers of the own data centre, within seconds.
+    /// Sent to the readers of this process's data centre, within seconds.
     Detail,
 }
 
 impl Key {
-    /// How facts with this key travel.
+    /// Returns the class that facts with this key belong to.
     pub fn class(&self) -> Class {
         match self {
             Key::Veto(..) | Key::Poison(_) | Key::Record(..) => Class::Urgent,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Hash by which processes name a key to each other.
+    /// Returns the hash that identifies the key in messages.
     pub fn hash(&self) -> u64 {
         xxh3_64(self.to_string().as_bytes())
     }
@@ -89,14 +91,14 @@
     }
 }
 
-/// What is known; of two with the same key the greater one stays, by weight first.
+/// Known fact. Facts with the same key are ordered by weight first, and the greater one is kept.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fact {
-    /// Grows with what went into the fact, such as the number of requests that were counted.
+    /// Grows with the information in the fact, such as the number of requests counted.
     pub weight: u64,
-    /// Time after which the fact is dropped, as wall-clock time since 1970; for good if not given.
+    /// Expiry, as wall-clock time since the Unix epoch; `None` for a fact that never expires.
     pub until: Option<Duration>,
-    /// What the fact says.
+    /// Encoded content.
     pub body: Vec<u8>,
 }
 
@@ -112,9 +114,9 @@
     }
 }
 
-/// Name and weight of a fact, as one process tells another what it knows.
+/// Hashes and weight of a fact, which processes compare to find differences.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct Fingerprint {
     /// Hash of the key.
     pub key: u64,
     /// Hash of the fact.
@@ -123,115 +125,127 @@
     pub weight: u64,
 }
 
-/// All facts that a process knows.
+/// All facts that a process knows, with a digest for each class.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Facts {
-    known: BTreeMap<Key, Fact>,
-    names: BTreeMap<u64, Key>,
+    facts: BTreeMap<Key, Fact>,
+    keys_by_hash: BTreeMap<u64, Key>,
     digests: BTreeMap<Class, u64>,
 }
 
 impl Facts {
-    /// Joins a fact with what is known, and tells whether that grew.
+    /// Joins a fact with the known one, and returns whether that changed it.
     ///
-    /// `wall` is the wall-clock time since 1970: a fact past its time isn't taken up again, or two
-    /// processes would hand it to each other for ever.
+    /// `wall` is the wall-clock time since the Unix epoch. Expired facts are ignored; otherwise two
+    /// processes could send one back and forth for ever.
     pub fn join(&mut self, key: &Key, fact: &Fact, wall: Duration) -> bool {
         if fact.until.is_some_and(|until| until <= wall) {
             return false;
         }
-        if self.known.get(key).is_some_and(|known| known >= fact) {
+        if self.facts.get(key).is_some_and(|known| known >= fact) {
             return false;
         }
         self.remove(key);
-        let name = key.hash();
-        self.names.insert(name, key.clone());
-        *self.digests.entry(key.class()).or_default() ^= fact.hash(name);
-        self.known.insert(key.clone(), fact.clone());
+        let key_hash = key.hash();
+        self.keys_by_hash.insert(key_hash, key.clone());
+        *self.digests.entry(key.class()).or_default() ^= fact.hash(key_hash);
+        self.facts.insert(key.clone(), fact.clone());
         true
     }
 
-    /// Drops what is past its time.
+    /// Removes expired facts.
     pub fn expire(&mut self, wall: Duration) {
-        let past: Vec<_> = self
-            .known
+        let expired: Vec<_> = self
+            .facts
             .iter()
             .filter(|(_, fact)| fact.until.is_some_and(|until| until <= wall))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in past {
+        for key in expired {
             self.remove(&key);
         }
     }
 
     fn remove(&mut self, key: &Key) {
-        let Some(fact) = self.known.remove(key) else {
+        let Some(fact) = self.facts.remove(key) else {
             return;
         };
-        let name = key.hash();
-        self.names.remove(&name);
-        *self.digests.entry(key.class()).or_default() ^= fact.hash(name);
+        let key_hash = key.hash();
+        self.keys_by_hash.remove(&key_hash);
+        *self.digests.entry(key.class()).or_default() ^= fact.hash(key_hash);
     }
 
-    /// Finds a fact.
+    /// Returns the fact with this key.
     pub fn get(&self, key: &Key) -> Option<&Fact> {
-        self.known.get(key)
+        self.facts.get(key)
     }
 
-    /// All facts, in the order of their keys.
+    /// Iterates over all facts in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Fact)> {
-        self.known.iter()
+        self.facts.iter()
     }
 
-    /// Digest of all facts of a class; equal when two processes know the same.
+    /// Returns a digest of all facts of a class; it is equal for processes that know the same
+    /// facts.
     pub fn digest(&self, class: Class) -> u64 {
         self.digests.get(&class).copied().unwrap_or_default()
     }
 
-    /// Names and weights of all facts of a class.
-    pub fn marks(&self, class: Class) -> Vec<Mark> {
-        let of_class = self.known.iter().filter(|(key, _)| key.class() == class);
-        let mark = |(key, fact): (&Key, &Fact)| {
-            let name = key.hash();
-            Mark {
-                key: name,
-                fact: fact.hash(name),
+    /// Returns the fingerprints of all facts of a class.
+    pub fn fingerprints(&self, class: Class) -> Vec<Fingerprint> {
+        let of_class = self.facts.iter().filter(|(key, _)| key.class() == class);
+        let fingerprint = |(key, fact): (&Key, &Fact)| {
+            let key_hash = key.hash();
+            Fingerprint {
+                key: key_hash,
+                fact: fact.hash(key_hash),
                 weight: fact.weight,
             }
         };
-        of_class.map(mark).collect()
+        of_class.map(fingerprint).collect()
     }
 
-    /// What a process with these marks lacks, and the keys of which it knows more.
-    pub fn compare(&self, class: Class, marks: &[Mark]) -> (Vec<(Key, Fact)>, Vec<u64>) {
-        let mut theirs: BTreeMap<u64, Mark> = marks.iter().map(|m| (m.key, *m)).collect();
-        let mut lacks = Vec::new();
+    /// Compares the facts of a class with another process's fingerprints. Returns the facts that it
+    /// lacks, and the key hashes of facts that this process lacks.
+    pub fn compare(
+        &self,
+        class: Class,
+        fingerprints: &[Fingerprint],
+    ) -> (Vec<(Key, Fact)>, Vec<u64>) {
+        let mut remote: BTreeMap<u64, Fingerprint> = fingerprints
+            .iter()
+            .map(|fingerprint| (fingerprint.key, *fingerprint))
+            .collect();
+        let mut lacking = Vec::new();
         let mut wanted = Vec::new();
-        for (key, fact) in self.known.iter().filter(|(key, _)| key.class() == class) {
-            let name = key.hash();
-            let Some(mark) = theirs.remove(&name) else {
-                lacks.push((key.clone(), fact.clone()));
+        for (key, fact) in self.facts.iter().filter(|(key, _)| key.class() == class) {
+            let key_hash = key.hash();
+            let Some(other) = remote.remove(&key_hash) else {
+                lacking.push((key.clone(), fact.clone()));
                 continue;
             };
-            if mark.fact == fact.hash(name) {
+            if other.fact == fact.hash(key_hash) {
                 continue;
             }
-            // Of equal weights but other bodies either may be the greater: both are sent.
-            if mark.weight <= fact.weight {
-                lacks.push((key.clone(), fact.clone()));
+            // With equal weights but different content either may be the greater: both sides send
+            // theirs.
+            if other.weight <= fact.weight {
+                lacking.push((key.clone(), fact.clone()));
             }
-            if mark.weight >= fact.weight {
-                wanted.push(name);
+            if other.weight >= fact.weight {
+                wanted.push(key_hash);
             }
         }
-        wanted.extend(theirs.into_keys());
-        (lacks, wanted)
+        wanted.extend(remote.into_keys());
+        (lacking, wanted)
     }
 
-    /// Finds facts by the hashes of their keys.
-    pub fn named(&self, names: &[u64]) -> Vec<(Key, Fact)> {
-        let keys = names.iter().filter_map(|name| self.names.get(name));
-        keys.filter_map(|key| Some((key.clone(), self.known.get(key)?.clone())))
+    /// Returns the facts with these key hashes.
+    pub fn by_hashes(&self, key_hashes: &[u64]) -> Vec<(Key, Fact)> {
+        let keys = key_hashes
+            .iter()
+            .filter_map(|key_hash| self.keys_by_hash.get(key_hash));
+        keys.filter_map(|key| Some((key.clone(), self.facts.get(key)?.clone())))
             .collect()
     }
 }
--- a/components/spread/src/freshness.rs
+++ b/components/spread/src/freshness.rs
@@ -1,11 +1,12 @@
-//! How a process knows that what it knows is current, at a small number of calls to the store.
+//! Tracks whether replicated state is current, with few calls to the store.
 //!
-//! A document says which keys hold, and a key that was taken away must stop working within a bound,
-//! also at a process that is cut off from the store. So knowledge is used only for a time after it
-//! was last known to be complete. Asking the store for that at each process is dear in a large
-//! fleet. Here one process asks, by turns that need no agreement, and its [`Claim`] travels to the
-//! others with its age. Changes travel the same way: one process of each data centre listens to the
-//! store, and the others read it themselves only when they find that they missed something.
+//! Documents list the valid API keys, and a revoked key must stop working within a bounded time,
+//! also at a process that is cut off from the store. A process therefore uses its state only for a
+//! limited time after it was last confirmed to be complete. In a large fleet it is too expensive
+//! for each process to ask the store for that confirmation. Instead one process asks, in turns that
+//! need no agreement, and its [`Claim`] travels to the others along with its age. Changes travel
+//! the same way: one process of each data centre watches the store, and the others read the store
+//! only when they find that they missed changes.
 
 use std::time::Duration;
 
@@ -15,212 +16,218 @@
 };
 
 /// Age of the newest claim at which the first process asks the store.
-const QUESTION_INTERVAL: Duration = Duration::from_millis(1000);
+const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Further age for each process that is before this one in the order: if it asks in time, its claim
-/// is here before.
+/// Additional age per process of lower rank. If that process asks in time, its claim arrives before
+/// this one's turn.
 const TURN_DELAY: Duration = Duration::from_millis(200);
 
-/// Processes that wait for their turn one behind the other; those behind them share the last turn.
+/// Number of processes with turns of their own; those of higher rank share the last turn.
 const MAX_TURNS: u32 = 6;
 
-/// Time before the next try after one that failed; it doubles with each up to [`MAX_BACKOFF`], as a
-/// call that is refused is paid for too.
-const BACKOFF: Duration = Duration::from_millis(200);
+/// Backoff after a first failed call. It doubles with each failure up to [`MAX_BACKOFF`], as
+/// refused calls are billed too.
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Longest time between two tries. Processes try by turns, so that the store's return is noticed
-/// sooner than this.
+/// Limit on the backoff of one process. Processes retry in turns, so the fleet notices the store's
+/// return sooner than this.
 const MAX_BACKOFF: Duration = Duration::from_millis(1200);
 
-/// Time before the next try for each process of the fleet, when the store answers none of them: all
-/// together try so often, whatever their number, and the first that gets an answer tells the others.
+/// Backoff per process of the fleet while the store answers none of them. It bounds the rate of
+/// retries of the whole fleet whatever its size, and the first process that succeeds tells the
+/// others.
 const FLEET_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Time over which the processes of the last turn are spread.
-const LAST_TURN: Duration = Duration::from_millis(700);
+/// Time over which the processes that share the last turn are spread.
+const LAST_TURN_SPREAD: Duration = Duration::from_millis(700);
 
-/// Time for which changes that are missing may still be on their way from a peer: from the one that
-/// found them out, at a process that listens to the store, and at one that listens to that.
+/// Time for which missing changes may still be in transit from a peer: at a process that watches
+/// the store, they come from the process that discovered them; at any other, from the one that
+/// watches.
 const FETCH_DELAYS: (Duration, Duration) = (Duration::from_millis(75), Duration::from_millis(150));
 
-/// Age of the newest claim at which a process that listens to others listens to the store itself.
+/// Age of the newest claim at which a process that depends on others watches the store itself.
 const TAKEOVER_AGE: Duration = Duration::from_millis(2200);
 
-/// The store's revision was `revision` at `at` or later.
+/// Statement that the store's newest revision was `revision` at time `at` or later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
-    /// The revision.
+    /// Store revision.
     pub revision: Revision,
-    /// The time, by this process's clock.
+    /// Time by this process's clock.
     pub at: Clock,
 }
 
-/// What is known, and how current it is.
+/// Revision that this process has reached, and when that was last confirmed to be the newest.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Freshness {
-    /// All changes up to this revision are known.
+    /// Revision up to which all changes are applied; `None` before the first read.
     revision: Option<Revision>,
-    /// What is known was complete at this time.
-    confirmed: Option<Clock>,
-    /// The newest claim about changes that aren't known yet.
-    ahead: Option<Claim>,
-    /// When it was found that changes are missing.
-    behind: Option<Clock>,
-    /// It was this process that found it out.
-    found: bool,
-    /// Newest claim of all, for turns.
-    newest: Option<Clock>,
-    /// When this process may ask again after it got no answer, and how often that was in a row.
-    again: Clock,
+    /// Latest time at which the applied changes are known to have been complete.
+    confirmed_at: Option<Clock>,
+    /// Claim with the highest revision that is not applied yet.
+    pending_claim: Option<Claim>,
+    /// When missing changes were discovered.
+    behind_since: Option<Clock>,
+    /// Whether this process discovered them itself, by a call to the store.
+    discovered: bool,
+    /// Time of the newest claim, which determines the turns.
+    newest_claim: Option<Clock>,
+    /// Earliest time of the next call to the store.
+    retry_at: Clock,
+    /// Number of consecutive failed calls.
     failures: u32,
-    /// The last call got no answer while the store answered others.
-    turned_away: bool,
-    /// Place among all processes, and among those of the data centre.
-    place: u32,
-    place_near: u32,
+    /// Whether the last call failed although the store answered other processes.
+    refused: bool,
+    /// Rank among all processes.
+    rank: u32,
+    /// Rank among the processes of the data centre.
+    local_rank: u32,
     /// Number of processes.
-    count: u32,
+    process_count: u32,
 }
 
 impl Freshness {
-    /// All changes up to a revision are known; `None` before the first reading.
+    /// Returns the revision up to which all changes are applied; `None` before the first read.
     pub fn revision(&self) -> Option<Revision> {
         self.revision
     }
 
-    /// When what is known was last known to be complete.
+    /// Returns the latest time at which the applied changes are known to have been complete.
     pub fn confirmed_at(&self) -> Option<Clock> {
-        self.confirmed
+        self.confirmed_at
     }
 
-    /// The claim that this process can make.
+    /// Returns the claim that this process can pass on.
     pub fn claim(&self) -> Option<Claim> {
         Some(Claim {
             revision: self.revision?,
-            at: self.confirmed?,
+            at: self.confirmed_at?,
         })
     }
 
-    /// Notes this process's place among all, their number, and its place in its data centre.
-    pub fn set_rank(&mut self, (place, count): (usize, usize), near: usize) {
-        self.place = u32::try_from(place).unwrap_or(u32::MAX);
-        self.count = u32::try_from(count).unwrap_or(u32::MAX);
-        self.place_near = u32::try_from(near).unwrap_or(u32::MAX);
+    /// Sets this process's rank among all processes, their number, and its rank in its data centre.
+    pub fn set_rank(&mut self, (rank, process_count): (usize, usize), local_rank: usize) {
+        self.rank = u32::try_from(rank).unwrap_or(u32::MAX);
+        self.process_count = u32::try_from(process_count).unwrap_or(u32::MAX);
+        self.local_rank = u32::try_from(local_rank).unwrap_or(u32::MAX);
     }
 
-    /// Further time that this process leaves to those before it in the last turn.
-    fn spread(&self) -> Duration {
-        let behind = self.place.saturating_sub(MAX_TURNS);
-        LAST_TURN * behind / self.count.max(1)
+    /// Additional delay of this process within the last turn.
+    fn last_turn_delay(&self) -> Duration {
+        let position = self.rank.saturating_sub(MAX_TURNS);
+        LAST_TURN_SPREAD * position / self.process_count.max(1)
     }
 
-    /// Takes note that all changes up to a revision are known now.
+    /// Records that all changes up to a revision are applied.
     pub fn advance(&mut self, revision: Revision) {
         self.revision = self.revision.max(Some(revision));
-        let Some(ahead) = self
-            .ahead
-            .filter(|ahead| self.revision >= Some(ahead.revision))
+        let Some(applied) = self
+            .pending_claim
+            .filter(|pending| self.revision >= Some(pending.revision))
         else {
             return;
         };
-        self.ahead = None;
-        self.behind = None;
-        self.found = false;
-        self.confirmed = self.confirmed.max(Some(ahead.at));
+        self.pending_claim = None;
+        self.behind_since = None;
+        self.discovered = false;
+        self.confirmed_at = self.confirmed_at.max(Some(applied.at));
     }
 
-    /// Takes a claim, this process's own or a peer's. One of a time that is still to come can't be
-    /// true: taken, it would keep all from asking, and call what is known current until then.
+    /// Processes a claim, this process's own or a peer's. A claim for a future time is wrong and
+    /// ignored; otherwise it would keep all processes from asking and mark the state as current
+    /// until then.
     pub fn receive(&mut self, now: Clock, claim: Claim) {
         if claim.at > now {
             return;
         }
-        if self.newest < Some(claim.at) {
-            self.newest = Some(claim.at);
-            // The store is back, so that this process may reach it too.
-            if !self.turned_away {
+        if self.newest_claim < Some(claim.at) {
+            self.newest_claim = Some(claim.at);
+            // The store answers again, so this process may reach it too.
+            if !self.refused {
                 self.failures = 0;
-                self.again = Clock::ZERO;
+                self.retry_at = Clock::ZERO;
             }
         }
         if self.revision >= Some(claim.revision) {
-            self.confirmed = self.confirmed.max(Some(claim.at));
+            self.confirmed_at = self.confirmed_at.max(Some(claim.at));
             return;
         }
-        if self.behind.is_none() {
-            self.behind = Some(now);
+        if self.behind_since.is_none() {
+            self.behind_since = Some(now);
         }
         if self
-            .ahead
-            .is_none_or(|ahead| ahead.revision < claim.revision)
+            .pending_claim
+            .is_none_or(|pending| pending.revision < claim.revision)
         {
-            self.ahead = Some(claim);
+            self.pending_claim = Some(claim);
         }
     }
 
-    /// Takes the store's answer to this process's question.
+    /// Processes the claim from this process's own call to the store.
     pub fn confirm(&mut self, now: Clock, claim: Claim) {
         self.receive(now, claim);
-        self.found = self.behind.is_some();
+        self.discovered = self.behind_since.is_some();
     }
 
-    /// Notes that the store answered a call of this process.
+    /// Records that the store answered a call of this process.
     pub fn store_answered(&mut self) {
-        self.turned_away = false;
+        self.refused = false;
         self.failures = 0;
-        self.again = Clock::ZERO;
+        self.retry_at = Clock::ZERO;
     }
 
-    /// Notes that the store didn't answer a call of this process. Where it answers others, their claims
-    /// are no reason to call sooner.
+    /// Records that a call of this process failed. While the store answers other processes, their
+    /// claims do not shorten the backoff.
     pub fn store_failed(&mut self, now: Clock) {
-        let age = self.newest.map(|newest| now.saturating_sub(newest));
-        self.turned_away = age.is_some_and(|age| age <= TAKEOVER_AGE);
-        let mut wait = (BACKOFF * (1 << self.failures.min(5))).min(MAX_BACKOFF);
-        if !self.turned_away {
-            // All fail for the first time within a moment, and go on one behind the other.
-            let behind = match self.failures {
-                0 => self.place + 1,
-                _ => self.count,
+        let age = self.newest_claim.map(|at| now.saturating_sub(at));
+        self.refused = age.is_some_and(|age| age <= TAKEOVER_AGE);
+        let mut backoff = (MIN_BACKOFF * (1 << self.failures.min(5))).min(MAX_BACKOFF);
+        if !self.refused {
+            // All processes fail for the first time within a moment; this spreads their retries.
+            let retries_before = match self.failures {
+                0 => self.rank + 1,
+                _ => self.process_count,
             };
-            wait = wait.max(FLEET_BACKOFF * behind);
+            backoff = backoff.max(FLEET_BACKOFF * retries_before);
         }
-        self.again = now + wait;
+        self.retry_at = now + backoff;
         self.failures += 1;
     }
 
-    /// When this process may call the store again after it got no answer.
+    /// Returns the earliest time at which this process may call the store after a failure.
     pub fn retry_at(&self) -> Clock {
-        self.again
+        self.retry_at
     }
 
-    /// When this process asks the store whether what is known is current.
+    /// Returns when this process should ask the store whether its state is current.
     pub fn next_check(&self) -> Clock {
-        let turn = QUESTION_INTERVAL + TURN_DELAY * self.place.min(MAX_TURNS) + self.spread();
-        let due = self.newest.map_or(Clock::ZERO, |newest| newest + turn);
-        due.max(self.again)
+        let turn = CHECK_INTERVAL + TURN_DELAY * self.rank.min(MAX_TURNS) + self.last_turn_delay();
+        let due = self.newest_claim.map_or(Clock::ZERO, |at| at + turn);
+        due.max(self.retry_at)
     }
 
-    /// Since when changes are missing that peers or the store have.
+    /// Returns when missing changes were discovered, if there are any.
     pub fn behind_since(&self) -> Option<Clock> {
-        self.behind
+        self.behind_since
     }
 
-    /// When this process reads missing changes itself, instead of waiting for a peer's message. The
-    /// one that found them out does so at once, and tells the others.
+    /// Returns when this process should read missing changes from the store instead of waiting for
+    /// a peer's message. The process that discovered them reads them at once and sends them to the
+    /// others.
     pub fn fetch_at(&self) -> Option<Clock> {
-        let (listening, other) = FETCH_DELAYS;
-        let patience = match (self.found, self.place_near) {
+        let (watching, other) = FETCH_DELAYS;
+        let delay = match (self.discovered, self.local_rank) {
             (true, _) => Duration::ZERO,
-            (false, 0) => listening,
+            (false, 0) => watching,
             (false, _) => other,
         };
-        Some(self.behind? + patience)
+        Some(self.behind_since? + delay)
     }
 
-    /// Whether this process listens to the store for changes, or to its peers.
+    /// Returns whether this process watches the store for changes, rather than depend on its peers.
     pub fn watches_store(&self, now: Clock) -> bool {
-        let age = self.newest.map(|newest| now.saturating_sub(newest));
-        self.place_near == 0 || age.is_none_or(|age| age > TAKEOVER_AGE + self.spread())
+        let age = self.newest_claim.map(|at| now.saturating_sub(at));
+        self.local_rank == 0 || age.is_none_or(|age| age > TAKEOVER_AGE + self.last_turn_delay())
     }
 }
--- a/components/spread/src/gate.rs
+++ b/components/spread/src/gate.rs
@@ -1,14 +1,15 @@
-//! When a process may serve: it must not know less than the process that it replaces did.
+//! Readiness of a process: it must not serve with older documents than its predecessor on the host
+//! had.
 //!
-//! A process that starts is ready once it has read the store. While the store is out it takes the
-//! highest revisions of its neighbours. It hears from all that can answer, since the one neighbour
-//! that shared the newest document with its predecessor may be any of them ([`crate::slot`]), and
-//! only from those that are ready themselves: two fresh processes must not vouch for each other.
-//! An answer counts only when it was given to a question of this process, for the answer to a
-//! question of its predecessor may be older than what the predecessor went on to do.
+//! A starting process is ready once it has read the store. While the store is unavailable it
+//! catches up with the highest revisions of its neighbours. It waits for all that can answer, since
+//! any one of them may be the only neighbour that shared the newest document with the predecessor
+//! (see [`crate::slot`]). It counts only those that are ready themselves, as two processes that
+//! have just started must not confirm each other. An answer must carry this process's nonce: an
+//! answer to its predecessor may be older than what the predecessor did afterwards.
 //!
-//! A process that was paused goes through the same gate, since the others may have moved on. It has
-//! kept what it held, so it serves again when nobody answers it.
+//! A process that was paused passes through the same gate, since the others may have moved on. It
+//! still holds its documents, so it serves again even if nobody answers.
 
 use std::collections::{
     BTreeMap,
@@ -22,106 +23,107 @@
     Revision, //
 };
 
-/// Number of ready neighbours that must answer when not all do.
-pub const SEVERAL: usize = 2;
+/// Number of ready neighbours that must answer if not all of them do.
+pub const MIN_READY_ANSWERS: usize = 2;
 
-/// What the gate knows of the store since the process started or woke up.
+/// Result of reading the store since the process started or resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Store {
-    /// It was asked and hasn't answered yet.
-    Asked,
-    /// It gave all documents.
+    /// The store has not answered yet.
+    Pending,
+    /// The store returned all documents.
     Read,
-    /// It failed to answer.
-    Out,
+    /// The store failed to answer.
+    Unavailable,
 }
 
-/// What a neighbour answered.
+/// Answer of a neighbour.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Answer {
     ready: bool,
     held: BTreeMap<Environment, Revision>,
 }
 
-/// The rule by which a process becomes ready.
+/// Decides when a process becomes ready to serve.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Gate {
-    question: Nonce,
+    nonce: Nonce,
     store: Store,
     answers: BTreeMap<Host, Answer>,
-    /// The process has served before, and still holds what it held then.
-    kept: bool,
+    /// Whether the process has served before and still holds the documents from then.
+    resumed: bool,
     open: bool,
 }
 
 impl Gate {
-    /// A closed gate; `question` must differ from that of any earlier process of this host.
-    pub fn new(question: Nonce) -> Self {
+    /// Creates a closed gate. `nonce` must differ from that of any earlier process of this host.
+    pub fn new(nonce: Nonce) -> Self {
         Self {
-            question,
-            store: Store::Asked,
+            nonce,
+            store: Store::Pending,
             answers: BTreeMap::new(),
-            kept: false,
+            resumed: false,
             open: false,
         }
     }
 
-    /// A closed gate for a process that was ready before, and may have missed something since.
-    pub fn resumed(question: Nonce) -> Self {
+    /// Creates a closed gate for a process that was ready before and may have missed changes since.
+    pub fn resumed(nonce: Nonce) -> Self {
         Self {
-            kept: true,
-            ..Self::new(question)
+            resumed: true,
+            ..Self::new(nonce)
         }
     }
 
-    /// The number that neighbours' answers must carry.
+    /// Returns the nonce that neighbours' answers must carry.
     pub fn nonce(&self) -> Nonce {
-        self.question
+        self.nonce
     }
 
-    /// Tells whether the process may serve.
+    /// Returns whether the process may serve.
     pub fn is_open(&self) -> bool {
         self.open
     }
 
-    /// The store gave all documents, and they are held.
+    /// Records that the store returned all documents and the process holds them.
     pub fn store_read(&mut self) {
         self.store = Store::Read;
     }
 
-    /// The store failed to answer.
+    /// Records that the store failed to answer.
     pub fn store_failed(&mut self) {
-        if self.store == Store::Asked {
-            self.store = Store::Out;
+        if self.store == Store::Pending {
+            self.store = Store::Unavailable;
         }
     }
 
-    /// A neighbour answered: whether it is ready itself, and what it holds.
+    /// Records a neighbour's answer: whether it is ready, and the revisions that it holds.
     pub fn answer(
         &mut self,
         from: Host,
-        question: Nonce,
+        nonce: Nonce,
         ready: bool,
         held: impl IntoIterator<Item = (Environment, Revision)>,
     ) {
-        if self.open || question != self.question {
+        if self.open || nonce != self.nonce {
             return;
         }
         let held = held.into_iter().collect();
         self.answers.insert(from, Answer { ready, held });
     }
 
-    /// Opens the gate if the rule is met, and tells whether it opened now.
+    /// Opens the gate if the process is ready to serve, and returns whether it opened now.
     ///
-    /// `neighbours` are the hosts that should answer; `waited` tells that those which didn't by
-    /// now won't; `held` gives the revision that this process holds of an environment.
+    /// `neighbours` are the hosts that are expected to answer. `timed_out` says that those that
+    /// have not answered yet will not. `held` returns the revision that this process holds of an
+    /// environment.
     pub fn try_open(
         &mut self,
         neighbours: &BTreeSet<Host>,
-        waited: bool,
+        timed_out: bool,
         held: impl Fn(&str) -> Revision,
     ) -> bool {
-        if self.open || !self.met(neighbours, waited, held) {
+        if self.open || !self.is_satisfied(neighbours, timed_out, held) {
             return false;
         }
         self.open = true;
@@ -129,24 +131,24 @@
         true
     }
 
-    fn met(
+    fn is_satisfied(
         &self,
         neighbours: &BTreeSet<Host>,
-        waited: bool,
+        timed_out: bool,
         held: impl Fn(&str) -> Revision,
     ) -> bool {
         match self.store {
             Store::Read => return true,
-            Store::Asked => return false,
-            Store::Out => {}
+            Store::Pending => return false,
+            Store::Unavailable => {}
         }
         let all = neighbours
             .iter()
             .all(|host| self.answers.contains_key(host));
-        if !all && !waited {
+        if !all && !timed_out {
             return false;
         }
-        if self.kept && self.answers.is_empty() {
+        if self.resumed && self.answers.is_empty() {
             return true;
         }
         let ready: Vec<_> = self
@@ -154,8 +156,8 @@
             .values()
             .filter(|answer| answer.ready)
             .collect();
-        let wanted = SEVERAL.min(neighbours.len()).max(1);
-        if ready.len() < wanted {
+        let required = MIN_READY_ANSWERS.min(neighbours.len()).max(1);
+        if ready.len() < required {
             return false;
         }
         ready
--- a/components/spread/src/lib.rs
+++ b/components/spread/src/lib.rs
@@ -1,7 +1,8 @@
-//! Documents and facts carried to every process, and which processes there are.
+//! Replication of documents and facts to every process, and cluster membership.
 //!
-//! Everything here is decision code: events and times go in, actions come out. [`Board`] is the
-//! whole of one process; its parts stand alone, so that each can be read, tested and searched.
+//! The crate performs no I/O: it takes events and timestamps and returns actions. [`Replica`] holds
+//! the state of one process. Its parts do not depend on it, so that each can be tested and
+//! model-checked alone.
 
 pub mod beacon;
 pub mod delta;
@@ -13,7 +14,7 @@
 pub mod gate;
 pub mod membership;
 pub mod message;
-mod reach;
+mod readers;
 pub mod replica;
 pub mod slot;
 pub mod watch;
--- a/components/spread/src/membership.rs
+++ b/components/spread/src/membership.rs
@@ -1,19 +1,19 @@
-//! Which hosts there are, from the platform's list and from who answers.
+//! Cluster membership, from the platform's host list and from heartbeats.
 //!
-//! What can go wrong, and what this does about it:
+//! Failures that this handles:
 //!
-//! - The list lags: hosts that are gone stand in it for minutes, new ones come late. A host that
-//!   was asked and is silent for [`SUSPECT`] is suspect and isn't chosen for anything; a host that
-//!   speaks to us is live, listed or not.
-//! - The list is wrong: empty, or old. No host is taken out because of one list. A host is gone
-//!   when it is missing from the list *and* silent for [`GONE`]; and a list that has lost more than
-//!   half of what is known is used for additions only. So an empty list empties nothing.
-//! - This process was paused: then everybody else seems silent. Silence is only judged against a
-//!   question, and [`Membership::resume`] takes back the questions from before the pause.
-//! - A host says that it leaves and the list doesn't know yet: its word counts, for as long as its
-//!   incarnation lasts. The list says so of a host that was restarted since: the list's word counts
-//!   only for the incarnation that it was first said of. A list in which more than half are leaving
-//!   is wrong, and is not believed in this.
+//! - The list is behind: it keeps removed hosts for minutes and shows new ones late. A host that
+//!   does not answer a probe for [`SUSPECT_TIMEOUT`] is suspect and is not selected for any task; a
+//!   host that sends heartbeats is live, listed or not.
+//! - The list is wrong: empty, or old. No host is removed because of one list. A host is removed
+//!   when it is missing from the list *and* silent for [`REMOVAL_TIMEOUT`]. A list with fewer than
+//!   half of the known hosts only adds hosts, so an empty list removes none.
+//! - This process was paused, and all others seem silent. Silence is only measured from a probe,
+//!   and [`Membership::resume`] discards the probes from before the pause.
+//! - A host announces that it is leaving before the list shows it: the announcement holds for as
+//!   long as the host's incarnation. The list reports a restarted host as leaving: it holds only
+//!   for the incarnation that it was first reported for. A list in which more than half of the
+//!   hosts are leaving is wrong, and its leaving marks are ignored.
 
 use std::{
     collections::BTreeMap,
@@ -32,70 +32,70 @@
 };
 use xxhash_rust::xxh3::Xxh3;
 
-/// Silence after a question that makes a host suspect.
-pub const SUSPECT: Duration = Duration::from_secs(3);
+/// Silence after a probe that makes a host suspect.
+pub const SUSPECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Silence after which a host that isn't listed is gone.
-pub const GONE: Duration = Duration::from_secs(60);
+/// Silence after which a host that is not listed is removed.
+pub const REMOVAL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time without a question after which a suspect is worth another one.
-const RETRY: Duration = Duration::from_secs(20);
+/// Time without a probe after which a suspect host counts as live again and is probed anew.
+const PROBE_RETRY_INTERVAL: Duration = Duration::from_secs(20);
 
-/// What kind of process runs on a host.
+/// Kind of process that runs on a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Entry, which accepts callers' requests.
     Entry,
-    /// Stands beside a backend server.
+    /// Sidecar of a backend server.
     Sidecar,
 }
 
-/// A line of the platform's host list.
+/// Host in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
-    /// Its name.
+    /// Name of the host.
     pub host: Host,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// What runs there.
+    /// Kind of process on the host.
     pub role: Role,
-    /// The list says that it is leaving.
+    /// Whether the list reports the host as leaving.
     pub leaving: bool,
 }
 
-/// How a host stands.
+/// State of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It answers, or nothing speaks against it.
+    /// The host answers, or no probe is overdue.
     Live,
-    /// It was asked and doesn't answer.
+    /// The host has not answered a probe in time.
     Suspect,
-    /// It runs, and wants no new work.
+    /// The host is running and accepts no new work.
     Leaving,
 }
 
-/// A host.
+/// Known host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// What runs there.
+    /// Kind of process on the host.
     pub role: Role,
-    /// Random number of its process; 0 until it spoke.
+    /// Random id of its process; 0 until its first heartbeat.
     pub incarnation: Nonce,
-    /// It stands in the newest list.
+    /// Whether the newest complete list, or a later one, contains the host.
     listed: bool,
-    /// Incarnation of which the list says that it is leaving.
+    /// Incarnation that the list reports as leaving.
     list_leaving: Option<Nonce>,
-    /// It said so itself.
-    said_leaving: bool,
-    /// First question since it last spoke.
-    unanswered: Option<Clock>,
-    /// Last question.
-    asked: Clock,
-    /// When it last spoke, or when it became known.
-    heard: Clock,
+    /// Whether the host announced that it is leaving.
+    announced_leaving: bool,
+    /// First probe since its last heartbeat.
+    first_unanswered_probe: Option<Clock>,
+    /// Last probe.
+    last_probe: Clock,
+    /// Last heartbeat, or when the host became known.
+    last_heartbeat: Clock,
 }
 
 impl Member {
@@ -106,132 +106,137 @@
             incarnation: 0,
             listed: false,
             list_leaving: None,
-            said_leaving: false,
-            unanswered: None,
-            asked: now,
-            heard: now,
+            announced_leaving: false,
+            first_unanswered_probe: None,
+            last_probe: now,
+            last_heartbeat: now,
         }
     }
 
     fn state(&self, now: Clock) -> State {
         let silent = self
-            .unanswered
-            .is_some_and(|since| now.saturating_sub(since) >= SUSPECT);
+            .first_unanswered_probe
+            .is_some_and(|since| now.saturating_sub(since) >= SUSPECT_TIMEOUT);
         if silent {
             return State::Suspect;
         }
-        if self.said_leaving || self.list_leaving == Some(self.incarnation) {
+        if self.announced_leaving || self.list_leaving == Some(self.incarnation) {
             return State::Leaving;
         }
         State::Live
     }
 }
 
-/// What a host says of itself with each heartbeat.
+/// State that a host announces with each heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sign {
-    /// Its data centre.
+pub struct Announcement {
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// What runs there.
+    /// Kind of process on the host.
     pub role: Role,
-    /// Random number of its process.
+    /// Random id of its process.
     pub incarnation: Nonce,
-    /// It wants no new work.
+    /// Whether the host accepts no new work.
     pub leaving: bool,
 }
 
-/// All hosts that are known.
+/// All known hosts.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     members: BTreeMap<Host, Member>,
 }
 
 impl Membership {
-    /// Takes the platform's list.
-    pub fn list(&mut self, list: &[Listing], now: Clock) {
-        let whole = list.len() * 2 >= self.members.len();
-        if whole {
+    /// Applies the platform's host list.
+    pub fn apply_list(&mut self, list: &[Listing], now: Clock) {
+        let complete = list.len() * 2 >= self.members.len();
+        if complete {
             for member in self.members.values_mut() {
                 member.listed = false;
             }
         }
-        let leaving = list.iter().filter(|line| line.leaving).count();
-        let believed = leaving * 2 <= list.len();
-        for line in list {
+        let leaving = list.iter().filter(|listing| listing.leaving).count();
+        let plausible = leaving * 2 <= list.len();
+        for listing in list {
             let member = self
                 .members
-                .entry(line.host.clone())
-                .or_insert_with(|| Member::new(line.data_centre.clone(), line.role, now));
+                .entry(listing.host.clone())
+                .or_insert_with(|| Member::new(listing.data_centre.clone(), listing.role, now));
             member.listed = true;
-            if !line.leaving {
+            if !listing.leaving {
                 member.list_leaving = None;
-            } else if believed {
+            } else if plausible {
                 member.list_leaving.get_or_insert(member.incarnation);
             }
         }
-        self.forget(now);
+        self.expire(now);
     }
 
-    /// A host spoke.
-    pub fn heard(&mut self, host: &Host, sign: Sign, now: Clock) {
-        let member = self
-            .members
-            .entry(host.clone())
-            .or_insert_with(|| Member::new(sign.data_centre.clone(), sign.role, now));
-        let restarted = member.incarnation != sign.incarnation;
-        member.said_leaving = sign.leaving || (member.said_leaving && !restarted);
-        member.incarnation = sign.incarnation;
-        member.data_centre = sign.data_centre;
-        member.unanswered = None;
-        member.heard = now;
+    /// Records a heartbeat of a host.
+    pub fn record_heartbeat(&mut self, host: &Host, announcement: Announcement, now: Clock) {
+        let member = self.members.entry(host.clone()).or_insert_with(|| {
+            Member::new(announcement.data_centre.clone(), announcement.role, now)
+        });
+        let restarted = member.incarnation != announcement.incarnation;
+        member.announced_leaving = announcement.leaving || (member.announced_leaving && !restarted);
+        member.incarnation = announcement.incarnation;
+        member.data_centre = announcement.data_centre;
+        member.first_unanswered_probe = None;
+        member.last_heartbeat = now;
     }
 
-    /// A host was asked something that it answers at once.
-    pub fn asked(&mut self, host: &str, now: Clock) {
+    /// Records that a host was sent a message that it answers at once.
+    pub fn record_probe(&mut self, host: &str, now: Clock) {
         if let Some(member) = self.members.get_mut(host) {
-            member.unanswered.get_or_insert(now);
-            member.asked = now;
+            member.first_unanswered_probe.get_or_insert(now);
+            member.last_probe = now;
         }
     }
 
-    /// This process was paused: questions from before say nothing about others.
+    /// Discards pending probes after this process was paused, as they say nothing about other
+    /// hosts.
     pub fn resume(&mut self, now: Clock) {
         for member in self.members.values_mut() {
-            member.unanswered = None;
-            member.heard = member.heard.max(now.saturating_sub(SUSPECT));
+            member.first_unanswered_probe = None;
+            member.last_heartbeat = member
+                .last_heartbeat
+                .max(now.saturating_sub(SUSPECT_TIMEOUT));
         }
     }
 
-    /// Drops hosts that are gone, and gives suspects that nobody asks any more another chance.
-    pub fn forget(&mut self, now: Clock) {
-        self.members
-            .retain(|_, member| member.listed || now.saturating_sub(member.heard) < GONE);
+    /// Removes hosts that are neither listed nor heard from, and makes suspect hosts live again
+    /// that have not been probed for a while, so that they are probed anew.
+    pub fn expire(&mut self, now: Clock) {
+        self.members.retain(|_, member| {
+            member.listed || now.saturating_sub(member.last_heartbeat) < REMOVAL_TIMEOUT
+        });
         for member in self.members.values_mut() {
-            if now.saturating_sub(member.asked) >= RETRY {
-                member.unanswered = None;
+            if now.saturating_sub(member.last_probe) >= PROBE_RETRY_INTERVAL {
+                member.first_unanswered_probe = None;
             }
         }
     }
 
-    /// How a host stands; `None` when it is gone or was never known.
+    /// Returns the state of a host; `None` if it was removed or never known.
     pub fn state(&self, host: &str, now: Clock) -> Option<State> {
         Some(self.members.get(host)?.state(now))
     }
 
-    /// Finds a host.
+    /// Returns the host with this name.
     pub fn get(&self, host: &str) -> Option<&Member> {
         self.members.get(host)
     }
 
-    /// All hosts and how they stand, by name.
+    /// Iterates over all hosts and their states, by name.
     pub fn iter(&self, now: Clock) -> impl Iterator<Item = (&Host, &Member, State)> {
         self.members
             .iter()
             .map(move |(host, member)| (host, member, member.state(now)))
     }
 
-    /// The live hosts of a role in a data centre, in rendezvous order for a purpose: each process
-    /// that knows the same hosts gets the same order, and a host that goes changes no other's place.
+    /// Returns the live hosts of a role in a data centre in rendezvous order for a purpose. All
+    /// processes that know the same hosts compute the same order, and removing a host preserves the
+    /// order of the others.
     pub fn ranked(&self, data_centre: &str, role: Role, purpose: &str, now: Clock) -> Vec<&Host> {
         let mut ranked: Vec<_> = self
             .iter(now)
@@ -245,7 +250,7 @@
     }
 }
 
-/// A host's weight for a purpose in rendezvous hashing.
+/// Returns the weight of a host for a purpose in rendezvous hashing.
 pub fn weight(purpose: &str, host: &str) -> u64 {
     let mut hash = Xxh3::with_seed(0);
     hash.update(purpose.as_bytes());
--- a/components/spread/src/message.rs
+++ b/components/spread/src/message.rs
@@ -1,4 +1,4 @@
-//! What processes say to each other about documents and facts.
+//! Messages between processes about documents and facts.
 
 use names::{
     DataCentre,
@@ -17,125 +17,126 @@
     fact::{
         Class,
         Fact,
-        Key,
-        Mark, //
+        Fingerprint,
+        Key, //
     },
     slot::Edition, //
 };
 
-/// One message.
+/// Message between processes. Postcard encodes variants by position, so their order is the wire
+/// format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A heartbeat with digests of all that the sender holds.
+    /// Heartbeat with digests of the sender's documents and facts.
     Heartbeat(Heartbeat),
-    /// What the sender holds; the receiver sends what is newer.
+    /// Revisions that the sender holds; the receiver replies with newer documents.
     Holdings(Holdings),
-    /// A document.
+    /// Document that the sender holds.
     Push(Push),
-    /// The sender holds this revision of a document, or a newer one.
+    /// Acknowledgement that the sender holds this revision of a document, or a newer one.
     Ack {
-        /// Its environment.
+        /// Environment of the document.
         environment: Environment,
-        /// The revision that is held.
+        /// Revision that the sender holds.
         revision: Revision,
     },
-    /// The sender couldn't use a change and needs the whole text.
+    /// Request for the full text of a document, as the sender could not apply a delta.
     Ask {
-        /// Its environment.
+        /// Environment of the document.
         environment: Environment,
     },
     /// Facts that are new to the sender, or that the receiver lacks.
     Facts(Vec<(Key, Fact)>),
-    /// Names of all facts of a class that the sender knows.
+    /// Fingerprints of all facts of a class that the sender knows.
     Have {
-        /// The class.
+        /// Class of the facts.
         class: Class,
-        /// The facts' names and weights.
-        marks: Vec<Mark>,
+        /// Fingerprints of the facts.
+        fingerprints: Vec<Fingerprint>,
     },
-    /// The sender lacks these facts, named by the hashes of their keys.
+    /// Request for facts that the sender lacks, by the hashes of their keys.
     Want(Vec<u64>),
-    /// Asks what the hosts of the receiver's data centre hold.
+    /// Request for the revisions that the hosts of the receiver's data centre hold.
     Survey {
-        /// Number of the survey.
+        /// Id of the survey.
         survey: u64,
     },
-    /// What the hosts of a data centre hold.
+    /// Response to [`Message::Survey`].
     Inventory {
-        /// Number of the survey.
+        /// Id of the survey.
         survey: u64,
-        /// What they hold.
-        account: Inventory,
+        /// Revisions by host.
+        inventory: Inventory,
     },
 }
 
-/// A heartbeat. Digests that differ lead to [`Message::Holding`] and [`Message::Have`].
+/// Heartbeat. A difference in the digests triggers [`Message::Holdings`] and [`Message::Have`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender's data centre.
+    /// Data centre of the sender.
     pub data_centre: DataCentre,
-    /// Random number of the sender's process.
+    /// Random id of the sender's process.
     pub incarnation: Nonce,
-    /// The sender wants no new work.
+    /// Whether the sender accepts no new work.
     pub leaving: bool,
-    /// The sender may serve, see [`crate::gate`].
+    /// Whether the sender may serve, see [`crate::gate`].
     pub ready: bool,
-    /// The store failed to answer the sender lately.
+    /// Whether the sender's last calls to the store failed.
     pub store_fails: bool,
-    /// Digest of the revisions held.
+    /// Digest of the revisions that the sender holds.
     pub documents: u64,
     /// Digest of the urgent facts.
     pub urgent: u64,
     /// Digest of the summaries.
     pub summaries: u64,
-    /// The receiver is to answer, with this number; 0 asks for nothing.
-    pub question: Nonce,
+    /// Nonce that the receiver must answer with; 0 requests no answer.
+    pub nonce: Nonce,
 }
 
-/// What a process holds.
+/// Revisions that a process holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holdings {
     /// Revisions by environment.
     pub held: Vec<(Environment, Revision)>,
-    /// The sender may serve.
+    /// Whether the sender may serve.
     pub ready: bool,
-    /// Number of the question that this answers; 0 when it answers none.
-    pub answers: Nonce,
-    /// The receiver shall say what it holds, if it lacks something.
+    /// Nonce of the heartbeat that this answers; 0 for none.
+    pub in_reply_to: Nonce,
+    /// Whether the receiver should reply with its own revisions if it lacks a newer one.
     pub reply: bool,
 }
 
-/// A document on its way.
+/// Transfer of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Push {
-    /// Its environment.
+    /// Environment of the document.
     pub environment: Environment,
-    /// The document, whole or as a change.
+    /// Content of the document.
     pub body: Body,
-    /// The sender waits for an acknowledgement.
+    /// Whether the sender expects an acknowledgement.
     pub confirm: bool,
 }
 
-/// A document, whole or as a change from an older one.
+/// Content of a document, in full or as a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// The whole document.
+    /// Full document.
     Whole(Edition),
-    /// What changed.
+    /// Change against an older revision.
     Delta {
-        /// Revision that the change was made from.
+        /// Revision that the delta was computed from.
         base: Revision,
-        /// The new revision.
+        /// New revision.
         revision: Revision,
         /// Digest of the new document.
         digest: u64,
-        /// The change of the text.
+        /// Change of the text.
         delta: Delta,
     },
 }
 
 impl Body {
-    /// The revision that this brings.
+    /// Returns the revision of the transferred document.
     pub fn revision(&self) -> Revision {
         match self {
             Body::Whole(edition) => edition.revision,
@@ -144,24 +145,24 @@
     }
 }
 
-/// What the hosts of one data centre hold.
+/// Revisions that the hosts of one data centre hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inventory {
-    /// The data centre.
+    /// Name of the data centre.
     pub data_centre: DataCentre,
-    /// Hosts by environment and revision; revision 0 is none.
+    /// Hosts by environment and revision; revision 0 means none.
     pub standings: Vec<Standing>,
-    /// Hosts that are known and don't answer.
+    /// Known hosts that do not answer.
     pub silent: Vec<Host>,
 }
 
-/// The hosts of a data centre that hold the same revision of a document.
+/// Hosts of a data centre that hold the same revision of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
-    /// The environment.
+    /// Environment of the document.
     pub environment: Environment,
-    /// The revision that they hold.
+    /// Revision that the hosts hold.
     pub revision: Revision,
-    /// The hosts.
+    /// Names of the hosts.
     pub hosts: Vec<Host>,
 }
--- a/components/spread/src/reach.rs
+++ b/components/spread/src/readers.rs
@@ -1,4 +1,5 @@
-//! Whom a board speaks to: neighbours, readers near and far, and what it tells operators of them.
+//! Recipients of a [`Replica`]'s messages: neighbours and the readers of all data centres. Surveys
+//! of held revisions.
 
 use std::collections::{
     BTreeMap,
@@ -33,70 +34,79 @@
         Standing, //
     },
     replica::{
-        READERS, //
-        Replica,
+        READERS_PER_DATA_CENTRE,
+        Replica, //
     },
     slot::Slot, //
 };
 
-/// Number of other data centres that a reader's heartbeat goes to.
-const DISTANT: usize = 3;
+/// Number of data centres that a reader sends a heartbeat to in each round.
+const REMOTE_HEARTBEATS: usize = 3;
 
-/// Purpose of the rendezvous order of readers.
-const PURPOSE: &str = "reader";
+/// Purpose of the rendezvous order that selects the readers.
+const READER_PURPOSE: &str = "reader";
 
 impl Replica {
-    /// The other entries of the data centre, suspect ones too: they may be well.
+    /// Returns the other entries of the data centre, including suspect ones, as they may still be
+    /// well.
     pub(crate) fn neighbours(&self) -> Vec<Host> {
-        let own = &self.place;
-        let near = |(host, member, _): &(&Host, &crate::membership::Member, State)| {
+        let own = &self.identity;
+        let is_neighbour = |(host, member, _): &(&Host, &crate::membership::Member, State)| {
             member.role == Role::Entry
                 && member.data_centre == own.data_centre
                 && **host != own.host
         };
-        let members = self.members.iter(Clock::ZERO).filter(near);
+        let members = self.members.iter(Clock::ZERO).filter(is_neighbour);
         members.map(|(host, _, _)| host.clone()).collect()
     }
 
     pub(crate) fn is_neighbour(&self, host: &str) -> bool {
         self.members
             .get(host)
-            .is_some_and(|member| member.data_centre == self.place.data_centre)
+            .is_some_and(|member| member.data_centre == self.identity.data_centre)
     }
 
-    /// Tells whether another entry of the data centre answers.
-    pub(crate) fn has_company(&self, now: Clock) -> bool {
+    /// Returns whether another entry of the data centre is not suspect.
+    pub(crate) fn has_live_neighbour(&self, now: Clock) -> bool {
         self.neighbours()
             .iter()
             .any(|host| self.members.state(host, now) != Some(State::Suspect))
     }
 
-    /// The readers of the own data centre, as far as this process knows.
+    /// Returns the readers of this process's data centre, according to what this process knows.
     pub fn readers(&self, now: Clock) -> Vec<Host> {
-        let fails = |host: &Host| match *host == self.place.host {
-            true => self.watch.fails(),
+        let fails = |host: &Host| match *host == self.identity.host {
+            true => self.watch.is_failing(),
             false => self.peers.get(host).is_some_and(|peer| peer.store_fails),
         };
         let live = |host: &Host| self.members.state(host, now) == Some(State::Live);
-        let mut able: Vec<_> = self.neighbours().into_iter().filter(live).collect();
-        if !self.leaving || able.is_empty() {
-            able.push(self.place.host.clone());
+        let mut candidates: Vec<_> = self.neighbours().into_iter().filter(live).collect();
+        if !self.leaving || candidates.is_empty() {
+            candidates.push(self.identity.host.clone());
         }
-        // An entry that can't reach the store comes after all that can.
-        able.sort_by_cached_key(|host| (fails(host), std::cmp::Reverse(weight(PURPOSE, host))));
-        able.truncate(READERS);
-        able
+        // Entries that can't reach the store come after all those that can.
+        candidates.sort_by_cached_key(|host| {
+            (fails(host), std::cmp::Reverse(weight(READER_PURPOSE, host)))
+        });
+        candidates.truncate(READERS_PER_DATA_CENTRE);
+        candidates
     }
 
-    /// Tells whether this process is a reader.
+    /// Returns whether this process is a reader.
     pub fn is_reader(&self, now: Clock) -> bool {
-        self.readers(now).contains(&self.place.host)
+        self.readers(now).contains(&self.identity.host)
     }
 
-    /// The readers of another data centre, as far as its hosts are known here.
+    /// Returns the readers of another data centre, according to the hosts that are known here.
     fn readers_of(&self, data_centre: &str, now: Clock) -> Vec<Host> {
-        let ranked = self.members.ranked(data_centre, Role::Entry, PURPOSE, now);
-        ranked.into_iter().take(READERS).cloned().collect()
+        let ranked = self
+            .members
+            .ranked(data_centre, Role::Entry, READER_PURPOSE, now);
+        ranked
+            .into_iter()
+            .take(READERS_PER_DATA_CENTRE)
+            .cloned()
+            .collect()
     }
 
     fn other_data_centres(&self) -> BTreeSet<DataCentre> {
@@ -105,21 +115,24 @@
             .filter(|(_, member, _)| member.role == Role::Entry)
             .map(|(_, member, _)| member.data_centre.clone())
             .collect();
-        others.remove(&self.place.data_centre);
+        others.remove(&self.identity.data_centre);
         others
     }
 
-    /// The readers of all other data centres.
-    pub(crate) fn all_readers(&self, now: Clock) -> Vec<Host> {
+    /// Returns the readers of all other data centres.
+    pub(crate) fn remote_readers(&self, now: Clock) -> Vec<Host> {
         let others = self.other_data_centres();
         let readers = others.iter().flat_map(|name| self.readers_of(name, now));
         readers.collect()
     }
 
-    /// A few readers of other data centres, by chance, for a heartbeat.
-    pub(crate) fn distant(&mut self, now: Clock) -> Vec<Host> {
+    /// Returns one random reader from each of a few random other data centres.
+    pub(crate) fn sample_remote_readers(&mut self, now: Clock) -> Vec<Host> {
         let others: Vec<_> = self.other_data_centres().into_iter().collect();
-        let chosen: Vec<_> = others.sample(&mut self.rng, DISTANT).cloned().collect();
+        let chosen: Vec<_> = others
+            .sample(&mut self.rng, REMOTE_HEARTBEATS)
+            .cloned()
+            .collect();
         let mut hosts = Vec::new();
         for data_centre in chosen {
             let readers = self.readers_of(&data_centre, now);
@@ -132,34 +145,36 @@
         hosts
     }
 
-    /// Sends evidence that grew: detail to the readers here, summaries to everybody by way of the
-    /// readers.
-    pub(crate) fn flush(&mut self, now: Clock, actions: &mut Vec<Action>) {
+    /// Sends evidence that changed: details to the readers of the data centre; summaries to all its
+    /// entries and to the readers of the other data centres, which forward them.
+    pub(crate) fn send_evidence(&mut self, now: Clock, actions: &mut Vec<Action>) {
         let mut readers = self.readers(now);
-        readers.retain(|host| *host != self.place.host);
-        if readers != self.informed {
-            // A new reader has heard nothing of this process's evidence.
-            let own = Source::Host(self.place.host.clone());
+        readers.retain(|host| *host != self.identity.host);
+        if readers != self.evidence_readers {
+            // New readers have not received this process's evidence yet.
+            let own = Source::Host(self.identity.host.clone());
             let keys = self.facts.iter().map(|(key, _)| key);
-            let keys = keys.filter(|key| matches!(key, Key::Evidence(by, _) if *by == own));
+            let keys = keys.filter(|key| matches!(key, Key::Evidence(source, _) if *source == own));
             let keys: Vec<_> = keys.cloned().collect();
-            self.grown.extend(keys);
-            self.informed = readers.clone();
+            self.unsent_evidence.extend(keys);
+            self.evidence_readers = readers.clone();
         }
-        if self.grown.is_empty() {
+        if self.unsent_evidence.is_empty() {
             return;
         }
         let neighbours = self.neighbours();
-        let far = self.all_readers(now);
+        let remote = self.remote_readers(now);
         let mut facts: BTreeMap<Host, Vec<_>> = BTreeMap::new();
-        for key in std::mem::take(&mut self.grown) {
+        for key in std::mem::take(&mut self.unsent_evidence) {
             let Some(fact) = self.facts.get(&key) else {
                 continue;
             };
             let to = match &key {
                 Key::Evidence(Source::Host(_), _) => readers.clone(),
-                Key::Evidence(Source::DataCentre(name), _) if *name == self.place.data_centre => {
-                    [neighbours.as_slice(), &far].concat()
+                Key::Evidence(Source::DataCentre(name), _)
+                    if *name == self.identity.data_centre =>
+                {
+                    [neighbours.as_slice(), &remote].concat()
                 }
                 Key::Evidence(..) | Key::Veto(..) | Key::Poison(_) | Key::Record(..) => {
                     neighbours.clone()
@@ -176,17 +191,17 @@
         actions.extend(messages);
     }
 
-    /// Asks what is in force where.
+    /// Reports the revisions held in this data centre, and requests those of the others.
     pub(crate) fn survey(&mut self, survey: u64, now: Clock, actions: &mut Vec<Action>) {
-        let account = self.account(now);
-        actions.push(Action::Inventory { survey, account });
-        for to in self.all_readers(now) {
+        let inventory = self.inventory(now);
+        actions.push(Action::Inventory { survey, inventory });
+        for to in self.remote_readers(now) {
             actions.push(send(to, Message::Survey { survey }));
         }
     }
 
-    /// What the entries of this data centre hold.
-    pub(crate) fn account(&self, now: Clock) -> Inventory {
+    /// Returns the revisions that the entries of this data centre hold.
+    pub(crate) fn inventory(&self, now: Clock) -> Inventory {
         let mut standings: BTreeMap<_, Vec<Host>> = BTreeMap::new();
         let mut silent = Vec::new();
         let digest = self.digest();
@@ -195,7 +210,7 @@
             standings
                 .entry(own)
                 .or_default()
-                .push(self.place.host.clone());
+                .push(self.identity.host.clone());
         }
         for host in self.neighbours() {
             let known = self.peers.get(&host);
@@ -219,13 +234,13 @@
             hosts,
         };
         Inventory {
-            data_centre: self.place.data_centre.clone(),
+            data_centre: self.identity.data_centre.clone(),
             standings: standings.into_iter().map(standing).collect(),
             silent,
         }
     }
 
-    /// Highest revision that is held here of an environment.
+    /// Returns the highest revision of an environment's document that this process holds.
     pub fn revision(&self, environment: &str) -> u64 {
         self.slots.get(environment).map_or(0, Slot::revision)
     }
--- a/components/spread/src/replica.rs
+++ b/components/spread/src/replica.rs
@@ -1,25 +1,28 @@
-//! All documents and facts of one process, and when it says what to whom.
+//! All documents and facts of one process, and the schedule of its messages.
 //!
-//! Two entries a data centre, the readers, hold a waiting watch on the store; every entry computes
-//! who they are by rendezvous hashing over the live entries that it knows. What a reader learns it
-//! sends to its data centre. Every entry sends a heartbeat with digests to every entry of its data
-//! centre, and a reader to a few readers of other data centres; where digests differ, what is newer
-//! is sent. Full detail stays inside a data centre; summaries and what is urgent cross.
+//! In each data centre two entries, the readers, watch the store by long polling. Every entry
+//! computes who they are by rendezvous hashing over the live entries that it knows. A reader sends
+//! what it receives from the store to its data centre. Every entry sends a heartbeat with digests
+//! to every entry of its data centre, and a reader also to a few readers of other data centres.
+//! Where digests differ, the newer data is sent. Detailed facts stay inside a data centre;
+//! summaries and urgent facts go to all.
 //!
-//! What can go wrong, and what this does about it:
+//! Failures that this handles:
 //!
-//! - *The store is out.* Documents stay as they are; the readers keep trying with growing, scattered
-//!   pauses. Facts travel all the same, for none of them needs the store.
-//! - *A watch is silent for good.* It is given up after a time and begun anew ([`crate::watch`]); the
-//!   other readers' watches are out of step with it, so most often one of them is earlier.
-//! - *A reader dies or can't reach the store.* It is suspect after [`crate::membership::SUSPECT`],
-//!   or says in its heartbeats that the store fails, and the next in rendezvous order watches too.
-//!   Two processes that disagree on who is live make a watch too many, never one too few.
-//! - *A data centre is cut off.* Its readers watch the store themselves. If they are cut off from
-//!   the store as well, its entries keep what they have; once joined again, the first heartbeat
-//!   between readers shows the difference, and the watch goes on from the revision where it stopped.
-//! - *A message is lost, repeated or late.* Revisions and facts only grow, so repeats and latecomers
-//!   do nothing; the next heartbeat shows what is missing.
+//! - *The store is unavailable.* Documents stay in force, and the readers retry with exponential,
+//!   randomized backoff. Facts still spread, as none of them needs the store.
+//! - *A watch never answers.* It times out and is restarted ([`crate::watch`]). The watches of the
+//!   other readers are out of phase, so one of them usually reports a change earlier.
+//! - *A reader dies or can't reach the store.* It becomes suspect after
+//!   [`crate::membership::SUSPECT_TIMEOUT`], or announces the failure in its heartbeats, and the
+//!   next entry in rendezvous order watches as well. If two processes disagree on who is live,
+//!   there is a watch too many, never one too few.
+//! - *A data centre is partitioned off.* Its readers watch the store themselves. If they can't
+//!   reach the store either, its entries keep what they have. After the partition the first
+//!   heartbeat between readers reveals the difference, and the watch continues from the revision
+//!   where it stopped.
+//! - *A message is lost, repeated or late.* Revisions and facts only grow, so repeated and late
+//!   messages have no effect; the next heartbeat reveals what is missing.
 //! - *A process is replaced during an outage, or was paused.* See [`crate::gate`] and
 //!   [`crate::slot`].
 
@@ -57,8 +60,8 @@
     membership::Membership,
     slot::{
         Edition,
-        Slot,
-        Step, //
+        Outcome,
+        Slot, //
     },
     watch::{
         Call,
@@ -66,54 +69,55 @@
     }, //
 };
 
-/// Number of entries of a data centre that watch the store.
-pub const READERS: usize = 2;
+/// Number of entries in a data centre that watch the store.
+pub const READERS_PER_DATA_CENTRE: usize = 2;
 
-/// Pace of heartbeats.
-pub const BEAT: Duration = Duration::from_secs(1);
+/// Interval between heartbeats.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pace of heartbeats while the process isn't ready.
-const EAGER: Duration = Duration::from_millis(250);
+/// Interval between heartbeats while the process is not ready, and shortest delay before a document
+/// that waits for an acknowledgement is sent again.
+const FAST_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pace at which evidence is sent.
-const FLUSH: Duration = Duration::from_secs(2);
+/// Interval between transfers of evidence.
+const EVIDENCE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time between two ticks that shows that this process was paused.
+/// Time between two ticks from which on this process is assumed to have been paused.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(5);
 
-/// How long a process that isn't ready waits for its neighbours.
-pub const GATHER: Duration = Duration::from_secs(3);
+/// Time for which a process that is not ready waits for answers of its neighbours.
+pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a document from the store waits for another process to hold it.
-pub const SHARE: Duration = Duration::from_secs(2);
+/// Time for which a document from the store waits until another process holds it.
+pub const SHARE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What another entry of the data centre said last.
+/// State that another entry of the data centre last reported.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Peer {
     /// Digest of the revisions that it holds.
     pub(crate) documents: u64,
-    /// The revisions themselves, if it said so since.
+    /// Revisions that it reported since the digest last changed.
     pub(crate) held: BTreeMap<Environment, Revision>,
-    /// The store failed to answer it.
+    /// Whether its calls to the store fail.
     pub(crate) store_fails: bool,
 }
 
-/// Times of the last or the next of something.
+/// Times of the last or next occurrence of periodic work.
 #[derive(Clone, Debug)]
 pub(crate) struct Times {
-    tick: Clock,
-    beat: Clock,
-    flush: Clock,
-    gather: Clock,
-    pub(crate) holding: Clock,
-    pub(crate) urgent: Clock,
-    pub(crate) summaries: Clock,
+    last_tick: Clock,
+    next_heartbeat: Clock,
+    next_evidence: Clock,
+    waiting_since: Clock,
+    pub(crate) last_holdings: Clock,
+    pub(crate) last_urgent: Clock,
+    pub(crate) last_summaries: Clock,
 }
 
 /// Documents and facts of one process.
 #[derive(Debug)]
 pub struct Replica {
-    pub(crate) place: Identity,
+    pub(crate) identity: Identity,
     pub(crate) rng: StdRng,
     pub(crate) slots: BTreeMap<Environment, Slot>,
     pub(crate) facts: Facts,
@@ -121,83 +125,83 @@
     pub(crate) gate: Gate,
     pub(crate) watch: Watch,
     pub(crate) peers: BTreeMap<Host, Peer>,
-    /// Since when documents wait for another process to hold them.
-    waiting: BTreeMap<Environment, Clock>,
-    /// Evidence that grew since it was last sent.
-    pub(crate) grown: BTreeSet<Key>,
-    /// Readers to which all of this process's evidence was sent.
-    pub(crate) informed: Vec<Host>,
+    /// Documents that wait for another process to hold them, and since when.
+    unshared: BTreeMap<Environment, Clock>,
+    /// Evidence that changed since it was last sent.
+    pub(crate) unsent_evidence: BTreeSet<Key>,
+    /// Readers that all of this process's evidence was sent to.
+    pub(crate) evidence_readers: Vec<Host>,
     pub(crate) leaving: bool,
     pub(crate) wall: Duration,
     pub(crate) times: Times,
 }
 
 impl Replica {
-    /// A board that knows nothing yet.
-    pub fn new(place: Identity, now: Clock, rng: StdRng) -> Self {
+    /// Creates a replica without documents and facts.
+    pub fn new(identity: Identity, now: Clock, rng: StdRng) -> Self {
         Self {
-            gate: Gate::new(place.incarnation),
+            gate: Gate::new(identity.incarnation),
             watch: Watch::new(now),
-            place,
+            identity,
             rng,
             slots: BTreeMap::new(),
             facts: Facts::default(),
             members: Membership::default(),
             peers: BTreeMap::new(),
-            waiting: BTreeMap::new(),
-            grown: BTreeSet::new(),
-            informed: Vec::new(),
+            unshared: BTreeMap::new(),
+            unsent_evidence: BTreeSet::new(),
+            evidence_readers: Vec::new(),
             leaving: false,
             wall: Duration::ZERO,
             times: Times {
-                tick: now,
-                beat: now,
-                flush: now + FLUSH,
-                gather: now,
-                holding: Clock::ZERO,
-                urgent: Clock::ZERO,
-                summaries: Clock::ZERO,
+                last_tick: now,
+                next_heartbeat: now,
+                next_evidence: now + EVIDENCE_INTERVAL,
+                waiting_since: now,
+                last_holdings: Clock::ZERO,
+                last_urgent: Clock::ZERO,
+                last_summaries: Clock::ZERO,
             },
         }
     }
 
-    /// The document in force in an environment.
+    /// Returns the document in force in an environment.
     pub fn document(&self, environment: &str) -> Option<&Edition> {
         self.slots.get(environment)?.in_force()
     }
 
-    /// All facts that are known.
+    /// Returns all known facts.
     pub fn facts(&self) -> &Facts {
         &self.facts
     }
 
-    /// The hosts that are known.
+    /// Returns the known hosts.
     pub fn members(&self) -> &Membership {
         &self.members
     }
 
-    /// Tells whether this process may serve.
+    /// Returns whether this process may serve.
     pub fn is_ready(&self) -> bool {
         self.gate.is_open()
     }
 
-    /// Takes an event and says what is to be done.
+    /// Processes an event and returns the resulting actions.
     pub fn handle(&mut self, event: Event, now: Clock) -> Vec<Action> {
         let mut actions = Vec::new();
-        if now.saturating_sub(self.times.tick) >= PAUSE_THRESHOLD {
-            self.wake(now, &mut actions);
+        if now.saturating_sub(self.times.last_tick) >= PAUSE_THRESHOLD {
+            self.resume(now, &mut actions);
         }
         match event {
             Event::Tick { wall } => self.tick(wall, now, &mut actions),
-            Event::HostList(list) => self.members.list(&list, now),
-            Event::Message { from, message } => self.message(from, message, now, &mut actions),
+            Event::HostList(list) => self.members.apply_list(&list, now),
+            Event::Message { from, message } => self.on_message(from, message, now, &mut actions),
             Event::Read {
                 call,
                 documents,
                 revision,
             } => {
-                self.store(documents, now, &mut actions);
-                // An answer to a call from before a pause may be as old as that.
+                self.add_documents(documents, now, &mut actions);
+                // A response to a call from before a pause may be older than the pause.
                 if self.watch.answered(call, revision, now) {
                     self.gate.store_read();
                 }
@@ -207,10 +211,10 @@
                 documents,
                 revision,
             } => {
-                self.store(documents, now, &mut actions);
+                self.add_documents(documents, now, &mut actions);
                 self.watch.answered(call, revision, now);
             }
-            Event::Compacted { call } => self.watch.forgotten(call, now),
+            Event::Compacted { call } => self.watch.compacted(call, now),
             Event::Failed { call } => {
                 self.watch.failed(call, now, &mut self.rng);
                 self.gate.store_failed();
@@ -218,26 +222,26 @@
             Event::Observed {
                 environment,
                 edition,
-            } => self.store(vec![(environment, edition)], now, &mut actions),
-            Event::AddFact { key, fact } => self.learn(&key, &fact, &mut actions, now),
+            } => self.add_documents(vec![(environment, edition)], now, &mut actions),
+            Event::AddFact { key, fact } => self.add_fact(&key, &fact, &mut actions, now),
             Event::Leave => {
                 self.leaving = true;
-                self.times.beat = now;
+                self.times.next_heartbeat = now;
             }
             Event::Survey { survey } => self.survey(survey, now, &mut actions),
         }
-        self.share(now, &mut actions);
-        self.open(now, &mut actions);
+        self.activate_unshared(now, &mut actions);
+        self.open_gate(now, &mut actions);
         actions
     }
 
     fn tick(&mut self, wall: Duration, now: Clock, actions: &mut Vec<Action>) {
         self.wall = wall;
-        self.times.tick = now;
-        self.members.forget(now);
+        self.times.last_tick = now;
+        self.members.expire(now);
         self.facts.expire(wall);
-        let reads = self.is_reader(now);
-        let stop = self.watch.want(reads, now);
+        let is_reader = self.is_reader(now);
+        let stop = self.watch.set_enabled(is_reader, now);
         actions.extend(stop.map(Action::from));
         for call in self.watch.tick(now, &mut self.rng) {
             if matches!(call, Call::Stop { .. }) {
@@ -245,33 +249,39 @@
             }
             actions.push(call.into());
         }
-        if now >= self.times.beat {
-            let pace = if self.gate.is_open() { BEAT } else { EAGER };
-            self.times.beat = now + pace.mul_f64(self.rng.random_range(0.9..1.1));
-            self.beat(now, actions);
-            self.resend(now, actions);
+        if now >= self.times.next_heartbeat {
+            let interval = if self.gate.is_open() {
+                HEARTBEAT_INTERVAL
+            } else {
+                FAST_HEARTBEAT_INTERVAL
+            };
+            self.times.next_heartbeat = now + interval.mul_f64(self.rng.random_range(0.9..1.1));
+            self.send_heartbeats(now, actions);
+            self.resend_unshared(now, actions);
         }
-        if now >= self.times.flush {
-            self.times.flush = now + FLUSH.mul_f64(self.rng.random_range(0.9..1.1));
-            self.flush(now, actions);
+        if now >= self.times.next_evidence {
+            self.times.next_evidence =
+                now + EVIDENCE_INTERVAL.mul_f64(self.rng.random_range(0.9..1.1));
+            self.send_evidence(now, actions);
         }
     }
 
-    /// The process was paused: it may have missed documents, and says nothing about others.
-    fn wake(&mut self, now: Clock, actions: &mut Vec<Action>) {
-        self.times.tick = now;
+    /// Handles a pause of this process: it may have missed documents, and silence from that time
+    /// says nothing about other hosts.
+    fn resume(&mut self, now: Clock, actions: &mut Vec<Action>) {
+        self.times.last_tick = now;
         self.members.resume(now);
         if self.gate.is_open() {
             self.gate = Gate::resumed(self.rng.random_range(1..Nonce::MAX));
             actions.push(Action::Unready);
         }
         actions.extend(self.watch.restart(now).map(Action::from));
-        self.times.gather = now;
-        self.times.beat = now;
+        self.times.waiting_since = now;
+        self.times.next_heartbeat = now;
     }
 
-    /// Takes documents from the store.
-    fn store(
+    /// Adds documents from the store and sends them to the neighbours.
+    fn add_documents(
         &mut self,
         documents: Vec<(Environment, Edition)>,
         now: Clock,
@@ -279,46 +289,46 @@
     ) {
         for (environment, edition) in documents {
             let slot = self.slots.entry(environment.clone()).or_default();
-            if slot.stage(edition) != Step::Pending {
+            if slot.stage(edition) != Outcome::Pending {
                 continue;
             }
-            self.waiting.insert(environment.clone(), now);
+            self.unshared.insert(environment.clone(), now);
             for to in self.neighbours() {
                 self.push(&to, &environment, true, actions);
             }
         }
     }
 
-    /// Brings documents into force for which there is nobody to share them with.
-    fn share(&mut self, now: Clock, actions: &mut Vec<Action>) {
-        if self.waiting.is_empty() {
+    /// Brings waiting documents into force if no other process is available to hold them.
+    fn activate_unshared(&mut self, now: Clock, actions: &mut Vec<Action>) {
+        if self.unshared.is_empty() {
             return;
         }
-        let company = self.has_company(now);
-        let waiting = std::mem::take(&mut self.waiting);
-        for (environment, since) in waiting {
+        let has_live_neighbour = self.has_live_neighbour(now);
+        let unshared = std::mem::take(&mut self.unshared);
+        for (environment, since) in unshared {
             let slot = self.slots.entry(environment.clone()).or_default();
             if !slot.is_pending() {
                 continue;
             }
-            if company && now.saturating_sub(since) < SHARE {
-                self.waiting.insert(environment, since);
+            if has_live_neighbour && now.saturating_sub(since) < SHARE_TIMEOUT {
+                self.unshared.insert(environment, since);
                 continue;
             }
             slot.activate();
-            self.in_force(environment, actions);
+            self.report_in_force(environment, actions);
         }
     }
 
-    /// Sends waiting documents again; the first message or its acknowledgement may be lost.
-    fn resend(&mut self, now: Clock, actions: &mut Vec<Action>) {
-        let waiting: Vec<_> = self
-            .waiting
+    /// Sends waiting documents again, as the first message or its acknowledgement may be lost.
+    fn resend_unshared(&mut self, now: Clock, actions: &mut Vec<Action>) {
+        let unshared: Vec<_> = self
+            .unshared
             .iter()
             .map(|(e, since)| (e.clone(), *since))
             .collect();
-        for (environment, since) in waiting {
-            if now.saturating_sub(since) < EAGER {
+        for (environment, since) in unshared {
+            if now.saturating_sub(since) < FAST_HEARTBEAT_INTERVAL {
                 continue;
             }
             for to in self.neighbours() {
@@ -327,7 +337,7 @@
         }
     }
 
-    pub(crate) fn in_force(&self, environment: Environment, actions: &mut Vec<Action>) {
+    pub(crate) fn report_in_force(&self, environment: Environment, actions: &mut Vec<Action>) {
         let Some(edition) = self.document(&environment) else {
             return;
         };
@@ -337,19 +347,19 @@
         });
     }
 
-    fn open(&mut self, now: Clock, actions: &mut Vec<Action>) {
+    fn open_gate(&mut self, now: Clock, actions: &mut Vec<Action>) {
         if self.gate.is_open() {
             return;
         }
-        // A process that is about to serve must have in force what it holds.
+        // All held documents must be in force before the process serves.
         if self.slots.values().any(Slot::is_pending) {
             return;
         }
         let neighbours = self.neighbours().into_iter().collect();
-        let waited = now.saturating_sub(self.times.gather) >= GATHER;
+        let timed_out = now.saturating_sub(self.times.waiting_since) >= ANSWER_TIMEOUT;
         let slots = &self.slots;
         let held = |environment: &str| slots.get(environment).map_or(0, Slot::revision);
-        if self.gate.try_open(&neighbours, waited, held) {
+        if self.gate.try_open(&neighbours, timed_out, held) {
             actions.push(Action::Ready);
         }
     }
--- a/components/spread/src/slot.rs
+++ b/components/spread/src/slot.rs
@@ -1,10 +1,10 @@
-//! One environment's document in one process.
+//! Document of one environment in one process.
 //!
-//! What can go wrong: a process puts a document in force that nobody else has, dies, is replaced
-//! while the store is out, and its replacement learns an older document from its neighbours. A
-//! caller notices that traffic moves back to a version which was taken out. So a document that
-//! comes from the store is *pending* until another process says that it holds it too; one that
-//! comes from another process is held there already, and is in force at once.
+//! This prevents a rollback: a process brings a document into force that no other process has,
+//! dies, and is replaced while the store is unavailable. Its replacement receives an older document
+//! from the neighbours, and callers see traffic return to a version that had been removed. A
+//! document from the store is therefore *pending* until another process reports that it holds it
+//! too. A document from another process is held there already, and comes into force at once.
 
 use names::Revision;
 use serde::{
@@ -12,52 +12,52 @@
     Serialize, //
 };
 
-/// A document as the store keeps it at one revision.
+/// Document at one revision of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Edition {
-    /// The store's revision of it.
+    /// Store revision of the document.
     pub revision: Revision,
-    /// Digest of what it says, see [`environment::digest()`].
+    /// Digest of the document's content, see [`environment::digest()`].
     pub digest: u64,
-    /// The YAML text.
+    /// YAML text of the document.
     pub text: String,
 }
 
-/// What became of a document that was offered to a slot.
+/// Result of adding a document to a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// It is as old as what the slot holds, or older: nothing changed.
+pub enum Outcome {
+    /// The document is not newer than the held one; nothing changed.
     Old,
-    /// It waits until another process holds it too, and must be sent to others.
+    /// The document must be sent to others, and is pending until another process holds it.
     Pending,
-    /// It is in force.
+    /// The document is in force.
     InForce,
 }
 
-/// One environment's document in one process; its revision never goes back.
+/// Document of one environment in one process. Its revision never decreases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Slot {
     in_force: Option<Edition>,
     pending: Option<Edition>,
-    /// What was held before, so that neighbours who still have it can be sent the change alone.
+    /// Previously held document, so that neighbours that still have it can be sent a delta.
     previous: Option<Edition>,
 }
 
 impl Slot {
-    /// Takes a document from the store.
-    pub fn stage(&mut self, edition: Edition) -> Step {
+    /// Adds a document from the store.
+    pub fn stage(&mut self, edition: Edition) -> Outcome {
         if edition.revision <= self.revision() {
-            return Step::Old;
+            return Outcome::Old;
         }
         self.previous = self.newest().cloned();
         self.pending = Some(edition);
-        Step::Pending
+        Outcome::Pending
     }
 
-    /// Takes a document from another process.
-    pub fn receive(&mut self, edition: Edition) -> Step {
+    /// Adds a document from another process.
+    pub fn receive(&mut self, edition: Edition) -> Outcome {
         if edition.revision < self.revision() {
-            return Step::Old;
+            return Outcome::Old;
         }
         if edition.revision == self.revision() {
             return self.confirm(edition.revision);
@@ -65,46 +65,46 @@
         self.previous = self.newest().cloned();
         self.pending = None;
         self.in_force = Some(edition);
-        Step::InForce
+        Outcome::InForce
     }
 
-    /// Another process said that it holds this revision or a newer one.
-    pub fn confirm(&mut self, revision: Revision) -> Step {
+    /// Records that another process holds this revision or a newer one.
+    pub fn confirm(&mut self, revision: Revision) -> Outcome {
         match self.pending.take_if(|pending| pending.revision <= revision) {
             Some(pending) => {
                 self.in_force = Some(pending);
-                Step::InForce
+                Outcome::InForce
             }
-            None => Step::Old,
+            None => Outcome::Old,
         }
     }
 
-    /// There is nobody to share a pending document with: it comes into force all the same.
-    pub fn activate(&mut self) -> Step {
+    /// Brings a pending document into force although no other process holds it.
+    pub fn activate(&mut self) -> Outcome {
         self.confirm(Revision::MAX)
     }
 
-    /// The document in force.
+    /// Returns the document in force.
     pub fn in_force(&self) -> Option<&Edition> {
         self.in_force.as_ref()
     }
 
-    /// The newest document that is held, in force or pending.
+    /// Returns the newest held document, in force or pending.
     pub fn newest(&self) -> Option<&Edition> {
         self.pending.as_ref().or(self.in_force.as_ref())
     }
 
-    /// The document that was the newest before this one.
+    /// Returns the document that was the newest before the current one.
     pub fn previous(&self) -> Option<&Edition> {
         self.previous.as_ref()
     }
 
-    /// Tells whether a document waits for another process to hold it.
+    /// Returns whether a document is pending.
     pub fn is_pending(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// Revision of the newest document that is held; 0 when there is none.
+    /// Returns the revision of the newest held document; 0 if there is none.
     pub fn revision(&self) -> Revision {
         self.newest().map_or(0, |edition| edition.revision)
     }
--- a/components/spread/src/watch.rs
+++ b/components/spread/src/watch.rs
@@ -1,12 +1,12 @@
-//! The waiting watch of a reader.
+//! Long-polling watch of a reader on the store.
 //!
-//! What can go wrong: the store is out, slow, or has forgotten the revision asked for; or a waiting
-//! watch never answers, because something between the two ends lost track of the connection, while
-//! new connections work. The watch asks the store to answer after [`WAIT`] at most in any case; one
-//! that is silent for [`GRACE`] longer is given up and a new one begun, so that a change is late by
-//! the sum of both at most. The wait differs from call to call, so that the readers of a fleet get
-//! out of step: then the first of them hears of the change long before the last. Failures are retried with growing pauses, scattered so that the readers of a fleet don't
-//! come back all at once.
+//! Failures that this handles: the store is unavailable, slow, or has compacted the requested
+//! revision; or a pending watch never answers, because a device between the two ends lost the
+//! connection's state, while new connections work. The watch requests an answer within [`MAX_WAIT`]
+//! in any case. A call that is silent for another [`RESPONSE_GRACE`] is cancelled and repeated, so
+//! a change is delayed by at most the sum of both. The wait is randomized for each call to keep the
+//! readers of a fleet out of phase: the first of them then receives a change long before the last.
+//! Failures are retried with exponential backoff, also randomized, to spread the readers' retries.
 
 use std::time::Duration;
 
@@ -19,190 +19,193 @@
     RngExt, //
 };
 
-/// Longest time that the store is asked to let a watch wait; the shortest is half of it.
-pub const WAIT: Duration = Duration::from_secs(6);
+/// Longest wait that the store is asked for; the shortest is half of it.
+pub const MAX_WAIT: Duration = Duration::from_secs(6);
 
-/// How much longer than it was asked to a call may take before it counts as silent.
-pub const GRACE: Duration = Duration::from_secs(2);
+/// Time beyond the requested wait after which a call counts as silent.
+pub const RESPONSE_GRACE: Duration = Duration::from_secs(2);
 
-/// Shortest pause after a failure; it doubles with each.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Backoff after a first failure; it doubles with each.
+const MIN_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Longest pause between two tries.
-const MAX_PAUSE: Duration = Duration::from_secs(4);
+/// Limit on the backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// What the watch asks its driver to do.
+/// Request to the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Read all documents; the answer brings the revision to watch from.
+    /// Read all documents; the response has the revision to watch from.
     Read {
-        /// Number of this call; its answer must carry it.
+        /// Id of this call, to be repeated in its response.
         call: u64,
     },
     /// Wait for changes after a revision.
     Watch {
-        /// Number of this call; its answer must carry it.
+        /// Id of this call, to be repeated in its response.
         call: u64,
-        /// Revision after which changes are wanted.
+        /// Revision after which to report changes.
         after: Revision,
-        /// How long to wait.
+        /// Time after which the store responds even without changes.
         wait: Duration,
     },
-    /// Give up a call, and close its connection rather than use it again.
+    /// Cancel a call, and close its connection instead of reusing it.
     Stop {
-        /// Number of the call.
+        /// Id of the call.
         call: u64,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Nothing is wanted.
+    /// Disabled, after the first read.
     Idle,
-    /// A call waits for its answer, which must come before a time.
-    Waiting { call: u64, until: Clock },
-    /// The next call begins at a time.
-    Paused { until: Clock },
+    /// A call is in flight, and times out at `until`.
+    InFlight { call: u64, until: Clock },
+    /// The next call starts at `until`.
+    Scheduled { until: Clock },
 }
 
-/// The reads and waiting watches of one process.
+/// Sequence of reads and watches of one process.
 #[derive(Clone, Debug)]
 pub struct Watch {
     state: State,
     calls: u64,
-    /// Revision up to which the store was read; unknown before the first read.
+    /// Revision that the store was read up to; `None` before the first read.
     after: Option<Revision>,
     failures: u32,
-    /// Keep watching after the first read.
-    wanted: bool,
+    /// Whether to watch after the first read.
+    enabled: bool,
 }
 
 impl Watch {
-    /// Reads the store once; [`Watch::want`] makes it stay.
+    /// Creates a watch that reads the store once; [`Watch::set_enabled`] makes it continue.
     pub fn new(now: Clock) -> Self {
         Self {
-            state: State::Paused { until: now },
+            state: State::Scheduled { until: now },
             calls: 0,
             after: None,
             failures: 0,
-            wanted: false,
+            enabled: false,
         }
     }
 
-    /// Says whether this process shall watch.
-    pub fn want(&mut self, wanted: bool, now: Clock) -> Option<Call> {
-        if wanted == self.wanted {
+    /// Sets whether this process watches the store. Returns the call to cancel, if any.
+    pub fn set_enabled(&mut self, enabled: bool, now: Clock) -> Option<Call> {
+        if enabled == self.enabled {
             return None;
         }
-        self.wanted = wanted;
+        self.enabled = enabled;
         match self.state {
-            State::Idle if wanted => {
-                self.state = State::Paused { until: now };
+            State::Idle if enabled => {
+                self.state = State::Scheduled { until: now };
                 None
             }
-            State::Waiting { call, .. } if !wanted && self.after.is_some() => {
+            State::InFlight { call, .. } if !enabled && self.after.is_some() => {
                 self.state = State::Idle;
                 Some(Call::Stop { call })
             }
-            State::Paused { .. } if !wanted && self.after.is_some() => {
+            State::Scheduled { .. } if !enabled && self.after.is_some() => {
                 self.state = State::Idle;
                 None
             }
-            State::Idle | State::Waiting { .. } | State::Paused { .. } => None,
+            State::Idle | State::InFlight { .. } | State::Scheduled { .. } => None,
         }
     }
 
-    /// Reads the store afresh, since this process may have missed something.
+    /// Restarts with a full read, since this process may have missed changes. Returns the call to
+    /// cancel, if any.
     pub fn restart(&mut self, now: Clock) -> Option<Call> {
         let stop = match self.state {
-            State::Waiting { call, .. } => Some(Call::Stop { call }),
-            State::Idle | State::Paused { .. } => None,
+            State::InFlight { call, .. } => Some(Call::Stop { call }),
+            State::Idle | State::Scheduled { .. } => None,
         };
         self.after = None;
         self.failures = 0;
-        self.state = State::Paused { until: now };
+        self.state = State::Scheduled { until: now };
         stop
     }
 
-    /// The store answered a call; `after` is the revision to go on from. Answers to a call that was
-    /// given up change nothing, and `false` says so.
+    /// Records a response; `after` is the revision to continue from. Returns `false`, and changes
+    /// nothing, if the call was cancelled before.
     pub fn answered(&mut self, call: u64, after: Revision, now: Clock) -> bool {
-        if !self.waits_for(call) {
+        if !self.is_in_flight(call) {
             return false;
         }
         self.failures = 0;
         self.after = Some(self.after.unwrap_or(0).max(after));
-        self.state = match self.wanted {
-            true => State::Paused { until: now },
+        self.state = match self.enabled {
+            true => State::Scheduled { until: now },
             false => State::Idle,
         };
         true
     }
 
-    /// The store has forgotten the revision that the watch went on from.
-    pub fn forgotten(&mut self, call: u64, now: Clock) {
-        if self.waits_for(call) {
+    /// Records that the store has compacted the revision to continue from; the next call is a full
+    /// read.
+    pub fn compacted(&mut self, call: u64, now: Clock) {
+        if self.is_in_flight(call) {
             self.after = None;
-            self.state = State::Paused { until: now };
+            self.state = State::Scheduled { until: now };
         }
     }
 
-    /// A call failed.
+    /// Records that a call failed.
     pub fn failed(&mut self, call: u64, now: Clock, rng: &mut impl Rng) {
-        if self.waits_for(call) {
-            self.pause(now, rng);
+        if self.is_in_flight(call) {
+            self.back_off(now, rng);
         }
     }
 
-    /// Time passed; tells also whether a call was given up as silent.
+    /// Advances time. Returns the calls to cancel and to start; a cancelled call timed out.
     pub fn tick(&mut self, now: Clock, rng: &mut impl Rng) -> Vec<Call> {
         let mut calls = Vec::new();
-        if let State::Waiting { call, until } = self.state
+        if let State::InFlight { call, until } = self.state
             && until <= now
         {
             calls.push(Call::Stop { call });
-            // The next one begins at once: new connections work when an old one went silent.
+            // The first retry follows at once, as new connections work when an old one has lost its
+            // state.
             self.failures += 1;
             self.state = match self.failures {
-                1 => State::Paused { until: now },
-                _ => State::Paused {
-                    until: now + pause(self.failures, rng),
+                1 => State::Scheduled { until: now },
+                _ => State::Scheduled {
+                    until: now + backoff(self.failures, rng),
                 },
             };
         }
-        if let State::Paused { until } = self.state
+        if let State::Scheduled { until } = self.state
             && until <= now
         {
-            calls.push(self.begin(now, rng));
+            calls.push(self.start_call(now, rng));
         }
         calls
     }
 
-    /// Tells whether the store failed to answer lately.
-    pub fn fails(&self) -> bool {
+    /// Returns whether the last calls failed.
+    pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    fn waits_for(&self, call: u64) -> bool {
-        matches!(self.state, State::Waiting { call: current, .. } if current == call)
+    fn is_in_flight(&self, call: u64) -> bool {
+        matches!(self.state, State::InFlight { call: current, .. } if current == call)
     }
 
-    fn pause(&mut self, now: Clock, rng: &mut impl Rng) {
+    fn back_off(&mut self, now: Clock, rng: &mut impl Rng) {
         self.failures += 1;
-        self.state = State::Paused {
-            until: now + pause(self.failures, rng),
+        self.state = State::Scheduled {
+            until: now + backoff(self.failures, rng),
         };
     }
 
-    fn begin(&mut self, now: Clock, rng: &mut impl Rng) -> Call {
+    fn start_call(&mut self, now: Clock, rng: &mut impl Rng) -> Call {
         self.calls += 1;
         let call = self.calls;
         let wait = match self.after {
-            Some(_) => WAIT.mul_f64(rng.random_range(0.5..1.0)),
+            Some(_) => MAX_WAIT.mul_f64(rng.random_range(0.5..1.0)),
             None => Duration::ZERO,
         };
-        let until = now + wait + GRACE;
-        self.state = State::Waiting { call, until };
+        let until = now + wait + RESPONSE_GRACE;
+        self.state = State::InFlight { call, until };
         match self.after {
             Some(after) => Call::Watch { call, after, wait },
             None => Call::Read { call },
@@ -210,7 +213,7 @@
     }
 }
 
-fn pause(failures: u32, rng: &mut impl Rng) -> Duration {
-    let longest = (PAUSE * 2u32.saturating_pow(failures.min(10))).min(MAX_PAUSE);
-    longest.mul_f64(rng.random_range(0.5..1.0))
+fn backoff(failures: u32, rng: &mut impl Rng) -> Duration {
+    let limit = (MIN_BACKOFF * 2u32.saturating_pow(failures.min(10))).min(MAX_BACKOFF);
+    limit.mul_f64(rng.random_range(0.5..1.0))
 }
