--- a/components/spread/tests/parts.rs
+++ b/components/spread/tests/parts.rs
@@ -21,18 +21,18 @@
         Source, //
     },
     membership::{
-        GONE,
+        Announcement,
         Listing,
+        REMOVAL_TIMEOUT,
         Role,
-        SUSPECT,
-        Sign,
+        SUSPECT_TIMEOUT,
         State, //
     },
-    slot::Step,
+    slot::Outcome,
     watch::{
         Call,
-        GRACE,
-        WAIT,
+        MAX_WAIT,
+        RESPONSE_GRACE,
         Watch, //
     }, //
 };
@@ -51,15 +51,15 @@
 #[test]
 fn a_slot_never_goes_back() {
     let mut slot = Slot::default();
-    assert_eq!(slot.receive(edition(2)), Step::InForce);
-    assert_eq!(slot.receive(edition(1)), Step::Old);
-    assert_eq!(slot.stage(edition(1)), Step::Old);
+    assert_eq!(slot.receive(edition(2)), Outcome::InForce);
+    assert_eq!(slot.receive(edition(1)), Outcome::Old);
+    assert_eq!(slot.stage(edition(1)), Outcome::Old);
     assert_eq!(slot.in_force(), Some(&edition(2)));
-    assert_eq!(slot.stage(edition(4)), Step::Pending);
-    assert_eq!(slot.receive(edition(3)), Step::Old);
-    assert_eq!(slot.confirm(3), Step::Old);
+    assert_eq!(slot.stage(edition(4)), Outcome::Pending);
+    assert_eq!(slot.receive(edition(3)), Outcome::Old);
+    assert_eq!(slot.confirm(3), Outcome::Old);
     assert_eq!(slot.in_force(), Some(&edition(2)));
-    assert_eq!(slot.receive(edition(4)), Step::InForce);
+    assert_eq!(slot.receive(edition(4)), Outcome::InForce);
     assert_eq!(slot.previous(), Some(&edition(2)));
 }
 
@@ -125,9 +125,9 @@
     let mut other = Facts::default();
     one.join(&veto, &fact(1, "slow"), Duration::ZERO);
     other.join(&poison, &fact(1, ""), Duration::ZERO);
-    let (lacks, wanted) = one.compare(Class::Urgent, &other.marks(Class::Urgent));
-    assert_eq!(lacks, [(veto, fact(1, "slow"))]);
-    assert_eq!(other.named(&wanted), [(poison, fact(1, ""))]);
+    let (lacking, wanted) = one.compare(Class::Urgent, &other.fingerprints(Class::Urgent));
+    assert_eq!(lacking, [(veto, fact(1, "slow"))]);
+    assert_eq!(other.by_hashes(&wanted), [(poison, fact(1, ""))]);
 }
 
 // Two processes whose clocks differ hand an expired fact to each other. It would stay for ever, and
@@ -160,13 +160,13 @@
 fn a_silent_watch_is_begun_anew() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut watch = Watch::new(Duration::ZERO);
-    watch.want(true, Duration::ZERO);
+    watch.set_enabled(true, Duration::ZERO);
     let calls = watch.tick(Duration::ZERO, &mut rng);
     assert_eq!(calls, [Call::Read { call: 1 }]);
     assert!(watch.answered(1, 5, SECOND));
     let calls = watch.tick(SECOND, &mut rng);
     let first = wait(&calls);
-    assert!(first <= WAIT);
+    assert!(first <= MAX_WAIT);
     assert_matches!(
         calls[..],
         [Call::Watch {
@@ -175,7 +175,7 @@
             ..
         }]
     );
-    let silent = SECOND + first + GRACE;
+    let silent = SECOND + first + RESPONSE_GRACE;
     assert_eq!(watch.tick(silent - SECOND / 1000, &mut rng), []);
     let calls = watch.tick(silent, &mut rng);
     assert_matches!(
@@ -203,11 +203,11 @@
 fn a_watch_reads_afresh_when_the_store_has_forgotten_its_revision() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut watch = Watch::new(Duration::ZERO);
-    watch.want(true, Duration::ZERO);
+    watch.set_enabled(true, Duration::ZERO);
     watch.tick(Duration::ZERO, &mut rng);
     watch.answered(1, 5, Duration::ZERO);
     watch.tick(Duration::ZERO, &mut rng);
-    watch.forgotten(2, SECOND);
+    watch.compacted(2, SECOND);
     assert_eq!(watch.tick(SECOND, &mut rng), [Call::Read { call: 3 }]);
 }
 
@@ -238,8 +238,8 @@
     }
 }
 
-fn sign(incarnation: u64, leaving: bool) -> Sign {
-    Sign {
+fn announcement(incarnation: u64, leaving: bool) -> Announcement {
+    Announcement {
         data_centre: "dc".into(),
         role: Role::Entry,
         incarnation,
@@ -250,7 +250,7 @@
 fn hosts(names: &[&str]) -> Membership {
     let mut members = Membership::default();
     let list: Vec<_> = names.iter().map(|name| listing(name)).collect();
-    members.list(&list, Duration::ZERO);
+    members.apply_list(&list, Duration::ZERO);
     members
 }
 
@@ -259,31 +259,37 @@
 #[test]
 fn an_empty_list_empties_nothing() {
     let mut members = hosts(&["a", "b", "c", "d"]);
-    members.list(&[], SECOND);
-    members.list(&[], 10 * GONE);
-    assert_eq!(members.iter(10 * GONE).count(), 4);
+    members.apply_list(&[], SECOND);
+    members.apply_list(&[], 10 * REMOVAL_TIMEOUT);
+    assert_eq!(members.iter(10 * REMOVAL_TIMEOUT).count(), 4);
 }
 
 #[test]
 fn a_host_is_gone_when_it_is_neither_listed_nor_heard() {
     let mut members = hosts(&["a", "b", "c", "d"]);
-    members.list(&[listing("a"), listing("b"), listing("c")], SECOND);
+    members.apply_list(&[listing("a"), listing("b"), listing("c")], SECOND);
     assert_eq!(members.state("d", SECOND), Some(State::Live));
-    members.heard(&"d".into(), sign(1, false), 2 * SECOND);
-    members.forget(GONE + SECOND);
-    assert_eq!(members.state("d", GONE + SECOND), Some(State::Live));
-    members.forget(GONE + 2 * SECOND);
-    assert_eq!(members.state("d", GONE + 2 * SECOND), None);
+    members.record_heartbeat(&"d".into(), announcement(1, false), 2 * SECOND);
+    members.expire(REMOVAL_TIMEOUT + SECOND);
+    assert_eq!(
+        members.state("d", REMOVAL_TIMEOUT + SECOND),
+        Some(State::Live)
+    );
+    members.expire(REMOVAL_TIMEOUT + 2 * SECOND);
+    assert_eq!(members.state("d", REMOVAL_TIMEOUT + 2 * SECOND), None);
 }
 
 #[test]
 fn a_host_that_is_silent_after_a_question_is_suspect_until_it_speaks() {
     let mut members = hosts(&["a"]);
-    members.asked("a", SECOND);
-    members.asked("a", 2 * SECOND);
-    assert_eq!(members.state("a", SUSPECT), Some(State::Live));
-    assert_eq!(members.state("a", SECOND + SUSPECT), Some(State::Suspect));
-    members.heard(&"a".into(), sign(1, false), 5 * SECOND);
+    members.record_probe("a", SECOND);
+    members.record_probe("a", 2 * SECOND);
+    assert_eq!(members.state("a", SUSPECT_TIMEOUT), Some(State::Live));
+    assert_eq!(
+        members.state("a", SECOND + SUSPECT_TIMEOUT),
+        Some(State::Suspect)
+    );
+    members.record_heartbeat(&"a".into(), announcement(1, false), 5 * SECOND);
     assert_eq!(members.state("a", 5 * SECOND), Some(State::Live));
 }
 
@@ -292,7 +298,7 @@
 #[test]
 fn a_pause_of_this_process_makes_nobody_suspect() {
     let mut members = hosts(&["a"]);
-    members.asked("a", SECOND);
+    members.record_probe("a", SECOND);
     assert_eq!(members.state("a", 60 * SECOND), Some(State::Suspect));
     members.resume(60 * SECOND);
     assert_eq!(members.state("a", 60 * SECOND), Some(State::Live));
@@ -303,17 +309,17 @@
 #[test]
 fn a_restarted_host_is_not_leaving() {
     let mut members = hosts(&["a", "b"]);
-    members.heard(&"a".into(), sign(1, false), SECOND);
+    members.record_heartbeat(&"a".into(), announcement(1, false), SECOND);
     let leaving = Listing {
         leaving: true,
         ..listing("a")
     };
-    members.list(&[leaving.clone(), listing("b")], 2 * SECOND);
+    members.apply_list(&[leaving.clone(), listing("b")], 2 * SECOND);
     assert_eq!(members.state("a", 2 * SECOND), Some(State::Leaving));
-    members.heard(&"a".into(), sign(1, false), 3 * SECOND);
+    members.record_heartbeat(&"a".into(), announcement(1, false), 3 * SECOND);
     assert_eq!(members.state("a", 3 * SECOND), Some(State::Leaving));
-    members.heard(&"a".into(), sign(2, false), 4 * SECOND);
-    members.list(&[leaving, listing("b")], 5 * SECOND);
+    members.record_heartbeat(&"a".into(), announcement(2, false), 4 * SECOND);
+    members.apply_list(&[leaving, listing("b")], 5 * SECOND);
     assert_eq!(members.state("a", 5 * SECOND), Some(State::Live));
 }
 
@@ -326,7 +332,7 @@
             ..listing(name)
         })
         .into();
-    members.list(&all, SECOND);
+    members.apply_list(&all, SECOND);
     assert!(
         members
             .iter(SECOND)
