--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -150,7 +150,7 @@
         loop {
             let now = Instant::now();
             let confirmed = self.shared.fresh.borrow().confirmed_at();
-            self.grown |= self.table.take_grown();
+            self.grown |= self.table.take_new_candidates();
             let news = self.grown || self.shared.fleet.borrow().changed() || confirmed != self.told;
             let due = sent + self.table.beacon_interval(news, self.size);
             if now >= due {
--- a/components/spread/src/beacon/table.rs
+++ b/components/spread/src/beacon/table.rs
@@ -228,7 +228,7 @@
 
     /// Returns whether candidates were added since the last call; the next beacon should not wait
     /// then.
-    pub fn take_grown(&mut self) -> bool {
+    pub fn take_new_candidates(&mut self) -> bool {
         std::mem::take(&mut self.has_new_candidates)
     }
 
