--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -354,7 +354,7 @@
                 return;
             }
         };
-        let Receipt::Accepted { ended, back } = self.table.receive(clock::now(), from, &beacon)
+        let Receipt::Accepted { ended, returned } = self.table.receive(clock::now(), from, &beacon)
         else {
             return;
         };
@@ -362,7 +362,7 @@
         if !addresses.is_empty() {
             self.post(&Message::Introduction(addresses), from);
         }
-        if back {
+        if returned {
             note!(
                 links::HEARD,
                 peer = beacon.incarnation,
--- a/components/spread/src/beacon/table.rs
+++ b/components/spread/src/beacon/table.rs
@@ -101,7 +101,7 @@
         /// Previous run at the same address, if it ended.
         ended: Option<Incarnation>,
         /// Whether the peer is new, restarted, or was silent.
-        back: bool,
+        returned: bool,
     },
 }
 
@@ -144,7 +144,7 @@
             return Receipt::Ignored;
         }
         let mut ended = None;
-        let mut back = true;
+        let mut returned = true;
         let mut introduced_at = None;
         if let Some(peer) = self.peers.get(&from) {
             let same = peer.incarnation == beacon.incarnation;
@@ -154,7 +154,7 @@
             if !same {
                 ended = Some(peer.incarnation);
             }
-            back = !same || peer.silent;
+            returned = !same || peer.silent;
             introduced_at = peer.introduced_at.filter(|_| same);
         } else if self.peers.len() >= MAX_PEERS {
             return Receipt::Ignored;
@@ -176,7 +176,7 @@
             },
         );
         self.add_candidates(now, &beacon.addresses);
-        Receipt::Accepted { ended, back }
+        Receipt::Accepted { ended, returned }
     }
 
     /// Adds peer addresses from an introduction. Ignores senders that this process has not
