--- a/components/measure/src/spread.rs
+++ b/components/measure/src/spread.rs
@@ -160,7 +160,7 @@
         if way == Way::Whole { whole } else { weigh },
     );
     // An entry that watches alone is one that knows of no other.
-    mesh.alone = way == Way::Watch;
+    mesh.empty_host_list = way == Way::Watch;
     let text = text(args.size);
     mesh.write(1, &text);
     mesh.start_all();
--- a/components/spread/tests/common/mesh.rs
+++ b/components/spread/tests/common/mesh.rs
@@ -1,7 +1,7 @@
-//! Boards of several hosts joined in memory, with a store that can fail. Time is made up.
+//! Replicas of several hosts joined in memory, with simulated time and a store that can fail.
 //!
-//! It carries messages and store calls and nothing else: no capacity, no queues, one fixed delay
-//! inside a data centre and one between.
+//! Messages and store calls are delivered after a fixed delay, one inside a data centre and one
+//! between data centres. Capacity and queues are not simulated.
 
 use std::{
     collections::{
@@ -34,19 +34,19 @@
     }, //
 };
 
-/// Pace of ticks.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval between ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Delay of a message inside a data centre, and of the store's answers.
-const NEAR: Duration = Duration::from_millis(1);
+/// Delay of messages inside a data centre, and of the store's responses.
+const LOCAL_DELAY: Duration = Duration::from_millis(1);
 
-/// Delay of a message between data centres.
-const FAR: Duration = Duration::from_millis(5);
+/// Delay of messages between data centres.
+const REMOTE_DELAY: Duration = Duration::from_millis(5);
 
-/// The one environment of the tests.
+/// The only environment in the tests.
 pub const ENVIRONMENT: &str = "production";
 
-/// What a host sent and asked for.
+/// Traffic of a host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Count {
     /// Messages sent.
@@ -59,83 +59,88 @@
     pub calls: u64,
 }
 
-/// One host.
+/// Simulated host.
 pub struct Node {
-    /// Its process; none while it is down.
-    pub board: Option<Replica>,
-    /// Its data centre.
+    /// Replica of its process; `None` while the process is down.
+    pub replica: Option<Replica>,
+    /// Data centre of the host.
     pub data_centre: String,
-    /// What it sent and asked for.
+    /// Traffic since the last reset.
     pub count: Count,
-    /// When each revision came into force.
+    /// Time at which each revision came into force.
     pub in_force: BTreeMap<Revision, Clock>,
-    /// When it became ready last.
+    /// Time at which the process last became ready.
     pub ready: Option<Clock>,
-    /// Facts that came from others.
-    pub known: Vec<spread::Key>,
-    /// It was told to be unready.
-    pub unready: u32,
+    /// Facts received from other hosts.
+    pub received_facts: Vec<spread::Key>,
+    /// Number of times that the process became unready.
+    pub unready_count: u32,
     paused: bool,
     inbox: Vec<Event>,
     tick: Duration,
 }
 
-/// What the store does.
+/// Behaviour of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// It answers.
+    /// The store answers all calls.
     #[default]
     None,
-    /// It answers that it can't.
+    /// The store fails all calls.
     Out,
-    /// It never answers.
+    /// The store never answers.
     Silent,
-    /// Watches that wait already never answer; new calls are well.
+    /// Pending watches are never answered; new calls are.
     SilentWatches,
 }
 
-/// The platform's store.
+/// Simulated store.
 #[derive(Default)]
 pub struct Store {
-    /// What it does.
+    /// Current behaviour.
     pub fault: Fault,
     document: Option<Edition>,
     waiting: Vec<(Host, u64, Revision, Clock)>,
 }
 
-enum Due {
+enum Scheduled {
     Tick(Host),
     Event(Host, Event),
 }
 
-/// Hosts and the store.
+/// Hosts and the store, with the queue of events between them.
 pub struct Mesh {
-    /// The hosts.
+    /// Hosts by name.
     pub nodes: BTreeMap<Host, Node>,
     /// The store.
     pub store: Store,
-    /// The time.
+    /// Current time.
     pub now: Clock,
-    /// Share of messages that are lost.
+    /// Probability that a message is lost.
     pub loss: f64,
-    /// Hosts that reach neither each other's data centre nor, if so said, the store.
-    pub cut: BTreeSet<String>,
-    /// Hosts and data centres that don't reach the store.
-    pub storeless: BTreeSet<String>,
-    /// Pairs of hosts (from, to) between which messages are lost.
-    pub deaf: BTreeSet<(Host, Host)>,
-    /// The platform's list is empty from the start: nobody knows of anybody.
-    pub alone: bool,
-    /// Size of a message in bytes.
-    weigh: fn(&Message) -> usize,
-    due: BTreeMap<(Clock, u64), Due>,
-    order: u64,
+    /// Data centres that can't reach the other ones.
+    pub partitioned: BTreeSet<String>,
+    /// Hosts and data centres that can't reach the store.
+    pub without_store: BTreeSet<String>,
+    /// Pairs of hosts (from, to) between which all messages are lost.
+    pub broken_links: BTreeSet<(Host, Host)>,
+    /// Whether hosts start with an empty host list, so that none knows of any other.
+    pub empty_host_list: bool,
+    /// Returns the size of a message in bytes.
+    message_size: fn(&Message) -> usize,
+    queue: BTreeMap<(Clock, u64), Scheduled>,
+    sequence: u64,
     rng: StdRng,
 }
 
 impl Mesh {
-    /// Hosts `<data centre>-<number>`, all down; `start` brings them up.
-    pub fn new(data_centres: usize, each: usize, seed: u64, weigh: fn(&Message) -> usize) -> Self {
+    /// Creates hosts named `<data centre>-<number>`, all down; `start` brings them up.
+    pub fn new(
+        data_centres: usize,
+        each: usize,
+        seed: u64,
+        message_size: fn(&Message) -> usize,
+    ) -> Self {
         let mut nodes = BTreeMap::new();
         for data_centre in 0..data_centres {
             for host in 0..each {
@@ -148,56 +153,56 @@
             store: Store::default(),
             now: Duration::from_secs(1),
             loss: 0.0,
-            cut: BTreeSet::new(),
-            storeless: BTreeSet::new(),
-            deaf: BTreeSet::new(),
-            alone: false,
-            weigh,
-            due: BTreeMap::new(),
-            order: 0,
+            partitioned: BTreeSet::new(),
+            without_store: BTreeSet::new(),
+            broken_links: BTreeSet::new(),
+            empty_host_list: false,
+            message_size,
+            queue: BTreeMap::new(),
+            sequence: 0,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Starts a host's process, anew if it was there before.
+    /// Starts a host's process with a new replica.
     pub fn start(&mut self, host: &str) {
         let incarnation = self.rng.random_range(1..u64::MAX);
         let rng = StdRng::seed_from_u64(self.rng.random());
         let list = self.list();
-        let phase = TICK.mul_f64(self.rng.random_range(0.0..1.0));
+        let phase = TICK_INTERVAL.mul_f64(self.rng.random_range(0.0..1.0));
         let now = self.now;
         let node = self.node(host);
-        let place = Identity {
+        let identity = Identity {
             host: host.into(),
             data_centre: node.data_centre.clone(),
             incarnation,
         };
-        node.board = Some(Replica::new(place, now, rng));
+        node.replica = Some(Replica::new(identity, now, rng));
         node.in_force.clear();
         node.ready = None;
         node.inbox.clear();
         node.tick = now + phase;
         self.event(host, Event::HostList(list));
-        self.schedule(now + phase, Due::Tick(host.into()));
+        self.schedule(now + phase, Scheduled::Tick(host.into()));
     }
 
     /// Starts all hosts that are down.
     pub fn start_all(&mut self) {
         for host in self.hosts() {
-            if self.nodes[&host].board.is_none() {
+            if self.nodes[&host].replica.is_none() {
                 self.start(&host);
             }
         }
     }
 
-    /// Names of all hosts.
+    /// Returns the names of all hosts.
     pub fn hosts(&self) -> Vec<Host> {
         self.nodes.keys().cloned().collect()
     }
 
-    /// The platform's list, with all hosts.
+    /// Returns the platform's host list.
     pub fn list(&self) -> Vec<Listing> {
-        if self.alone {
+        if self.empty_host_list {
             return Vec::new();
         }
         let listing = |(host, node): (&Host, &Node)| Listing {
@@ -209,13 +214,13 @@
         self.nodes.iter().map(listing).collect()
     }
 
-    /// Ends a host's process.
+    /// Kills a host's process.
     pub fn kill(&mut self, host: &str) {
-        self.node(host).board = None;
+        self.node(host).replica = None;
         self.store.waiting.retain(|waiting| waiting.0 != host);
     }
 
-    /// Stops a host's process, or lets it go on with what came meanwhile.
+    /// Pauses a host's process, or resumes it and delivers the events from the meantime.
     pub fn pause(&mut self, host: &str, paused: bool) {
         let now = self.now;
         let node = self.node(host);
@@ -227,10 +232,10 @@
         for event in std::mem::take(&mut node.inbox) {
             self.event(host, event);
         }
-        self.schedule(now, Due::Tick(host.into()));
+        self.schedule(now, Scheduled::Tick(host.into()));
     }
 
-    /// A document is written to the store.
+    /// Writes a document to the store.
     pub fn write(&mut self, revision: Revision, text: &str) -> Edition {
         let edition = Edition {
             revision,
@@ -246,7 +251,7 @@
         edition
     }
 
-    /// The store gets a fault, or gets well.
+    /// Changes the behaviour of the store.
     pub fn fault(&mut self, fault: Fault) {
         self.store.fault = fault;
         let waiting = std::mem::take(&mut self.store.waiting);
@@ -261,7 +266,7 @@
         }
     }
 
-    /// Gives an event to a host at once.
+    /// Delivers an event to a host at once.
     pub fn event(&mut self, host: &str, event: Event) {
         let now = self.now;
         let node = self.node(host);
@@ -269,35 +274,35 @@
             node.inbox.push(event);
             return;
         }
-        let Some(board) = &mut node.board else {
+        let Some(replica) = &mut node.replica else {
             return;
         };
-        for action in board.handle(event, now) {
-            self.act(host, action);
+        for action in replica.handle(event, now) {
+            self.perform(host, action);
         }
     }
 
-    /// Runs until a condition holds, and gives the time it took; `None` when it didn't in time.
+    /// Runs until a condition holds. Returns the time that it took; `None` if it exceeds the limit.
     pub fn until(
         &mut self,
         limit: Duration,
         mut holds: impl FnMut(&Self) -> bool,
     ) -> Option<Duration> {
-        let began = self.now;
+        let start = self.now;
         loop {
             if holds(self) {
-                return Some(self.now - began);
+                return Some(self.now - start);
             }
-            let next = self.due.first_key_value().map(|(key, _)| key.0);
-            let Some(time) = next.filter(|time| *time <= began + limit) else {
-                self.now = began + limit;
+            let next = self.queue.first_key_value().map(|(key, _)| key.0);
+            let Some(time) = next.filter(|time| *time <= start + limit) else {
+                self.now = start + limit;
                 return None;
             };
-            let (_, due) = self.due.pop_first()?;
+            let (_, due) = self.queue.pop_first()?;
             self.now = time.max(self.now);
             match due {
-                Due::Tick(host) => self.tick(&host),
-                Due::Event(host, event) => self.event(&host, event),
+                Scheduled::Tick(host) => self.tick(&host),
+                Scheduled::Event(host, event) => self.event(&host, event),
             }
         }
     }
@@ -305,29 +310,29 @@
     /// Runs for a time.
     pub fn run(&mut self, time: Duration) {
         let ended = self.until(time, |_| false);
-        assert!(ended.is_none(), "the time is over and nothing else ends it");
+        assert!(ended.is_none(), "the run ends at its time limit");
     }
 
-    /// Tells whether a revision is in force on all hosts that are up.
+    /// Returns whether this revision or a newer one is in force on all hosts that are up.
     pub fn everywhere(&self, revision: Revision) -> bool {
         self.nodes
             .values()
-            .all(|node| node.board.is_none() || node.revision() >= revision)
+            .all(|node| node.replica.is_none() || node.revision() >= revision)
     }
 
-    /// Tells whether all hosts that are up are ready.
+    /// Returns whether all hosts that are up are ready.
     pub fn all_ready(&self) -> bool {
         self.nodes
             .values()
-            .all(|node| node.board.as_ref().is_none_or(Replica::is_ready))
+            .all(|node| node.replica.as_ref().is_none_or(Replica::is_ready))
     }
 
-    /// Number of watches that wait in the store.
-    pub fn watching(&self) -> usize {
+    /// Returns the number of pending watches in the store.
+    pub fn watch_count(&self) -> usize {
         self.store.waiting.len()
     }
 
-    /// Sets all counts back to 0.
+    /// Resets the traffic counts of all hosts to 0.
     pub fn reset(&mut self) {
         for node in self.nodes.values_mut() {
             node.count = Count::default();
@@ -337,25 +342,25 @@
     fn node(&mut self, host: &str) -> &mut Node {
         self.nodes
             .get_mut(host)
-            .expect("the host is one of the mesh")
+            .expect("the host belongs to the mesh")
     }
 
-    fn schedule(&mut self, time: Clock, due: Due) {
-        self.order += 1;
-        self.due.insert((time, self.order), due);
+    fn schedule(&mut self, time: Clock, due: Scheduled) {
+        self.sequence += 1;
+        self.queue.insert((time, self.sequence), due);
     }
 
     fn tick(&mut self, host: &str) {
         let now = self.now;
         let node = self.node(host);
-        // A tick from before a restart or a pause has a successor of its own.
-        if node.board.is_none() || node.paused || node.tick > now {
+        // A tick scheduled before a restart or a pause is obsolete; a later one is scheduled.
+        if node.replica.is_none() || node.paused || node.tick > now {
             return;
         }
-        node.tick = now + TICK;
+        node.tick = now + TICK_INTERVAL;
         self.event(host, Event::Tick { wall: now });
-        self.schedule(now + TICK, Due::Tick(host.into()));
-        let over: Vec<_> = self
+        self.schedule(now + TICK_INTERVAL, Scheduled::Tick(host.into()));
+        let expired: Vec<_> = self
             .store
             .waiting
             .iter()
@@ -366,12 +371,12 @@
             return;
         }
         self.store.waiting.retain(|waiting| waiting.3 > now);
-        for (host, call, _, _) in over {
+        for (host, call, _, _) in expired {
             self.answer_watch(&host, call);
         }
     }
 
-    fn act(&mut self, host: &str, action: Action) {
+    fn perform(&mut self, host: &str, action: Action) {
         let now = self.now;
         match action {
             Action::Send { to, message } => self.send(host, to, message),
@@ -391,15 +396,15 @@
             Action::Unready => {
                 let node = self.node(host);
                 node.ready = None;
-                node.unready += 1;
+                node.unready_count += 1;
             }
-            Action::FactReceived { key } => self.node(host).known.push(key),
+            Action::FactReceived { key } => self.node(host).received_facts.push(key),
             Action::Inventory { .. } => {}
         }
     }
 
     fn send(&mut self, from: &str, to: Host, message: Message) {
-        let size = (self.weigh)(&message) as u64;
+        let size = (self.message_size)(&message) as u64;
         let count = &mut self.node(from).count;
         count.messages += 1;
         count.sent += size;
@@ -407,23 +412,24 @@
             self.nodes[from].data_centre.clone(),
             &self.nodes[&to].data_centre,
         );
-        let far = here != *there;
-        let cut = far && (self.cut.contains(&here) || self.cut.contains(there));
-        let deaf = self.deaf.contains(&(from.to_string(), to.clone()));
-        if cut || deaf || self.rng.random_bool(self.loss) {
+        let remote = here != *there;
+        let partitioned =
+            remote && (self.partitioned.contains(&here) || self.partitioned.contains(there));
+        let link_broken = self.broken_links.contains(&(from.to_string(), to.clone()));
+        if partitioned || link_broken || self.rng.random_bool(self.loss) {
             return;
         }
         self.node(&to).count.received += size;
-        let delay = if far { FAR } else { NEAR };
+        let delay = if remote { REMOTE_DELAY } else { LOCAL_DELAY };
         let event = Event::Message {
             from: from.into(),
             message,
         };
-        self.schedule(self.now + delay, Due::Event(to, event));
+        self.schedule(self.now + delay, Scheduled::Event(to, event));
     }
 
     fn reply(&mut self, host: &str, event: Event) {
-        self.schedule(self.now + NEAR, Due::Event(host.into(), event));
+        self.schedule(self.now + LOCAL_DELAY, Scheduled::Event(host.into(), event));
     }
 
     fn call(&mut self, host: &str, call: u64, watch: Option<(Revision, Duration)>) {
@@ -433,7 +439,8 @@
         if self.store.fault == Fault::Silent {
             return;
         }
-        let unreached = self.storeless.contains(&data_centre) || self.storeless.contains(host);
+        let unreached =
+            self.without_store.contains(&data_centre) || self.without_store.contains(host);
         if unreached || self.store.fault == Fault::Out {
             return self.reply(host, Event::Failed { call });
         }
@@ -481,23 +488,23 @@
 impl Node {
     fn new(data_centre: String) -> Self {
         Self {
-            board: None,
+            replica: None,
             data_centre,
             count: Count::default(),
             in_force: BTreeMap::new(),
             ready: None,
-            known: Vec::new(),
-            unready: 0,
+            received_facts: Vec::new(),
+            unready_count: 0,
             paused: false,
             inbox: Vec::new(),
             tick: Duration::ZERO,
         }
     }
 
-    /// The revision in force; 0 for none.
+    /// Returns the revision in force; 0 for none.
     pub fn revision(&self) -> Revision {
-        let board = self.board.as_ref();
-        let edition = board.and_then(|board| board.document(ENVIRONMENT));
+        let replica = self.replica.as_ref();
+        let edition = replica.and_then(|replica| replica.document(ENVIRONMENT));
         edition.map_or(0, |edition| edition.revision)
     }
 }
--- a/components/spread/tests/edit.rs
+++ b/components/spread/tests/edit.rs
@@ -1,4 +1,4 @@
-//! Edits: races, lost answers, changed trials, outages.
+//! Edits of documents: races, lost responses, changed trials, outages.
 
 use std::{
     collections::BTreeMap,
@@ -19,15 +19,15 @@
     }, //
 };
 
-/// What the store does with one call.
+/// Behaviour of the store for one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// It answers that it can't.
+    /// The store reports a failure.
     Refuse,
-    /// It takes a write, and the answer is lost.
+    /// The store applies a write, and the response is lost.
     LoseAnswer,
-    /// A write is lost on its way.
+    /// The write is lost before it reaches the store.
     LoseWrite,
 }
 
@@ -52,9 +52,9 @@
                 if fault == Fault::LoseWrite {
                     return Answer::Unanswered;
                 }
-                let stands = self.documents.get(environment);
-                if stands.map_or(0, |stored| stored.revision) != *expect {
-                    return Answer::Conflict(stands.cloned());
+                let current = self.documents.get(environment);
+                if current.map_or(0, |stored| stored.revision) != *expect {
+                    return Answer::Conflict(current.cloned());
                 }
                 self.revision += 1;
                 let stored = Stored {
@@ -67,7 +67,7 @@
                     _ => Answer::Written(self.revision),
                 }
             }
-            Step::Done(_) => unreachable!("an edit that is done asks for nothing"),
+            Step::Done(_) => unreachable!("a completed edit requests no call"),
         }
     }
 
@@ -103,18 +103,18 @@
     }
 }
 
-// The store does something to each of the calls of a put. An operator who is told "accepted" must
-// find the document there, and one who is told "no" must not.
+// The store fails in some of the calls of a plain write. A document that is reported as accepted
+// must be in the store, and one that is reported as not written must not be.
 #[rstest]
 #[case("plain", &[], accepted(1), true)]
-#[case("answer lost", &[Fault::None, Fault::LoseAnswer], accepted(1), true)]
+#[case("response lost", &[Fault::None, Fault::LoseAnswer], accepted(1), true)]
 #[case("write lost", &[Fault::None, Fault::LoseWrite], accepted(1), true)]
 #[case("refused once", &[Fault::Refuse, Fault::None, Fault::Refuse], accepted(1), true)]
-#[case("out from the start", &[Fault::Refuse; 9], Outcome::Unavailable, false)]
-#[case("out before the write", &[&[Fault::None], [Fault::Refuse; 9].as_slice()].concat(), Outcome::Unavailable, false)]
-#[case("out after a lost answer", &[&[Fault::None, Fault::LoseAnswer], [Fault::Refuse; 9].as_slice()].concat(), Outcome::Unknown, true)]
-#[case("out after a lost write", &[&[Fault::None, Fault::LoseWrite], [Fault::Refuse; 9].as_slice()].concat(), Outcome::Unknown, false)]
-fn a_put_tells_the_truth(
+#[case("unavailable from the start", &[Fault::Refuse; 9], Outcome::Unavailable, false)]
+#[case("unavailable before the write", &[&[Fault::None], [Fault::Refuse; 9].as_slice()].concat(), Outcome::Unavailable, false)]
+#[case("unavailable after a lost response", &[&[Fault::None, Fault::LoseAnswer], [Fault::Refuse; 9].as_slice()].concat(), Outcome::Unknown, true)]
+#[case("unavailable after a lost write", &[&[Fault::None, Fault::LoseWrite], [Fault::Refuse; 9].as_slice()].concat(), Outcome::Unknown, false)]
+fn a_write_reports_its_actual_outcome(
     #[case] name: &str,
     #[case] faults: &[Fault],
     #[case] outcome: Outcome,
@@ -123,14 +123,14 @@
     let mut store = Store::default();
     assert_eq!(store.run(draft("e", "a", 0), faults), outcome, "{name}");
     assert_eq!(store.documents.contains_key("e"), written, "{name}");
-    // The operator repeats the same edit once the store is well: it stands there once.
+    // The operator repeats the same edit after the outage: it is applied once.
     assert_eq!(store.run(draft("e", "a", 0), &[]), accepted(1), "{name}");
     assert_eq!(store.revision, 1, "{name}");
 }
 
-// Two operators start from the same document. The second must not undo the first without knowing.
+// Two operators edit the same revision. Guards against the second undoing the first unnoticed.
 #[test]
-fn the_second_of_two_racing_operators_is_told_of_the_first() {
+fn a_concurrent_edit_is_reported_as_raced() {
     let mut store = Store::default();
     assert_eq!(store.run(draft("e", "a", 0), &[]), accepted(1));
     let outcome = store.run(draft("e", "b", 0), &[]);
@@ -139,10 +139,10 @@
     });
 }
 
-// An operator's write is taken, its answer is lost, and somebody replaces the document before the
-// operator looks again. "Not accepted" would be false, and writing again would undo the other.
+// A write is applied, its response is lost, and another operator replaces the document before the
+// retry. Reporting a failure would be wrong, and writing again would undo the other edit.
 #[test]
-fn an_edit_that_was_replaced_meanwhile_is_known_as_accepted() {
+fn an_edit_that_was_replaced_since_is_reported_as_accepted() {
     let mut store = Store::default();
     let (mut edit, step) = Edit::new(draft("e", "a", 0));
     let answer = store.step(&step, Fault::None);
@@ -169,10 +169,10 @@
     }
 }
 
-// Somebody edits the trial after it was tried and before it is promoted. What would go to
-// production is what nobody has tried.
+// The trial is edited between its test and its promotion. Guards against promoting a document that
+// nobody has tested.
 #[test]
-fn a_trial_that_changed_is_not_promoted() {
+fn a_changed_trial_is_not_promoted() {
     let mut store = Store::default();
     store.run(draft("trial", "a", 0), &[]);
     let promotion = promote(&store, "p", 0);
@@ -184,10 +184,10 @@
     assert!(!store.documents.contains_key("production"));
 }
 
-// A promotion was accepted and its answer lost; the trial has changed since. The repeat must say
-// that it was accepted, and not that the trial changed and nothing was written.
+// A promotion was accepted, its response was lost, and the trial has changed since. The repeat must
+// report that it was accepted, not that the trial changed and nothing was written.
 #[test]
-fn a_repeated_promotion_is_found_although_the_trial_changed() {
+fn a_repeated_promotion_is_found_after_the_trial_changed() {
     let mut store = Store::default();
     store.run(draft("trial", "a", 0), &[]);
     let promotion = promote(&store, "p", 0);
--- a/components/spread/tests/fragments.rs
+++ b/components/spread/tests/fragments.rs
@@ -1,4 +1,4 @@
-//! Changes of the store in several datagrams.
+//! Fragmentation of store changes.
 
 use std::net::SocketAddr;
 
@@ -46,12 +46,13 @@
     messages.map(fragment).collect()
 }
 
-/// Guards against changes that arrive cut off: the frame of each of many short ones counts too.
+/// Guards against truncated datagrams: with many short changes the encoding overhead of each adds
+/// up.
 #[rstest]
 #[case::one_registration(1, 120)]
-#[case::a_data_centre_is_gone(54, 24)]
-#[case::a_data_centre_registers(104, 120)]
-#[case::a_document(1, 9_500)]
+#[case::data_centre_fails(54, 24)]
+#[case::data_centre_registers(104, 120)]
+#[case::document(1, 9_500)]
 fn each_message_fits_a_datagram(#[case] count: u64, #[case] bytes: usize) {
     let changes = changes(count, bytes, 1);
     let mut reassembly = Reassembly::default();
@@ -72,9 +73,10 @@
     assert_eq!(received, Some(changes));
 }
 
-/// Guards against parts of two messages in one: they come in any order, from several peers, some twice.
+/// Guards against mixing fragments of several messages, which arrive in any order, from several
+/// peers, and some twice.
 #[test]
-fn fragments_of_several_messages_come_in_any_order() {
+fn interleaved_messages_are_reassembled() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut all = Vec::new();
@@ -91,7 +93,7 @@
             received.extend(
                 reassembly
                     .add(peer(number), fragment)
-                    .map(|got| (number, got)),
+                    .map(|changes| (number, changes)),
             );
         }
         received.sort_by_key(|(number, _)| *number);
@@ -100,9 +102,9 @@
     }
 }
 
-/// Guards against a lost datagram that makes a document of the rest.
+/// Guards against decoding a message that lacks a datagram.
 #[test]
-fn a_message_that_misses_a_fragment_gives_nothing() {
+fn an_incomplete_message_is_not_decoded() {
     let parts = fragments(&changes(1, 9_000, 1));
     for lost in 0..parts.len() {
         let mut reassembly = Reassembly::default();
@@ -114,9 +116,10 @@
     }
 }
 
-/// Guards against fragments of a peer that was cut off, or that sends anything, filling the memory.
+/// Guards against fragments that fill the memory, from a peer that was cut off or sends arbitrary
+/// data.
 #[test]
-fn what_is_never_complete_yields() {
+fn incomplete_messages_are_evicted() {
     let mut reassembly = Reassembly::default();
     let parts = fragments(&changes(1, 9_000, 1));
     assert_eq!(reassembly.add(peer(1), parts[0].clone()), None);
@@ -127,20 +130,20 @@
     for part in &parts[1..] {
         assert_eq!(reassembly.add(peer(1), part.clone()), None);
     }
-    for odd in [(3, 3), (0, 0), (0, u16::MAX)] {
+    for invalid in [(3, 3), (0, 0), (0, u16::MAX)] {
         let fragment = Fragment {
             whole: 1,
-            index: odd.0,
-            count: odd.1,
+            index: invalid.0,
+            count: invalid.1,
             bytes: Vec::new(),
         };
         assert_eq!(reassembly.add(peer(1), fragment), None);
     }
 }
 
-/// Guards against bytes that were changed on the way.
+/// Guards against corrupted bytes.
 #[test]
-fn a_changed_byte_is_noticed() {
+fn a_corrupted_fragment_is_detected() {
     let mut parts = fragments(&changes(1, 9_000, 1));
     parts[1].bytes[7] ^= 1;
     let mut reassembly = Reassembly::default();
@@ -149,8 +152,8 @@
     }
 }
 
-/// What is too long for a few datagrams is left to the store.
+/// Receivers read changes that are too large for a few datagrams from the store.
 #[test]
-fn changes_beyond_the_most_are_not_sent() {
+fn oversized_changes_are_not_sent() {
     assert!(split(changes(1, 200_000, 1)).is_empty());
 }
--- a/components/spread/tests/freshness.rs
+++ b/components/spread/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Knowledge that is known to be current.
+//! Freshness of replicated state: claims, turns, fetches and backoff.
 
 use std::time::Duration;
 
@@ -14,151 +14,156 @@
     Claim { revision, at }
 }
 
-/// A peer has seen a change that is still on its way here: a key may have been taken away. Its word
-/// that it is current says nothing of this process, which would go on to accept the key.
+/// A peer has applied a change that this process has not received yet, such as a revoked key.
+/// Guards against taking the peer's claim for a confirmation of this process's state, which would
+/// keep the key valid.
 #[test]
-fn a_claim_of_changes_that_are_missing_confirms_nothing() {
-    let mut fresh = Freshness::default();
-    fresh.advance(7);
-    fresh.receive(SECOND, claim(7, SECOND));
-    assert_eq!(fresh.confirmed_at(), Some(SECOND));
-    fresh.receive(SECOND * 2, claim(8, SECOND * 2));
-    assert_eq!(fresh.confirmed_at(), Some(SECOND));
-    assert_eq!(fresh.behind_since(), Some(SECOND * 2));
-    fresh.advance(8);
-    assert_eq!(fresh.confirmed_at(), Some(SECOND * 2));
-    assert_eq!(fresh.behind_since(), None);
+fn a_claim_of_missing_changes_confirms_nothing() {
+    let mut freshness = Freshness::default();
+    freshness.advance(7);
+    freshness.receive(SECOND, claim(7, SECOND));
+    assert_eq!(freshness.confirmed_at(), Some(SECOND));
+    freshness.receive(SECOND * 2, claim(8, SECOND * 2));
+    assert_eq!(freshness.confirmed_at(), Some(SECOND));
+    assert_eq!(freshness.behind_since(), Some(SECOND * 2));
+    freshness.advance(8);
+    assert_eq!(freshness.confirmed_at(), Some(SECOND * 2));
+    assert_eq!(freshness.behind_since(), None);
 }
 
-/// A late message claims less than is known. What is known must not become less current by it.
+/// Guards against a late message with an older claim making the state look less current.
 #[test]
 fn an_old_claim_changes_nothing() {
-    let mut fresh = Freshness::default();
-    fresh.advance(7);
-    fresh.receive(SECOND * 5, claim(7, SECOND * 5));
-    fresh.receive(SECOND * 6, claim(6, SECOND));
-    assert_eq!(fresh.confirmed_at(), Some(SECOND * 5));
-    assert_eq!(fresh.behind_since(), None);
+    let mut freshness = Freshness::default();
+    freshness.advance(7);
+    freshness.receive(SECOND * 5, claim(7, SECOND * 5));
+    freshness.receive(SECOND * 6, claim(6, SECOND));
+    assert_eq!(freshness.confirmed_at(), Some(SECOND * 5));
+    assert_eq!(freshness.behind_since(), None);
 }
 
-/// Hundreds of processes know the same. If each asked the store, its calls would grow with the
-/// fleet; in turns, one asks and the others hear it.
+/// Hundreds of processes hold the same state. Guards against calls to the store that grow with the
+/// fleet: processes take turns, one asks and the others receive its claim.
 #[test]
-fn processes_ask_in_turns() {
-    let mut dues = Vec::new();
-    for place in 0..300 {
-        let mut fresh = Freshness::default();
-        fresh.advance(7);
-        fresh.set_rank((place, 300), place);
-        fresh.receive(SECOND, claim(7, SECOND));
-        dues.push(fresh.next_check());
+fn processes_check_in_turns() {
+    let mut checks = Vec::new();
+    for rank in 0..300 {
+        let mut freshness = Freshness::default();
+        freshness.advance(7);
+        freshness.set_rank((rank, 300), rank);
+        freshness.receive(SECOND, claim(7, SECOND));
+        checks.push(freshness.next_check());
     }
-    assert!(dues[0] < dues[1] && dues[1] < dues[2]);
-    assert!(dues[299] < SECOND * 4, "one that hears nobody asks in time");
+    assert!(checks[0] < checks[1] && checks[1] < checks[2]);
+    assert!(
+        checks[299] < SECOND * 4,
+        "a process without claims from others checks in time"
+    );
 }
 
-/// One of hundreds of processes finds that changes are missing everywhere. It reads them and tells the
-/// others; those who listen to the store come next, should that get lost, and only then all. If all
-/// read at once, the store's calls would grow with the fleet at each change.
+/// One of hundreds of processes discovers that all lack changes. It reads them and sends them to
+/// the others; if that message is lost, the processes that watch the store read next, and all
+/// others after them. Guards against calls to the store that grow with the fleet at each change.
 #[test]
-fn who_finds_changes_missing_reads_them_before_the_others() {
-    let process = |near: usize| {
-        let mut fresh = Freshness::default();
-        fresh.advance(7);
-        fresh.set_rank((near, 2), near);
-        fresh
+fn the_process_that_discovers_missing_changes_fetches_them_first() {
+    let process = |local_rank: usize| {
+        let mut freshness = Freshness::default();
+        freshness.advance(7);
+        freshness.set_rank((local_rank, 2), local_rank);
+        freshness
     };
-    let (mut finder, mut listener, mut other) = (process(1), process(0), process(1));
-    finder.confirm(SECOND, claim(8, SECOND));
-    listener.receive(SECOND, claim(8, SECOND));
+    let (mut discoverer, mut watcher, mut other) = (process(1), process(0), process(1));
+    discoverer.confirm(SECOND, claim(8, SECOND));
+    watcher.receive(SECOND, claim(8, SECOND));
     other.receive(SECOND, claim(8, SECOND));
-    assert_eq!(finder.fetch_at(), Some(SECOND));
-    assert!(finder.fetch_at() < listener.fetch_at() && listener.fetch_at() < other.fetch_at());
-    for fresh in [&mut finder, &mut listener, &mut other] {
-        fresh.advance(8);
-        assert_eq!(fresh.fetch_at(), None);
+    assert_eq!(discoverer.fetch_at(), Some(SECOND));
+    assert!(discoverer.fetch_at() < watcher.fetch_at() && watcher.fetch_at() < other.fetch_at());
+    for freshness in [&mut discoverer, &mut watcher, &mut other] {
+        freshness.advance(8);
+        assert_eq!(freshness.fetch_at(), None);
     }
-    // The next time another one finds it out.
-    finder.receive(SECOND * 2, claim(9, SECOND * 2));
-    assert!(finder.fetch_at() > Some(SECOND * 2));
+    // Another process discovers the next change.
+    discoverer.receive(SECOND * 2, claim(9, SECOND * 2));
+    assert!(discoverer.fetch_at() > Some(SECOND * 2));
 }
 
-/// Guards against a wrong clock reading that stops all questions to the store: a claim of the future
-/// would be the newest for as long as it lies ahead.
+/// Guards against a wrong clock that stops all calls to the store: a claim for a future time would
+/// be the newest until then.
 #[test]
-fn a_claim_of_a_time_to_come_is_not_taken() {
-    let mut fresh = Freshness::default();
-    fresh.advance(7);
-    fresh.receive(SECOND, claim(7, SECOND));
-    let due = fresh.next_check();
-    fresh.receive(SECOND * 2, claim(7, SECOND * 3));
-    assert_eq!(fresh.confirmed_at(), Some(SECOND));
-    assert_eq!(fresh.next_check(), due);
+fn a_future_claim_is_ignored() {
+    let mut freshness = Freshness::default();
+    freshness.advance(7);
+    freshness.receive(SECOND, claim(7, SECOND));
+    let next_check = freshness.next_check();
+    freshness.receive(SECOND * 2, claim(7, SECOND * 3));
+    assert_eq!(freshness.confirmed_at(), Some(SECOND));
+    assert_eq!(freshness.next_check(), next_check);
 }
 
-/// Guards against calls that are refused over and over: the store turns this host away and serves the
-/// others, whose claims come every second.
+/// Guards against endless refused calls while the store refuses this host and serves the others,
+/// whose claims arrive every second.
 #[test]
-fn claims_of_others_do_not_hurry_a_process_that_is_turned_away() {
-    let mut fresh = Freshness::default();
-    fresh.advance(7);
+fn claims_of_others_do_not_shorten_the_backoff_of_a_refused_process() {
+    let mut freshness = Freshness::default();
+    freshness.advance(7);
     let mut now = SECOND;
     let mut calls = 0;
     while now < SECOND * 11 {
         if now.as_millis().is_multiple_of(1000) {
-            fresh.receive(now, claim(7, now));
+            freshness.receive(now, claim(7, now));
         }
-        if fresh.retry_at() <= now {
+        if freshness.retry_at() <= now {
             calls += 1;
-            fresh.store_failed(now);
+            freshness.store_failed(now);
         }
         now += SECOND / 20;
     }
     assert!(calls <= 12, "{calls} calls in 10 s");
-    fresh.store_answered();
-    assert_eq!(fresh.retry_at(), Duration::ZERO);
+    freshness.store_answered();
+    assert_eq!(freshness.retry_at(), Duration::ZERO);
 }
 
-/// Guards against a slow return after an outage: the first claim after it shows that the store is back.
+/// Guards against a slow recovery: the first claim after an outage shows that the store is
+/// available again.
 #[test]
 fn the_first_claim_after_an_outage_ends_the_backoff() {
-    let mut fresh = Freshness::default();
-    fresh.advance(7);
-    fresh.receive(SECOND, claim(7, SECOND));
+    let mut freshness = Freshness::default();
+    freshness.advance(7);
+    freshness.receive(SECOND, claim(7, SECOND));
     let now = SECOND * 10;
     for _ in 0..6 {
-        fresh.store_failed(now);
+        freshness.store_failed(now);
     }
-    assert!(fresh.retry_at() > now);
-    fresh.receive(now, claim(7, now));
-    assert_eq!(fresh.retry_at(), Duration::ZERO);
+    assert!(freshness.retry_at() > now);
+    freshness.receive(now, claim(7, now));
+    assert_eq!(freshness.retry_at(), Duration::ZERO);
 }
 
-/// Guards against a fleet that storms a store which is out: all its processes together try so often,
-/// whatever their number, and one of them soon after its return.
+/// Guards against overloading an unavailable store: the fleet's total rate of retries does not
+/// depend on its size, and one process retries soon after the store's return.
 #[rstest]
 #[case::five(5, 90)]
-#[case::a_hundred(103, 260)]
+#[case::hundred(103, 260)]
 #[case::three_hundred(342, 520)]
-fn a_large_fleet_tries_no_more_often_than_a_small_one(#[case] count: usize, #[case] most: usize) {
-    let mut tries = Vec::new();
-    for place in 0..count {
-        let mut fresh = Freshness::default();
-        fresh.advance(7);
-        fresh.set_rank((place, count), place / 5);
-        fresh.receive(SECOND, claim(7, SECOND));
+fn the_retry_rate_does_not_grow_with_the_fleet(#[case] count: usize, #[case] max_retries: usize) {
+    let mut retries = Vec::new();
+    for rank in 0..count {
+        let mut freshness = Freshness::default();
+        freshness.advance(7);
+        freshness.set_rank((rank, count), rank / 5);
+        freshness.receive(SECOND, claim(7, SECOND));
         let mut now = SECOND;
         while now < SECOND * 16 {
-            if fresh.next_check() <= now {
-                tries.push(now);
-                fresh.store_failed(now);
+            if freshness.next_check() <= now {
+                retries.push(now);
+                freshness.store_failed(now);
             }
             now += SECOND / 20;
         }
     }
-    tries.sort_unstable();
-    assert!(tries.len() <= most, "{} tries", tries.len());
-    let late = tries.windows(2).filter(|pair| pair[0] > SECOND * 3);
-    let longest = late.map(|pair| pair[1] - pair[0]).max();
-    assert!(longest <= Some(SECOND * 2), "{longest:?} without a try");
+    retries.sort_unstable();
+    assert!(retries.len() <= max_retries, "{} retries", retries.len());
+    let during_outage = retries.windows(2).filter(|pair| pair[0] > SECOND * 3);
+    let longest = during_outage.map(|pair| pair[1] - pair[0]).max();
+    assert!(longest <= Some(SECOND * 2), "{longest:?} without a retry");
 }
--- a/components/spread/tests/replica.rs
+++ b/components/spread/tests/replica.rs
@@ -1,4 +1,5 @@
-//! Several boards joined in memory: outages, silent watches, deaths, cuts, pauses, restarts.
+//! Replicas joined by a simulated network: outages, silent watches, crashes, partitions, pauses,
+//! restarts.
 
 use std::time::Duration;
 
@@ -21,19 +22,19 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Time within which an accepted document must be in force everywhere.
-const BOUND: Duration = Duration::from_secs(15);
+/// Time limit for an accepted document to be in force everywhere.
+const TIME_LIMIT: Duration = Duration::from_secs(15);
 
-fn weigh(_: &Message) -> usize {
+fn message_size(_: &Message) -> usize {
     1
 }
 
-/// Hosts that all hold revision 1.
-fn settled(data_centres: usize, each: usize, seed: u64) -> Mesh {
-    let mut mesh = Mesh::new(data_centres, each, seed, weigh);
+/// Starts hosts and waits until all hold revision 1.
+fn settled_mesh(data_centres: usize, each: usize, seed: u64) -> Mesh {
+    let mut mesh = Mesh::new(data_centres, each, seed, message_size);
     mesh.write(1, "a: 1\nb: 1\nc: 1\n");
     mesh.start_all();
-    let ready = mesh.until(BOUND, |mesh| mesh.all_ready() && mesh.everywhere(1));
+    let ready = mesh.until(TIME_LIMIT, |mesh| mesh.all_ready() && mesh.everywhere(1));
     assert!(ready.is_some(), "all hosts become ready with the store");
     mesh.run(5 * SECOND);
     mesh
@@ -41,85 +42,83 @@
 
 #[rstest]
 fn a_document_is_in_force_everywhere_within_a_second(#[values(1, 2, 3)] seed: u64) {
-    let mut mesh = settled(3, 4, seed);
-    assert_eq!(mesh.watching(), 6, "two readers a data centre");
+    let mut mesh = settled_mesh(3, 4, seed);
+    assert_eq!(mesh.watch_count(), 6, "two readers in each data centre");
     mesh.write(2, "a: 1\nb: 2\nc: 1\n");
-    let took = mesh.until(BOUND, |mesh| mesh.everywhere(2));
+    let took = mesh.until(TIME_LIMIT, |mesh| mesh.everywhere(2));
     assert!(took.is_some_and(|took| took < SECOND), "{took:?}");
     for node in mesh.nodes.values() {
         let edition = node
-            .board
+            .replica
             .as_ref()
-            .and_then(|board| board.document("production"));
+            .and_then(|replica| replica.document("production"));
         assert_eq!(edition.map(|e| e.text.as_str()), Some("a: 1\nb: 2\nc: 1\n"));
     }
 }
 
 #[rstest]
-fn a_document_is_in_force_although_a_third_of_the_messages_is_lost(
-    #[values(1, 2, 3, 4, 5)] seed: u64,
-) {
-    let mut mesh = settled(3, 4, seed);
+fn a_document_is_in_force_everywhere_despite_message_loss(#[values(1, 2, 3, 4, 5)] seed: u64) {
+    let mut mesh = settled_mesh(3, 4, seed);
     mesh.loss = 0.3;
     mesh.write(2, "a: 2\n");
-    let took = mesh.until(BOUND, |mesh| mesh.everywhere(2));
-    assert!(took.is_some(), "some host never got the document");
+    let took = mesh.until(TIME_LIMIT, |mesh| mesh.everywhere(2));
+    assert!(took.is_some(), "a host never received the document");
 }
 
-// Something between the readers and the store lost track of every connection that waits. Nobody
-// hears of a new document, although the store is well.
+// A device between the readers and the store loses the state of all pending connections. Guards
+// against missing a new document although the store is available.
 #[rstest]
-fn silent_watches_delay_a_document_but_do_not_hide_it(#[values(1, 2, 3)] seed: u64) {
-    let mut mesh = settled(2, 4, seed);
+fn silent_watches_only_delay_a_document(#[values(1, 2, 3)] seed: u64) {
+    let mut mesh = settled_mesh(2, 4, seed);
     mesh.fault(Fault::SilentWatches);
     mesh.write(2, "a: 2\n");
-    let took = mesh.until(BOUND, |mesh| mesh.everywhere(2));
-    assert!(took.is_some(), "no watch was begun anew");
+    let took = mesh.until(TIME_LIMIT, |mesh| mesh.everywhere(2));
+    assert!(took.is_some(), "no watch was restarted");
 }
 
-// Both readers of each data centre die, their watches with them, and a document is written.
+// Both readers of each data centre die along with their watches, and a document is written.
 #[rstest]
 fn other_entries_take_over_from_dead_readers(#[values(1, 2, 3)] seed: u64) {
-    let mut mesh = settled(2, 4, seed);
+    let mut mesh = settled_mesh(2, 4, seed);
     for host in mesh.hosts() {
         let now = mesh.now;
         let reads = mesh.nodes[&host]
-            .board
+            .replica
             .as_ref()
-            .is_some_and(|board| board.is_reader(now));
+            .is_some_and(|replica| replica.is_reader(now));
         if reads {
             mesh.kill(&host);
         }
     }
-    assert_eq!(mesh.watching(), 0);
+    assert_eq!(mesh.watch_count(), 0);
     mesh.write(2, "a: 2\n");
-    let took = mesh.until(BOUND, |mesh| mesh.everywhere(2));
-    assert!(took.is_some(), "nobody watches any more");
+    let took = mesh.until(TIME_LIMIT, |mesh| mesh.everywhere(2));
+    assert!(took.is_some(), "no entry watches the store");
 }
 
-// The readers' own way to the store is broken, while other entries of the data centre reach it.
+// The readers can't reach the store, while other entries of the data centre can.
 #[test]
-fn entries_that_reach_the_store_take_over_from_those_that_do_not() {
-    let mut mesh = settled(1, 5, 1);
+fn entries_that_reach_the_store_replace_readers_that_do_not() {
+    let mut mesh = settled_mesh(1, 5, 1);
     let now = mesh.now;
     let readers = mesh.nodes["dc0-0"]
-        .board
+        .replica
         .as_ref()
-        .map(|board| board.readers(now));
-    mesh.storeless = readers.expect("the host is up").into_iter().collect();
+        .map(|replica| replica.readers(now));
+    mesh.without_store = readers.expect("the host is up").into_iter().collect();
     mesh.run(20 * SECOND);
     mesh.write(2, "a: 2\n");
-    let took = mesh.until(BOUND, |mesh| mesh.everywhere(2));
+    let took = mesh.until(TIME_LIMIT, |mesh| mesh.everywhere(2));
     assert!(took.is_some_and(|took| took < SECOND), "{took:?}");
 }
 
-// A data centre loses its links to the others and to the store for an hour, in which documents are
-// written and a version is vetoed. Once it is joined again it must not serve by the old ones.
+// A data centre is cut off from the others and from the store for an hour, in which documents are
+// written and a version is vetoed. Guards against serving by the old documents after the partition.
 #[rstest]
-fn a_data_centre_that_was_cut_off_catches_up(#[values(1, 2)] seed: u64) {
-    let mut mesh = settled(3, 3, seed);
-    mesh.cut.insert("dc1".into());
-    mesh.storeless.insert("dc1".into());
+fn a_data_centre_catches_up_after_a_partition(#[values(1, 2)] seed: u64) {
+    let mut mesh = settled_mesh(3, 3, seed);
+    mesh.partitioned.insert("dc1".into());
+    mesh.without_store.insert("dc1".into());
     mesh.run(60 * SECOND);
     mesh.write(2, "a: 2\n");
     mesh.write(3, "a: 3\n");
@@ -139,38 +138,38 @@
     assert_eq!(mesh.nodes["dc2-0"].revision(), 3);
     assert!(
         mesh.nodes["dc1-0"]
-            .board
+            .replica
             .as_ref()
             .is_some_and(spread::Replica::is_ready)
     );
-    mesh.cut.clear();
-    mesh.storeless.clear();
-    let took = mesh.until(BOUND, |mesh| {
+    mesh.partitioned.clear();
+    mesh.without_store.clear();
+    let took = mesh.until(TIME_LIMIT, |mesh| {
         let mut nodes = mesh.nodes.values();
         mesh.everywhere(3)
             && nodes.all(|node| {
-                node.board
+                node.replica
                     .as_ref()
                     .is_some_and(|b| b.facts().get(&veto).is_some())
             })
     });
-    assert!(took.is_some(), "the data centre stayed behind");
+    assert!(took.is_some(), "the data centre did not catch up");
 }
 
 // A data centre reaches the others but not the store.
 #[test]
-fn a_data_centre_without_the_store_learns_from_the_others() {
-    let mut mesh = settled(3, 3, 1);
-    mesh.storeless.insert("dc1".into());
+fn a_data_centre_without_the_store_receives_documents_from_the_others() {
+    let mut mesh = settled_mesh(3, 3, 1);
+    mesh.without_store.insert("dc1".into());
     mesh.write(2, "a: 2\n");
-    let took = mesh.until(BOUND, |mesh| mesh.everywhere(2));
-    assert!(took.is_some(), "the data centre stayed behind");
+    let took = mesh.until(TIME_LIMIT, |mesh| mesh.everywhere(2));
+    assert!(took.is_some(), "the data centre did not catch up");
 }
 
-// A version is bad. As long as one entry hasn't heard of it, callers are sent to that version.
+// A version is bad. Until an entry receives the veto, it sends callers to that version.
 #[rstest]
-fn a_veto_reaches_everybody_at_once(#[values(0.0, 0.3)] loss: f64) {
-    let mut mesh = settled(3, 4, 1);
+fn a_veto_reaches_all_entries_at_once(#[values(0.0, 0.3)] loss: f64) {
+    let mut mesh = settled_mesh(3, 4, 1);
     mesh.fault(Fault::Out);
     mesh.loss = loss;
     let key = Key::Veto("production".into(), "m".into());
@@ -186,34 +185,35 @@
             fact,
         },
     );
-    let took = mesh.until(BOUND, |mesh| {
+    let took = mesh.until(TIME_LIMIT, |mesh| {
         let mut nodes = mesh.nodes.iter().filter(|(host, _)| *host != "dc1-2");
-        nodes.all(|(_, node)| node.known.contains(&key))
+        nodes.all(|(_, node)| node.received_facts.contains(&key))
     });
-    let bound = if loss > 0.0 { BOUND } else { SECOND / 10 };
-    assert!(took.is_some_and(|took| took < bound), "{took:?}");
+    let limit = if loss > 0.0 { TIME_LIMIT } else { SECOND / 10 };
+    assert!(took.is_some_and(|took| took < limit), "{took:?}");
 }
 
-// An entry's process is replaced while the store is out. It must not serve by nothing, nor by less
-// than its neighbours.
+// An entry's process is replaced while the store is unavailable. Guards against serving without
+// documents, or with older ones than the neighbours'.
 #[rstest]
 #[case(Fault::Out)]
 #[case(Fault::Silent)]
-fn a_process_started_in_an_outage_asks_its_neighbours(#[case] fault: Fault) {
-    let mut mesh = settled(1, 4, 1);
+fn a_process_started_in_an_outage_uses_its_neighbours_documents(#[case] fault: Fault) {
+    let mut mesh = settled_mesh(1, 4, 1);
     mesh.fault(fault);
     mesh.kill("dc0-1");
     mesh.run(SECOND);
     mesh.start("dc0-1");
-    let took = mesh.until(BOUND, |mesh| mesh.nodes["dc0-1"].ready.is_some());
+    let took = mesh.until(TIME_LIMIT, |mesh| mesh.nodes["dc0-1"].ready.is_some());
     assert!(took.is_some(), "it never became ready");
     assert_eq!(mesh.nodes["dc0-1"].revision(), 1);
 }
 
-// All entries are started anew while the store is out: nobody knows which document is the newest.
+// All entries restart while the store is unavailable: none of them knows which document is the
+// newest.
 #[test]
-fn fresh_processes_do_not_vouch_for_each_other() {
-    let mut mesh = settled(1, 4, 1);
+fn processes_that_have_just_started_do_not_confirm_each_other() {
+    let mut mesh = settled_mesh(1, 4, 1);
     mesh.fault(Fault::Out);
     for host in mesh.hosts() {
         mesh.kill(&host);
@@ -223,18 +223,19 @@
     assert_eq!(mesh.until(120 * SECOND, ready), None);
     mesh.fault(Fault::None);
     assert!(
-        mesh.until(BOUND, |mesh| mesh.all_ready() && mesh.everywhere(1))
+        mesh.until(TIME_LIMIT, |mesh| mesh.all_ready() && mesh.everywhere(1))
             .is_some()
     );
 }
 
-// A reader gets a document, its messages to all others are lost, and it dies. Its successor starts
-// in an outage and knows less. Callers would see the old document after the new one.
+// A reader receives a document, all its messages to others are lost, and it dies. Its successor
+// starts during an outage with an older document. Guards against callers seeing the old document
+// after the new one.
 #[test]
-fn a_reader_that_dies_with_a_new_document_had_it_not_in_force() {
-    let mut mesh = settled(1, 3, 1);
+fn a_document_is_not_in_force_until_it_is_shared() {
+    let mut mesh = settled_mesh(1, 3, 1);
     for host in mesh.hosts() {
-        mesh.deaf.insert(("dc0-0".into(), host.clone()));
+        mesh.broken_links.insert(("dc0-0".into(), host.clone()));
     }
     mesh.fault(Fault::Silent);
     let edition = mesh.write(2, "a: 2\n");
@@ -253,18 +254,18 @@
     mesh.run(SECOND / 100);
     let in_force = mesh.nodes["dc0-0"].revision();
     mesh.kill("dc0-0");
-    mesh.deaf.clear();
+    mesh.broken_links.clear();
     mesh.start("dc0-0");
-    let took = mesh.until(4 * BOUND, |mesh| mesh.nodes["dc0-0"].ready.is_some());
+    let took = mesh.until(4 * TIME_LIMIT, |mesh| mesh.nodes["dc0-0"].ready.is_some());
     assert!(took.is_some(), "it never became ready");
     assert!(mesh.nodes["dc0-0"].revision() >= in_force);
 }
 
-// An entry's process stands still for a minute, and a document is written meanwhile. The first
-// requests after it goes on must not be served by the old one.
+// An entry's process is suspended for a minute, in which a document is written. Guards against
+// serving the first requests after that by the old document.
 #[test]
-fn a_paused_process_is_not_ready_before_it_caught_up() {
-    let mut mesh = settled(1, 3, 1);
+fn a_paused_process_is_not_ready_until_it_has_caught_up() {
+    let mut mesh = settled_mesh(1, 3, 1);
     mesh.pause("dc0-1", true);
     mesh.run(SECOND);
     mesh.write(2, "a: 2\n");
@@ -272,62 +273,63 @@
     mesh.pause("dc0-1", false);
     let ready = |mesh: &Mesh| {
         mesh.nodes["dc0-1"]
-            .board
+            .replica
             .as_ref()
             .is_some_and(spread::Replica::is_ready)
     };
     assert!(
-        mesh.until(BOUND, ready).is_some(),
+        mesh.until(TIME_LIMIT, ready).is_some(),
         "it never became ready again"
     );
     assert_eq!(mesh.nodes["dc0-1"].revision(), 2);
-    assert_eq!(mesh.nodes["dc0-1"].unready, 1);
+    assert_eq!(mesh.nodes["dc0-1"].unready_count, 1);
 }
 
-// The only entry is paused while the store is out. It has lost nothing, and nobody could tell it
-// more: refusing all requests for the rest of the outage helps nobody.
+// The only entry is paused while the store is unavailable. It has lost nothing and nobody has newer
+// documents, so refusing all requests for the rest of the outage would not help.
 #[test]
-fn a_lone_process_that_was_paused_in_an_outage_serves_on() {
-    let mut mesh = settled(1, 1, 1);
+fn a_single_process_paused_in_an_outage_becomes_ready_again() {
+    let mut mesh = settled_mesh(1, 1, 1);
     mesh.fault(Fault::Out);
     mesh.pause("dc0-0", true);
     mesh.run(60 * SECOND);
     mesh.pause("dc0-0", false);
     assert!(
-        mesh.until(BOUND, |mesh| mesh.nodes["dc0-0"].unready == 1)
+        mesh.until(TIME_LIMIT, |mesh| mesh.nodes["dc0-0"].unready_count == 1)
             .is_some()
     );
     assert!(
-        mesh.until(BOUND, Mesh::all_ready).is_some(),
+        mesh.until(TIME_LIMIT, Mesh::all_ready).is_some(),
         "it never became ready again"
     );
 }
 
-// The host list is empty from one moment on.
+// All hosts receive an empty host list.
 #[test]
-fn an_empty_host_list_stops_nothing() {
-    let mut mesh = settled(2, 3, 1);
+fn an_empty_host_list_does_not_stop_replication() {
+    let mut mesh = settled_mesh(2, 3, 1);
     for host in mesh.hosts() {
         mesh.event(&host, Event::HostList(Vec::new()));
     }
     mesh.run(300 * SECOND);
     mesh.write(2, "a: 2\n");
-    let took = mesh.until(BOUND, |mesh| mesh.everywhere(2));
+    let took = mesh.until(TIME_LIMIT, |mesh| mesh.everywhere(2));
     assert!(took.is_some_and(|took| took < SECOND), "{took:?}");
 }
 
-// A long outage: nobody may hammer the store, and the first document after it must be in time.
+// Guards against overloading the store during a long outage, and against a late first document
+// after it.
 #[test]
-fn an_outage_of_an_hour_is_sat_out() {
-    let mut mesh = settled(2, 4, 1);
+fn an_outage_of_an_hour_causes_few_calls_and_no_delay() {
+    let mut mesh = settled_mesh(2, 4, 1);
     mesh.fault(Fault::Out);
     mesh.run(60 * SECOND);
     mesh.reset();
     mesh.run(3600 * SECOND);
     let calls: u64 = mesh.nodes.values().map(|node| node.count.calls).sum();
     assert!(calls <= 8 * 3600 / 2, "{calls} calls in an hour");
-    assert!(mesh.all_ready(), "documents stay as they are");
+    assert!(mesh.all_ready(), "documents stay in force");
     mesh.fault(Fault::None);
     mesh.write(2, "a: 2\n");
-    assert!(mesh.until(BOUND, |mesh| mesh.everywhere(2)).is_some());
+    assert!(mesh.until(TIME_LIMIT, |mesh| mesh.everywhere(2)).is_some());
 }
--- a/components/spread/tests/parts.rs
+++ b/components/spread/tests/units.rs
@@ -1,4 +1,4 @@
-//! The parts of the board: changes of texts, facts, the watch, membership.
+//! Slots, deltas, facts, the watch and membership, each on its own.
 
 use std::time::Duration;
 
@@ -47,9 +47,9 @@
     }
 }
 
-// Messages overtake each other: an older document comes after a newer one.
+// Guards against messages that arrive out of order, with an older document after a newer one.
 #[test]
-fn a_slot_never_goes_back() {
+fn the_revision_of_a_slot_never_decreases() {
     let mut slot = Slot::default();
     assert_eq!(slot.receive(edition(2)), Outcome::InForce);
     assert_eq!(slot.receive(edition(1)), Outcome::Old);
@@ -70,19 +70,19 @@
 #[case("a: 1\nb: 2\n", "a: 1\nb: 3\n")]
 #[case("aaaa", "aa")]
 #[case("aa", "aaaa")]
-// Both texts share bytes inside a letter.
+// Both texts share bytes within a character.
 #[case("Krožna", "Kroźna")]
 #[case("äö", "äü")]
-fn a_change_makes_the_new_text_from_the_old(#[case] old: &str, #[case] new: &str) {
+fn a_delta_restores_the_new_text(#[case] old: &str, #[case] new: &str) {
     let delta = Delta::between(old, new);
     assert_eq!(delta.apply(old).as_deref(), Some(new));
     assert!(delta.middle.len() <= new.len());
 }
 
-// A process holds another base than the sender thinks. A text made from the wrong halves would be
-// in force on this process alone.
+// The receiver holds another base than the sender assumes. Guards against a corrupted text that
+// would be in force on this process alone.
 #[test]
-fn a_change_is_refused_on_another_base() {
+fn a_delta_is_refused_on_another_base() {
     let delta = Delta::between("a: 1\nb: 2\n", "a: 1\nb: 3\n");
     assert_eq!(delta.apply("a: 9\nb: 2\n"), None);
     assert_eq!(delta.apply(""), None);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn what_another_lacks_and_what_is_lacked_here_is_found() {
+fn comparison_finds_the_facts_that_each_side_lacks() {
     let (veto, poison) = (Key::Veto("e".into(), "m".into()), Key::Poison(7));
     let mut one = Facts::default();
     let mut other = Facts::default();
@@ -130,10 +130,10 @@
     assert_eq!(other.by_hashes(&wanted), [(poison, fact(1, ""))]);
 }
 
-// Two processes whose clocks differ hand an expired fact to each other. It would stay for ever, and
-// a caller's request would be refused long after the fault behind it was mended.
+// Two processes with different clocks exchange an expired fact. Guards against keeping it for ever,
+// so that a caller's requests are refused long after the fault behind them was fixed.
 #[test]
-fn an_expired_fact_is_not_taken_up_again() {
+fn an_expired_fact_is_not_added_again() {
     let mut facts = Facts::default();
     let poison = Fact {
         until: Some(10 * SECOND),
@@ -146,18 +146,18 @@
     assert!(!facts.join(&Key::Poison(1), &poison, 10 * SECOND));
 }
 
-/// The wait of a call for changes.
+/// Returns the wait of the last call, which must be a watch.
 fn wait(calls: &[Call]) -> Duration {
     match calls {
         [.., Call::Watch { wait, .. }] => *wait,
-        _ => panic!("{calls:?} wait for nothing"),
+        _ => panic!("the last of {calls:?} is not a watch"),
     }
 }
 
-// Something between reader and store lost track of the connection: the watch never answers, while
-// new ones work. A change would never be noticed by this reader.
+// A device between reader and store loses the connection's state: the watch never answers, while
+// new connections work. Guards against a reader that misses all changes from then on.
 #[test]
-fn a_silent_watch_is_begun_anew() {
+fn a_silent_watch_is_restarted() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut watch = Watch::new(Duration::ZERO);
     watch.set_enabled(true, Duration::ZERO);
@@ -192,15 +192,15 @@
     assert_ne!(
         wait(&calls),
         first,
-        "readers that began together get out of step"
+        "readers that start together get out of phase"
     );
-    // The old one answers after all: that changes nothing.
+    // A late response to the cancelled call changes nothing.
     assert!(!watch.answered(2, 9, silent));
     assert!(watch.answered(3, 6, silent));
 }
 
 #[test]
-fn a_watch_reads_afresh_when_the_store_has_forgotten_its_revision() {
+fn a_watch_reads_all_documents_after_compaction() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut watch = Watch::new(Duration::ZERO);
     watch.set_enabled(true, Duration::ZERO);
@@ -211,9 +211,9 @@
     assert_eq!(watch.tick(SECOND, &mut rng), [Call::Read { call: 3 }]);
 }
 
-// The store is out for a long time. Readers that try again at once would keep it down.
+// Guards against overloading a store that is unavailable for long with immediate retries.
 #[test]
-fn failures_are_retried_with_growing_pauses() {
+fn failures_are_retried_with_exponential_backoff() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut watch = Watch::new(Duration::ZERO);
     let mut calls = 0;
@@ -254,10 +254,10 @@
     members
 }
 
-// The platform's list comes back empty by mistake, over and over. Without hosts no request could go
-// anywhere, although all hosts are well.
+// The platform repeatedly returns an empty list by mistake. Guards against removing hosts that are
+// well, without which no request could be forwarded.
 #[test]
-fn an_empty_list_empties_nothing() {
+fn an_empty_list_removes_no_host() {
     let mut members = hosts(&["a", "b", "c", "d"]);
     members.apply_list(&[], SECOND);
     members.apply_list(&[], 10 * REMOVAL_TIMEOUT);
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_host_is_gone_when_it_is_neither_listed_nor_heard() {
+fn a_host_is_removed_when_it_is_neither_listed_nor_sends_heartbeats() {
     let mut members = hosts(&["a", "b", "c", "d"]);
     members.apply_list(&[listing("a"), listing("b"), listing("c")], SECOND);
     assert_eq!(members.state("d", SECOND), Some(State::Live));
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_host_that_is_silent_after_a_question_is_suspect_until_it_speaks() {
+fn a_host_that_does_not_answer_a_probe_is_suspect_until_its_next_heartbeat() {
     let mut members = hosts(&["a"]);
     members.record_probe("a", SECOND);
     members.record_probe("a", 2 * SECOND);
@@ -293,10 +293,10 @@
     assert_eq!(members.state("a", 5 * SECOND), Some(State::Live));
 }
 
-// This process was stopped for a minute and goes on. Everybody seems silent to it; taking them for
-// dead, it would send all its work to nobody.
+// This process is suspended for a minute, after which all hosts seem silent. Guards against taking
+// them for dead, which would leave no host to send work to.
 #[test]
-fn a_pause_of_this_process_makes_nobody_suspect() {
+fn a_pause_of_this_process_makes_no_host_suspect() {
     let mut members = hosts(&["a"]);
     members.record_probe("a", SECOND);
     assert_eq!(members.state("a", 60 * SECOND), Some(State::Suspect));
@@ -304,8 +304,8 @@
     assert_eq!(members.state("a", 60 * SECOND), Some(State::Live));
 }
 
-// A host leaves and is replaced under its old name, while the list still says that it leaves. The
-// new process would get no work for minutes.
+// A host leaves and is replaced under the same name, while the list still reports it as leaving.
+// Guards against a new process that receives no work for minutes.
 #[test]
 fn a_restarted_host_is_not_leaving() {
     let mut members = hosts(&["a", "b"]);
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn a_list_in_which_most_hosts_leave_is_not_believed() {
+fn a_list_with_most_hosts_leaving_is_not_trusted() {
     let mut members = hosts(&["a", "b", "c"]);
     let all: Vec<_> = ["a", "b", "c"]
         .map(|name| Listing {
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn a_host_that_goes_changes_no_others_rank() {
+fn removing_a_host_keeps_the_order_of_the_others() {
     let members = hosts(&["a", "b", "c", "d", "e"]);
     let all = members.ranked("dc", Role::Entry, "reader", Duration::ZERO);
     let fewer: Vec<_> = all.iter().skip(1).map(|host| host.as_str()).collect();
