--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -2,7 +2,7 @@
 //! acknowledged before the time at which it was confirmed.
 //!
 //! The store, the network, the hosts and their clocks are specified here; what a process knows, what
-//! it confirms and what a beacon claims is the production code of [`spread::Fresh`] and
+//! it confirms and what a beacon claims is the production code of [`spread::Freshness`] and
 //! [`Beacon::claim`]. Messages and answers of the store arrive late, in any order, or never; one that
 //! arrives again is dropped by its number. A host that is started again has another clock.
 
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -68,7 +68,7 @@
     pub losses: Vec<Loss>,
     /// Requests and retries recently sent, by service.
     pub sends: Vec<Sends>,
-    /// Prompts that servers have processed for the sender and may have cached.
+    /// Prompts that servers have processed for the sender.
     pub prompts: Vec<Prompt>,
     /// Number of queued requests that can still meet their deadline, by service.
     pub queued: Vec<(Number, u32)>,
--- a/components/spread/src/membership.rs
+++ b/components/spread/src/membership.rs
@@ -38,7 +38,7 @@
 /// Silence after which a host that is not listed is removed.
 pub const REMOVAL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time without a probe after which a suspect host counts as live again and is probed anew.
+/// Time without a probe after which a suspect host counts as live again, so that it is probed again.
 const PROBE_RETRY_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Kind of process that runs on a host.
@@ -205,7 +205,7 @@
     }
 
     /// Removes hosts that are neither listed nor heard from, and makes suspect hosts live again
-    /// that have not been probed for a while, so that they are probed anew.
+    /// that have not been probed for a while, so that they are probed again.
     pub fn expire(&mut self, now: Clock) {
         self.members.retain(|_, member| {
             member.listed || now.saturating_sub(member.last_heartbeat) < REMOVAL_TIMEOUT
