--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -33,9 +33,9 @@
 };
 use routing::Part;
 use spread::beacon::{
-    Number,
+    Id,
     Prompt,
-    number, //
+    id, //
 };
 use tokio::{
     sync::{
@@ -159,7 +159,7 @@
         Some(asked) => asked,
         None => {
             if divided {
-                context.cache_lookup.tell(Outgoing::Lookup(number(service)));
+                context.cache_lookup.tell(Outgoing::Lookup(id(service)));
             }
             begin(context, service)
         }
@@ -188,7 +188,7 @@
 /// Asks this entry's part of the engines whenever a peer wants that.
 pub async fn serve<E: Edge + 'static>(
     context: Rc<Context<E>>,
-    mut wanted: UnboundedReceiver<Number>,
+    mut wanted: UnboundedReceiver<Id>,
 ) {
     while let Some(wanted) = wanted.recv().await {
         let Some(service) = named(&context, wanted) else {
@@ -203,10 +203,10 @@
 }
 
 /// The service with a number.
-fn named<E>(context: &Context<E>, wanted: Number) -> Option<Service> {
+fn named<E>(context: &Context<E>, wanted: Id) -> Option<Service> {
     let cache = context.document_cache.borrow();
     let services = &cache.edition()?.index.document().services;
-    let service = services.iter().find(|one| number(&one.name) == wanted)?;
+    let service = services.iter().find(|one| id(&one.name) == wanted)?;
     Some(service.name.clone())
 }
 
@@ -320,7 +320,7 @@
     };
     let parts = edge.held(&head, &body).unwrap_or_default();
     context.fleet.borrow_mut().holds(&parts, &engine.server);
-    let server = number(&engine.server);
+    let server = id(&engine.server);
     parts
         .into_iter()
         .map(|(hash, _)| Prompt { hash, server })
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -21,7 +21,7 @@
     Freshness,
     beacon::{
         Changes,
-        Number,
+        Id,
         Scope, //
     },
 };
@@ -100,7 +100,7 @@
     exchange: Cell<Option<Exchange>>,
     told: UnboundedSender<Outgoing>,
     heard: Cell<Option<UnboundedReceiver<Changes>>>,
-    wanted: Cell<Option<UnboundedReceiver<Number>>>,
+    wanted: Cell<Option<UnboundedReceiver<Id>>>,
 }
 
 impl<E: Edge + 'static> Gateway<E> {
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -37,7 +37,7 @@
 use spread::beacon::{
     self,
     Incarnation,
-    Number, //
+    Id, //
 };
 use tokio::sync::Notify;
 
@@ -77,7 +77,7 @@
     /// The same the other way round: who stands at an address.
     standing: HashMap<SocketAddr, Server>,
     /// Servers by their numbers in beacons.
-    numbers: HashMap<Number, Server>,
+    numbers: HashMap<Id, Server>,
     /// Work changed since the last beacon.
     changed: bool,
     /// Servers at which own work changed since peers of the data centre were told.
@@ -147,7 +147,7 @@
             self.replaced(&before);
         }
         self.placement.put(clock::now(), &server, facts, leaving);
-        self.numbers.insert(beacon::number(&server), server.clone());
+        self.numbers.insert(beacon::id(&server), server.clone());
         if let Some(moved) = self.addresses.insert(server.clone(), address) {
             self.standing.remove(&moved);
         }
@@ -172,7 +172,7 @@
     /// Forgets a server.
     pub fn remove(&mut self, server: &Server) -> Option<SocketAddr> {
         self.placement.remove(server);
-        self.numbers.remove(&beacon::number(server));
+        self.numbers.remove(&beacon::id(server));
         let address = self.addresses.remove(server)?;
         self.standing.remove(&address);
         Some(address)
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -44,7 +44,7 @@
         self.tell_prompts(beacon);
         for (server, age, suspicion) in self.placement.losses(clock::now()) {
             beacon.losses.push(Loss {
-                server: beacon::number(server),
+                server: beacon::id(server),
                 age_ms: age.as_millis() as u32,
                 suspicion: told(suspicion),
             });
@@ -59,7 +59,7 @@
             }
             beacon.prompts.push(Prompt {
                 hash: *part,
-                server: beacon::number(server),
+                server: beacon::id(server),
             });
         }
     }
@@ -172,7 +172,7 @@
 
 fn load(server: &Server, work: Work) -> Load {
     Load {
-        server: beacon::number(server),
+        server: beacon::id(server),
         requests: work.requests,
         tokens: work.tokens,
         unread: work.unread,
--- a/components/gateway/src/moving.rs
+++ b/components/gateway/src/moving.rs
@@ -152,7 +152,7 @@
             _ => {
                 brief.stand(self.entries.get());
                 let draw = rand::random();
-                brief.pick(now, beacon::number(route), draw)
+                brief.pick(now, beacon::id(route), draw)
             }
         };
         Pick {
@@ -194,7 +194,7 @@
         }
         let before = brief.vetoed();
         let bad = slow || time.is_none();
-        brief.ended(clock::now(), beacon::number(route), side, bad);
+        brief.ended(clock::now(), beacon::id(route), side, bad);
         if brief.vetoed() && !before {
             vetoed(service, brief);
         }
@@ -244,7 +244,7 @@
         let now = clock::now();
         for (service, brief) in self.briefs.borrow().iter() {
             if brief.state(now) == State::Running || brief.due(now).is_some() || brief.vetoed() {
-                let number = beacon::number(service);
+                let number = beacon::id(service);
                 beacon.moves.push((number, brief.tell(now)));
             }
         }
@@ -256,7 +256,7 @@
         let mut briefs = self.briefs.borrow_mut();
         for (number, tale) in &beacon.moves {
             let mut found = briefs.iter_mut();
-            let found = found.find(|(service, _)| beacon::number(service) == *number);
+            let found = found.find(|(service, _)| beacon::id(service) == *number);
             let Some((service, brief)) = found else {
                 continue;
             };
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -22,7 +22,7 @@
         Loads,
         MAX_DATAGRAM_BYTES,
         Message,
-        Number,
+        Id,
         Prompt,
         Reassembly,
         Receipt,
@@ -107,7 +107,7 @@
     /// What it heard from the store.
     Changes(Changes, Scope),
     /// A caller came back whose prompt may be at any engine of a service.
-    Lookup(Number),
+    Lookup(Id),
     /// What engines hold, as they said.
     Held(Vec<Prompt>),
 }
@@ -119,7 +119,7 @@
     /// What peers heard from the store.
     pub inward: UnboundedSender<Changes>,
     /// Services whose engines peers want to be asked.
-    pub lookups: UnboundedSender<Number>,
+    pub lookups: UnboundedSender<Id>,
 }
 
 impl Peers {
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -41,7 +41,7 @@
     self,
     Beacon,
     Incarnation,
-    Number, //
+    Id, //
 };
 use tokio::{
     pin,
@@ -87,7 +87,7 @@
     /// Requests that wait here and can still be in time, by service.
     hurried: RefCell<HashMap<Service, u32>>,
     /// Such requests at peers.
-    peers: RefCell<HashMap<Incarnation, Vec<(Number, u32)>>>,
+    peers: RefCell<HashMap<Incarnation, Vec<(Id, u32)>>>,
     /// Entries that share the engines.
     entries: Cell<u32>,
     following: Cell<bool>,
@@ -240,7 +240,7 @@
     pub fn tell(&self, beacon: &mut Beacon) {
         let hurried = self.hurried.borrow();
         let waiting = hurried.iter().filter(|(_, count)| **count > 0);
-        let waiting = waiting.map(|(service, count)| (beacon::number(service), *count));
+        let waiting = waiting.map(|(service, count)| (beacon::id(service), *count));
         beacon.queued.extend(waiting);
     }
 
@@ -274,7 +274,7 @@
 
     /// Requests that wait at peers for a service and can still be in time.
     fn hurried_elsewhere(&self, service: &Service) -> u32 {
-        let number = beacon::number(service);
+        let number = beacon::id(service);
         let peers = self.peers.borrow();
         let all = peers.values().flatten();
         all.filter(|(service, _)| *service == number)
--- a/components/gateway/src/quotas.rs
+++ b/components/gateway/src/quotas.rs
@@ -20,7 +20,7 @@
 use spread::beacon::{
     self,
     Incarnation,
-    Number,
+    Id,
     Sends, //
 };
 
@@ -29,7 +29,7 @@
 /// Requests and retries of this entry, and what the others told.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    services: HashMap<Number, Retries>,
+    services: HashMap<Id, Retries>,
     peers: HashSet<Incarnation>,
     /// Most entries that were known at once.
     most: usize,
@@ -38,7 +38,7 @@
 impl Quotas {
     /// Counts a request's first send.
     pub fn request(&mut self, service: &Service, bound: &Bound) {
-        self.of(beacon::number(service))
+        self.of(beacon::id(service))
             .request(clock::now(), bound);
     }
 
@@ -47,7 +47,7 @@
         let now = clock::now();
         let heard = self.peers.len() + 1;
         let known = heard as f64 / self.most.max(heard) as f64;
-        let retries = self.of(beacon::number(service));
+        let retries = self.of(beacon::id(service));
         let own = retries.told(now, bound).totals;
         let left = retries.retry(now, bound, known, purpose);
         if !left {
@@ -107,7 +107,7 @@
         }
     }
 
-    fn of(&mut self, service: Number) -> &mut Retries {
+    fn of(&mut self, service: Id) -> &mut Retries {
         self.services.entry(service).or_default()
     }
 }
--- a/components/gateway/tests/divided.rs
+++ b/components/gateway/tests/divided.rs
@@ -172,7 +172,7 @@
         let lookup = |message: &Message| matches!(message, Message::Lookup(_));
         let asked = fleet.harness.ask("r1", "/stream/x", BACK);
         let (heard, (_, answer)) = tokio::join!(hear(&fleet.peer, lookup), asked);
-        assert_eq!(heard, Message::Lookup(beacon::number("draft")));
+        assert_eq!(heard, Message::Lookup(beacon::id("draft")));
         assert_eq!(answer.expect("a whole answer").status(), 200);
         let asked = fleet.asked();
         assert!(asked.len() <= ENGINES / 4, "{asked:?} were asked");
@@ -186,7 +186,7 @@
         let fleet = Fleet::start("").await;
         let read = Prompt {
             hash: PART,
-            server: beacon::number(&name(17)),
+            server: beacon::id(&name(17)),
         };
         send(
             &fleet.peer,
@@ -226,7 +226,7 @@
         let loads = (0..ENGINES)
             .filter(|number| *number != 5)
             .map(|number| Load {
-                server: beacon::number(&name(number)),
+                server: beacon::id(&name(number)),
                 requests: 1,
                 tokens: 6000,
                 unread: 5000,
@@ -240,7 +240,7 @@
         send(&fleet.peer, &fleet.harness, told).await;
         fleet.heard_in_order().await;
         let sent = Load {
-            server: beacon::number(&name(5)),
+            server: beacon::id(&name(5)),
             requests: 1,
             tokens: 5020,
             unread: 5020,
@@ -273,7 +273,7 @@
         }
         let fleet = Fleet::with(engines).await;
         let spent = Sends {
-            service: beacon::number("draft"),
+            service: beacon::id("draft"),
             requests: 100,
             retries: 10_000,
             total_retries: 10_000,
@@ -298,7 +298,7 @@
 fn an_entry_asks_its_part_when_a_peer_wants_it() {
     common::run(async {
         let fleet = Fleet::start("77:5000").await;
-        let service = beacon::number("draft");
+        let service = beacon::id("draft");
         for _ in 0..2 {
             send(&fleet.peer, &fleet.harness, Message::Lookup(service)).await;
         }
@@ -308,7 +308,7 @@
         let mine: Vec<_> = mine.collect();
         match told {
             Ok(Message::CachedPrompts(reads)) => {
-                let servers = mine.iter().map(|number| beacon::number(&name(*number)));
+                let servers = mine.iter().map(|number| beacon::id(&name(*number)));
                 let mut servers: Vec<_> = servers.collect();
                 let mut read: Vec<_> = reads.iter().map(|read| read.server).collect();
                 servers.sort_unstable();
--- a/components/gateway/tests/queue.rs
+++ b/components/gateway/tests/queue.rs
@@ -129,7 +129,7 @@
             incarnation: 7,
             sequence: 1,
             interval_ms: 10_000,
-            queued: vec![(beacon::number("draft"), waiting)],
+            queued: vec![(beacon::id("draft"), waiting)],
             ..Beacon::default()
         };
         let bytes = postcard::to_stdvec(&Message::Beacon(Box::new(beacon))).expect("encoded");
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -39,14 +39,14 @@
 };
 
 /// Numeric id of a server or service in a beacon: the lower 32 bits of the XXH3 hash of its name.
-pub type Number = u32;
+pub type Id = u32;
 
 /// Random id of one run of a peer's process.
 pub type Incarnation = u64;
 
 /// Returns the numeric id of the server or service with this name.
-pub fn number(name: &str) -> Number {
-    xxh3_64(name.as_bytes()) as Number
+pub fn id(name: &str) -> Id {
+    xxh3_64(name.as_bytes()) as Id
 }
 
 /// State of one process, sent in one datagram.
@@ -71,9 +71,9 @@
     /// Prompts that servers have processed for the sender.
     pub prompts: Vec<Prompt>,
     /// Number of queued requests that can still meet their deadline, by service.
-    pub queued: Vec<(Number, u32)>,
+    pub queued: Vec<(Id, u32)>,
     /// Measurements of moves between versions, by service.
-    pub moves: Vec<(Number, Tale)>,
+    pub moves: Vec<(Id, Tale)>,
     /// Addresses of some other peers.
     pub addresses: Vec<SocketAddr>,
     /// Number of peers that the sender receives beacons from.
@@ -135,7 +135,7 @@
     /// Changed load, for peers of the same data centre.
     Loads(Loads),
     /// Requests that each peer query its share of a service's engines for their cache content.
-    Lookup(Number),
+    Lookup(Id),
     /// Cache content that engines reported.
     CachedPrompts(Vec<Prompt>),
 }
@@ -144,7 +144,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Id of the server.
-    pub server: Number,
+    pub server: Id,
     /// Number of requests.
     pub requests: u32,
     /// Tokens that the requests occupy.
@@ -172,14 +172,14 @@
     /// Hash of the last block of the prompt; in general it identifies the whole prompt.
     pub hash: u64,
     /// Id of the server.
-    pub server: Number,
+    pub server: Id,
 }
 
 /// Requests that a process sent to a service within a window that all processes share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sends {
     /// Id of the service.
-    pub service: Number,
+    pub service: Id,
     /// First attempts of requests.
     pub requests: u32,
     /// Attempts after the first.
@@ -192,7 +192,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
     /// Id of the server.
-    pub server: Number,
+    pub server: Id,
     /// Milliseconds since the failure.
     pub age_ms: u32,
     /// Kind of failure.
