--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -20,7 +20,7 @@
     Incarnation,
     Load,
     Loads,
-    Loss,
+    Failure,
     Prompt, //
 };
 use tokio::sync::Notify;
@@ -43,7 +43,7 @@
             .extend(own.map(|(server, work)| load(server, work)));
         self.tell_prompts(beacon);
         for (server, age, suspicion) in self.placement.losses(clock::now()) {
-            beacon.losses.push(Loss {
+            beacon.failures.push(Failure {
                 server: beacon::id(server),
                 age_ms: age.as_millis() as u32,
                 suspicion: told(suspicion),
@@ -129,7 +129,7 @@
         self.placement.peer(beacon.incarnation, loads);
         self.held(&beacon.prompts);
         let now = clock::now();
-        for loss in &beacon.losses {
+        for loss in &beacon.failures {
             let Some(server) = self.numbers.get(&loss.server) else {
                 continue;
             };
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -395,9 +395,9 @@
     while postcard::to_stdvec(&*beacon)
         .is_ok_and(|bytes| bytes.len() > MAX_DATAGRAM_BYTES - ECHO_BYTES)
     {
-        let keep = beacon.loads.len().max(beacon.losses.len()) * 3 / 4;
+        let keep = beacon.loads.len().max(beacon.failures.len()) * 3 / 4;
         beacon.loads.truncate(keep);
-        beacon.losses.truncate(keep);
+        beacon.failures.truncate(keep);
         if keep == 0 {
             return;
         }
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -65,7 +65,7 @@
     /// Work that the sender has in progress, by server.
     pub loads: Vec<Load>,
     /// Servers that should receive no new work for a while.
-    pub losses: Vec<Loss>,
+    pub failures: Vec<Failure>,
     /// Requests and retries recently sent, by service.
     pub sends: Vec<Sends>,
     /// Prompts that servers have processed for the sender.
@@ -190,7 +190,7 @@
 
 /// Server that should receive no new work for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Loss {
+pub struct Failure {
     /// Id of the server.
     pub server: Id,
     /// Milliseconds since the failure.
