--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -127,7 +127,7 @@
                 peer.held.insert(environment.clone(), revision);
                 self.confirm(environment, revision, actions);
             }
-            Message::Ask { environment } => {
+            Message::Pull { environment } => {
                 let newest = self.slots.get(&environment).and_then(Slot::newest);
                 if let Some(edition) = newest.cloned() {
                     actions.push(send(from, full_push(environment, edition)));
@@ -316,7 +316,7 @@
             resolve_edition(slot, body)
         };
         let Some(edition) = edition else {
-            actions.push(send(from, Message::Ask { environment }));
+            actions.push(send(from, Message::Pull { environment }));
             return;
         };
         let outcome = slot.receive(edition);
--- a/components/spread/src/message.rs
+++ b/components/spread/src/message.rs
@@ -41,7 +41,7 @@
         revision: Revision,
     },
     /// Request for the full text of a document, as the sender could not apply a delta.
-    Ask {
+    Pull {
         /// Environment of the document.
         environment: Environment,
     },
