--- a/components/spread/src/beacon/fragment.rs
+++ b/components/spread/src/beacon/fragment.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fragment {
     /// Hash of the whole compressed message.
-    pub whole: u64,
+    pub message: u64,
     /// Position in the message, from 0.
     pub index: u16,
     /// Number of fragments in the message.
@@ -73,7 +73,7 @@
     let whole = xxh3_64(&bytes);
     let fragment = |(index, chunk): (usize, &[u8])| {
         Message::Fragment(Fragment {
-            whole,
+            message: whole,
             index: index as u16,
             count: count as u16,
             bytes: chunk.to_vec(),
@@ -105,12 +105,12 @@
         }
         let same_message = |pending: &Pending| {
             pending.from == from
-                && pending.whole == fragment.whole
+                && pending.whole == fragment.message
                 && pending.fragments.len() == count
         };
         let at = match self.pending.iter().position(same_message) {
             Some(at) => at,
-            None => self.insert(from, fragment.whole, count),
+            None => self.insert(from, fragment.message, count),
         };
         let pending = &mut self.pending[at];
         pending.fragments[index] = Some(fragment.bytes);
--- a/components/spread/tests/fragments.rs
+++ b/components/spread/tests/fragments.rs
@@ -132,7 +132,7 @@
     }
     for invalid in [(3, 3), (0, 0), (0, u16::MAX)] {
         let fragment = Fragment {
-            whole: 1,
+            message: 1,
             index: invalid.0,
             count: invalid.1,
             bytes: Vec::new(),
