--- a/components/spread/src/slot.rs
+++ b/components/spread/src/slot.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The document is not newer than the held one; nothing changed.
-    Old,
+    Stale,
     /// The document must be sent to others, and is pending until another process holds it.
     Pending,
     /// The document is in force.
@@ -47,7 +47,7 @@
     /// Adds a document from the store.
     pub fn stage(&mut self, edition: Edition) -> Outcome {
         if edition.revision <= self.revision() {
-            return Outcome::Old;
+            return Outcome::Stale;
         }
         self.previous = self.newest().cloned();
         self.pending = Some(edition);
@@ -57,7 +57,7 @@
     /// Adds a document from another process.
     pub fn receive(&mut self, edition: Edition) -> Outcome {
         if edition.revision < self.revision() {
-            return Outcome::Old;
+            return Outcome::Stale;
         }
         if edition.revision == self.revision() {
             return self.confirm(edition.revision);
@@ -75,7 +75,7 @@
                 self.in_force = Some(pending);
                 Outcome::InForce
             }
-            None => Outcome::Old,
+            None => Outcome::Stale,
         }
     }
 
--- a/components/spread/tests/units.rs
+++ b/components/spread/tests/units.rs
@@ -52,12 +52,12 @@
 fn the_revision_of_a_slot_never_decreases() {
     let mut slot = Slot::default();
     assert_eq!(slot.receive(edition(2)), Outcome::InForce);
-    assert_eq!(slot.receive(edition(1)), Outcome::Old);
-    assert_eq!(slot.stage(edition(1)), Outcome::Old);
+    assert_eq!(slot.receive(edition(1)), Outcome::Stale);
+    assert_eq!(slot.stage(edition(1)), Outcome::Stale);
     assert_eq!(slot.in_force(), Some(&edition(2)));
     assert_eq!(slot.stage(edition(4)), Outcome::Pending);
-    assert_eq!(slot.receive(edition(3)), Outcome::Old);
-    assert_eq!(slot.confirm(3), Outcome::Old);
+    assert_eq!(slot.receive(edition(3)), Outcome::Stale);
+    assert_eq!(slot.confirm(3), Outcome::Stale);
     assert_eq!(slot.in_force(), Some(&edition(2)));
     assert_eq!(slot.receive(edition(4)), Outcome::InForce);
     assert_eq!(slot.previous(), Some(&edition(2)));
