--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -186,10 +186,7 @@
 }
 
 /// Asks this entry's part of the engines whenever a peer wants that.
-pub async fn serve<E: Edge + 'static>(
-    context: Rc<Context<E>>,
-    mut wanted: UnboundedReceiver<Id>,
-) {
+pub async fn serve<E: Edge + 'static>(context: Rc<Context<E>>, mut wanted: UnboundedReceiver<Id>) {
     while let Some(wanted) = wanted.recv().await {
         let Some(service) = named(&context, wanted) else {
             continue;
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -36,8 +36,8 @@
 };
 use spread::beacon::{
     self,
-    Incarnation,
-    Id, //
+    Id,
+    Incarnation, //
 };
 use tokio::sync::Notify;
 
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -17,10 +17,10 @@
 use spread::beacon::{
     self,
     Beacon,
+    Failure,
     Incarnation,
     Load,
     Loads,
-    Failure,
     Prompt, //
 };
 use tokio::sync::Notify;
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -40,8 +40,8 @@
 use spread::beacon::{
     self,
     Beacon,
-    Incarnation,
-    Id, //
+    Id,
+    Incarnation, //
 };
 use tokio::{
     pin,
--- a/components/gateway/src/quotas.rs
+++ b/components/gateway/src/quotas.rs
@@ -19,8 +19,8 @@
 use names::Service;
 use spread::beacon::{
     self,
-    Incarnation,
     Id,
+    Incarnation,
     Sends, //
 };
 
@@ -38,8 +38,7 @@
 impl Quotas {
     /// Counts a request's first send.
     pub fn request(&mut self, service: &Service, bound: &Bound) {
-        self.of(beacon::id(service))
-            .request(clock::now(), bound);
+        self.of(beacon::id(service)).request(clock::now(), bound);
     }
 
     /// Takes a retry, if there is one left over all entries.
