--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -134,7 +134,7 @@
     Introduction(Vec<SocketAddr>),
     /// Changed load, for peers of the same data centre.
     Loads(Loads),
-    /// Requests that each peer query its share of a service's engines for their cache content.
+    /// Request that each peer query its share of a service's engines for their cache content.
     Lookup(Id),
     /// Cache content that engines reported.
     CachedPrompts(Vec<Prompt>),
--- a/components/spread/src/beacon/fragment.rs
+++ b/components/spread/src/beacon/fragment.rs
@@ -70,10 +70,10 @@
     if count > MAX_FRAGMENTS {
         return Vec::new();
     }
-    let whole = xxh3_64(&bytes);
+    let message = xxh3_64(&bytes);
     let fragment = |(index, chunk): (usize, &[u8])| {
         Message::Fragment(Fragment {
-            message: whole,
+            message,
             index: index as u16,
             count: count as u16,
             bytes: chunk.to_vec(),
@@ -91,7 +91,7 @@
 #[derive(Debug)]
 struct Pending {
     from: SocketAddr,
-    whole: u64,
+    message: u64,
     fragments: Vec<Option<Vec<u8>>>,
 }
 
@@ -105,7 +105,7 @@
         }
         let same_message = |pending: &Pending| {
             pending.from == from
-                && pending.whole == fragment.message
+                && pending.message == fragment.message
                 && pending.fragments.len() == count
         };
         let at = match self.pending.iter().position(same_message) {
@@ -119,20 +119,20 @@
         }
         let pending = self.pending.remove(at)?;
         let bytes: Vec<u8> = pending.fragments.into_iter().flatten().flatten().collect();
-        if xxh3_64(&bytes) != pending.whole {
+        if xxh3_64(&bytes) != pending.message {
             return None;
         }
         let bytes = decompress_to_vec_zlib_with_limit(&bytes, MAX_DECOMPRESSED_BYTES).ok()?;
         postcard::from_bytes(&bytes).ok()
     }
 
-    fn insert(&mut self, from: SocketAddr, whole: u64, count: usize) -> usize {
+    fn insert(&mut self, from: SocketAddr, message: u64, count: usize) -> usize {
         if self.pending.len() >= MAX_PENDING_MESSAGES {
             self.pending.pop_front();
         }
         self.pending.push_back(Pending {
             from,
-            whole,
+            message,
             fragments: vec![None; count],
         });
         self.pending.len() - 1
--- a/components/spread/src/membership.rs
+++ b/components/spread/src/membership.rs
@@ -10,10 +10,10 @@
 //!   half of the known hosts only adds hosts, so an empty list removes none.
 //! - This process was paused, and all others seem silent. Silence is only measured from a probe,
 //!   and [`Membership::resume`] discards the probes from before the pause.
-//! - A host announces that it is leaving before the list shows it: the announcement holds for as
-//!   long as the host's incarnation. The list reports a restarted host as leaving: it holds only
-//!   for the incarnation that it was first reported for. A list in which more than half of the
-//!   hosts are leaving is wrong, and its leaving marks are ignored.
+//! - A host leaves before the list shows it: its own announcement counts, for as long as its
+//!   incarnation lasts. The list still reports a restarted host as leaving: the report counts only
+//!   for the incarnation that it was first made for. A list in which more than half of the hosts
+//!   are leaving is wrong, and its leaving marks are ignored.
 
 use std::{
     collections::BTreeMap,
@@ -38,7 +38,8 @@
 /// Silence after which a host that is not listed is removed.
 pub const REMOVAL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time without a probe after which a suspect host counts as live again, so that it is probed again.
+/// Time without a probe after which a suspect host counts as live again, so that it is probed
+/// again.
 const PROBE_RETRY_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Kind of process that runs on a host.
