--- a/components/entry/src/documents.rs
+++ b/components/entry/src/documents.rs
@@ -25,8 +25,8 @@
     Event,
     Fact,
     Key,
-    board::PAUSED,
-    message::Account, //
+    message::Inventory,
+    replica::PAUSE_THRESHOLD, //
 };
 use tokio::{
     sync::{
@@ -58,7 +58,7 @@
     known: broadcast::Sender<(Key, Fact)>,
     /// This entry watches the store, and sums up its data centre's evidence.
     reads: watch::Sender<bool>,
-    surveys: Mutex<HashMap<u64, mpsc::UnboundedSender<Account>>>,
+    surveys: Mutex<HashMap<u64, mpsc::UnboundedSender<Inventory>>>,
     survey: AtomicU64,
 }
 
@@ -108,7 +108,7 @@
     /// before the board is: so the board's last tick must not lie far back either.
     pub(crate) fn serves(&self) -> bool {
         let ticked = Duration::from_millis(self.ticked.load(Ordering::Acquire));
-        *self.ready.borrow() && self.origin.elapsed().saturating_sub(ticked) < PAUSED
+        *self.ready.borrow() && self.origin.elapsed().saturating_sub(ticked) < PAUSE_THRESHOLD
     }
 
     /// The board has seen that time passed, and its actions were done.
@@ -140,7 +140,7 @@
 
     /// Spreads a fact that this entry found out.
     pub(crate) fn learn(&self, key: Key, fact: Fact) {
-        self.event(Event::Learn { key, fact });
+        self.event(Event::AddFact { key, fact });
     }
 
     /// Facts that other processes found out, from now on. Whoever lags by [`WAITING`] of
@@ -169,7 +169,7 @@
     }
 
     /// Asks all data centres what is in force there; answers come as long as the number is kept.
-    pub(crate) fn survey(&self) -> (u64, mpsc::UnboundedReceiver<Account>) {
+    pub(crate) fn survey(&self) -> (u64, mpsc::UnboundedReceiver<Inventory>) {
         let number = self.survey.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = mpsc::unbounded_channel();
         let mut surveys = self.surveys.lock().expect("no panic while held");
@@ -185,7 +185,7 @@
         surveys.remove(&number);
     }
 
-    fn account(&self, number: u64, account: Account) {
+    fn account(&self, number: u64, account: Inventory) {
         let surveys = self.surveys.lock().expect("no panic while held");
         if let Some(survey) = surveys.get(&number) {
             let _ = survey.send(account);
--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -21,11 +21,11 @@
 };
 use spread::{
     Action,
-    Board,
     Edition,
     Event,
+    Identity,
     Message,
-    Place, //
+    Replica, //
 };
 use store::store::Entry;
 use tokio::{
@@ -51,7 +51,7 @@
 
 struct Driver {
     state: Arc<State>,
-    board: Board,
+    board: Replica,
     /// Calls to the store that haven't answered.
     calls: HashMap<u64, AbortHandle>,
     /// The last call failed, and that was said.
@@ -69,14 +69,14 @@
     let Some(mut waiting) = waiting else {
         return;
     };
-    let place = Place {
+    let place = Identity {
         host: state.settings.name.clone(),
         data_centre: state.settings.data_centre.clone(),
         incarnation: state.hello.incarnation.max(1),
     };
     let rng = StdRng::seed_from_u64(rand::random());
     let mut driver = Driver {
-        board: Board::new(place, state.now(), rng),
+        board: Replica::new(place, state.now(), rng),
         state: state.clone(),
         calls: HashMap::new(),
         out: false,
@@ -116,7 +116,7 @@
             self.act(action);
         }
         if ticks {
-            let reads = self.board.reads(self.state.now());
+            let reads = self.board.is_reader(self.state.now());
             let changed = |last: &mut bool| std::mem::replace(last, reads) != reads;
             self.state.documents.reads.send_if_modified(changed);
         }
@@ -134,7 +134,7 @@
                 }
                 self.out = true;
             }
-            Event::Read { call, .. } | Event::Changed { call, .. } | Event::Forgotten { call } => {
+            Event::Read { call, .. } | Event::Changed { call, .. } | Event::Compacted { call } => {
                 self.calls.remove(call);
                 self.out = false;
             }
@@ -174,14 +174,14 @@
                 events::emit!(documents::PAUSED, "host={}", self.state.settings.name);
                 self.state.documents.ready.send_replace(false);
             }
-            Action::Known { key } => {
+            Action::FactReceived { key } => {
                 if let Some(fact) = self.board.facts().get(&key) {
                     // Nobody listens while no move is under way.
                     let _ = self.state.documents.known.send((key, fact.clone()));
                 }
             }
-            Action::Account { survey, account } => {
-                self.state.documents.account(survey, account);
+            Action::Inventory { survey, inventory } => {
+                self.state.documents.account(survey, inventory);
             }
         }
     }
@@ -251,7 +251,7 @@
                 revision: change.revision,
             }
         }
-        Err(store::Error::Compacted) => Event::Forgotten { call },
+        Err(store::Error::Compacted) => Event::Compacted { call },
         Err(_) => Event::Failed { call },
     };
     answer(&state, event).await;
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -33,7 +33,7 @@
         Pin,
         Record, //
     },
-    message::Account, //
+    message::Inventory, //
 };
 use tokio::time::{
     Instant,
@@ -252,7 +252,7 @@
     let Ok(Some(stored)) = edit::stored(&state.platform, environment).await else {
         return;
     };
-    state.documents.event(spread::Event::Seen {
+    state.documents.event(spread::Event::Observed {
         environment: environment.to_string(),
         edition: stored.edition(),
     });
@@ -294,7 +294,7 @@
     environment: String,
     /// Highest revision that any answer names.
     revision: Revision,
-    data_centres: Vec<Account>,
+    data_centres: Vec<Inventory>,
 }
 
 #[handler]
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -18,11 +18,11 @@
 };
 use http::StatusCode;
 use spread::{
-    Fresh,
+    Freshness,
     beacon::{
         Changes,
-        Number,
-        Reach, //
+        Id,
+        Scope, //
     },
 };
 use tokio::{
@@ -100,7 +100,7 @@
     channels: Cell<Option<Channels>>,
     outgoing: UnboundedSender<Outgoing>,
     changes: Cell<Option<UnboundedReceiver<Changes>>>,
-    lookup_requests: Cell<Option<UnboundedReceiver<Number>>>,
+    lookup_requests: Cell<Option<UnboundedReceiver<Id>>>,
 }
 
 impl<P: Protocol + 'static> Gateway<P> {
@@ -143,7 +143,7 @@
     }
 
     /// Returns how current the document and registry are; the reader of the store updates it.
-    pub fn freshness(&self) -> &RefCell<Fresh> {
+    pub fn freshness(&self) -> &RefCell<Freshness> {
         &self.context.fresh
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Sends changes to peers that were read from the store or received from another peer.
-    pub fn send_changes(&self, changes: Changes, reach: Reach) {
+    pub fn send_changes(&self, changes: Changes, reach: Scope) {
         // The receiver is gone when the process exits.
         let _ = self.outgoing.send(Outgoing::Changes(changes, reach));
     }
@@ -330,7 +330,7 @@
 
 fn gauges<P>(context: &Context<P>) -> Gauges {
     let document_cache = context.document_cache.borrow();
-    let confirmed = context.fresh.borrow().confirmed();
+    let confirmed = context.fresh.borrow().confirmed_at();
     Gauges {
         connections: context.connections.get(),
         running: context.running.get(),
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -36,8 +36,8 @@
 };
 use spread::beacon::{
     self,
-    Incarnation,
-    Number, //
+    Id,
+    Incarnation, //
 };
 use tokio::sync::Notify;
 
@@ -77,7 +77,7 @@
     /// Reverse index of `addresses`.
     servers_by_address: HashMap<SocketAddr, Server>,
     /// Servers by their numbers in beacons.
-    servers_by_number: HashMap<Number, Server>,
+    servers_by_number: HashMap<Id, Server>,
     /// Whether work changed since the last beacon.
     changed: bool,
     /// Servers whose work of this gateway changed since the last message to peers of the data
@@ -150,7 +150,7 @@
         }
         self.placement.upsert(clock::now(), &server, facts, leaving);
         self.servers_by_number
-            .insert(beacon::number(&server), server.clone());
+            .insert(beacon::id(&server), server.clone());
         if let Some(moved) = self.addresses.insert(server.clone(), address) {
             self.servers_by_address.remove(&moved);
         }
@@ -176,7 +176,7 @@
     /// Removes a server and returns its address.
     pub fn remove(&mut self, server: &Server) -> Option<SocketAddr> {
         self.placement.remove(server);
-        self.servers_by_number.remove(&beacon::number(server));
+        self.servers_by_number.remove(&beacon::id(server));
         let address = self.addresses.remove(server)?;
         self.servers_by_address.remove(&address);
         Some(address)
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -17,11 +17,11 @@
 use spread::beacon::{
     self,
     Beacon,
+    Failure,
     Incarnation,
     Load,
     Loads,
-    Loss,
-    Read, //
+    Prompt, //
 };
 use tokio::sync::Notify;
 
@@ -44,8 +44,8 @@
             .extend(own.map(|(server, work)| load(server, work)));
         self.fill_prompts(beacon);
         for (server, age, suspicion) in self.placement.recent_losses(clock::now()) {
-            beacon.losses.push(Loss {
-                server: beacon::number(server),
+            beacon.failures.push(Failure {
+                server: beacon::id(server),
                 age_ms: age.as_millis() as u32,
                 suspicion: to_beacon(suspicion),
             });
@@ -58,9 +58,9 @@
             if now.saturating_sub(*at) > MAX_PROMPT_AGE {
                 continue;
             }
-            beacon.prompts.push(Read {
-                part: *part,
-                server: beacon::number(server),
+            beacon.prompts.push(Prompt {
+                hash: *part,
+                server: beacon::id(server),
             });
         }
     }
@@ -112,11 +112,11 @@
     }
 
     /// Applies prompts that a peer found in the caches of engines.
-    pub fn apply_cached(&mut self, reads: &[Read]) {
+    pub fn apply_cached(&mut self, reads: &[Prompt]) {
         let now = clock::now();
         for read in reads {
             if let Some(server) = self.servers_by_number.get(&read.server) {
-                self.placement.record_cached(now, &[(read.part, 0)], server);
+                self.placement.record_cached(now, &[(read.hash, 0)], server);
             }
         }
     }
@@ -133,7 +133,7 @@
         self.placement.set_peer_loads(beacon.incarnation, loads);
         self.apply_cached(&beacon.prompts);
         let now = clock::now();
-        for loss in &beacon.losses {
+        for loss in &beacon.failures {
             let Some(server) = self.servers_by_number.get(&loss.server) else {
                 continue;
             };
@@ -177,7 +177,7 @@
 
 fn load(server: &Server, work: Work) -> Load {
     Load {
-        server: beacon::number(server),
+        server: beacon::id(server),
         requests: work.requests,
         tokens: work.tokens,
         unread: work.unread,
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -41,8 +41,8 @@
 use spread::beacon::{
     self,
     Beacon,
-    Incarnation,
-    Number, //
+    Id,
+    Incarnation, //
 };
 use tokio::{
     pin,
@@ -88,7 +88,7 @@
     /// Requests that wait here and can still meet their objective, by service.
     urgent: RefCell<HashMap<Service, u32>>,
     /// Such requests at peers.
-    peers: RefCell<HashMap<Incarnation, Vec<(Number, u32)>>>,
+    peers: RefCell<HashMap<Incarnation, Vec<(Id, u32)>>>,
     /// Gateways that share the engines.
     gateways: Cell<u32>,
     polling: Cell<bool>,
@@ -244,16 +244,16 @@
     pub fn fill_beacon(&self, beacon: &mut Beacon) {
         let urgent = self.urgent.borrow();
         let waiting = urgent.iter().filter(|(_, count)| **count > 0);
-        let waiting = waiting.map(|(service, count)| (beacon::number(service), *count));
-        beacon.hurries.extend(waiting);
+        let waiting = waiting.map(|(service, count)| (beacon::id(service), *count));
+        beacon.queued.extend(waiting);
     }
 
     /// Applies a peer's beacon.
     pub fn apply_beacon(&self, beacon: &Beacon) {
         let mut peers = self.peers.borrow_mut();
-        match beacon.hurries.is_empty() {
+        match beacon.queued.is_empty() {
             true => peers.remove(&beacon.incarnation),
-            false => peers.insert(beacon.incarnation, beacon.hurries.clone()),
+            false => peers.insert(beacon.incarnation, beacon.queued.clone()),
         };
     }
 
@@ -280,7 +280,7 @@
     /// Returns the number of requests that wait at peers for a service and can still meet their
     /// objective.
     fn urgent_at_peers(&self, service: &Service) -> u32 {
-        let number = beacon::number(service);
+        let number = beacon::id(service);
         let peers = self.peers.borrow();
         let all = peers.values().flatten();
         all.filter(|(service, _)| *service == number)
--- a/components/gateway/src/retry_budget.rs
+++ b/components/gateway/src/retry_budget.rs
@@ -19,8 +19,8 @@
 use names::Service;
 use spread::beacon::{
     self,
+    Id,
     Incarnation,
-    Number,
     Sends, //
 };
 
@@ -29,7 +29,7 @@
 /// Requests and retries of this gateway and of its peers.
 #[derive(Debug, Default)]
 pub struct RetryBudgets {
-    services: HashMap<Number, Retries>,
+    services: HashMap<Id, Retries>,
     peers: HashSet<Incarnation>,
     /// Largest number of gateways that were known at the same time.
     max_gateways: usize,
@@ -38,8 +38,7 @@
 impl RetryBudgets {
     /// Counts the first send of a request.
     pub fn count_request(&mut self, service: &Service, bound: &Bound) {
-        self.budget(beacon::number(service))
-            .request(clock::now(), bound);
+        self.budget(beacon::id(service)).request(clock::now(), bound);
     }
 
     /// Takes a retry from the budget; returns `false` if it is used up.
@@ -47,7 +46,7 @@
         let now = clock::now();
         let live = self.peers.len() + 1;
         let known = live as f64 / self.max_gateways.max(live) as f64;
-        let retries = self.budget(beacon::number(service));
+        let retries = self.budget(beacon::id(service));
         let own = retries.counts(now, bound).totals;
         let granted = retries.retry(now, bound, known, purpose);
         if !granted {
@@ -107,7 +106,7 @@
         }
     }
 
-    fn budget(&mut self, service: Number) -> &mut Retries {
+    fn budget(&mut self, service: Id) -> &mut Retries {
         self.services.entry(service).or_default()
     }
 }
--- a/components/gateway/src/rollout.rs
+++ b/components/gateway/src/rollout.rs
@@ -152,7 +152,7 @@
             _ => {
                 brief.observe_entries(self.gateways.get());
                 let draw = rand::random();
-                brief.pick(now, beacon::number(route), draw)
+                brief.pick(now, beacon::id(route), draw)
             }
         };
         Selection {
@@ -194,7 +194,7 @@
         }
         let before = brief.vetoed();
         let bad = slow || time.is_none();
-        brief.record_end(clock::now(), beacon::number(route), side, bad);
+        brief.record_end(clock::now(), beacon::id(route), side, bad);
         if brief.vetoed() && !before {
             log_veto(service, brief);
         }
@@ -250,7 +250,7 @@
                 || brief.state_to_store(now).is_some()
                 || brief.vetoed()
             {
-                let number = beacon::number(service);
+                let number = beacon::id(service);
                 beacon.moves.push((number, brief.progress(now)));
             }
         }
@@ -262,7 +262,7 @@
         let mut briefs = self.briefs.borrow_mut();
         for (number, report) in &beacon.moves {
             let mut found = briefs.iter_mut();
-            let found = found.find(|(service, _)| beacon::number(service) == *number);
+            let found = found.find(|(service, _)| beacon::id(service) == *number);
             let Some((service, brief)) = found else {
                 continue;
             };
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -53,7 +53,7 @@
 };
 use moves::rollout::Exposure;
 use routing::placement::Spec;
-use spread::fresh::Claim;
+use spread::freshness::Claim;
 use tokio::{
     io::{
         AsyncReadExt,
@@ -581,9 +581,9 @@
         self.gateway
             .apply(Update::Document(Snapshot { version, index }));
         let mut fresh = self.gateway.freshness().borrow_mut();
-        fresh.learned(version);
+        fresh.advance(version);
         let at = clock::now();
-        fresh.hear(
+        fresh.receive(
             at,
             Claim {
                 revision: version,
--- a/components/gateway/tests/prompt_lookup.rs
+++ b/components/gateway/tests/prompt_lookup.rs
@@ -20,7 +20,7 @@
     Load,
     Loads,
     Message,
-    Read,
+    Prompt,
     Sends, //
 };
 use tokio::{
@@ -115,13 +115,13 @@
     async fn sync(&self) {
         let last = Beacon {
             sequence: 2,
-            stamp: 1234,
+            timestamp: 1234,
             ..peer_beacon(2)
         };
         let other = &self.others[0];
         send(other, &self.harness, Message::Beacon(Box::new(last))).await;
         let echoed = |message: &Message| match message {
-            Message::Beacon(beacon) => beacon.echo.is_some_and(|echo| echo.stamp == 1234),
+            Message::Beacon(beacon) => beacon.echo.is_some_and(|echo| echo.timestamp == 1234),
             _ => false,
         };
         receive(other, echoed).await;
@@ -139,8 +139,8 @@
         incarnation: number,
         sequence: 1,
         data_centre: "a".into(),
-        pace_ms: 10_000,
-        peers: PEER_COUNT as u32,
+        interval_ms: 10_000,
+        peer_count: PEER_COUNT as u32,
         ..Beacon::default()
     }
 }
@@ -175,7 +175,7 @@
         let lookup = |message: &Message| matches!(message, Message::Lookup(_));
         let request = fleet.harness.request("r1", "/stream/x", RESUME_HEADERS);
         let (message, (_, response)) = tokio::join!(receive(&fleet.peer, lookup), request);
-        assert_eq!(message, Message::Lookup(beacon::number("draft")));
+        assert_eq!(message, Message::Lookup(beacon::id("draft")));
         assert_eq!(response.expect("a complete response").status(), 200);
         let queried = fleet.queried();
         assert!(queried.len() <= ENGINE_COUNT / 4, "queried: {queried:?}");
@@ -188,19 +188,24 @@
 fn a_resumed_request_goes_to_the_engine_that_a_peer_found() {
     common::run(async {
         let fleet = Fleet::start("").await;
-        let read = Read {
-            part: PART_ID,
-            server: beacon::number(&name(17)),
+        let read = Prompt {
+            hash: PART_ID,
+            server: beacon::id(&name(17)),
         };
-        send(&fleet.peer, &fleet.harness, Message::Held(vec![read])).await;
+        send(
+            &fleet.peer,
+            &fleet.harness,
+            Message::CachedPrompts(vec![read]),
+        )
+        .await;
         let last = Beacon {
             sequence: 2,
-            stamp: 1234,
+            timestamp: 1234,
             ..peer_beacon(1)
         };
         send(&fleet.peer, &fleet.harness, Message::Beacon(Box::new(last))).await;
         let echoed = |message: &Message| match message {
-            Message::Beacon(beacon) => beacon.echo.is_some_and(|echo| echo.stamp == 1234),
+            Message::Beacon(beacon) => beacon.echo.is_some_and(|echo| echo.timestamp == 1234),
             _ => false,
         };
         receive(&fleet.peer, echoed).await;
@@ -224,7 +229,7 @@
         let loads = (0..ENGINE_COUNT)
             .filter(|number| *number != 5)
             .map(|number| Load {
-                server: beacon::number(&name(number)),
+                server: beacon::id(&name(number)),
                 requests: 1,
                 tokens: 6000,
                 unread: 5000,
@@ -238,7 +243,7 @@
         send(&fleet.peer, &fleet.harness, loads).await;
         fleet.sync().await;
         let expected = Load {
-            server: beacon::number(&name(5)),
+            server: beacon::id(&name(5)),
             requests: 1,
             tokens: 5020,
             unread: 5020,
@@ -271,7 +276,7 @@
         }
         let fleet = Fleet::with_engines(engines).await;
         let retries = Sends {
-            service: beacon::number("draft"),
+            service: beacon::id("draft"),
             requests: 100,
             retries: 10_000,
             total_retries: 10_000,
@@ -297,23 +302,23 @@
 fn a_gateway_queries_its_share_when_a_peer_looks_up_a_prompt() {
     common::run(async {
         let fleet = Fleet::start("77:5000").await;
-        let service = beacon::number("draft");
+        let service = beacon::id("draft");
         for _ in 0..2 {
             send(&fleet.peer, &fleet.harness, Message::Lookup(service)).await;
         }
-        let held = |message: &Message| matches!(message, Message::Held(_));
+        let held = |message: &Message| matches!(message, Message::CachedPrompts(_));
         let share = (0..ENGINE_COUNT).filter(|number| fleet.engines[*number].request_count() > 0);
         let reply = timeout(Duration::from_secs(1), receive(&fleet.peer, held)).await;
         let share: Vec<_> = share.collect();
         match reply {
-            Ok(Message::Held(reads)) => {
-                let servers = share.iter().map(|number| beacon::number(&name(*number)));
+            Ok(Message::CachedPrompts(reads)) => {
+                let servers = share.iter().map(|number| beacon::id(&name(*number)));
                 let mut servers: Vec<_> = servers.collect();
                 let mut read: Vec<_> = reads.iter().map(|read| read.server).collect();
                 servers.sort_unstable();
                 read.sort_unstable();
                 assert_eq!(read, servers);
-                assert!(reads.iter().all(|read| read.part == PART_ID));
+                assert!(reads.iter().all(|read| read.hash == PART_ID));
             }
             other => assert!(share.is_empty(), "{other:?}, queried: {share:?}"),
         }
--- a/components/gateway/tests/queue.rs
+++ b/components/gateway/tests/queue.rs
@@ -133,8 +133,8 @@
         let beacon = Beacon {
             incarnation: 7,
             sequence: 1,
-            pace_ms: 10_000,
-            hurries: vec![(beacon::number("draft"), waiting)],
+            interval_ms: 10_000,
+            queued: vec![(beacon::id("draft"), waiting)],
             ..Beacon::default()
         };
         let bytes = postcard::to_stdvec(&Message::Beacon(Box::new(beacon))).expect("encoded");
