--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -187,7 +187,10 @@
 }
 
 /// Queries this gateway's partition of the engines when a peer asks for it.
-pub async fn serve_peers<P: Protocol + 'static>(context: Rc<Context<P>>, mut requested: UnboundedReceiver<Id>) {
+pub async fn serve_peers<P: Protocol + 'static>(
+    context: Rc<Context<P>>,
+    mut requested: UnboundedReceiver<Id>,
+) {
     while let Some(requested) = requested.recv().await {
         let Some(service) = service_by_number(&context, requested) else {
             continue;
--- a/components/gateway/src/retry_budget.rs
+++ b/components/gateway/src/retry_budget.rs
@@ -38,7 +38,8 @@
 impl RetryBudgets {
     /// Counts the first send of a request.
     pub fn count_request(&mut self, service: &Service, bound: &Bound) {
-        self.budget(beacon::id(service)).request(clock::now(), bound);
+        self.budget(beacon::id(service))
+            .request(clock::now(), bound);
     }
 
     /// Takes a retry from the budget; returns `false` if it is used up.
@@ -92,7 +93,8 @@
                 },
                 retries: sent.total_retries,
             };
-            self.budget(sent.service).record_peer(now, peer, sent_totals, near);
+            self.budget(sent.service)
+                .record_peer(now, peer, sent_totals, near);
         }
         self.peers.insert(peer);
         self.max_gateways = self.max_gateways.max(self.peers.len() + 1);
