--- a/components/entry/src/attempt.rs
+++ b/components/entry/src/attempt.rs
@@ -48,7 +48,7 @@
         Joined,
         Peer, //
     },
-    hosts::keeper::{
+    hosts::connector::{
         dial,
         reach, //
     },
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -47,7 +47,7 @@
     },
     hosts::{
         Hosts,
-        keeper, //
+        connector, //
     },
     links,
     moves::{
@@ -107,7 +107,7 @@
             state.ended.clone(),
         )
         .await?;
-        tokio::spawn(keeper::follow(state.clone()));
+        tokio::spawn(connector::follow(state.clone()));
         tokio::spawn(gates::driver::follow(state.clone()));
         tokio::spawn(links::accept(state.clone()));
         tokio::spawn(documents::driver::follow(state.clone()));
--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -42,7 +42,7 @@
     key, //
 };
 use crate::{
-    hosts::keeper::reach,
+    hosts::connector::reach,
     state::State, //
 };
 
--- a/components/entry/src/hosts.rs
+++ b/components/entry/src/hosts.rs
@@ -1,7 +1,7 @@
 //! The platform's host list.
 //!
 //! The list lags and can be wrong. A host that is missing from it keeps its link while the link is
-//! up; [`keeper`] has which hosts those are.
+//! up; [`connector`] has which hosts those are.
 
 use std::{
     collections::{
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-pub(crate) mod keeper;
+pub(crate) mod connector;
 
 /// The hosts that the platform has listed.
 #[derive(Default)]
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod problem;
 mod replicas;
 mod resumes;
-mod silent;
 mod state;
+mod unresponsive;
 
 pub use self::daemon::Entry;
--- a/components/entry/src/moves.rs
+++ b/components/entry/src/moves.rs
@@ -50,10 +50,10 @@
 
 mod log;
 pub(crate) mod movers;
+mod observer;
 mod store;
-mod witness;
 
-pub(crate) use witness::Witness;
+pub(crate) use observer::Witness;
 
 /// Time between two ticks of the movers.
 const PACE: Duration = Duration::from_secs(1);
--- a/components/entry/src/pointers.rs
+++ b/components/entry/src/pointers.rs
@@ -16,7 +16,7 @@
     frame::Point, //
 };
 
-use crate::{hosts::keeper::reach, state::State};
+use crate::{hosts::connector::reach, state::State};
 
 /// Time limit of telling a holder.
 const TELL: Duration = Duration::from_secs(2);
--- a/components/entry/src/state.rs
+++ b/components/entry/src/state.rs
@@ -50,7 +50,7 @@
     outage::Outage,
     pool::Pool,
     resumes::Resumes,
-    silent::Silent, //
+    unresponsive::Silent, //
 };
 
 /// Shared by the tasks of one entry.
