--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers: the driver of the decisions in [`answer::resume`].
+//! Answers to completion requests: the driver of the decisions in [`answer::resume`].
 
 use std::{
     collections::HashMap,
@@ -55,11 +55,11 @@
 
 use crate::{
     attempt::Attempt,
-    burn::Meter,
+    burn::Timer,
     gates::Permit,
     moves::{
-        Witness, //
-        movers::Picked,
+        Observer,
+        movers::Assignment, //
     },
     pointers,
     state::State,
@@ -67,115 +67,124 @@
 
 mod epochs;
 
-/// Events of an answer's epochs that wait for its driver.
-const WAITING: usize = 64;
+/// Events of its epochs that are queued for the driver of an answer.
+const EVENT_QUEUE: usize = 64;
 
-/// Pieces that wait for the caller's connection.
-const AHEAD: usize = 256;
+/// Chunks that are queued for the caller's connection.
+const CHUNK_QUEUE: usize = 256;
 
-/// Wait for the pointer of a request that may be new.
-const FIND: Duration = Duration::from_millis(100);
+/// Timeout of the pointer lookup for a request that may be new.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Wait for the pointer of a request whose caller came back.
-const FIND_AGAIN: Duration = Duration::from_millis(500);
+/// Timeout of the pointer lookup for a request whose caller has received a part of the answer.
+const RETURN_LOOKUP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A request for an answer.
+/// A completion request.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct Query {
     pub(crate) request: Request,
     pub(crate) team: Team,
     pub(crate) target: Target,
     pub(crate) release: Release,
-    /// The move that picked the version, if any.
-    pub(crate) picked: Option<Picked>,
+    /// Assignment to a version by a move, if one applies.
+    pub(crate) assignment: Option<Assignment>,
+    /// Whether the engine can continue a given text.
     pub(crate) continues: bool,
     pub(crate) model: String,
     pub(crate) prompt: String,
-    /// Hash of the prompt's first bytes, as engines name what they have cached.
+    /// Hash of the prompt's first bytes, by which engines identify cached prompts.
     pub(crate) prefix: Prefix,
     pub(crate) max_tokens: u64,
     pub(crate) seed: u64,
+    /// Sampling temperature in thousandths.
     pub(crate) temperature: u32,
     pub(crate) priority: u8,
-    /// Tokens go to the caller as they come.
+    /// Whether the answer is streamed to the caller.
     pub(crate) streamed: bool,
-    /// The caller named the request, so that it can come back for it.
+    /// Whether the caller gave the request a key, by which it can resume the answer.
     pub(crate) resumable: bool,
-    /// What the caller has already.
+    /// Position up to which the caller has received the answer.
     pub(crate) mark: Option<Mark>,
 }
 
-impl Ask {
+impl Query {
+    /// Returns the fingerprint by which requests that crash servers are recognized.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         poison::of_generation(&self.team, &self.target.service, &self.model, &self.prompt)
     }
 }
 
-/// A part of an answer.
+/// A chunk of an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Piece {
+pub(crate) enum Chunk {
     /// Further tokens, each with the mark after it.
     Tokens(Vec<(Mark, String)>),
-    /// What was sent so far is void; these are the first tokens of the answer that counts.
+    /// Discard everything sent so far: the answer starts over with these tokens.
     Restart(Vec<(Mark, String)>),
-    /// The answer is whole.
+    /// The answer is complete.
     Finish(Finish, Usage),
-    /// The answer ends here.
+    /// The answer ends incomplete; a retry makes sense after the given time.
     Interrupt(Interruption, Duration),
 }
 
-/// Answers a request; the pieces come through the channel.
-pub(crate) fn answer(state: Arc<State>, ask: Ask, pass: Arc<Permit>) -> mpsc::Receiver<Piece> {
-    let (pieces, receiver) = mpsc::channel(AHEAD);
-    tokio::spawn(drive(state, ask, pass, pieces));
+/// Answers a request; the chunks are sent over the returned channel.
+pub(crate) fn answer(
+    state: Arc<State>,
+    query: Query,
+    permit: Arc<Permit>,
+) -> mpsc::Receiver<Chunk> {
+    let (chunks, receiver) = mpsc::channel(CHUNK_QUEUE);
+    tokio::spawn(drive(state, query, permit, chunks));
     receiver
 }
 
+/// Driver of one answer.
 struct Driver {
     state: Arc<State>,
-    ask: Ask,
-    pass: Arc<Permit>,
+    query: Query,
+    permit: Arc<Permit>,
     resume: Resume,
     attempts: HashMap<Epoch, Arc<Attempt>>,
-    /// Every token of the answer so far, with the mark after it.
-    kept: Vec<(Mark, String)>,
+    /// The tokens of the answer so far, with the mark after it.
+    tokens: Vec<(Mark, String)>,
     events: mpsc::Sender<Event>,
-    begun: Instant,
-    /// The epoch that the holders were told of.
-    pointed: Option<Epoch>,
-    /// When the last tokens came, and from which epoch.
-    last: Option<(Instant, Epoch)>,
-    witness: Witness,
-    meter: Meter,
-    /// The answer went on with another epoch at least once.
+    started: Instant,
+    /// Epoch that the last published pointer names.
+    published: Option<Epoch>,
+    /// Time and epoch of the last tokens.
+    last_tokens: Option<(Instant, Epoch)>,
+    observer: Observer,
+    timer: Timer,
+    /// Whether the answer has resumed with another epoch at least once.
     resumed: bool,
 }
 
-async fn drive(state: Arc<State>, ask: Ask, pass: Arc<Permit>, pieces: mpsc::Sender<Piece>) {
-    let (events, mut incoming) = mpsc::channel(WAITING);
+/// Runs an answer to its end.
+async fn drive(state: Arc<State>, query: Query, permit: Arc<Permit>, chunks: mpsc::Sender<Chunk>) {
+    let (events, mut incoming) = mpsc::channel(EVENT_QUEUE);
     let now = state.now();
-    let settings = settings(&state, &ask, now);
+    let settings = settings(&state, &query, now);
     let mut driver = Driver {
         resume: Resume::new(settings, now),
         state,
         attempts: HashMap::new(),
-        kept: Vec::new(),
+        tokens: Vec::new(),
         events,
-        begun: Instant::now(),
-        pointed: None,
-        last: None,
-        witness: Witness::new(ask.picked.clone()),
-        meter: Meter::default(),
+        started: Instant::now(),
+        published: None,
+        last_tokens: None,
+        observer: Observer::new(query.assignment.clone()),
+        timer: Timer::default(),
         resumed: false,
-        ask,
-        pass,
+        query,
+        permit,
     };
-    let first = driver.first().await;
-    let mut given = driver.handle(first);
-    let mut gone = false;
+    let first = driver.first_event().await;
+    let mut ready = driver.handle(first);
+    let mut caller_gone = false;
     loop {
-        for piece in given {
-            if pieces.send(piece).await.is_err() {
+        for chunk in ready {
+            if chunks.send(chunk).await.is_err() {
                 break;
             }
         }
@@ -183,13 +192,13 @@
             return;
         }
         let wake = driver.resume.next_wake().map(|at| driver.state.origin + at);
-        given = tokio::select! {
-            // What came while this task didn't run goes before the clock. Else an entry that was
-            // paused, or waited for a slow caller, would suspect an engine that has long answered.
+        ready = tokio::select! {
+            // Events that are queued come before the timer: otherwise an entry that was paused, or
+            // waited for a slow caller, would suspect an engine that has already answered.
             biased;
             Some(event) = incoming.recv() => driver.handle(event),
-            () = pieces.closed(), if !gone => {
-                gone = true;
+            () = chunks.closed(), if !caller_gone => {
+                caller_gone = true;
                 driver.handle(Event::CallerGone)
             }
             () = sleep_until(wake.unwrap_or_else(Instant::now)), if wake.is_some() => {
@@ -199,12 +208,13 @@
     }
 }
 
-fn settings(state: &State, ask: &Ask, now: Duration) -> Settings {
+/// Returns the settings of the decisions about an answer.
+fn settings(state: &State, query: &Query, now: Duration) -> Settings {
     Settings {
-        continues: ask.continues,
-        streamed: ask.streamed,
-        resumable: ask.resumable,
-        pool: state.gaps.get(&ask.target.service, &ask.target.version),
+        continues: query.continues,
+        streamed: query.streamed,
+        resumable: query.resumable,
+        pool: state.gaps.get(&query.target.service, &query.target.version),
         first: state.settings.times.first,
         deadline: now + state.settings.times.answer,
         most_epochs: state.settings.limits.epochs,
@@ -213,34 +223,42 @@
 }
 
 impl Driver {
-    /// The event that the answer begins with: a generation may run for this request already.
-    async fn first(&mut self) -> Event {
-        let mark = self.ask.mark;
+    /// Returns the first event of the answer; looks up whether a generation of the request is already
+    /// running.
+    async fn first_event(&mut self) -> Event {
+        let mark = self.query.mark;
         let begin = match mark {
             Some(mark) => Event::Return { mark },
             None => Event::Begin { from: 0 },
         };
-        if !self.ask.resumable {
+        if !self.query.resumable {
             return begin;
         }
-        let limit = if mark.is_some() { FIND_AGAIN } else { FIND };
-        let found = pointers::find(&self.state, &self.ask.request, limit).await;
-        // Another version's text can't be continued on the pinned one.
-        let version = &self.ask.target.version;
+        let limit = if mark.is_some() {
+            RETURN_LOOKUP_TIMEOUT
+        } else {
+            LOOKUP_TIMEOUT
+        };
+        let found = pointers::find(&self.state, &self.query.request, limit).await;
+        // The text of another version can't be continued on the version of this request.
+        let version = &self.query.target.version;
         let Some(found) = found.filter(|found| found.version == *version) else {
             return begin;
         };
         let peer = self.state.fleet.peer(&found.host);
-        let sent = self.state.pool.send(&found.server, None, peer.counter());
+        let dispatch = self
+            .state
+            .pool
+            .start(&found.server, None, peer.work_counter());
         let attempt = Attempt {
             epoch: found.epoch,
             nonce: found.nonce,
             server: found.server.clone(),
-            sent,
+            dispatch,
             peer,
             suspects: self.state.suspects.clone(),
             cancel: CancellationToken::new(),
-            turn: AtomicU32::new(0),
+            stream_number: AtomicU32::new(0),
             usage: Mutex::default(),
             refused: Mutex::default(),
         };
@@ -252,111 +270,117 @@
         }
     }
 
-    /// Tells the holders where the answer's generation runs.
-    fn point(&mut self, epoch: Epoch) {
-        if !self.ask.resumable || self.pointed == Some(epoch) {
+    /// Publishes a pointer to an epoch, unless it has been published already.
+    fn publish_pointer(&mut self, epoch: Epoch) {
+        if !self.query.resumable || self.published == Some(epoch) {
             return;
         }
         let Some(attempt) = self.attempts.get(&epoch) else {
             return;
         };
-        self.pointed = Some(epoch);
+        self.published = Some(epoch);
         let pointer = Pointer {
             host: attempt.peer.host.clone(),
             server: attempt.server.clone(),
-            version: self.ask.target.version.clone(),
+            version: self.query.target.version.clone(),
             epoch,
             nonce: attempt.nonce,
         };
-        let request = self.ask.request.clone();
-        pointers::tell(&self.state, Point { request, pointer });
+        let request = self.query.request.clone();
+        pointers::publish(&self.state, Point { request, pointer });
     }
 
-    /// Lets the decisions take an event, and carries out what they ask for.
-    fn handle(&mut self, event: Event) -> Vec<Piece> {
-        let mut pieces = Vec::new();
-        let mut waiting = vec![event];
-        while let Some(event) = waiting.pop() {
-            let came = match &event {
+    /// Handles an event, executes the resulting actions, and returns the chunks for the caller.
+    fn handle(&mut self, event: Event) -> Vec<Chunk> {
+        let mut chunks = Vec::new();
+        let mut pending = vec![event];
+        while let Some(event) = pending.pop() {
+            let received = match &event {
                 Event::Tokens { epoch, tokens, .. } => Some((*epoch, tokens.len() as Index)),
                 _ => None,
             };
             if let Event::End {
                 epoch,
-                finish: Finish::Broken(why),
+                finish: Finish::Broken(reason),
                 ..
             } = &event
                 && let Some(attempt) = self.attempts.get(epoch)
             {
-                self.witness.broken(&self.state, &attempt.server, *why);
+                self.observer.broken(&self.state, &attempt.server, *reason);
             }
             if let Event::Refused { epoch, .. } = &event
                 && let Some(attempt) = self.attempts.get(epoch)
-                && let Some(why) = *attempt.refused.lock().expect("no panic while held")
+                && let Some(reason) = *attempt.refused.lock().expect("no panic while held")
             {
-                self.witness.refused(&self.state, why);
+                self.observer.refused(&self.state, reason);
             }
             let before = self.resume.next();
             let mut actions = Vec::new();
             let now = self.state.now();
             self.resume.handle(now, event, &mut actions);
-            if let Some((epoch, count)) = came {
+            if let Some((epoch, count)) = received {
                 let fresh = self.resume.next() - before.min(self.resume.next());
-                self.drop_tokens(epoch, count.saturating_sub(fresh));
-                self.time(epoch, fresh);
-                self.weigh(epoch, fresh);
+                self.count_duplicates(epoch, count.saturating_sub(fresh));
+                self.record_tokens(epoch, fresh);
+                self.update_unresponsive(epoch, fresh);
             }
             for action in actions {
-                if let Some(event) = self.act(action, &mut pieces) {
-                    waiting.push(event);
+                if let Some(event) = self.execute(action, &mut chunks) {
+                    pending.push(event);
                 }
             }
         }
         let owner = self.resume.owner();
         if let Some(owner) = owner {
-            self.point(owner);
+            self.publish_pointer(owner);
         }
-        // Lost epochs count as work at their peers no longer.
+        // Lost epochs no longer count as work at their peers.
         let resume = &self.resume;
         self.attempts
             .retain(|epoch, _| resume.listens_to(*epoch) || owner == Some(*epoch));
-        pieces
+        chunks
     }
 
-    /// Counts tokens that the answer has already from another epoch: both decoded them. Tokens that
-    /// one epoch's log gives twice were decoded once.
-    fn drop_tokens(&self, epoch: Epoch, stale: Index) {
-        if self.last.is_some_and(|(_, of)| of != epoch) {
+    /// Counts tokens that another epoch has decoded before. Tokens that the log of the same epoch
+    /// sends again were decoded only once, and are not counted.
+    fn count_duplicates(&self, epoch: Epoch, stale: Index) {
+        if self
+            .last_tokens
+            .is_some_and(|(_, last_epoch)| last_epoch != epoch)
+        {
             let now = self.state.now();
-            let target = &self.ask.target;
+            let target = &self.query.target;
             self.state.resumes.dropped(target, stale, now);
         }
     }
 
-    /// Fresh tokens of an epoch speak for its server, and against those that it overtook.
-    fn weigh(&self, epoch: Epoch, fresh: Index) {
+    /// Clears the server of an epoch with fresh tokens, and records evidence against the servers of
+    /// the epochs that it has overtaken.
+    fn update_unresponsive(&self, epoch: Epoch, fresh: Index) {
         if fresh == 0 {
             return;
         }
         let now = self.state.now();
         for attempt in self.attempts.values() {
             if attempt.epoch == epoch {
-                self.state.silent.spoke(&attempt.server);
+                self.state.unresponsive.clear(&attempt.server);
             } else if attempt.epoch < epoch {
-                self.state.silent.overtaken(now, &attempt.server);
+                self.state
+                    .unresponsive
+                    .record_overtaken(now, &attempt.server);
             }
         }
     }
 
-    /// Whether other answers show that every server that this one waits for is silent.
-    fn evidence(&self) -> bool {
+    /// Returns whether there is evidence that all servers of this answer are unresponsive.
+    fn all_unresponsive(&self) -> bool {
         let now = self.state.now();
         let mut servers = self.attempts.values().map(|attempt| &attempt.server);
-        servers.all(|server| self.state.silent.is_silent(now, server))
+        servers.all(|server| self.state.unresponsive.contains(now, server))
     }
 
-    /// Carries out one action; gives the event that follows at once, if any.
-    fn act(&mut self, action: Action, pieces: &mut Vec<Piece>) -> Option<Event> {
+    /// Executes an action; returns the event that follows immediately, if any.
+    fn execute(&mut self, action: Action, chunks: &mut Vec<Chunk>) -> Option<Event> {
         match action {
             Action::Start {
                 epoch,
@@ -371,22 +395,22 @@
                 }
             }
             Action::Keep { tokens, .. } => {
-                self.keep(tokens);
+                self.append(tokens);
             }
             Action::Deliver { tokens, .. } => {
-                let tokens = self.keep(tokens);
-                pieces.push(Piece::Tokens(tokens));
+                let tokens = self.append(tokens);
+                chunks.push(Chunk::Tokens(tokens));
             }
             Action::Restart { kept } => {
-                self.kept.truncate(kept as usize);
-                pieces.push(Piece::Restart(self.kept.clone()));
+                self.tokens.truncate(kept as usize);
+                chunks.push(Chunk::Restart(self.tokens.clone()));
             }
             Action::Finish(finish) => {
                 let usage = self.usage();
-                let count = self.kept.len();
-                self.witness.ended(&self.state, Ending::Whole, count);
-                self.book(true, count);
-                pieces.push(Piece::Finish(finish, usage));
+                let count = self.tokens.len();
+                self.observer.ended(&self.state, Ending::Whole, count);
+                self.count_answer(true, count);
+                chunks.push(Chunk::Finish(finish, usage));
             }
             Action::Interrupt {
                 reason,
@@ -395,44 +419,49 @@
                 events::emit!(
                     answers::INTERRUPTED,
                     "request={} reason={reason:?} tokens={}",
-                    self.ask.request,
-                    self.kept.len()
+                    self.query.request,
+                    self.tokens.len()
                 );
                 let ending = match reason {
                     Interruption::TooManyEpochs | Interruption::Deadline => Ending::Failed,
                     _ => Ending::Excused,
                 };
-                let count = self.kept.len();
-                self.witness.ended(&self.state, ending, count);
-                self.book(false, count);
-                pieces.push(Piece::Interrupt(reason, retry_after));
+                let count = self.tokens.len();
+                self.observer.ended(&self.state, ending, count);
+                self.count_answer(false, count);
+                chunks.push(Chunk::Interrupt(reason, retry_after));
             }
         }
         None
     }
 
-    fn keep(&mut self, tokens: Vec<String>) -> Vec<(Mark, String)> {
-        let mut mark = self.kept.last().map(|(mark, _)| *mark).unwrap_or_default();
-        let from = self.kept.len();
+    /// Appends tokens to the answer, and returns them with their marks.
+    fn append(&mut self, tokens: Vec<String>) -> Vec<(Mark, String)> {
+        let mut mark = self
+            .tokens
+            .last()
+            .map(|(mark, _)| *mark)
+            .unwrap_or_default();
+        let from = self.tokens.len();
         for token in tokens {
             mark.push(&token);
-            self.kept.push((mark, token));
+            self.tokens.push((mark, token));
         }
-        self.kept[from..].to_vec()
+        self.tokens[from..].to_vec()
     }
 
-    /// Learns from the time between tokens, and records it.
-    fn time(&mut self, epoch: Epoch, fresh: Index) {
+    /// Records the time since the last tokens, for the permit, metrics, reports and suspicion.
+    fn record_tokens(&mut self, epoch: Epoch, fresh: Index) {
         if fresh == 0 {
             return;
         }
-        self.pass.first();
-        self.pass.used(fresh);
-        let target = &self.ask.target;
+        self.permit.first();
+        self.permit.used(fresh);
+        let target = &self.query.target;
         let now = Instant::now();
-        match self.last {
+        match self.last_tokens {
             None => {
-                let first = now - self.begun;
+                let first = now - self.started;
                 metrics::histogram!(
                     "medlarhatch_first_token_seconds",
                     "service" => target.service.clone(),
@@ -440,9 +469,9 @@
                 )
                 .record(first);
             }
-            Some((last, of)) => {
+            Some((last, last_epoch)) => {
                 let gap = now - last;
-                if of != epoch {
+                if last_epoch != epoch {
                     metrics::histogram!("medlarhatch_resume_seconds").record(gap);
                     let at = self.state.now();
                     self.state.resumes.continued(target, gap, at);
@@ -457,28 +486,30 @@
                 .record(gap / u32::try_from(fresh).unwrap_or(u32::MAX));
             }
         }
-        self.last = Some((now, epoch));
-        let count = self.kept.len() + fresh as usize;
-        self.meter.tokens(self.begun);
-        self.witness.tokens(&self.state, self.begun, count);
+        self.last_tokens = Some((now, epoch));
+        let count = self.tokens.len() + fresh as usize;
+        self.timer.tokens(self.started);
+        self.observer
+            .tokens_received(&self.state, self.started, count);
     }
 
-    /// Counts the answer's end for the report on service-level burn.
-    fn book(&self, whole: bool, count: usize) {
-        let (first, between) = self.meter.times(count);
-        let target = &self.ask.target;
+    /// Counts the answer for the report on service-level burn.
+    fn count_answer(&self, whole: bool, count: usize) {
+        let (first, between) = self.timer.times(count);
+        let target = &self.query.target;
         let request = burn::Request {
             service: &target.service,
             route: &target.route,
-            team: &self.ask.team,
+            team: &self.query.team,
             version: &target.version,
             first,
             between,
             whole,
         };
-        self.state.book.count(&request, self.state.now());
+        self.state.burn.count(&request, self.state.now());
     }
 
+    /// Returns the token usage of the answer.
     fn usage(&self) -> Usage {
         let owner = self
             .resume
@@ -487,7 +518,7 @@
         let mut usage = owner
             .map(|attempt| *attempt.usage.lock().expect("no panic while held"))
             .unwrap_or_default();
-        usage.completion = self.kept.len() as u64;
+        usage.completion = self.tokens.len() as u64;
         usage
     }
 }
--- a/components/entry/src/answers/epochs.rs
+++ b/components/entry/src/answers/epochs.rs
@@ -1,4 +1,4 @@
-//! Starting and attaching to the epochs of an answer.
+//! Starts the epochs of an answer and attaches to them.
 
 use std::sync::{
     Arc,
@@ -30,20 +30,21 @@
         self,
         Attempt, //
     },
-    pool::Wish,
+    pool::Criteria,
 };
 
 impl Driver {
+    /// Starts an epoch on a replica; returns the event that follows if it can't be started.
     pub(super) fn start(&mut self, epoch: Epoch, avoid: &[Server], cause: Cause) -> Option<Event> {
-        match self.state.suspects.verdict(self.ask.fingerprint()) {
+        match self.state.suspects.verdict(self.query.fingerprint()) {
             Verdict::Refused { left } => {
                 return Some(Event::NoPlace {
                     epoch,
                     retry_after: left,
                 });
             }
-            // A suspect that waits for its place would be started at a second one as well, and
-            // bring both engines down at once.
+            // A suspect request may be waiting for a place. Started on a second engine as well, it
+            // could crash both at once.
             Verdict::Suspect | Verdict::Solitary if cause == Cause::Suspicion => {
                 return Some(Event::Denied { epoch });
             }
@@ -52,18 +53,18 @@
         match cause {
             Cause::First => {}
             Cause::Loss => self.state.gates.resume(),
-            Cause::Suspicion if self.evidence() => self.state.gates.resume(),
+            Cause::Suspicion if self.all_unresponsive() => self.state.gates.resume(),
             Cause::Suspicion if self.state.gates.retry() => {}
             Cause::Suspicion => return Some(Event::Denied { epoch }),
         }
-        let wish = Wish {
-            service: &self.ask.target.service,
-            release: &self.ask.release,
-            prefix: Some(self.ask.prefix),
+        let criteria = Criteria {
+            service: &self.query.target.service,
+            release: &self.query.release,
+            prefix: Some(self.query.prefix),
             avoid,
             resume: cause != Cause::First,
         };
-        let replica = match self.state.replica(&wish) {
+        let replica = match self.state.choose_replica(&criteria) {
             Ok(replica) => replica,
             Err(retry_after) => return Some(Event::NoPlace { epoch, retry_after }),
         };
@@ -71,36 +72,41 @@
             events::emit!(
                 answers::RESUMED,
                 "request={} epoch={epoch} cause={cause:?} tokens={}",
-                self.ask.request,
-                self.kept.len()
+                self.query.request,
+                self.tokens.len()
             );
-            metrics::counter!("medlarhatch_resumes_total", "cause" => name(cause)).increment(1);
-            self.count(cause);
+            metrics::counter!("medlarhatch_resumes_total", "cause" => label(cause)).increment(1);
+            self.count_resume(cause);
         }
-        let joined = replica.joined;
+        let connection = replica.connection;
         let attempt = Arc::new(Attempt {
             epoch,
             nonce: rand::random(),
             server: replica.server,
             peer: replica.peer,
-            sent: replica.sent,
+            dispatch: replica.dispatch,
             suspects: self.state.suspects.clone(),
             cancel: CancellationToken::new(),
-            turn: AtomicU32::new(0),
+            stream_number: AtomicU32::new(0),
             usage: Mutex::default(),
             refused: Mutex::default(),
         });
-        let start = self.frame(&attempt);
+        let start = self.start_frame(&attempt);
         self.attempts.insert(epoch, attempt.clone());
-        tokio::spawn(attempt::start(attempt, joined, start, self.events.clone()));
+        tokio::spawn(attempt::start(
+            attempt,
+            connection,
+            start,
+            self.events.clone(),
+        ));
         if cause == Cause::First {
-            self.point(epoch);
+            self.publish_pointer(epoch);
         }
         None
     }
 
     /// Counts a resume for the report.
-    fn count(&mut self, cause: Cause) {
+    fn count_resume(&mut self, cause: Cause) {
         let cause = match cause {
             Cause::First => return,
             Cause::Loss => resumes::Cause::Loss,
@@ -108,39 +114,41 @@
         };
         let first = !std::mem::replace(&mut self.resumed, true);
         let now = self.state.now();
-        let tokens = self.kept.len();
-        let target = &self.ask.target;
+        let tokens = self.tokens.len();
+        let target = &self.query.target;
         self.state
             .resumes
             .resumed(target, cause, first, tokens, now);
     }
 
-    fn frame(&self, attempt: &Attempt) -> Start {
+    /// Returns the frame that starts an epoch at its sidecar.
+    fn start_frame(&self, attempt: &Attempt) -> Start {
         Start {
-            request: self.ask.request.clone(),
+            request: self.query.request.clone(),
             epoch: attempt.epoch,
             nonce: attempt.nonce,
-            team: self.ask.team.clone(),
-            service: self.ask.target.service.clone(),
-            version: self.ask.target.version.clone(),
-            model: self.ask.model.clone(),
-            prompt: self.ask.prompt.clone(),
-            max_tokens: self.ask.max_tokens,
-            seed: self.ask.seed,
-            temperature: self.ask.temperature,
-            priority: self.ask.priority,
-            suspects: self.suspects(),
-            delivered: self.kept.iter().map(|(_, token)| token.clone()).collect(),
+            team: self.query.team.clone(),
+            service: self.query.target.service.clone(),
+            version: self.query.target.version.clone(),
+            model: self.query.model.clone(),
+            prompt: self.query.prompt.clone(),
+            max_tokens: self.query.max_tokens,
+            seed: self.query.seed,
+            temperature: self.query.temperature,
+            priority: self.query.priority,
+            suspects: self.suspicion_facts(),
+            delivered: self.tokens.iter().map(|(_, token)| token.clone()).collect(),
         }
     }
 
-    /// Facts for the sidecar, when the request is under suspicion.
-    fn suspects(&self) -> Option<Box<Facts>> {
+    /// Returns the known facts for the sidecar, if the request is suspected to crash servers.
+    fn suspicion_facts(&self) -> Option<Box<Facts>> {
         let suspects = &self.state.suspects;
-        let clear = suspects.verdict(self.ask.fingerprint()) == Verdict::Clear;
+        let clear = suspects.verdict(self.query.fingerprint()) == Verdict::Clear;
         (!clear).then(|| Box::new(suspects.facts()))
     }
 
+    /// Attaches to an epoch, from token `from` on.
     pub(super) fn attach(&mut self, epoch: Epoch, from: Index) {
         let Some(attempt) = self.attempts.get(&epoch) else {
             return;
@@ -148,14 +156,15 @@
         tokio::spawn(attempt::attach(
             self.state.clone(),
             attempt.clone(),
-            self.ask.request.clone(),
+            self.query.request.clone(),
             from,
             self.events.clone(),
         ));
     }
 }
 
-fn name(cause: Cause) -> &'static str {
+/// Returns the metric label of a cause.
+fn label(cause: Cause) -> &'static str {
     match cause {
         Cause::First => "first",
         Cause::Loss => "loss",
--- a/components/entry/src/attempt.rs
+++ b/components/entry/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One epoch of an answer: a stream to a sidecar, turned into events for the answer's decisions.
+//! One epoch of an answer: converts the frames of a stream to a sidecar to events for the decisions
+//! about the answer.
 
 use std::{
     sync::{
@@ -45,62 +46,67 @@
 
 use crate::{
     fleet::{
-        Joined,
+        Connection,
         Peer, //
     },
     hosts::connector::{
-        dial,
-        reach, //
+        connect,
+        dial, //
     },
-    pool::Sent,
+    pool::Dispatch,
     state::State,
 };
 
-/// Time within which a link that works answers.
-const ANSWER: Duration = Duration::from_millis(150);
+/// Time within which a working link answers an attach.
+const ATTACH_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What an epoch needs to run and to be found again.
+/// An epoch, with what is needed to attach to it again.
 pub(crate) struct Attempt {
     pub(crate) epoch: Epoch,
     pub(crate) nonce: Nonce,
     pub(crate) server: Server,
     pub(crate) peer: Arc<Peer>,
-    /// Takes what the sidecar knows of a death, ahead of the end.
+    /// Receives the facts that a sidecar sends about a crash, before the end of the epoch.
     pub(crate) suspects: Arc<Suspects>,
-    /// Cancelled when the answer goes on without this epoch.
+    /// Cancelled when the answer no longer needs this epoch.
     pub(crate) cancel: CancellationToken,
-    /// Number of the link that is listened to; what an earlier one says about itself is outdated.
-    pub(crate) turn: AtomicU32,
-    /// What the epoch cost, once it has ended.
+    /// Number of the current stream; the loss of an earlier one is ignored.
+    pub(crate) stream_number: AtomicU32,
+    /// Usage of the epoch, once it has ended.
     pub(crate) usage: Mutex<Usage>,
-    /// Why the sidecar refused the epoch, if it did.
+    /// Reason for which the sidecar refused the epoch, if it did.
     pub(crate) refused: Mutex<Option<Reason>>,
-    /// Counts the work at the replica while the epoch is wanted.
-    pub(crate) sent: Sent,
+    /// Counts the work at the replica while the epoch is needed.
+    pub(crate) dispatch: Dispatch,
 }
 
-/// Where the events of an epoch go.
+/// Channel for the events of an epoch.
 pub(crate) type Events = mpsc::Sender<Event>;
 
-/// Sends a generation to the chosen sidecar and listens to it.
-pub(crate) async fn start(attempt: Arc<Attempt>, joined: Joined, start: Start, events: Events) {
+/// Starts a generation at the chosen sidecar and forwards its events.
+pub(crate) async fn start(
+    attempt: Arc<Attempt>,
+    connection: Connection,
+    start: Start,
+    events: Events,
+) {
     let epoch = attempt.epoch;
-    let begun = async {
-        let mut stream = joined.link.open().await?;
+    let opened = async {
+        let mut stream = connection.link.open().await?;
         stream.send(&Frame::Start(Box::new(start))).await?;
         Ok::<_, wire::Error>(stream)
     };
-    // Placed even when the sending failed: an error doesn't tell whether the sidecar has it.
-    let begun = begun.await;
+    // Placed even on an error, after which the sidecar may still have received the frame.
+    let opened = opened.await;
     let server = attempt.server.clone();
-    give(&events, Event::Placed { epoch, server }).await;
-    match begun {
-        Ok(stream) => listen(&attempt, stream, &events, false).await,
-        Err(_) => give(&events, Event::LinkLost { epoch }).await,
+    forward(&events, Event::Placed { epoch, server }).await;
+    match opened {
+        Ok(stream) => read_events(&attempt, stream, &events, false).await,
+        Err(_) => forward(&events, Event::LinkLost { epoch }).await,
     }
 }
 
-/// Listens to a generation over a new stream to its sidecar.
+/// Attaches to a running generation over a new stream to its sidecar, and forwards its events.
 pub(crate) async fn attach(
     state: Arc<State>,
     attempt: Arc<Attempt>,
@@ -108,7 +114,7 @@
     from: Index,
     events: Events,
 ) {
-    attempt.turn.fetch_add(1, Ordering::AcqRel);
+    attempt.stream_number.fetch_add(1, Ordering::AcqRel);
     let frame = Frame::Attach(Attach {
         request,
         epoch: attempt.epoch,
@@ -117,59 +123,61 @@
     });
     let epoch = attempt.epoch;
     let host = &attempt.peer.host;
-    let known = async {
-        let joined = reach(&state, host).await?;
-        ask(&joined.link, &frame).await
+    let current = async {
+        let connection = connect(&state, host).await?;
+        exchange(&connection.link, &frame).await
     };
-    if let Ok(Some((stream, first))) = timeout(ANSWER, known).await {
-        follow(&attempt, stream, first, &events).await;
+    if let Ok(Some((stream, first))) = timeout(ATTACH_TIMEOUT, current).await {
+        handle_attach(&attempt, stream, first, &events).await;
         return;
     }
-    // The link that there is doesn't answer. It may have gone silent for good while the sidecar is
-    // well; whoever waits for its heartbeats to tell makes the caller wait for seconds.
+    // The current link doesn't answer. It may be dead while the sidecar is healthy, and to wait until
+    // missing heartbeats show that would delay the caller by seconds. So dial another link.
     let fresh = async {
-        let (link, _beats) = dial(&state, host).await?;
-        let (stream, first) = ask(&link, &frame).await?;
-        Some((link, _beats, stream, first))
+        let (link, _control) = dial(&state, host).await?;
+        let (stream, first) = exchange(&link, &frame).await?;
+        Some((link, _control, stream, first))
     };
     match timeout(state.settings.times.silence, fresh).await {
-        Ok(Some((link, _beats, stream, first))) => {
-            follow(&attempt, stream, first, &events).await;
+        Ok(Some((link, _control, stream, first))) => {
+            handle_attach(&attempt, stream, first, &events).await;
             link.close();
         }
-        _ => give(&events, Event::LinkLost { epoch }).await,
+        _ => forward(&events, Event::LinkLost { epoch }).await,
     }
 }
 
-/// Opens a stream with a frame, and waits for the first one that comes back.
-async fn ask(link: &Link, frame: &Frame) -> Option<(Stream, Frame)> {
+/// Opens a stream, sends a frame, and returns the stream with the first frame received.
+async fn exchange(link: &Link, frame: &Frame) -> Option<(Stream, Frame)> {
     let mut stream = link.open().await.ok()?;
     stream.send(frame).await.ok()?;
     let first = stream.receive().await.ok()??;
     Some((stream, first))
 }
 
-async fn follow(attempt: &Attempt, stream: Stream, first: Frame, events: &Events) {
-    let Some(event) = sort(attempt, first, true) else {
+/// Handles the first frame after an attach, and the events after it if that succeeded.
+async fn handle_attach(attempt: &Attempt, stream: Stream, first: Frame, events: &Events) {
+    let Some(event) = to_event(attempt, first, true) else {
         return;
     };
     let attached = matches!(event, Event::Attached { .. });
-    give(events, event).await;
+    forward(events, event).await;
     if attached {
-        listen(attempt, stream, events, true).await;
+        read_events(attempt, stream, events, true).await;
     }
 }
 
-async fn listen(attempt: &Attempt, stream: Stream, events: &Events, attached: bool) {
+/// Forwards events until the last one, or until the epoch is cancelled.
+async fn read_events(attempt: &Attempt, stream: Stream, events: &Events, attached: bool) {
     let Stream {
         mut sender,
         mut receiver,
     } = stream;
-    let turn = attempt.turn.load(Ordering::Acquire);
+    let stream_number = attempt.stream_number.load(Ordering::Acquire);
     let read = async {
         loop {
             let event = match receiver.receive().await {
-                Ok(Some(frame)) => sort(attempt, frame, attached),
+                Ok(Some(frame)) => to_event(attempt, frame, attached),
                 Ok(None) | Err(_) => Some(Event::LinkLost {
                     epoch: attempt.epoch,
                 }),
@@ -177,24 +185,24 @@
             let Some(event) = event else {
                 continue;
             };
-            let outdated = turn != attempt.turn.load(Ordering::Acquire);
+            let outdated = stream_number != attempt.stream_number.load(Ordering::Acquire);
             if outdated && matches!(event, Event::LinkLost { .. }) {
                 return;
             }
             let last = !matches!(event, Event::Tokens { .. } | Event::Attached { .. });
-            give(events, event).await;
+            forward(events, event).await;
             if last {
                 return;
             }
         }
     };
     let cancelled = tokio::select! {
-        // The driver cancels and is gone at once: a cancel that lost against its going would leave
-        // the engine writing for nobody until the sidecar's grace time ends.
+        // The driver may end right after it cancels. The cancel must win over the closed channel, or
+        // the engine would go on until the sidecar's grace time ends.
         biased;
         () = attempt.cancel.cancelled() => true,
         () = read => false,
-        // The answer's driver is gone; the sidecar's grace time decides about the generation.
+        // The driver has ended; the sidecar ends the generation after its grace time.
         () = events.closed() => false,
     };
     if cancelled {
@@ -205,8 +213,8 @@
     }
 }
 
-/// Turns a frame into an event; none when there is nothing to tell.
-fn sort(attempt: &Attempt, frame: Frame, attached: bool) -> Option<Event> {
+/// Converts a frame to an event; none for a frame without one.
+fn to_event(attempt: &Attempt, frame: Frame, attached: bool) -> Option<Event> {
     let epoch = attempt.epoch;
     match frame {
         Frame::Started if attached => Some(Event::Attached { epoch }),
@@ -219,11 +227,11 @@
         Frame::Refused(refused) => {
             let retry_after = refused.retry_after;
             *attempt.refused.lock().expect("no panic while held") = Some(refused.reason);
-            attempt.sent.ended(Outcome::Refused { retry_after });
+            attempt.dispatch.finish(Outcome::Refused { retry_after });
             Some(Event::Refused { epoch, retry_after })
         }
         Frame::Tokens(tokens) => {
-            attempt.sent.answered();
+            attempt.dispatch.answered();
             Some(Event::Tokens {
                 epoch,
                 index: tokens.index,
@@ -232,10 +240,10 @@
         }
         Frame::End(end) => {
             match end.finish {
-                Finish::Stop | Finish::Length => attempt.sent.served(),
-                // That an entry cancelled it says nothing about the replica.
+                Finish::Stop | Finish::Length => attempt.dispatch.served(),
+                // A cancel by an entry and a full log say nothing about the replica.
                 Finish::Broken(Breakage::Cancelled | Breakage::LogFull) => {}
-                Finish::Broken(_) => attempt.sent.ended(Outcome::Failed),
+                Finish::Broken(_) => attempt.dispatch.finish(Outcome::Failed),
             }
             *attempt.usage.lock().expect("no panic while held") = end.usage;
             Some(Event::End {
@@ -248,7 +256,8 @@
     }
 }
 
-async fn give(events: &Events, event: Event) {
-    // The driver is gone when the answer has ended.
+/// Sends an event to the driver of the answer.
+async fn forward(events: &Events, event: Event) {
+    // Fails when the answer has ended.
     let _ = events.send(event).await;
 }
--- a/components/entry/src/burn.rs
+++ b/components/entry/src/burn.rs
@@ -1,4 +1,4 @@
-//! Counting answers for the report on service-level burn.
+//! Counts answers for the report on service-level burn.
 
 use std::{
     sync::Mutex,
@@ -16,20 +16,21 @@
     }, //
 };
 use tokio::time::Instant;
-/// Counters of this entry.
+
+/// Request counters of this entry.
 #[derive(Default)]
-pub(crate) struct Book(Mutex<Ledger>);
+pub(crate) struct Recorder(Mutex<Ledger>);
 
-impl Book {
-    /// Takes the levels of a document.
+impl Recorder {
+    /// Replaces the service levels by those of a document.
     pub(crate) fn set_levels(&self, document: &Document) {
         let levels = document.levels.iter().map(|level| {
-            let measured = Level {
+            let target = Level {
                 first: level.first,
                 between: level.between,
                 objective: level.objective,
             };
-            (level.service.clone(), measured)
+            (level.service.clone(), target)
         });
         let mut ledger = self.0.lock().expect("no panic while held");
         ledger.set_levels(levels.collect());
@@ -43,28 +44,28 @@
             .count(request, now);
     }
 
-    /// The report as of now.
+    /// Returns the report at time `now`.
     pub(crate) fn report(&self, now: Clock) -> Burn {
         self.0.lock().expect("no panic while held").report(now)
     }
 }
 
-/// Times of one answer.
+/// Measures the token times of one answer.
 #[derive(Default)]
-pub(crate) struct Meter {
+pub(crate) struct Timer {
     first: Option<(Duration, Instant)>,
 }
 
-impl Meter {
-    /// Tokens came.
-    pub(crate) fn tokens(&mut self, begun: Instant) {
+impl Timer {
+    /// Records received tokens; only the first call has an effect.
+    pub(crate) fn tokens(&mut self, started: Instant) {
         if self.first.is_none() {
-            self.first = Some((begun.elapsed(), Instant::now()));
+            self.first = Some((started.elapsed(), Instant::now()));
         }
     }
 
-    /// Time until the first token, and mean time between tokens, of an answer that ends now with
-    /// `count` tokens.
+    /// Returns the time to the first token and the mean time between tokens, for an answer that
+    /// ends now with `count` tokens.
     pub(crate) fn times(&self, count: usize) -> (Option<Duration>, Option<Duration>) {
         let between = self.first.filter(|_| count > 1).map(|(_, at)| {
             let gaps = u32::try_from(count - 1).unwrap_or(u32::MAX);
--- a/components/entry/src/callers/body.rs
+++ b/components/entry/src/callers/body.rs
@@ -1,7 +1,7 @@
-//! Bodies of `POST /v1/completions` and `POST /v1/chat/completions`.
+//! Request bodies of `POST /v1/completions` and `POST /v1/chat/completions`.
 //!
-//! A parameter that isn't honoured would change the answer without a word, so unknown ones are
-//! refused by name.
+//! To ignore an unsupported parameter would change the answer without notice, so requests with
+//! unknown parameters are refused with an error that names the parameter.
 
 use serde::Deserialize;
 
@@ -10,7 +10,7 @@
     Problem, //
 };
 
-/// A request for an answer, of either kind.
+/// Validated request body of either endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Body {
     pub(crate) model: String,
@@ -19,11 +19,12 @@
     pub(crate) seed: Option<u64>,
     /// Sampling temperature in thousandths.
     pub(crate) temperature: u32,
+    /// Whether the answer is streamed as server-sent events.
     pub(crate) stream: bool,
 }
 
-/// The fields of both kinds of body. `n`, `top_p` and `user` are taken with the only values that
-/// leave the answer as it is.
+/// Fields of both endpoints. `n` and `top_p` are accepted only with the values that don't affect the
+/// answer, and `user` is ignored.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Fields {
@@ -48,32 +49,32 @@
     content: String,
 }
 
-/// Highest sampling temperature.
-const HOTTEST: f64 = 2.0;
+/// Maximum sampling temperature.
+const MAX_TEMPERATURE: f64 = 2.0;
 
-/// Reads the body of `POST /v1/completions`.
+/// Parses the body of `POST /v1/completions`.
 pub(crate) fn completion(bytes: &[u8]) -> Result<Body, Problem> {
-    let mut fields = read(bytes)?;
+    let mut fields = parse(bytes)?;
     if fields.messages.is_some() {
         return Err(Problem::invalid(
             "messages",
-            "`messages` belongs to chat completions",
+            "`messages` is a field of chat completions",
         ));
     }
     let prompt = fields.prompt.take().unwrap_or_default();
     if prompt.is_empty() {
         return Err(Problem::invalid("prompt", "`prompt` is missing or empty"));
     }
-    finish(fields, prompt)
+    validate(fields, prompt)
 }
 
-/// Reads the body of `POST /v1/chat/completions`.
+/// Parses the body of `POST /v1/chat/completions`.
 pub(crate) fn chat(bytes: &[u8]) -> Result<Body, Problem> {
-    let mut fields = read(bytes)?;
+    let mut fields = parse(bytes)?;
     if fields.prompt.is_some() {
         return Err(Problem::invalid(
             "prompt",
-            "`prompt` belongs to completions",
+            "`prompt` is a field of completions",
         ));
     }
     let messages = fields.messages.take().unwrap_or_default();
@@ -88,17 +89,18 @@
         prompt.push_str(&format!("{}: {}\n", message.role, message.content));
     }
     prompt.push_str("assistant:");
-    finish(fields, prompt)
+    validate(fields, prompt)
 }
 
-fn read(bytes: &[u8]) -> Result<Fields, Problem> {
+/// Parses the fields of a body.
+fn parse(bytes: &[u8]) -> Result<Fields, Problem> {
     let mut json = serde_json::Deserializer::from_slice(bytes);
     let fields = serde_path_to_error::deserialize(&mut json).map_err(|error| {
         let path = error.path().to_string();
         let inner = error.into_inner();
         let message = format!("the body can't be read: {inner}");
         let mut problem = Problem::new(Code::Invalid, message);
-        // An unknown or missing field has no path; the message names it in back quotes.
+        // An unknown or missing field has no path; the message has its name in backticks.
         let named = inner.to_string().split('`').nth(1).map(str::to_string);
         problem.field = (path != ".").then_some(path).or(named);
         problem
@@ -108,7 +110,8 @@
     Ok(fields)
 }
 
-fn finish(fields: Fields, prompt: String) -> Result<Body, Problem> {
+/// Checks the fields that both endpoints have.
+fn validate(fields: Fields, prompt: String) -> Result<Body, Problem> {
     if fields.n.is_some_and(|n| n != 1) {
         return Err(Problem::invalid(
             "n",
@@ -128,8 +131,8 @@
         ));
     }
     let temperature = fields.temperature.unwrap_or(1.0);
-    if !(0.0..=HOTTEST).contains(&temperature) {
-        let message = format!("`temperature` must be between 0 and {HOTTEST}");
+    if !(0.0..=MAX_TEMPERATURE).contains(&temperature) {
+        let message = format!("`temperature` must be between 0 and {MAX_TEMPERATURE}");
         return Err(Problem::invalid("temperature", message));
     }
     Ok(Body {
--- a/components/entry/src/callers/completions.rs
+++ b/components/entry/src/callers/completions.rs
@@ -42,8 +42,8 @@
 use crate::{
     answers::{
         self,
-        Ask,
-        Piece, //
+        Chunk,
+        Query, //
     },
     callers::request::{
         header,
@@ -61,48 +61,49 @@
         Problem, //
     },
     state::{
-        Request as Ticket,
+        Guard,
         State, //
     },
 };
 
-/// Bytes of a prompt that its prefix is made of; docs/interfaces/engine.md has the same number.
-const PREFIX: usize = 256;
+/// Length of the prompt prefix that is hashed; docs/interfaces/engine.md gives the same number.
+const PREFIX_BYTES: usize = 256;
 
-/// Answers requests of one kind.
+/// Handler of completion requests of one kind.
 pub(crate) struct Completions {
     pub(crate) state: Arc<State>,
     pub(crate) kind: Kind,
 }
 
-/// What a request in progress holds: its place at the entry, and its pass for the service.
-struct Leave {
-    pass: Arc<Permit>,
-    _ticket: Ticket,
+/// Admission of a request: its place at the entry and its permit for the service.
+struct Admission {
+    permit: Arc<Permit>,
+    _guard: Guard,
 }
 
 #[handler]
 impl Completions {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
-        match self.ask(req).await {
-            Ok((ask, leave)) => self.answer(ask, leave, res).await,
+        match self.parse(req).await {
+            Ok((query, admission)) => self.answer(query, admission, res).await,
             Err(problem) => problem.write(res),
         }
     }
 }
 
 impl Completions {
-    async fn ask(&self, req: &mut Request) -> Result<(Ask, Leave), Problem> {
+    /// Parses and admits a request.
+    async fn parse(&self, req: &mut Request) -> Result<(Query, Admission), Problem> {
         let state = &self.state;
-        let ticket = super::request::admit(state)?;
+        let guard = super::request::admit(state)?;
         let bytes = payload(req, state.settings.limits.body).await?;
         let body = match self.kind {
             Kind::Completion => body::completion(&bytes)?,
             Kind::Chat => body::chat(&bytes)?,
         };
         let team = team(req);
-        let held = super::request::document(state)?;
-        let mut target = held
+        let snapshot = super::request::document(state)?;
+        let mut target = snapshot
             .document
             .route(req.uri().path(), &team, &body.model, |name| {
                 header(req, name)
@@ -113,7 +114,7 @@
                 problem.field = Some("model".into());
                 problem
             })?;
-        let provision = held.document.service(&target.service);
+        let provision = snapshot.document.service(&target.service);
         let release = provision.and_then(|provision| {
             let mut versions = provision.versions.iter();
             versions.find(|release| release.name == target.version)
@@ -131,23 +132,23 @@
             })?),
             None => None,
         };
-        let request = name(&team, key.as_deref(), &bytes);
+        let request = request_id(&team, key.as_deref(), &bytes);
         let mut release = release.clone();
         let servers = state.fleet.servers();
-        let document = &held.document;
-        let picked = state
+        let document = &snapshot.document;
+        let assignment = state
             .movers
             .pick(document, &request, &servers, &mut target, &mut release);
-        let ask = Ask {
+        let query = Query {
             seed: body.seed.unwrap_or_else(|| xxh3_64(request.as_bytes())),
             resumable: key.is_some(),
             request,
-            priority: held.document.limit(&team).priority,
+            priority: snapshot.document.limit(&team).priority,
             team,
             continues: provision.contract.continues,
             model: provision.model.clone(),
             release,
-            picked,
+            assignment,
             target,
             max_tokens: body.max_tokens.unwrap_or(state.settings.limits.tokens),
             temperature: body.temperature,
@@ -156,130 +157,136 @@
             prefix: prefix(&body.prompt),
             prompt: body.prompt,
         };
-        if let Verdict::Refused { left } = state.suspects.verdict(ask.fingerprint()) {
+        if let Verdict::Refused { left } = state.suspects.verdict(query.fingerprint()) {
             return Err(calls::refusal(Reason::Poisonous, Some(left)));
         }
         let request = gates::Request {
-            service: &ask.target.service,
-            team: &ask.team,
-            limit: limit(state, &held.document.limit(&ask.team)),
-            cost: ask.max_tokens,
+            service: &query.target.service,
+            team: &query.team,
+            limit: limit(state, &snapshot.document.limit(&query.team)),
+            cost: query.max_tokens,
             patience: state.settings.times.queue,
-            objective: gates::objective(),
-            lowest: gates::lowest(),
-            resume: ask.mark.is_some(),
+            objective: gates::first_token_objective(),
+            lowest: gates::min_concurrency_share(),
+            resume: query.mark.is_some(),
         };
-        let pass = Arc::new(state.gates.admit(request).await?);
+        let permit = Arc::new(state.gates.admit(request).await?);
         Ok((
-            ask,
-            Leave {
-                pass,
-                _ticket: ticket,
+            query,
+            Admission {
+                permit,
+                _guard: guard,
             },
         ))
     }
 
-    async fn answer(&self, ask: Ask, leave: Leave, res: &mut Response) {
-        let id = ask.request.clone();
-        let model = ask.model.clone();
-        let streamed = ask.streamed;
-        let mut pieces = answers::answer(self.state.clone(), ask, leave.pass.clone());
+    /// Answers a request, streamed or complete.
+    async fn answer(&self, query: Query, admission: Admission, res: &mut Response) {
+        let id = query.request.clone();
+        let model = query.model.clone();
+        let streamed = query.streamed;
+        let mut chunks = answers::answer(self.state.clone(), query, admission.permit.clone());
         if !streamed {
-            self.whole(&id, &model, pieces, res).await;
+            self.complete(&id, &model, chunks, res).await;
             return;
         }
-        // The first piece decides between a stream and a refusal with a status of its own.
-        match pieces.recv().await {
-            Some(Piece::Interrupt(reason, after)) => {
+        // An interrupt before any other chunk gets an error status instead of a stream.
+        match chunks.recv().await {
+            Some(Chunk::Interrupt(reason, after)) => {
                 shape::interrupted(reason, false).retry(after).write(res);
             }
             Some(first) => {
-                let events = events(self.kind, id, model, first, pieces, leave);
+                let events = events(self.kind, id, model, first, chunks, admission);
                 sse::stream(res, events);
             }
-            None => Problem::new(Code::Unavailable, "the answer was dropped").write(res),
+            None => Problem::new(Code::Unavailable, "the answer was aborted").write(res),
         }
     }
 
-    async fn whole(
+    /// Answers with the complete text.
+    async fn complete(
         &self,
         id: &str,
         model: &str,
-        mut pieces: mpsc::Receiver<Piece>,
+        mut chunks: mpsc::Receiver<Chunk>,
         res: &mut Response,
     ) {
         let mut text = String::new();
-        while let Some(piece) = pieces.recv().await {
-            match piece {
-                Piece::Tokens(tokens) => push(&mut text, &tokens),
-                Piece::Restart(tokens) => {
+        while let Some(chunk) = chunks.recv().await {
+            match chunk {
+                Chunk::Tokens(tokens) => append(&mut text, &tokens),
+                Chunk::Restart(tokens) => {
                     text.clear();
-                    push(&mut text, &tokens);
+                    append(&mut text, &tokens);
                 }
-                Piece::Finish(finish, usage) => {
-                    res.render(Json(shape::whole(
+                Chunk::Finish(finish, usage) => {
+                    res.render(Json(shape::complete(
                         self.kind, id, model, &text, finish, usage,
                     )));
                     return;
                 }
-                Piece::Interrupt(reason, after) => {
-                    let begun = !text.is_empty();
-                    shape::interrupted(reason, begun).retry(after).write(res);
+                Chunk::Interrupt(reason, after) => {
+                    let delivered = !text.is_empty();
+                    shape::interrupted(reason, delivered)
+                        .retry(after)
+                        .write(res);
                     return;
                 }
             }
         }
-        Problem::new(Code::Unavailable, "the answer was dropped").write(res);
+        Problem::new(Code::Unavailable, "the answer was aborted").write(res);
     }
 }
 
-/// A request's identity: the caller's key with the team and the content, so that a key that comes
-/// with another content can't get the other content's answer.
-fn name(team: &str, key: Option<&str>, bytes: &[u8]) -> String {
+/// Returns the identifier of a request: the caller's key with the team and a hash of the body, so that
+/// a key reused with another body doesn't return the answer to the first.
+fn request_id(team: &str, key: Option<&str>, bytes: &[u8]) -> String {
     match key {
         Some(key) => format!("{team}/{key}/{:032x}", xxh3_128(bytes)),
         None => format!("{team}/-/{:032x}", rand::random::<u128>()),
     }
 }
 
-/// Hash of a prompt's beginning, as engines name it in their cache events.
+/// Returns the hash of the prompt's prefix, as engines report it in their cache events.
 fn prefix(prompt: &str) -> Prefix {
     let bytes = prompt.as_bytes();
-    xxh3_64(&bytes[..bytes.len().min(PREFIX)])
+    xxh3_64(&bytes[..bytes.len().min(PREFIX_BYTES)])
 }
 
-fn push(text: &mut String, tokens: &[(Mark, String)]) {
+/// Appends the text of tokens.
+fn append(text: &mut String, tokens: &[(Mark, String)]) {
     for (_, token) in tokens {
         text.push_str(token);
     }
 }
 
-/// Turns the pieces of an answer into server-sent events; the leave lives as long as they do.
+/// Converts the chunks of an answer to server-sent events, and holds the admission until the last.
 fn events(
     kind: Kind,
     id: String,
     model: String,
-    first: Piece,
-    pieces: mpsc::Receiver<Piece>,
-    leave: Leave,
+    first: Chunk,
+    chunks: mpsc::Receiver<Chunk>,
+    admission: Admission,
 ) -> impl Stream<Item = Result<SseEvent, Infallible>> {
-    let rest = stream::unfold((pieces, leave), |(mut pieces, leave)| async move {
-        let piece = pieces.recv().await?;
-        Some((piece, (pieces, leave)))
+    let rest = stream::unfold((chunks, admission), |(mut chunks, admission)| async move {
+        let chunk = chunks.recv().await?;
+        Some((chunk, (chunks, admission)))
     });
     stream::once(async { first })
         .chain(rest)
-        .flat_map(move |piece| stream::iter(event(kind, &id, &model, piece)))
+        .flat_map(move |chunk| stream::iter(events_of(kind, &id, &model, chunk)))
         .map(Ok)
 }
 
-fn event(kind: Kind, id: &str, model: &str, piece: Piece) -> Vec<SseEvent> {
-    match piece {
-        Piece::Tokens(tokens) => tokens
+/// Converts a chunk to server-sent events.
+fn events_of(kind: Kind, id: &str, model: &str, chunk: Chunk) -> Vec<SseEvent> {
+    match chunk {
+        Chunk::Tokens(tokens) => tokens
             .into_iter()
             .map(|token| token_event(kind, id, model, token))
             .collect(),
-        Piece::Restart(tokens) => {
+        Chunk::Restart(tokens) => {
             let restart = SseEvent::default()
                 .name("restart")
                 .text("{\"drop\":\"everything received so far\"}");
@@ -289,14 +296,14 @@
             }
             events
         }
-        Piece::Finish(finish, _) => {
+        Chunk::Finish(finish, _) => {
             let chunk = shape::chunk(kind, id, model, "", Some(finish));
             vec![
                 SseEvent::default().text(chunk.to_string()),
                 SseEvent::default().text("[DONE]"),
             ]
         }
-        Piece::Interrupt(reason, after) => {
+        Chunk::Interrupt(reason, after) => {
             let problem = shape::interrupted(reason, true).retry(after);
             let body = serde_json::json!({"error": problem}).to_string();
             vec![SseEvent::default().name("error").retry(after).text(body)]
@@ -304,6 +311,7 @@
     }
 }
 
+/// Creates the event of one token; its mark is the event id.
 fn token_event(kind: Kind, id: &str, model: &str, token: (Mark, String)) -> SseEvent {
     let (mark, text) = token;
     let chunk = shape::chunk(kind, id, model, &text, None);
--- a/components/entry/src/callers/mod.rs
+++ b/components/entry/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The interface for callers.
+//! HTTP interface for callers.
 
 mod body;
 mod completions;
--- a/components/entry/src/callers/router.rs
+++ b/components/entry/src/callers/router.rs
@@ -1,4 +1,4 @@
-//! Paths of the callers' interface.
+//! Routes of the interface for callers.
 
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
     state::State, //
 };
 
-/// The callers' interface.
+/// Returns the routes of the interface for callers.
 pub(crate) fn router(state: &Arc<State>) -> Router {
     let completions = |kind| Completions {
         state: state.clone(),
@@ -46,8 +46,9 @@
         .push(Router::with_path("{**rest}").goal(unknown))
 }
 
+/// Responds to paths that match no route.
 #[handler]
 async fn unknown(req: &mut Request, res: &mut Response, _: &mut Depot, _: &mut FlowCtrl) {
-    let message = format!("nothing is at `{}`", req.uri().path());
+    let message = format!("no route for path `{}`", req.uri().path());
     Problem::new(Code::NotFound, message).write(res);
 }
--- a/components/entry/src/callers/service.rs
+++ b/components/entry/src/callers/service.rs
@@ -35,10 +35,10 @@
     state::State, //
 };
 
-/// Start of the paths of calls.
-const PREFIX: &str = "/svc/";
+/// Prefix of the paths of calls.
+const PATH_PREFIX: &str = "/svc/";
 
-/// Passes calls through.
+/// Handler of calls to plain services.
 pub(crate) struct Service {
     pub(crate) state: Arc<State>,
 }
@@ -54,14 +54,15 @@
 }
 
 impl Service {
+    /// Admits a call, and sends it to the service.
     async fn call(&self, req: &mut Request) -> Result<Answer, Problem> {
         let state = &self.state;
-        let _ticket = admit(state)?;
+        let _guard = admit(state)?;
         let body = payload(req, state.settings.limits.body).await?;
         let team = team(req);
-        let held = document(state)?;
+        let snapshot = document(state)?;
         let (service, path) = split(req)?;
-        let target = held
+        let target = snapshot
             .document
             .route(req.uri().path(), &team, "", |name| header(req, name))
             .filter(|target| target.service == service)
@@ -71,7 +72,7 @@
                     format!("no route takes service `{service}`"),
                 )
             })?;
-        let provision = held.document.service(&service).ok_or_else(|| {
+        let provision = snapshot.document.service(&service).ok_or_else(|| {
             Problem::new(Code::NotFound, format!("there is no service `{service}`"))
         })?;
         let method = req.method().as_str().to_string();
@@ -92,28 +93,28 @@
         let request = gates::Request {
             service: &provision.name,
             team: &team,
-            limit: limit(state, &held.document.limit(&team)),
+            limit: limit(state, &snapshot.document.limit(&team)),
             cost: 1,
             patience: state.settings.times.queue,
-            objective: gates::objective(),
-            lowest: gates::lowest(),
+            objective: gates::first_token_objective(),
+            lowest: gates::min_concurrency_share(),
             resume: false,
         };
-        let pass = state.gates.admit(request).await?;
+        let permit = state.gates.admit(request).await?;
         let answer = calls::call(state, provision, &target.version, call).await;
-        pass.first();
-        pass.used(1);
+        permit.first();
+        permit.used(1);
         answer
     }
 }
 
-/// Cuts the path into the service's name and what the service gets.
+/// Splits the path into the name of the service and the path at the service, with the query.
 fn split(req: &Request) -> Result<(String, String), Problem> {
-    let whole = req
+    let full = req
         .uri()
         .path_and_query()
         .map_or("", |path_and_query| path_and_query.as_str());
-    let rest = whole.strip_prefix(PREFIX).unwrap_or_default();
+    let rest = full.strip_prefix(PATH_PREFIX).unwrap_or_default();
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (service, path) = rest.split_at(end);
     if service.is_empty() {
@@ -127,6 +128,7 @@
     Ok((service.to_string(), path))
 }
 
+/// Writes the answer of a service to the response.
 fn write(answer: Answer, res: &mut Response) {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     res.status_code(status);
@@ -140,6 +142,6 @@
         let value = HeaderValue::from_static("true");
         res.headers_mut().insert("x-medlarhatch-replayed", value);
     }
-    // A body that can't be written is a caller that is gone.
+    // Fails only when the caller has disconnected.
     let _ = res.write_body(answer.body);
 }
--- a/components/entry/src/callers/shape.rs
+++ b/components/entry/src/callers/shape.rs
@@ -1,4 +1,4 @@
-//! Shapes of answers, as OpenAI-style clients expect them.
+//! Response bodies in the format of the OpenAI API.
 
 use answer::{
     Finish,
@@ -16,16 +16,22 @@
     Run, //
 };
 
-/// Which of the two kinds of request is answered.
+/// Endpoint whose request is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
     Completion,
     Chat,
 }
 
-/// A part of a streamed answer.
-pub(crate) fn chunk(kind: Kind, id: &str, model: &str, text: &str, end: Option<Finish>) -> Value {
-    let finish_reason = end.map(reason);
+/// Returns a chunk of a streamed answer.
+pub(crate) fn chunk(
+    kind: Kind,
+    id: &str,
+    model: &str,
+    text: &str,
+    finish: Option<Finish>,
+) -> Value {
+    let finish_reason = finish.map(finish_reason);
     let (object, choice) = match kind {
         Kind::Completion => (
             "text_completion",
@@ -39,8 +45,8 @@
     json!({"id": id, "object": object, "model": model, "choices": [choice]})
 }
 
-/// A whole answer.
-pub(crate) fn whole(
+/// Returns a complete answer.
+pub(crate) fn complete(
     kind: Kind,
     id: &str,
     model: &str,
@@ -48,7 +54,7 @@
     finish: Finish,
     usage: Usage,
 ) -> Value {
-    let finish_reason = reason(finish);
+    let finish_reason = finish_reason(finish);
     let (object, choice) = match kind {
         Kind::Completion => (
             "text_completion",
@@ -76,14 +82,15 @@
     })
 }
 
-/// What a caller is told when its answer ends before it is whole.
+/// Returns the problem for an answer that ends incomplete. `delivered` is set when a part of it has
+/// reached the caller.
 pub(crate) fn interrupted(reason: Interruption, delivered: bool) -> Problem {
     let message = match reason {
-        Interruption::NoReplica => "no replica of the version is to be had",
-        Interruption::Refused => "every replica that was asked refused",
-        Interruption::NotContinuable => "the engine was lost, and its kind can't continue a text",
-        Interruption::TooManyEpochs => "the answer was lost too many times",
-        Interruption::Deadline => "the answer took longer than `times.answer` allows",
+        Interruption::NoReplica => "no replica of the version is available",
+        Interruption::Refused => "all replicas refused the request",
+        Interruption::NotContinuable => "the engine was lost, and no other can continue the text",
+        Interruption::TooManyEpochs => "the engine was lost too many times",
+        Interruption::Deadline => "the answer exceeded the time limit `times.answer`",
     };
     let started = delivered || reason != Interruption::NoReplica && reason != Interruption::Refused;
     if started {
@@ -92,11 +99,12 @@
     Problem::new(Code::Unavailable, message)
 }
 
-fn reason(finish: Finish) -> &'static str {
+/// Returns the OpenAI name of a finish.
+fn finish_reason(finish: Finish) -> &'static str {
     match finish {
         Finish::Stop => "stop",
         Finish::Length => "length",
-        // A broken generation is never the end of an answer.
+        // Not reached: a broken generation never completes an answer.
         Finish::Broken(_) => "error",
     }
 }
--- a/components/entry/src/callers/status.rs
+++ b/components/entry/src/callers/status.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/calls/<key>`: what became of a call.
+//! `GET /v1/calls/<key>`: the outcome of a call.
 
 use std::sync::Arc;
 
@@ -23,8 +23,8 @@
     state::State,
 };
 
-/// Tells what became of calls. A key belongs to a team and a service; without `?service=` every
-/// service that keeps records is looked at.
+/// Handler of outcome requests. A key belongs to a team and a service; without `?service=`, all
+/// services that record calls are searched.
 pub(crate) struct Status {
     pub(crate) state: Arc<State>,
 }
@@ -40,6 +40,7 @@
 }
 
 impl Status {
+    /// Finds the outcome of the call that a request names.
     async fn find(&self, req: &mut Request) -> Result<contract::Outcome, Problem> {
         let team = team(req);
         let key: String = req
@@ -54,14 +55,15 @@
                 return Ok(outcome);
             }
         }
-        // No record is no proof: a request with the key may be on its way to a sidecar.
+        // The call may still run: a request with the key may be on its way to a sidecar.
         let message = "no record of a call with that key";
         Err(Problem::new(Code::NotFound, message).run(Run::Unknown))
     }
 
+    /// Returns the names of the services that record calls.
     fn services(&self) -> Result<Vec<String>, Problem> {
-        let held = document(&self.state)?;
-        let plain = held.document.services.iter().filter(|service| {
+        let snapshot = document(&self.state)?;
+        let plain = snapshot.document.services.iter().filter(|service| {
             service.kind == environment::document::Kind::Plain && !service.contract.idempotent
         });
         Ok(plain.map(|service| service.name.clone()).collect())
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services, through the sidecars beside them: the driver of the decisions in
+//! Calls to plain services through their sidecars: the driver of the decisions in
 //! [`contract::attempt`].
 
 use std::{
@@ -47,10 +47,10 @@
 };
 
 use crate::{
-    outage::OUTAGE,
+    outage::COOLDOWN,
     pool::{
-        Replica,
-        Wish, //
+        Criteria,
+        Replica, //
     },
     problem::{
         Code,
@@ -60,15 +60,20 @@
     state::State,
 };
 
-/// A service's answer.
+/// Answer of a service.
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) content_type: Option<String>,
     pub(crate) body: Vec<u8>,
+    /// Whether the answer comes from the record of an earlier call with the same key.
     pub(crate) replayed: bool,
 }
 
-/// Makes a call.
+/// Makes a call to a version of a service.
+///
+/// # Errors
+///
+/// Returns a problem when the call was not run or its outcome is unknown.
 pub(crate) async fn call(
     state: &Arc<State>,
     provision: &Provision,
@@ -93,13 +98,13 @@
             driver.call.key
         );
     }
-    answer(outcome)
+    into_answer(outcome)
 }
 
-/// What `GET /v1/calls/<key>` says.
+/// Returns the outcome of a recorded call, for `GET /v1/calls/<key>`; none without a record.
 ///
-/// The record is read from the store for this request alone: a read that began before the caller
-/// asked, or one shared with another caller, could tell it something older than it knows already.
+/// The record is read from the store anew for each request: a read that began before the request,
+/// or one shared with another caller, could return a state older than the caller has seen already.
 pub(crate) async fn status(
     state: &State,
     service: &str,
@@ -107,20 +112,20 @@
     key: &str,
 ) -> Result<Option<Outcome>, Problem> {
     match state.records.read(&record::key(service, team, key)).await {
-        Read::Found(standing) => Ok(Some(standing.record.status(&ask(service, key)))),
+        Read::Found(standing) => Ok(Some(standing.record.status(&status_path(service, key)))),
         Read::Absent => Ok(None),
         Read::Failed => {
-            state.outage.note();
-            let message = "the store that holds the call's record doesn't answer";
+            state.outage.record();
+            let message = "the store with the record of the call is unavailable";
             Err(Problem::new(Code::Unavailable, message)
                 .run(Run::Unknown)
-                .retry(OUTAGE * 2))
+                .retry(COOLDOWN * 2))
         }
     }
 }
 
-/// Path where a caller can ask about a call.
-fn ask(service: &str, key: &str) -> String {
+/// Returns the path of the outcome of a call.
+fn status_path(service: &str, key: &str) -> String {
     format!(
         "/v1/calls/{}?service={}",
         record::escape(key),
@@ -128,6 +133,7 @@
     )
 }
 
+/// Driver of one call.
 struct Driver<'a> {
     state: &'a State,
     provision: &'a Provision,
@@ -135,8 +141,9 @@
     call: Call,
     class: Class,
     digest: String,
-    ask: String,
-    machine: Attempt,
+    status_path: String,
+    attempt: Attempt,
+    /// Servers that were tried.
     avoid: Vec<Server>,
 }
 
@@ -151,11 +158,11 @@
         let class = Class::of(call.repeatable, drops_repeats, call.key.is_some());
         call.repeatable = class == Class::Repeatable;
         let digest = record::digest(&call.method, &call.path, &call.body);
-        let ask = ask(&call.service, call.key.as_deref().unwrap_or_default());
+        let status_path = status_path(&call.service, call.key.as_deref().unwrap_or_default());
         let decisions = contract::attempt::Call {
             class,
             digest: digest.clone(),
-            ask: ask.clone(),
+            ask: status_path.clone(),
             nonce: rand::random(),
         };
         Self {
@@ -165,24 +172,25 @@
             call,
             class,
             digest,
-            ask,
-            machine: Attempt::new(decisions, Settings::default()),
+            status_path,
+            attempt: Attempt::new(decisions, Settings::default()),
             avoid: Vec::new(),
         }
     }
 
+    /// Returns whether the call is suspected to crash backend servers.
     fn verdict(&self) -> Verdict {
         let call = &self.call;
         let fingerprint = poison::of_call(&call.team, &call.service, &self.digest);
         self.state.suspects.verdict(fingerprint)
     }
 
-    /// Drives the call to its outcome.
+    /// Runs the call until its outcome is known.
     async fn run(&mut self) -> Outcome {
-        let store = self.state.outage.over();
+        let store = self.state.outage.is_over();
         let mut event = Event::Start { store };
         loop {
-            let mut actions = self.machine.handle(event).into_iter();
+            let mut actions = self.attempt.handle(event).into_iter();
             event = match actions.next() {
                 Some(Action::Send { base }) => self.send(base).await,
                 Some(Action::Void { expect, record }) => {
@@ -194,39 +202,41 @@
                     Event::Voided(write)
                 }
                 Some(Action::ReadBack) => Event::Read(self.state.records.read(&self.key()).await),
-                Some(Action::Reply(outcome)) => return self.note(outcome),
+                Some(Action::Reply(outcome)) => return self.log_refusal(outcome),
                 None => unreachable!("each event of an open attempt is followed by an action"),
             };
         }
     }
 
-    fn note(&self, outcome: Outcome) -> Outcome {
+    /// Logs and remembers an outage of the store.
+    fn log_refusal(&self, outcome: Outcome) -> Outcome {
         if let Outcome::NotRun {
             reason: Reason::StoreOut,
             ..
         } = &outcome
         {
-            self.state.outage.note();
+            self.state.outage.record();
             events::emit!(calls::REFUSED, "service={}", self.provision.name);
         }
         outcome
     }
 
+    /// Returns the key of the call's record in the store.
     fn key(&self) -> String {
         let key = self.call.key.as_deref().unwrap_or_default();
         record::key(&self.call.service, &self.call.team, key)
     }
 
-    /// Sends the call to a replica that was not tried yet, and waits for what becomes of it.
+    /// Sends the call to a replica that has not been tried yet, and waits for the result.
     async fn send(&mut self, base: Revision) -> Event {
-        let wish = Wish {
+        let criteria = Criteria {
             service: &self.provision.name,
             release: self.release,
             prefix: None,
             avoid: &self.avoid,
             resume: false,
         };
-        let Ok(replica) = self.state.replica(&wish) else {
+        let Ok(replica) = self.state.choose_replica(&criteria) else {
             return Event::Unsent;
         };
         self.avoid.push(replica.server.clone());
@@ -234,13 +244,14 @@
             send: rand::random(),
             base,
             digest: self.digest.clone(),
-            ask: self.ask.clone(),
+            ask: self.status_path.clone(),
         });
         self.exchange(&replica).await
     }
 
+    /// Sends the call over the link of a replica, and records the outcome for the replica choice.
     async fn exchange(&self, replica: &Replica) -> Event {
-        let Ok(mut stream) = replica.joined.link.open().await else {
+        let Ok(mut stream) = replica.connection.link.open().await else {
             return Event::Unsent;
         };
         let replied = async {
@@ -252,11 +263,11 @@
             }
         };
         let replied = timeout(self.state.settings.times.call, replied).await;
-        let event = replied.ok().flatten().and_then(event);
+        let event = replied.ok().flatten().and_then(reply_event);
         match health(event.as_ref()) {
-            Health::Served => replica.sent.served(),
-            Health::Failed => replica.sent.ended(routing::Outcome::Failed),
-            Health::Unsaid => {}
+            Health::Served => replica.dispatch.served(),
+            Health::Failed => replica.dispatch.finish(routing::Outcome::Failed),
+            Health::Unknown => {}
         }
         event.unwrap_or_else(|| Event::Silent {
             budget: self.class == Class::Repeatable && self.state.gates.retry(),
@@ -264,39 +275,40 @@
     }
 }
 
-/// What a reply says about the backend server.
+/// State of a backend server as a reply shows it.
 enum Health {
     Served,
     Failed,
-    Unsaid,
+    Unknown,
 }
 
-/// Tells a server that serves from one that fails. A dead service refuses connections within a
-/// millisecond: taken for served, it would look like the fastest and draw every call.
+/// Returns whether an event shows the server as serving or failing. A dead service refuses
+/// connections within a millisecond: if that counted as served, the server would look like the
+/// fastest one and attract all calls.
 fn health(event: Option<&Event>) -> Health {
     let Some(event) = event else {
         return Health::Failed;
     };
     let Event::Replied(handover::Reply::Outcome(outcome)) = event else {
-        return Health::Unsaid;
+        return Health::Unknown;
     };
     match outcome {
         Outcome::Ran { status, .. } if *status < 500 => Health::Served,
         Outcome::Ran { .. } | Outcome::Unknown { .. } => Health::Failed,
         Outcome::NotRun { reason, .. } if *reason == Reason::Unreachable => Health::Failed,
-        Outcome::NotRun { .. } => Health::Unsaid,
+        Outcome::NotRun { .. } => Health::Unknown,
     }
 }
 
-/// What a sidecar's reply means; none when the service may have run a call without a record.
-fn event(reply: Reply) -> Option<Event> {
+/// Converts the reply of a sidecar; none when the service may have run a call without a record.
+fn reply_event(reply: Reply) -> Option<Event> {
     match reply {
         Reply::Kept(reply) => Some(Event::Replied(*reply)),
         Reply::NotRun(refused) if refused.reason == wire::frame::Reason::Poisonous => {
             let outcome = Outcome::not_run(Reason::Poisonous, refused.retry_after);
             Some(Event::Replied(handover::Reply::Outcome(outcome)))
         }
-        // The sidecar refused before it did anything.
+        // The sidecar refused before it sent anything to the service.
         Reply::NotRun(_) => Some(Event::Unsent),
         Reply::Unknown => None,
         Reply::Ran {
@@ -313,7 +325,8 @@
     }
 }
 
-fn answer(outcome: Outcome) -> Result<Answer, Problem> {
+/// Converts an outcome to an answer or a problem.
+fn into_answer(outcome: Outcome) -> Result<Answer, Problem> {
     match outcome {
         Outcome::Ran {
             status,
@@ -331,7 +344,7 @@
             retry_after,
         } => Err(refusal(reason, retry_after)),
         Outcome::Unknown { ask } => {
-            let message = "the call may have run, and its answer was lost";
+            let message = "the call may have run, but its answer was lost";
             let mut problem = Problem::new(Code::Unknown, message).run(Run::Unknown);
             problem.ask = ask;
             Err(problem)
@@ -339,23 +352,32 @@
     }
 }
 
-/// A call or request that was not run.
+/// Creates the problem for a call or request that was not run.
 pub(crate) fn refusal(reason: Reason, retry_after: Option<Duration>) -> Problem {
     let (code, message) = match reason {
-        Reason::StoreOut => (Code::Unavailable, "the call can't be recorded now"),
-        Reason::Silent => (Code::Unavailable, "the replica fell silent before the call"),
+        Reason::StoreOut => (
+            Code::Unavailable,
+            "the call can't be recorded at the moment",
+        ),
+        Reason::Silent => (
+            Code::Unavailable,
+            "the replica stopped responding before the call",
+        ),
         Reason::NoServer => (
             Code::Unavailable,
-            "no replica of the service takes the call",
+            "no replica of the service accepts the call",
         ),
         Reason::Unreachable => (Code::Unavailable, "the service refuses connections"),
-        Reason::Leaving => (Code::Unavailable, "the replica is leaving"),
+        Reason::Leaving => (Code::Unavailable, "the replica is shutting down"),
         Reason::Late => (Code::Unavailable, "the store was too slow for the call"),
-        Reason::CallerGone => (Code::Unavailable, "the caller was gone before the call"),
-        Reason::KeyReused => (Code::KeyReused, "the key came with another request before"),
+        Reason::CallerGone => (Code::Unavailable, "the caller disconnected before the call"),
+        Reason::KeyReused => (
+            Code::KeyReused,
+            "the key was used with another request before",
+        ),
         Reason::Poisonous => (
             Code::Refused,
-            "the request is known to bring backend servers down",
+            "the request is known to crash backend servers",
         ),
     };
     let problem = Problem::new(code, message);
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Start and stop of an entry.
+//! Startup and shutdown of an entry.
 
 use std::{
     net::SocketAddr,
@@ -34,7 +34,7 @@
 };
 
 use crate::{
-    burn::Book,
+    burn::Recorder,
     callers,
     documents::{
         self,
@@ -59,26 +59,31 @@
     pool::Pool,
     resumes::Resumes,
     state::{
-        Pools,
+        Intervals,
         Requests,
         State, //
     },
 };
 
-/// An entry that runs.
+/// A running entry.
 pub struct Entry {
-    /// Address for callers.
+    /// Address of the interface for callers.
     pub callers: SocketAddr,
-    /// Address for operators.
+    /// Address of the interface for operators.
     pub operators: SocketAddr,
-    /// Address of its links.
+    /// Address that peers dial.
     pub links: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl Entry {
-    /// Starts an entry. Once `stop` is cancelled it takes no new requests, finishes those in
-    /// progress within the drain time, and ends.
+    /// Starts an entry. Once `stop` is cancelled, it refuses new requests, completes those in
+    /// progress within the drain time, and stops.
+    ///
+    /// # Errors
+    ///
+    /// Fails when an address can't be bound, or when the keys or the address of the platform are
+    /// invalid.
     pub async fn start(
         settings: settings::Entry,
         keys: &Keys,
@@ -89,31 +94,31 @@
             address: settings.links,
             source,
         })?;
-        let handle = metering::install();
+        let metrics = metering::install();
         let state = Arc::new(state(settings, node, stop.clone())?);
         let (ready, readiness) = watch::channel(Readiness::Waiting("no document yet".into()));
         let callers = http::serve(
             state.settings.callers,
             callers::router(&state),
             limits(&state.settings),
-            state.ended.clone(),
+            state.stopped.clone(),
         )
         .await?;
-        let router = probe::router(handle, readiness).push(operators::router(&state));
+        let router = probe::router(metrics, readiness).push(operators::router(&state));
         let operators = http::serve(
             state.settings.operators,
             router,
             http::Limits::default(),
-            state.ended.clone(),
+            state.stopped.clone(),
         )
         .await?;
-        tokio::spawn(connector::follow(state.clone()));
-        tokio::spawn(gates::driver::follow(state.clone()));
+        tokio::spawn(connector::run(state.clone()));
+        tokio::spawn(gates::driver::run(state.clone()));
         tokio::spawn(links::accept(state.clone()));
-        tokio::spawn(documents::driver::follow(state.clone()));
-        tokio::spawn(moves::follow(state.clone()));
+        tokio::spawn(documents::driver::run(state.clone()));
+        tokio::spawn(moves::run(state.clone()));
         tokio::spawn(lateness(state.clone()));
-        tokio::spawn(announce(state.clone(), ready));
+        tokio::spawn(update_readiness(state.clone(), ready));
         events::emit!(
             process::STARTED,
             "role=entry host={} callers={} operators={} links={links}",
@@ -121,21 +126,21 @@
             callers.address,
             operators.address
         );
-        let started = Self {
+        let entry = Self {
             callers: callers.address,
             operators: operators.address,
             links,
             task: tokio::spawn(async move {
                 stop.cancelled().await;
                 drain(&state).await;
-                state.ended.cancel();
+                state.stopped.cancel();
                 state.node.close().await;
                 let _ = callers.task.await;
                 let _ = operators.task.await;
                 events::emit!(process::STOPPED, "host={}", state.settings.name);
             }),
         };
-        Ok(started)
+        Ok(entry)
     }
 
     /// Waits until the entry has stopped.
@@ -144,6 +149,7 @@
     }
 }
 
+/// Returns the limits of the HTTP server for callers.
 fn limits(settings: &settings::Entry) -> http::Limits {
     http::Limits {
         header: settings.times.header,
@@ -153,10 +159,11 @@
     }
 }
 
+/// Creates the shared state of an entry.
 fn state(
     settings: settings::Entry,
     node: Node,
-    leaving: CancellationToken,
+    stopping: CancellationToken,
 ) -> Result<State, Error> {
     let platform = store::Client::new(&settings.platform, settings.times.platform)
         .map_err(|error| wire::Error::Keys(error.to_string()))?;
@@ -183,51 +190,53 @@
         gates: Gates::new(origin),
         documents: Documents::default(),
         movers: Movers::default(),
-        book: Book::default(),
+        burn: Recorder::default(),
         resumes: Resumes::default(),
-        gaps: Pools::default(),
-        silent: Default::default(),
+        gaps: Intervals::default(),
+        unresponsive: Default::default(),
         lateness: Default::default(),
         requests: Requests::default(),
         origin,
-        leaving,
-        ended: CancellationToken::new(),
+        stopping,
+        stopped: CancellationToken::new(),
         settings,
     })
 }
 
-/// Watches how late this process runs, until it ends.
+/// Measures the scheduling delay of this process until the entry has stopped.
 async fn lateness(state: Arc<State>) {
     let clock = || state.now();
-    state.lateness.follow(clock, &state.ended).await;
+    state.lateness.follow(clock, &state.stopped).await;
 }
 
-/// Is ready with a document while it can be no older than what this host served by before; stops
-/// being ready when the entry leaves, so that the balancer sends nothing more.
-async fn announce(state: Arc<State>, ready: watch::Sender<Readiness>) {
+/// Sets the readiness of the entry: ready while it has a document that can't be older than the one
+/// that this host last served by, and not ready from the start of its shutdown, so that the load
+/// balancer sends no more requests.
+async fn update_readiness(state: Arc<State>, ready: watch::Sender<Readiness>) {
     let mut revisions = state.documents.revisions();
     let mut readiness = state.documents.readiness();
     loop {
-        let serves = *readiness.borrow_and_update() && *revisions.borrow_and_update() > 0;
-        let was = matches!(*ready.borrow(), Readiness::Ready);
-        if serves && !was {
+        let serving = *readiness.borrow_and_update() && *revisions.borrow_and_update() > 0;
+        let was_ready = matches!(*ready.borrow(), Readiness::Ready);
+        if serving && !was_ready {
             events::emit!(process::READY, "host={}", state.settings.name);
         }
-        ready.send_replace(match serves {
+        ready.send_replace(match serving {
             true => Readiness::Ready,
-            false => Readiness::Waiting("no document that is known to be the newest".into()),
+            false => Readiness::Waiting("no document that is known to be current".into()),
         });
         tokio::select! {
-            () = state.leaving.cancelled() => break,
+            () = state.stopping.cancelled() => break,
             changed = revisions.changed() => if changed.is_err() { break },
             changed = readiness.changed() => if changed.is_err() { break },
         }
     }
-    state.leaving.cancelled().await;
+    state.stopping.cancelled().await;
     ready.send_replace(Readiness::Waiting("shutting down".into()));
-    state.ended.cancelled().await;
+    state.stopped.cancelled().await;
 }
 
+/// Announces the shutdown to peers, and waits for the requests in progress.
 async fn drain(state: &State) {
     let count = state.requests.count();
     let host = &state.settings.name;
--- a/components/entry/src/documents.rs
+++ b/components/entry/src/documents.rs
@@ -1,4 +1,4 @@
-//! The document in force in this entry, and its spread.
+//! The document in force at this entry, and its spread between processes.
 
 use std::{
     collections::HashMap,
@@ -40,30 +40,32 @@
 pub(crate) mod driver;
 pub(crate) mod edit;
 
-/// Events that wait for the board; beyond it messages are dropped, since heartbeats repair that.
-const WAITING: usize = 4096;
+/// Events queued for the board, and facts for subscribers. When the queue of the board is full,
+/// messages are dropped; heartbeats make up for them.
+const QUEUE: usize = 4096;
 
-/// The document in force, if any, and the way to the board that decides on it.
+/// The document in force, if any, and the event queue of the board that decides on it.
 pub(crate) struct Documents {
-    held: ArcSwapOption<Held>,
+    snapshot: ArcSwapOption<Snapshot>,
     revision: watch::Sender<Revision>,
     ready: watch::Sender<bool>,
     origin: Instant,
     /// Milliseconds from the origin to the board's last tick.
-    ticked: AtomicU64,
+    last_tick_ms: AtomicU64,
     events: mpsc::Sender<Event>,
-    /// Taken by the driver.
-    waiting: Mutex<Option<mpsc::Receiver<Event>>>,
-    /// Facts that came from other processes.
-    known: broadcast::Sender<(Key, Fact)>,
-    /// This entry watches the store, and sums up its data centre's evidence.
-    reads: watch::Sender<bool>,
+    /// Receiving end of `events`; the driver takes it when it starts.
+    queued: Mutex<Option<mpsc::Receiver<Event>>>,
+    /// Facts received from other processes.
+    facts: broadcast::Sender<(Key, Fact)>,
+    /// Whether this entry watches the store and aggregates the evidence of its data centre.
+    reader: watch::Sender<bool>,
+    /// Recipients of the accounts of the surveys in progress.
     surveys: Mutex<HashMap<u64, mpsc::UnboundedSender<Account>>>,
-    survey: AtomicU64,
+    next_survey: AtomicU64,
 }
 
-/// A document with its revision.
-pub(crate) struct Held {
+/// A document in force, with its revision.
+pub(crate) struct Snapshot {
     pub(crate) revision: Revision,
     pub(crate) digest: u64,
     pub(crate) document: Document,
@@ -71,92 +73,92 @@
 
 impl Default for Documents {
     fn default() -> Self {
-        let (events, waiting) = mpsc::channel(WAITING);
+        let (events, queued) = mpsc::channel(QUEUE);
         Self {
-            held: ArcSwapOption::empty(),
+            snapshot: ArcSwapOption::empty(),
             revision: watch::Sender::new(0),
             ready: watch::Sender::new(false),
             origin: Instant::now(),
-            ticked: AtomicU64::new(0),
+            last_tick_ms: AtomicU64::new(0),
             events,
-            waiting: Mutex::new(Some(waiting)),
-            known: broadcast::Sender::new(WAITING),
-            reads: watch::Sender::new(false),
+            queued: Mutex::new(Some(queued)),
+            facts: broadcast::Sender::new(QUEUE),
+            reader: watch::Sender::new(false),
             surveys: Mutex::default(),
-            survey: AtomicU64::new(0),
+            next_survey: AtomicU64::new(0),
         }
     }
 }
 
-/// Key of an environment's document in the platform's store.
+/// Returns the key of an environment's document in the platform's store.
 pub(crate) fn key(environment: &str) -> String {
     format!("env/{environment}")
 }
 
 impl Documents {
-    /// The document to serve by; none while this entry may have missed a newer one.
-    pub(crate) fn current(&self) -> Option<Arc<Held>> {
-        match self.serves() {
-            true => self.held(),
+    /// Returns the document to serve by; none while this entry may have missed a newer one.
+    pub(crate) fn current(&self) -> Option<Arc<Snapshot>> {
+        match self.may_serve() {
+            true => self.latest(),
             false => None,
         }
     }
 
-    /// Tells whether this entry may serve by what it holds.
+    /// Returns whether this entry may serve by its document.
     ///
-    /// When a process that stood still goes on, requests that came meanwhile may be looked at
-    /// before the board is: so the board's last tick must not lie far back either.
-    pub(crate) fn serves(&self) -> bool {
-        let ticked = Duration::from_millis(self.ticked.load(Ordering::Acquire));
-        *self.ready.borrow() && self.origin.elapsed().saturating_sub(ticked) < PAUSED
+    /// When a paused process resumes, requests that arrived in the meantime may be handled before
+    /// the board has noticed the pause. So the board's last tick must also be recent.
+    pub(crate) fn may_serve(&self) -> bool {
+        let last_tick = Duration::from_millis(self.last_tick_ms.load(Ordering::Acquire));
+        *self.ready.borrow() && self.origin.elapsed().saturating_sub(last_tick) < PAUSED
     }
 
-    /// The board has seen that time passed, and its actions were done.
+    /// Records that the board has handled the current time and its actions are done.
     fn tick(&self) {
         let now = self.origin.elapsed().as_millis() as u64;
-        self.ticked.store(now, Ordering::Release);
+        self.last_tick_ms.store(now, Ordering::Release);
     }
 
-    /// The document in force, whether it may be served by or not.
-    pub(crate) fn held(&self) -> Option<Arc<Held>> {
-        self.held.load_full()
+    /// Returns the document in force, even if it may be outdated.
+    pub(crate) fn latest(&self) -> Option<Arc<Snapshot>> {
+        self.snapshot.load_full()
     }
 
-    /// Changes of whether this entry may serve.
+    /// Subscribes to whether the board allows this entry to serve.
     pub(crate) fn readiness(&self) -> watch::Receiver<bool> {
         self.ready.subscribe()
     }
 
-    /// Changes of the revision in force.
+    /// Subscribes to the revision in force; 0 before the first document.
     pub(crate) fn revisions(&self) -> watch::Receiver<Revision> {
         self.revision.subscribe()
     }
 
-    /// Gives an event to the board.
+    /// Queues an event for the board.
     pub(crate) fn event(&self, event: Event) {
-        // A full queue drops it: documents and facts are sent again where digests differ.
+        // Dropped when the queue is full: documents and facts are sent again while digests differ.
         let _ = self.events.try_send(event);
     }
 
-    /// Spreads a fact that this entry found out.
-    pub(crate) fn learn(&self, key: Key, fact: Fact) {
+    /// Spreads a fact that originates at this entry.
+    pub(crate) fn publish(&self, key: Key, fact: Fact) {
         self.event(Event::Learn { key, fact });
     }
 
-    /// Facts that other processes found out, from now on. Whoever lags by [`WAITING`] of
+    /// Subscribes to facts from other processes. A subscriber that lags by more than [`QUEUE`] of
     /// them misses some.
-    pub(crate) fn known(&self) -> broadcast::Receiver<(Key, Fact)> {
-        self.known.subscribe()
+    pub(crate) fn facts(&self) -> broadcast::Receiver<(Key, Fact)> {
+        self.facts.subscribe()
     }
 
-    /// Changes of whether this entry is a reader of its data centre, and sums up its evidence.
-    #[expect(dead_code, reason = "Moves go through it.")]
-    pub(crate) fn reads(&self) -> watch::Receiver<bool> {
-        self.reads.subscribe()
+    /// Subscribes to whether this entry is a reader of its data centre, which aggregates evidence.
+    #[expect(dead_code, reason = "Needed to spread the evidence of moves.")]
+    pub(crate) fn reader(&self) -> watch::Receiver<bool> {
+        self.reader.subscribe()
     }
 
-    /// A process said something about documents.
-    pub(crate) fn message(&self, from: &Host, bytes: &[u8]) {
+    /// Decodes a message from another process and queues it for the board.
+    pub(crate) fn receive(&self, from: &Host, bytes: &[u8]) {
         match postcard::from_bytes(bytes) {
             Ok(message) => self.event(Event::Message {
                 from: from.clone(),
@@ -168,9 +170,10 @@
         }
     }
 
-    /// Asks all data centres what is in force there; answers come as long as the number is kept.
+    /// Starts a survey of what is in force in all data centres. Returns its number, for
+    /// [`Self::end_survey`], and the receiver of the accounts.
     pub(crate) fn survey(&self) -> (u64, mpsc::UnboundedReceiver<Account>) {
-        let number = self.survey.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_survey.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = mpsc::unbounded_channel();
         let mut surveys = self.surveys.lock().expect("no panic while held");
         surveys.insert(number, sender);
@@ -179,25 +182,26 @@
         (number, receiver)
     }
 
-    /// Ends a survey.
-    pub(crate) fn surveyed(&self, number: u64) {
+    /// Ends a survey; later accounts are dropped.
+    pub(crate) fn end_survey(&self, number: u64) {
         let mut surveys = self.surveys.lock().expect("no panic while held");
         surveys.remove(&number);
     }
 
-    fn account(&self, number: u64, account: Account) {
+    /// Passes an account to its survey.
+    fn forward_account(&self, number: u64, account: Account) {
         let surveys = self.surveys.lock().expect("no panic while held");
         if let Some(survey) = surveys.get(&number) {
             let _ = survey.send(account);
         }
     }
 
-    /// Takes a document that came into force.
-    fn take(&self, edition: &Edition) {
+    /// Applies a document that has come into force.
+    fn apply(&self, edition: &Edition) {
         let revision = edition.revision;
         match environment::parse(&edition.text) {
             Ok(document) => {
-                self.held.store(Some(Arc::new(Held {
+                self.snapshot.store(Some(Arc::new(Snapshot {
                     revision,
                     digest: edition.digest,
                     document,
--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -1,4 +1,5 @@
-//! Drives the board: its messages go over the links, its calls to the platform's store.
+//! Driver of the board of documents: sends its messages over the links, and makes its calls to the
+//! platform's store.
 
 use std::{
     collections::HashMap,
@@ -38,35 +39,36 @@
 use wire::Frame;
 
 use super::{
-    edit::open,
+    edit::decode,
     key, //
 };
 use crate::{
-    hosts::connector::reach,
+    hosts::connector::connect,
     state::State, //
 };
 
-/// Pace of the board's ticks.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval of the board's ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
+/// Driver of the board.
 struct Driver {
     state: Arc<State>,
     board: Board,
-    /// Calls to the store that haven't answered.
+    /// Tasks of the calls to the store that are in progress.
     calls: HashMap<u64, AbortHandle>,
-    /// The last call failed, and that was said.
-    out: bool,
+    /// Whether the last call failed; that is logged once.
+    store_out: bool,
 }
 
-/// Keeps the documents until the entry ends.
-pub(crate) async fn follow(state: Arc<State>) {
-    let waiting = state
+/// Runs the board until the entry has stopped.
+pub(crate) async fn run(state: Arc<State>) {
+    let queued = state
         .documents
-        .waiting
+        .queued
         .lock()
         .expect("no panic while held")
         .take();
-    let Some(mut waiting) = waiting else {
+    let Some(mut queued) = queued else {
         return;
     };
     let place = Place {
@@ -79,20 +81,20 @@
         board: Board::new(place, state.now(), rng),
         state: state.clone(),
         calls: HashMap::new(),
-        out: false,
+        store_out: false,
     };
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut leaving = false;
     loop {
         let event = tokio::select! {
-            () = state.ended.cancelled() => return,
-            () = state.leaving.cancelled(), if !leaving => {
+            () = state.stopped.cancelled() => return,
+            () = state.stopping.cancelled(), if !leaving => {
                 leaving = true;
                 Event::Leave
             }
             _ = ticks.tick() => tick(),
-            event = waiting.recv() => match event {
+            event = queued.recv() => match event {
                 Some(event) => event,
                 None => return,
             },
@@ -101,6 +103,7 @@
     }
 }
 
+/// Returns a tick with the current wall-clock time.
 fn tick() -> Event {
     let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     Event::Tick {
@@ -109,40 +112,42 @@
 }
 
 impl Driver {
+    /// Passes an event to the board and executes the resulting actions.
     fn handle(&mut self, event: Event) {
-        self.note(&event);
-        let ticks = matches!(event, Event::Tick { .. });
+        self.log_outage(&event);
+        let is_tick = matches!(event, Event::Tick { .. });
         for action in self.board.handle(event, self.state.now()) {
-            self.act(action);
+            self.execute(action);
         }
-        if ticks {
-            let reads = self.board.reads(self.state.now());
-            let changed = |last: &mut bool| std::mem::replace(last, reads) != reads;
-            self.state.documents.reads.send_if_modified(changed);
+        if is_tick {
+            let reader = self.board.reads(self.state.now());
+            let changed = |last: &mut bool| std::mem::replace(last, reader) != reader;
+            self.state.documents.reader.send_if_modified(changed);
         }
-        // Every event makes the board look at the time, as a tick does.
+        // The board checks the time on every event, not only on a tick.
         self.state.documents.tick();
     }
 
-    /// Says in the log when the store stops answering.
-    fn note(&mut self, event: &Event) {
+    /// Logs when the store stops answering.
+    fn log_outage(&mut self, event: &Event) {
         match event {
             Event::Failed { call } => {
                 self.calls.remove(call);
-                if !self.out {
+                if !self.store_out {
                     events::emit!(documents::STORE_OUT, "call={call}");
                 }
-                self.out = true;
+                self.store_out = true;
             }
             Event::Read { call, .. } | Event::Changed { call, .. } | Event::Forgotten { call } => {
                 self.calls.remove(call);
-                self.out = false;
+                self.store_out = false;
             }
             _ => {}
         }
     }
 
-    fn act(&mut self, action: Action) {
+    /// Executes an action of the board.
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => self.send(to, &message),
             Action::Read { call } => {
@@ -154,7 +159,7 @@
                 self.calls.insert(call, task.abort_handle());
             }
             Action::StopWatch { call } => {
-                // Dropping the call closes its connection, which may be the silent one.
+                // Dropping the call closes its connection, which may be a dead one.
                 if let Some(task) = self.calls.remove(&call) {
                     task.abort();
                 }
@@ -164,7 +169,7 @@
                     return;
                 }
                 if let Some(edition) = self.board.document(&environment) {
-                    self.state.documents.take(edition);
+                    self.state.documents.apply(edition);
                 }
             }
             Action::Ready => {
@@ -176,31 +181,32 @@
             }
             Action::Known { key } => {
                 if let Some(fact) = self.board.facts().get(&key) {
-                    // Nobody listens while no move is under way.
-                    let _ = self.state.documents.known.send((key, fact.clone()));
+                    // Fails when there is no subscriber.
+                    let _ = self.state.documents.facts.send((key, fact.clone()));
                 }
             }
             Action::Account { survey, account } => {
-                self.state.documents.account(survey, account);
+                self.state.documents.forward_account(survey, account);
             }
         }
     }
 
+    /// Sends a message to a host, over an existing link if there is one.
     fn send(&self, to: Host, message: &Message) {
         let Ok(bytes) = postcard::to_stdvec(message) else {
             return;
         };
         let frame = Frame::Spread(bytes);
-        if let Some(joined) = self.state.fleet.peer(&to).joined() {
-            let _ = joined.frames.try_send(frame);
+        if let Some(connection) = self.state.fleet.peer(&to).connection() {
+            let _ = connection.frames.try_send(frame);
             return;
         }
-        // An entry keeps links to a part of a large fleet; others are dialled on demand. A message
-        // that can't be sent is as good as lost, and the board lives with that.
+        // In a large fleet an entry has links to some hosts only; others are dialled on demand. The
+        // board tolerates the loss of messages.
         let state = self.state.clone();
         tokio::spawn(async move {
-            if let Some(joined) = reach(&state, &to).await {
-                let _ = joined.frames.try_send(frame);
+            if let Some(connection) = connect(&state, &to).await {
+                let _ = connection.frames.try_send(frame);
             }
         });
     }
@@ -214,6 +220,7 @@
     }
 }
 
+/// Reads the document from the store.
 async fn read(state: Arc<State>, call: u64) {
     let environment = &state.settings.environment;
     let event = match state.platform.list(&key(environment)).await {
@@ -228,9 +235,10 @@
         },
         Err(_) => Event::Failed { call },
     };
-    answer(&state, event).await;
+    deliver(&state, event).await;
 }
 
+/// Waits up to `wait` for a change of the document after revision `after`.
 async fn watch(state: Arc<State>, call: u64, after: Revision, wait: Duration) {
     let key = key(&state.settings.environment);
     let wait = state.settings.times.watch.min(wait);
@@ -254,20 +262,21 @@
         Err(store::Error::Compacted) => Event::Forgotten { call },
         Err(_) => Event::Failed { call },
     };
-    answer(&state, event).await;
+    deliver(&state, event).await;
 }
 
-/// The board must get the answers to its calls, however many messages wait.
-async fn answer(state: &State, event: Event) {
+/// Delivers the result of a call to the board. Waits for room in the queue, since results must not be
+/// dropped as messages are.
+async fn deliver(state: &State, event: Event) {
     let _ = state.documents.events.send(event).await;
 }
 
-/// What a key of the store holds, if it is this entry's environment: keys under the same prefix
-/// may belong to others.
+/// Returns the edition in an entry of the store; none if it belongs to another environment, as keys
+/// under the same prefix may.
 fn edition(state: &State, entry: &Entry) -> Option<(Environment, Edition)> {
     let environment = &state.settings.environment;
     if entry.key != key(environment) {
         return None;
     }
-    Some((environment.clone(), open(entry).edition()))
+    Some((environment.clone(), decode(entry).edition()))
 }
--- a/components/entry/src/documents/edit.rs
+++ b/components/entry/src/documents/edit.rs
@@ -26,12 +26,12 @@
 
 use super::key;
 
-/// Pause before a call to the store is repeated; it grows by as much each time.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a failed call to the store is retried; it grows linearly with the failures.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Reads what the store holds. A text that somebody wrote by other means is a document without a
-/// history.
-pub(crate) fn open(entry: &Entry) -> Stored {
+/// Decodes a document of the store. A value that is no envelope was written by other means, and is
+/// taken as a document without history.
+pub(crate) fn decode(entry: &Entry) -> Stored {
     let envelope = serde_json::from_str(&entry.value).unwrap_or_else(|_| Envelope {
         edit: Record {
             id: String::new(),
@@ -50,20 +50,20 @@
     }
 }
 
-/// Reads a document from the store; none when there is none.
-pub(crate) async fn stored(platform: &Client, environment: &str) -> Result<Option<Stored>, Error> {
+/// Reads the document of an environment from the store; none when there is no such document.
+pub(crate) async fn read(platform: &Client, environment: &str) -> Result<Option<Stored>, Error> {
     let entry = platform.get(&key(environment)).await?;
-    Ok(entry.as_ref().map(open))
+    Ok(entry.as_ref().map(decode))
 }
 
-/// Makes an edit. It ends within a few times the platform's time limit.
-pub(crate) async fn make(platform: &Client, draft: Draft) -> Outcome {
+/// Applies an edit. Returns within a few times the platform's time limit.
+pub(crate) async fn apply(platform: &Client, draft: Draft) -> Outcome {
     let (mut edit, mut step) = Edit::new(draft);
     let mut failures = 0;
     loop {
         let answer = match &step {
             Step::Done(outcome) => return outcome.clone(),
-            Step::Read(environment) => match stored(platform, environment).await {
+            Step::Read(environment) => match read(platform, environment).await {
                 Ok(stored) => Answer::Read(stored),
                 Err(_) => Answer::Refused,
             },
@@ -75,12 +75,13 @@
         };
         if matches!(answer, Answer::Refused | Answer::Silent) {
             failures += 1;
-            sleep(PAUSE * failures).await;
+            sleep(RETRY_DELAY * failures).await;
         }
         step = edit.answer(answer);
     }
 }
 
+/// Writes an envelope if the document still has the expected revision; 0 expects no document.
 async fn write(platform: &Client, environment: &str, expect: u64, envelope: &Envelope) -> Answer {
     let Ok(value) = serde_json::to_string(envelope) else {
         return Answer::Refused;
@@ -91,10 +92,10 @@
     };
     match platform.put(&key(environment), &value, expect, None).await {
         Ok(Write::Done { revision }) => Answer::Written(revision),
-        Ok(Write::Conflict { entry }) => Answer::Conflict(entry.as_ref().map(open)),
+        Ok(Write::Conflict { entry }) => Answer::Conflict(entry.as_ref().map(decode)),
         Err(Error::TooLarge) => Answer::Large,
         Err(Error::Outage | Error::Busy { .. }) => Answer::Refused,
-        // All that is left may have taken effect.
+        // After any other error, the write may have taken effect.
         Err(_) => Answer::Silent,
     }
 }
--- a/components/entry/src/fleet.rs
+++ b/components/entry/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The other processes that this entry knows, its links to them, and what they last said.
+//! Peers of this entry: its links to them and the state that they last reported.
 
 use std::{
     collections::HashMap,
@@ -30,34 +30,34 @@
     }, //
 };
 
-/// The processes that this entry has a link to, or had one.
+/// The processes that this entry has or had a link to.
 #[derive(Default)]
 pub(crate) struct Fleet {
     peers: Mutex<HashMap<Host, Arc<Peer>>>,
 }
 
-/// One other process.
+/// Another process.
 pub(crate) struct Peer {
-    /// Its host.
+    /// Name of its host.
     pub(crate) host: Host,
-    /// The link, while there is one.
-    pub(crate) link: watch::Sender<Option<Joined>>,
-    /// What it last said.
+    /// Link to the process, while it is connected.
+    pub(crate) connection: watch::Sender<Option<Connection>>,
+    /// Last heartbeat received.
     heartbeat: Mutex<Heartbeat>,
-    /// The platform's list says that the host leaves.
+    /// Whether the platform's host list has the host as leaving.
     listed_leaving: AtomicBool,
-    /// Pieces of work of this entry at the peer.
+    /// Units of work of this entry at the peer.
     work: Arc<watch::Sender<u32>>,
-    /// Their number when the last heartbeat came.
-    then: AtomicU32,
+    /// Value of `work` when the last heartbeat was received.
+    work_at_heartbeat: AtomicU32,
 }
 
-/// A link that is up.
+/// A link that is up, with the peer's greeting.
 #[derive(Clone)]
-pub(crate) struct Joined {
+pub(crate) struct Connection {
     pub(crate) link: Link,
     pub(crate) hello: Hello,
-    /// Frames for the link's first stream.
+    /// Queue of frames for the link's control stream.
     pub(crate) frames: mpsc::Sender<Frame>,
 }
 
@@ -65,51 +65,52 @@
     fn new(host: Host) -> Self {
         Self {
             host,
-            link: watch::Sender::new(None),
+            connection: watch::Sender::new(None),
             heartbeat: Mutex::default(),
             listed_leaving: AtomicBool::new(false),
             work: Arc::new(watch::Sender::new(0)),
-            then: AtomicU32::new(0),
+            work_at_heartbeat: AtomicU32::new(0),
         }
     }
 
-    /// The link, when it is up.
-    pub(crate) fn joined(&self) -> Option<Joined> {
-        let joined = self.link.borrow().clone();
-        joined.filter(|joined| !joined.link.is_closed())
+    /// Returns the link, if it is up.
+    pub(crate) fn connection(&self) -> Option<Connection> {
+        let connection = self.connection.borrow().clone();
+        connection.filter(|connection| !connection.link.is_closed())
     }
 
-    /// The count of work of this entry at the peer.
-    pub(crate) fn counter(&self) -> &Arc<watch::Sender<u32>> {
+    /// Returns the counter of units of work of this entry at the peer.
+    pub(crate) fn work_counter(&self) -> &Arc<watch::Sender<u32>> {
         &self.work
     }
 
-    /// Takes the host list's word on whether the host leaves; tells whether it changed.
-    pub(crate) fn listed(&self, leaving: bool) -> bool {
+    /// Sets whether the host list has the host as leaving, and returns whether that changed.
+    pub(crate) fn set_listed_leaving(&self, leaving: bool) -> bool {
         self.listed_leaving.swap(leaving, Ordering::AcqRel) != leaving
     }
 
-    /// Pieces of work of this entry at the peer.
+    /// Returns the number of units of work of this entry at the peer.
     pub(crate) fn in_flight(&self) -> u32 {
         *self.work.borrow()
     }
 
-    /// Changes of the number of pieces of work.
-    pub(crate) fn work(&self) -> watch::Receiver<u32> {
+    /// Subscribes to the number of units of work.
+    pub(crate) fn watch_work(&self) -> watch::Receiver<u32> {
         self.work.subscribe()
     }
 
-    /// Takes a heartbeat; tells whether the peer began to leave with it.
-    pub(crate) fn hear(&self, heartbeat: Heartbeat) -> bool {
+    /// Records a heartbeat, and returns whether it is the first one that has the peer as leaving.
+    pub(crate) fn record_heartbeat(&self, heartbeat: Heartbeat) -> bool {
         let mut last = self.heartbeat.lock().expect("no panic while held");
-        let begins = heartbeat.leaving && !last.leaving;
-        self.then.store(self.in_flight(), Ordering::Release);
+        let starts_leaving = heartbeat.leaving && !last.leaving;
+        self.work_at_heartbeat
+            .store(self.in_flight(), Ordering::Release);
         *last = heartbeat;
-        begins
+        starts_leaving
     }
 
-    /// What the peer last said, and whether the host list says that it leaves.
-    pub(crate) fn last(&self) -> (Heartbeat, bool) {
+    /// Returns the last heartbeat, and whether the host list has the host as leaving.
+    pub(crate) fn status(&self) -> (Heartbeat, bool) {
         let heartbeat = self.heartbeat.lock().expect("no panic while held");
         (
             heartbeat.clone(),
@@ -117,31 +118,31 @@
         )
     }
 
-    /// May this peer get new work?
-    fn takes_work(&self) -> bool {
+    /// Returns whether the peer may be sent new work.
+    fn accepts_work(&self) -> bool {
         let heartbeat = self.heartbeat.lock().expect("no panic while held");
         let listed_leaving = self.listed_leaving.load(Ordering::Acquire);
         heartbeat.healthy && !heartbeat.leaving && !listed_leaving
     }
 
-    /// Capacity and load that the backend server reported, when it may get work.
-    fn reported(&self, service: &str) -> Option<(u32, u32)> {
-        let joined = self.joined()?;
-        let backend = joined.hello.backend.as_ref()?;
-        if backend.service != service || !self.takes_work() {
+    /// Returns capacity and load of the backend server, if it runs `service` and may be sent work.
+    fn reported_load(&self, service: &str) -> Option<(u32, u32)> {
+        let connection = self.connection()?;
+        let backend = connection.hello.backend.as_ref()?;
+        if backend.service != service || !self.accepts_work() {
             return None;
         }
         let heartbeat = self.heartbeat.lock().expect("no panic while held");
         let load = heartbeat.load.unwrap_or_default();
-        // The report lags, but what this entry has sent and ended since is known at once.
-        let then = self.then.load(Ordering::Acquire);
-        let others = (load.running + load.queued).saturating_sub(then);
+        // The reported load lags; the work of this entry is taken from its own count instead.
+        let own = self.work_at_heartbeat.load(Ordering::Acquire);
+        let others = (load.running + load.queued).saturating_sub(own);
         Some((load.capacity, others + self.in_flight()))
     }
 }
 
 impl Fleet {
-    /// The peer of that name; made when it is new.
+    /// Returns the peer on `host`, which is created if it is new.
     pub(crate) fn peer(&self, host: &str) -> Arc<Peer> {
         let mut peers = self.peers.lock().expect("no panic while held");
         peers
@@ -150,37 +151,39 @@
             .clone()
     }
 
-    /// Drops a peer that is gone for good.
-    pub(crate) fn forget(&self, host: &str) {
+    /// Removes a peer whose host is gone.
+    pub(crate) fn remove(&self, host: &str) {
         let mut peers = self.peers.lock().expect("no panic while held");
         peers.remove(host);
     }
 
-    /// Every peer.
+    /// Returns all peers.
     pub(crate) fn all(&self) -> Vec<Arc<Peer>> {
         let peers = self.peers.lock().expect("no panic while held");
         peers.values().cloned().collect()
     }
 
-    /// Backend servers that may get work, in order.
+    /// Returns the backend servers that may be sent work, sorted by name.
     pub(crate) fn servers(&self) -> Vec<Server> {
         let mut servers = Vec::new();
         for peer in self.all() {
-            if !peer.takes_work() {
+            if !peer.accepts_work() {
                 continue;
             }
-            let backend = peer.joined().and_then(|joined| joined.hello.backend);
+            let backend = peer
+                .connection()
+                .and_then(|connection| connection.hello.backend);
             servers.extend(backend.map(|backend| backend.server));
         }
         servers.sort();
         servers
     }
 
-    /// Capacity and load of the replicas of a service that this entry has links to.
+    /// Returns total capacity and load of the replicas of a service that this entry has links to.
     pub(crate) fn load(&self, service: &str) -> (u32, u32) {
         let mut sum = (0, 0);
         for peer in self.all() {
-            let Some((capacity, load)) = peer.reported(service) else {
+            let Some((capacity, load)) = peer.reported_load(service) else {
                 continue;
             };
             sum = (sum.0 + capacity, sum.1 + load);
@@ -188,12 +191,12 @@
         sum
     }
 
-    /// The peer beside a backend server, while its link is up.
-    pub(crate) fn beside(&self, server: &str) -> Option<(Arc<Peer>, Joined)> {
+    /// Returns the sidecar of a backend server, if its link is up.
+    pub(crate) fn peer_of(&self, server: &str) -> Option<(Arc<Peer>, Connection)> {
         self.all().into_iter().find_map(|peer| {
-            let joined = peer.joined()?;
-            let backend = joined.hello.backend.as_ref()?;
-            (backend.server == server).then(|| (peer.clone(), joined.clone()))
+            let connection = peer.connection()?;
+            let backend = connection.hello.backend.as_ref()?;
+            (backend.server == server).then(|| (peer.clone(), connection.clone()))
         })
     }
 }
--- a/components/entry/src/gates.rs
+++ b/components/entry/src/gates.rs
@@ -1,4 +1,4 @@
-//! Admission at this entry: gates for new work, and the budget of retries.
+//! Admission of requests at this entry, and the retry budget.
 
 use std::{
     sync::{
@@ -15,12 +15,12 @@
     Settings, //
 };
 use gates::{
-    Gates as Lines,
+    Gates as Queues,
     Refused, //
 };
 pub(crate) use gates::{
-    Permit, //
-    Request,
+    Permit,
+    Request, //
 };
 use tokio::time::Instant;
 
@@ -31,65 +31,71 @@
 
 pub(crate) mod driver;
 
-/// Gates by service, and the budget of retries.
+/// The gate of each service, and the retry budget.
 pub(crate) struct Gates {
-    lines: Arc<Lines>,
+    queues: Arc<Queues>,
     budget: Mutex<Budget>,
 }
 
-/// Time to the first token above which a request counts as late.
-pub(crate) fn objective() -> Duration {
+/// Returns the time to the first token above which a request counts as late.
+pub(crate) fn first_token_objective() -> Duration {
     Settings::default().first
 }
 
-/// Part of the concurrency that late first tokens may lower it to: what replicas report is old, and
-/// late tokens show queues that no report does.
-pub(crate) fn lowest() -> f64 {
+/// Returns the minimum share of the concurrency that late first tokens may reduce it to. The reports
+/// of replicas are old, and late tokens reveal queues that no report shows.
+pub(crate) fn min_concurrency_share() -> f64 {
     Settings::default().lowest
 }
 
 impl Gates {
+    /// Creates the gates; `origin` is the origin of their clock readings.
     pub(crate) fn new(origin: Instant) -> Gates {
         Gates {
-            lines: Lines::new(origin),
+            queues: Queues::new(origin),
             budget: Mutex::default(),
         }
     }
 
-    /// Lets a request in, at once or after a wait; or says at once why not and when to come back.
+    /// Admits a request, immediately or after it has queued.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Code::Busy`] problem with the time after which to retry.
     pub(crate) async fn admit(&self, request: Request<'_>) -> Result<Permit, Problem> {
-        let pass = self.lines.admit(request).await.map_err(refusal)?;
+        let permit = self.queues.admit(request).await.map_err(refusal)?;
         self.budget.lock().expect("no panic while held").request();
-        Ok(pass)
+        Ok(permit)
     }
 
-    /// Draws a retry from the budget.
+    /// Draws a retry from the budget, and returns whether there was one left.
     pub(crate) fn retry(&self) -> bool {
         self.budget.lock().expect("no panic while held").retry()
     }
 
-    /// Draws the continuation of an answer from the budget.
+    /// Draws the resume of an answer from the budget; it is never denied.
     pub(crate) fn resume(&self) {
         self.budget.lock().expect("no panic while held").resume();
     }
 
-    /// Gives the gates what is known of each service's replicas.
-    fn report(&self, of: impl Fn(&str) -> Option<Report>) {
-        self.lines.report(|service, _| of(service));
+    /// Updates the gates with the load of each service's replicas.
+    fn report(&self, load: impl Fn(&str) -> Option<Report>) {
+        self.queues.report(|service, _| load(service));
     }
 
-    /// Looks at the requests that wait.
+    /// Admits queued requests, and refuses those that have waited too long.
     fn tick(&self) {
-        self.lines.tick();
+        self.queues.tick();
     }
 }
 
+/// Returns the problem for a refused request.
 fn refusal(refused: Refused) -> Problem {
     let message = match refused.reason {
-        Reason::InFlight => "the team has as many requests in progress as it may",
-        Reason::Rate => "the team sends more requests a second than it may",
-        Reason::Full => "there are more requests than can be served in time",
-        Reason::Late => "the request could not be begun in time",
+        Reason::InFlight => "the team has reached its limit of requests in progress",
+        Reason::Rate => "the team exceeds its limit of requests per second",
+        Reason::Full => "too many requests are queued to be served in time",
+        Reason::Late => "the request could not be started in time",
     };
     Problem::new(Code::Busy, message).retry(refused.retry_after)
 }
--- a/components/entry/src/gates/driver.rs
+++ b/components/entry/src/gates/driver.rs
@@ -1,4 +1,4 @@
-//! Keeps the gates current until the entry ends.
+//! Updates the gates periodically.
 
 use std::{
     sync::Arc,
@@ -13,23 +13,23 @@
 
 use crate::state::State;
 
-/// Pace at which waiting requests are looked at.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval at which queued requests are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Ticks between two reports of the replicas' load to the gates.
-const REPORT: u32 = 4;
+const TICKS_PER_REPORT: u32 = 4;
 
-/// Looks at the gates until the entry ends.
-pub(crate) async fn follow(state: Arc<State>) {
-    let mut ticks = interval(TICK);
+/// Updates the gates until the entry has stopped.
+pub(crate) async fn run(state: Arc<State>) {
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut count: u32 = 0;
     loop {
         tokio::select! {
-            () = state.ended.cancelled() => return,
+            () = state.stopped.cancelled() => return,
             _ = ticks.tick() => {}
         }
-        if count.is_multiple_of(REPORT) {
+        if count.is_multiple_of(TICKS_PER_REPORT) {
             report(&state);
         }
         state.gates.tick();
@@ -37,11 +37,12 @@
     }
 }
 
+/// Reports the load of the replicas to the gates.
 fn report(state: &State) {
-    let entries = state.hosts.sharing(state.settings.limits.links);
+    let entries = state.hosts.entries_per_sidecar(state.settings.limits.links);
     state.gates.report(|service| {
         let (capacity, load) = state.fleet.load(service);
-        // No replica has reported yet: nothing is known.
+        // Without a report of any replica, the load is unknown.
         (capacity > 0).then_some(Report {
             capacity,
             load,
--- a/components/entry/src/hosts.rs
+++ b/components/entry/src/hosts.rs
@@ -1,7 +1,7 @@
-//! The platform's host list.
+//! Hosts known from the platform's host list.
 //!
-//! The list lags and can be wrong. A host that is missing from it keeps its link while the link is
-//! up; [`connector`] has which hosts those are.
+//! The list lags and can be wrong. A host that is missing from it stays known while its link is up;
+//! [`connector`] decides which hosts are linked and which are removed.
 
 use std::{
     collections::{
@@ -23,76 +23,79 @@
 
 pub(crate) mod connector;
 
-/// The hosts that the platform has listed.
+/// The known hosts.
 #[derive(Default)]
 pub(crate) struct Hosts {
-    known: Mutex<HashMap<Host, Known>>,
+    members: Mutex<HashMap<Host, Member>>,
 }
 
-/// A listed host.
+/// A known host.
 #[derive(Clone)]
-struct Known {
+struct Member {
     address: SocketAddr,
     data_centre: DataCentre,
     role: Role,
-    /// When it was last in the list.
-    listed: Instant,
-    /// Ends the task that keeps the link; none while there is no such task.
-    kept: Option<CancellationToken>,
-    /// When a link was last asked for on demand.
-    asked: Option<Instant>,
+    /// Time at which it was last in the list.
+    last_listed: Instant,
+    /// Stops the task that maintains the link; none while no such task runs.
+    link_task: Option<CancellationToken>,
+    /// Time at which a link was last requested on demand.
+    last_requested: Option<Instant>,
 }
 
 impl Hosts {
+    /// Returns the address of a known host.
     fn address(&self, host: &str) -> Option<SocketAddr> {
-        let known = self.known.lock().expect("no panic while held");
-        known.get(host).map(|host| host.address)
+        let members = self.members.lock().expect("no panic while held");
+        members.get(host).map(|host| host.address)
     }
 
-    /// Number of data centres that have an entry, the own one included.
-    pub(crate) fn data_centres(&self, own: &str) -> usize {
-        let known = self.known.lock().expect("no panic while held");
-        let entries = known.values().filter(|host| host.role == Role::Entry);
+    /// Returns the number of data centres that have an entry, including `own`.
+    pub(crate) fn data_centre_count(&self, own: &str) -> usize {
+        let members = self.members.lock().expect("no panic while held");
+        let entries = members.values().filter(|host| host.role == Role::Entry);
         let mut names: HashSet<_> = entries.map(|host| host.data_centre.as_str()).collect();
         names.insert(own);
         names.len()
     }
 
-    /// Entries that are known, this one included.
-    pub(crate) fn entries(&self) -> u32 {
-        let known = self.known.lock().expect("no panic while held");
-        let others = known
+    /// Returns the number of known entries, including this one.
+    pub(crate) fn entry_count(&self) -> u32 {
+        let members = self.members.lock().expect("no panic while held");
+        let others = members
             .values()
             .filter(|host| host.role == Role::Entry)
             .count();
         u32::try_from(others + 1).unwrap_or(u32::MAX)
     }
 
-    /// Names of the other entries that are known.
+    /// Returns the names of the other known entries.
     pub(crate) fn other_entries(&self) -> Vec<Host> {
-        let known = self.known.lock().expect("no panic while held");
-        let entries = known.iter().filter(|(_, host)| host.role == Role::Entry);
+        let members = self.members.lock().expect("no panic while held");
+        let entries = members.iter().filter(|(_, host)| host.role == Role::Entry);
         entries.map(|(name, _)| name.clone()).collect()
     }
 
-    /// About how many entries have links to the same sidecars, this one included, when each has at
-    /// most `links`.
-    pub(crate) fn sharing(&self, links: usize) -> u32 {
-        let known = self.known.lock().expect("no panic while held");
-        let sidecars = known
+    /// Estimates how many entries, including this one, are linked to the same sidecar when each has
+    /// at most `links` links to sidecars.
+    pub(crate) fn entries_per_sidecar(&self, links: usize) -> u32 {
+        let members = self.members.lock().expect("no panic while held");
+        let sidecars = members
             .values()
             .filter(|host| host.role == Role::Sidecar)
             .count();
-        let entries = known.len() - sidecars + 1;
+        let entries = members.len() - sidecars + 1;
         let linked = sidecars.min(links);
-        let sharing = (entries * linked).div_ceil(sidecars.max(1));
-        u32::try_from(sharing.max(1)).unwrap_or(u32::MAX)
+        let sharing_entries = (entries * linked).div_ceil(sidecars.max(1));
+        u32::try_from(sharing_entries.max(1)).unwrap_or(u32::MAX)
     }
 
-    /// The hosts that hold a request's pointer.
+    /// Returns the hosts that hold the pointer of a request.
     pub(crate) fn holders(&self, request: &str) -> Vec<Host> {
-        let known = self.known.lock().expect("no panic while held");
-        let sidecars = known.iter().filter(|(_, host)| host.role == Role::Sidecar);
+        let members = self.members.lock().expect("no panic while held");
+        let sidecars = members
+            .iter()
+            .filter(|(_, host)| host.role == Role::Sidecar);
         let candidates: Vec<_> = sidecars
             .map(|(name, host)| pointer::Candidate {
                 host: name.clone(),
--- a/components/entry/src/hosts/connector.rs
+++ b/components/entry/src/hosts/connector.rs
@@ -1,7 +1,7 @@
-//! Which of the listed hosts this entry keeps a link to.
+//! Polls the platform's host list, and maintains links to a subset of the known hosts.
 //!
-//! Dialling ends only when a host has been missing from the list for [`FORGET`] and can't be reached.
-//! So an empty list takes nothing away.
+//! A host is removed only when it has been missing from the list for [`REMOVE_AFTER`] and has no
+//! link that is up. So an empty list doesn't disconnect anything.
 
 use std::{
     collections::{
@@ -12,7 +12,7 @@
     time::Duration, //
 };
 
-use events::links as catalogue;
+use events::links as messages;
 use names::Host;
 use routing::subset::{
     self,
@@ -38,86 +38,92 @@
 };
 
 use crate::{
-    fleet::Joined,
-    hosts::Known,
+    fleet::Connection,
+    hosts::Member,
     links::{
         self,
-        keep, //
+        maintain, //
     },
     state::State, //
 };
 
-/// Bytes of a host's line in the list, about, and bytes a second that its reading may cost.
-const LINE: f64 = 150.0;
-const READING: f64 = 2048.0;
+/// Approximate size of a host in the list, and maximum bytes per second spent on reading the list.
+const HOST_BYTES: f64 = 150.0;
+const READ_BYTES_PER_SECOND: f64 = 2048.0;
 
-/// Time after which a host that isn't listed any more and can't be reached is forgotten.
-const FORGET: Duration = Duration::from_secs(60);
+/// Time after which a host that is no longer listed and has no link is removed.
+const REMOVE_AFTER: Duration = Duration::from_secs(60);
 
-/// Time that a link which was dialled on demand is kept without work.
-const SPARE: Duration = Duration::from_secs(30);
+/// Time for which a link that was dialled on demand is kept without work.
+const ON_DEMAND_IDLE: Duration = Duration::from_secs(30);
 
-/// Follows the list.
-pub(crate) async fn follow(state: Arc<State>) {
+/// Polls the list and updates the links until the entry has stopped.
+pub(crate) async fn run(state: Arc<State>) {
     let mut ticks = interval(state.settings.times.hosts);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut out = false;
-    let mut due = Instant::now();
+    let mut unavailable = false;
+    let mut next_read = Instant::now();
     loop {
         tokio::select! {
-            () = state.ended.cancelled() => return,
+            () = state.stopped.cancelled() => return,
             _ = ticks.tick() => {}
         }
-        arrange(&state);
-        if Instant::now() < due {
+        reconcile(&state);
+        if Instant::now() < next_read {
             continue;
         }
         match state.platform.hosts().await {
             Ok(hosts) => {
-                out = false;
-                due = Instant::now() + pause(hosts.len());
+                unavailable = false;
+                next_read = Instant::now() + read_interval(hosts.len());
                 state.documents.event(spread::Event::List(listings(&hosts)));
-                learn(&state, hosts);
+                update(&state, hosts);
             }
             Err(error) => {
-                if !out {
-                    events::emit!(catalogue::HOSTS, "reason=\"{error}\"");
+                if !unavailable {
+                    events::emit!(messages::HOSTS, "reason=\"{error}\"");
                 }
-                out = true;
+                unavailable = true;
             }
         }
-        arrange(&state);
+        reconcile(&state);
     }
 }
 
-/// Pause after a reading of so many hosts. The list of a large fleet is hundreds of kilobytes; read
-/// every second by every entry it would cost many times what a node may spend on control. It may
-/// be old: a host that leaves says so itself, and one that fails is noticed on its link.
-fn pause(hosts: usize) -> Duration {
-    Duration::from_secs_f64(hosts as f64 * LINE / READING)
+/// Returns the pause after a read of a list of `hosts` hosts.
+///
+/// The list of a large fleet is hundreds of kilobytes: read every second by every entry, it would
+/// exceed the control traffic allowed per node many times over. It may be stale, since a leaving
+/// host announces that in its heartbeats, and the failure of a host is detected on its link.
+fn read_interval(hosts: usize) -> Duration {
+    Duration::from_secs_f64(hosts as f64 * HOST_BYTES / READ_BYTES_PER_SECOND)
 }
 
-/// A link to a host, dialled now if there is none.
-pub(crate) async fn reach(state: &Arc<State>, host: &str) -> Option<Joined> {
+/// Returns a link to a host, which is dialled if there is none; none after the silence timeout.
+pub(crate) async fn connect(state: &Arc<State>, host: &str) -> Option<Connection> {
     let peer = state.fleet.peer(host);
-    if let Some(joined) = peer.joined() {
-        return Some(joined);
+    if let Some(connection) = peer.connection() {
+        return Some(connection);
     }
-    ask(state, host);
-    let mut links = peer.link.subscribe();
-    let up = links.wait_for(|link| link.as_ref().is_some_and(|one| !one.link.is_closed()));
-    let joined = timeout(state.settings.times.silence, up).await.ok()?.ok()?;
-    joined.clone()
+    request_link(state, host);
+    let mut links = peer.connection.subscribe();
+    let connected = links.wait_for(|link| link.as_ref().is_some_and(|up| !up.link.is_closed()));
+    let connection = timeout(state.settings.times.silence, connected)
+        .await
+        .ok()?
+        .ok()?;
+    connection.clone()
 }
 
-/// A link of one's own to a host, beside the one that is kept. The stream must live as long.
+/// Dials a separate link to a host, beside the maintained one. The caller must keep the returned
+/// control stream for as long as it uses the link.
 pub(crate) async fn dial(state: &State, host: &str) -> Option<(Link, Stream)> {
     let address = state.hosts.address(host)?;
     let (link, stream, _) = links::dial(state, host, address).await.ok()?;
     Some((link, stream))
 }
 
-/// The list as the spread of documents takes it.
+/// Converts the list for the spread of documents.
 fn listings(hosts: &[store::hosts::Host]) -> Vec<Listing> {
     let listing = |host: &store::hosts::Host| Listing {
         host: host.name.clone(),
@@ -131,9 +137,9 @@
     hosts.iter().map(listing).collect()
 }
 
-/// Takes a reading of the list.
-fn learn(state: &State, hosts: Vec<store::hosts::Host>) {
-    let mut known = state.hosts.known.lock().expect("no panic while held");
+/// Updates the known hosts from a read of the list.
+fn update(state: &State, hosts: Vec<store::hosts::Host>) {
+    let mut members = state.hosts.members.lock().expect("no panic while held");
     let now = Instant::now();
     for host in hosts {
         if host.name == state.settings.name {
@@ -141,66 +147,68 @@
         }
         let leaving = host.state == HostState::Leaving;
         let peer = state.fleet.peer(&host.name);
-        if peer.listed(leaving) {
-            state.tell_pool(&peer);
+        if peer.set_listed_leaving(leaving) {
+            state.update_pool(&peer);
         }
-        let entry = known.entry(host.name).or_insert_with(|| Known {
+        let member = members.entry(host.name).or_insert_with(|| Member {
             address: host.address,
             data_centre: host.data_centre.clone(),
             role: host.role,
-            listed: now,
-            kept: None,
-            asked: None,
+            last_listed: now,
+            link_task: None,
+            last_requested: None,
         });
-        entry.listed = now;
-        entry.data_centre = host.data_centre;
-        // The host was replaced by another one of its name.
-        if entry.address != host.address {
-            entry.address = host.address;
-            stop(entry);
+        member.last_listed = now;
+        member.data_centre = host.data_centre;
+        // The host was replaced by another one of the same name.
+        if member.address != host.address {
+            member.address = host.address;
+            stop_link(member);
         }
     }
 }
 
-/// Starts and ends the tasks that keep links.
-fn arrange(state: &Arc<State>) {
-    let mut known = state.hosts.known.lock().expect("no panic while held");
+/// Removes lost hosts, and starts and stops the tasks that maintain links.
+fn reconcile(state: &Arc<State>) {
+    let mut members = state.hosts.members.lock().expect("no panic while held");
     let now = Instant::now();
-    known.retain(|name, host| {
-        let up = state.fleet.peer(name).joined().is_some();
-        let stays = up || now.duration_since(host.listed) < FORGET;
-        if !stays {
-            stop(host);
-            state.fleet.forget(name);
+    members.retain(|name, host| {
+        let up = state.fleet.peer(name).connection().is_some();
+        let keep = up || now.duration_since(host.last_listed) < REMOVE_AFTER;
+        if !keep {
+            stop_link(host);
+            state.fleet.remove(name);
         }
-        stays
+        keep
     });
-    let wanted = wanted(state, &known);
-    for (name, host) in known.iter_mut() {
-        let asked = host.asked.is_some_and(|at| now.duration_since(at) < SPARE);
+    let permanent = permanent(state, &members);
+    for (name, host) in members.iter_mut() {
+        let requested = host
+            .last_requested
+            .is_some_and(|at| now.duration_since(at) < ON_DEMAND_IDLE);
         let busy = state.fleet.peer(name).in_flight() > 0;
-        if wanted.contains(name) || asked || busy {
-            start(state, name, host);
+        if permanent.contains(name) || requested || busy {
+            start_link(state, name, host);
         } else {
-            stop(host);
+            stop_link(host);
         }
     }
 }
 
-/// Asks for a link that the entry doesn't keep all the time.
-fn ask(state: &Arc<State>, name: &str) {
-    let mut known = state.hosts.known.lock().expect("no panic while held");
-    if let Some(host) = known.get_mut(name) {
-        host.asked = Some(Instant::now());
-        start(state, name, host);
+/// Requests a link to a host that may have no permanent one.
+fn request_link(state: &Arc<State>, name: &str) {
+    let mut members = state.hosts.members.lock().expect("no panic while held");
+    if let Some(host) = members.get_mut(name) {
+        host.last_requested = Some(Instant::now());
+        start_link(state, name, host);
     }
 }
 
-/// The hosts that this entry keeps a link to all the time.
-fn wanted(state: &State, known: &HashMap<Host, Known>) -> HashSet<Host> {
+/// Returns the hosts that this entry has a permanent link to.
+fn permanent(state: &State, members: &HashMap<Host, Member>) -> HashSet<Host> {
     let own = &state.settings.name;
     let candidates = |role| {
-        known
+        members
             .iter()
             .filter(|(_, host)| host.role == role)
             .map(|(name, host)| Candidate {
@@ -213,23 +221,25 @@
     let data_centre = &state.settings.data_centre;
     let sidecars = subset::choose(own, data_centre, &candidates(Role::Sidecar), limits.links);
     let entries = subset::choose(own, data_centre, &candidates(Role::Entry), limits.peers);
-    // Of two entries the one with the lower name dials, so that they have one link.
+    // Of two entries, the one with the lower name dials, so that they have one link.
     let entries = entries.into_iter().filter(|name| name > own);
     sidecars.into_iter().chain(entries).collect()
 }
 
-fn start(state: &Arc<State>, name: &str, host: &mut Known) {
-    if host.kept.is_some() {
+/// Starts the task that maintains a link, unless it is running.
+fn start_link(state: &Arc<State>, name: &str, host: &mut Member) {
+    if host.link_task.is_some() {
         return;
     }
-    let token = state.ended.child_token();
-    host.kept = Some(token.clone());
+    let token = state.stopped.child_token();
+    host.link_task = Some(token.clone());
     let peer = state.fleet.peer(name);
-    tokio::spawn(keep(state.clone(), peer, host.address, token));
+    tokio::spawn(maintain(state.clone(), peer, host.address, token));
 }
 
-fn stop(host: &mut Known) {
-    if let Some(token) = host.kept.take() {
+/// Stops the task that maintains a link.
+fn stop_link(host: &mut Member) {
+    if let Some(token) = host.link_task.take() {
         token.cancel();
     }
 }
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,4 +1,5 @@
-//! The entry daemon's library: callers and operators in, links to sidecars out.
+//! Library of the entry daemon. An entry serves the HTTP interfaces of callers and operators, and
+//! sends the requests of callers over links to the sidecars of backend servers.
 
 mod answers;
 mod attempt;
--- a/components/entry/src/links.rs
+++ b/components/entry/src/links.rs
@@ -1,4 +1,4 @@
-//! Links to sidecars and to other entries: dialling, answering, and when a link is lost.
+//! Links to sidecars and to other entries: dialling, accepting, and detection of lost links.
 
 use std::{
     net::SocketAddr,
@@ -31,96 +31,99 @@
 
 use crate::{
     fleet::{
-        Joined,
+        Connection,
         Peer, //
     },
     state::State,
 };
 
-/// First and longest pause between two dials of one host.
-const PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// First and longest pause between two attempts to dial one host.
+const MIN_DIAL_PAUSE: Duration = Duration::from_millis(50);
+const MAX_DIAL_PAUSE: Duration = Duration::from_secs(2);
 
-/// Looks at a busy link within the time of silence.
-const LOOKS: u32 = 8;
+/// Checks of a busy link within the silence timeout.
+const SILENCE_CHECKS: u32 = 8;
 
-/// Frames that wait for a link's first stream; beyond it the newest are dropped, since what is
-/// sent there is repeated anyway.
-const WAITING: usize = 256;
+/// Frames queued for a link's control stream. When the queue is full, the newest are dropped, since
+/// everything on that stream is sent again later.
+const FRAME_QUEUE: usize = 256;
 
-/// Keeps a link to one host: dials, and dials again when the link is lost.
-pub(crate) async fn keep(
+/// Maintains a link to one host: dials it, and redials when the link is lost.
+pub(crate) async fn maintain(
     state: Arc<State>,
     peer: Arc<Peer>,
     address: SocketAddr,
     stop: CancellationToken,
 ) {
-    let mut pause = PAUSE;
+    let mut pause = MIN_DIAL_PAUSE;
     loop {
-        let joined = tokio::select! {
+        let connection = tokio::select! {
             () = stop.cancelled() => return,
-            joined = dial(&state, &peer.host, address) => joined,
+            connection = dial(&state, &peer.host, address) => connection,
         };
-        match joined {
+        match connection {
             Ok((link, stream, hello)) => {
-                pause = PAUSE;
-                join(&state, &peer, link, stream, hello, &stop).await;
+                pause = MIN_DIAL_PAUSE;
+                run(&state, &peer, link, stream, hello, &stop).await;
             }
-            Err(error) => note(&peer.host, &error, pause),
+            Err(error) => log_failure(&peer.host, &error, pause),
         }
         tokio::select! {
             () = stop.cancelled() => return,
             () = sleep(pause) => {}
         }
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_DIAL_PAUSE);
     }
 }
 
+/// Dials a host, and exchanges greetings within the silence timeout.
 pub(crate) async fn dial(
     state: &State,
     host: &str,
     address: SocketAddr,
 ) -> Result<(Link, Stream, Hello), Error> {
-    // From a socket of its own: a new link must pass where the last one went silent.
+    // A socket of its own: a new link must get through even if the path of the last one, with the
+    // same addresses and ports, no longer carries packets.
     let link = state.node.dial_apart(address, host).await?;
     let silence = state.settings.times.silence;
     let (stream, hello) = greeting::dialled(&link, &state.hello, silence).await?;
     Ok((link, stream, hello))
 }
 
-/// Answers processes that dial us.
+/// Accepts links from processes that dial this entry.
 pub(crate) async fn accept(state: Arc<State>) {
     loop {
         let incoming = tokio::select! {
-            () = state.ended.cancelled() => return,
+            () = state.stopped.cancelled() => return,
             incoming = state.node.accept() => incoming,
         };
         let Some(incoming) = incoming else {
             return;
         };
-        tokio::spawn(answer(state.clone(), incoming));
+        tokio::spawn(serve(state.clone(), incoming));
     }
 }
 
-async fn answer(state: Arc<State>, incoming: Incoming) {
+/// Answers the handshake of an incoming link, and runs the link.
+async fn serve(state: Arc<State>, incoming: Incoming) {
     let address = incoming.address();
     let silence = state.settings.times.silence;
-    let greet = async {
+    let handshake = async {
         let link = incoming.answer().await?;
         let (stream, hello) = greeting::answered(&link, &state.hello, silence).await?;
         Ok((link, stream, hello))
     };
-    match greet.await {
+    match handshake.await {
         Ok((link, stream, hello)) => {
             let peer = state.fleet.peer(&hello.host);
-            join(&state, &peer, link, stream, hello, &state.ended).await;
+            run(&state, &peer, link, stream, hello, &state.stopped).await;
         }
-        Err(error) => note(&address.to_string(), &error, PAUSE),
+        Err(error) => log_failure(&address.to_string(), &error, MIN_DIAL_PAUSE),
     }
 }
 
-/// Uses a link until it is lost.
-async fn join(
+/// Runs a link until it is lost.
+async fn run(
     state: &Arc<State>,
     peer: &Arc<Peer>,
     link: Link,
@@ -129,102 +132,103 @@
     stop: &CancellationToken,
 ) {
     events::emit!(links::UP, "host={}", peer.host);
-    let (frames, waiting) = mpsc::channel(WAITING);
-    let beats = state.heartbeat.subscribe();
+    let (frames, queued) = mpsc::channel(FRAME_QUEUE);
+    let heartbeats = state.heartbeat.subscribe();
     let times = &state.settings.times;
     let pace = Pace {
         busy: times.heartbeat,
         rest: times.rest,
     };
-    let heard = {
+    let received_any = {
         let link = link.clone();
         let mut before = 0;
         move || {
             let now = link.bytes().1;
-            let heard = now != before;
+            let received_any = now != before;
             before = now;
-            heard
+            received_any
         }
     };
     tokio::spawn(greeting::beat(
         stream.sender,
-        beats,
-        waiting,
-        peer.work(),
+        heartbeats,
+        queued,
+        peer.watch_work(),
         pace,
-        heard,
+        received_any,
     ));
-    let (told, others) = (state.clone(), frames.clone());
-    tokio::spawn(async move { told.suspects.tell(others).await });
-    let joined = Joined {
+    let (shared, sender) = (state.clone(), frames.clone());
+    tokio::spawn(async move { shared.suspects.tell(sender).await });
+    let connection = Connection {
         link: link.clone(),
         hello,
         frames,
     };
-    state.pool.up(&joined.hello);
-    let backend = joined.hello.backend.clone();
-    peer.link.send_replace(Some(joined));
+    state.pool.add(&connection.hello);
+    let backend = connection.hello.backend.clone();
+    peer.connection.send_replace(Some(connection));
     let reason = tokio::select! {
         reason = link.closed() => reason,
-        reason = read(state, peer, stream.receiver) => reason,
-        () = hush(peer, &link, times.silence) => "silent while there is work on it".into(),
-        () = stop.cancelled() => "not needed any more".into(),
+        reason = read_frames(state, peer, stream.receiver) => reason,
+        () = detect_silence(peer, &link, times.silence) => "silent while work is in progress".into(),
+        () = stop.cancelled() => "no longer needed".into(),
     };
     link.close();
     if let Some(backend) = backend {
-        state.pool.lost(&backend.server);
+        state.pool.remove(&backend.server);
     }
     events::emit!(links::LOST, "host={} reason=\"{reason}\"", peer.host);
 }
 
-/// Ends when nothing at all came on a link for `silence` while there is work on it.
+/// Returns when a link with work in progress has received no bytes for `silence`.
 ///
-/// The peer is stopped, or something between the two ends has forgotten the connection: then no
-/// error ever comes, and an answer would stand still. Our heartbeats on a busy link make the peer
-/// send acknowledgements at least, so silence means that it is not there, or not on this link. The
-/// limit of a link at rest is longer, as heartbeats are rare there: the transport's idle timeout.
-async fn hush(peer: &Peer, link: &Link, silence: Duration) {
-    let mut work = peer.work();
+/// When the peer is stopped, or a middlebox has dropped the connection, no error is ever reported
+/// and an answer would stall. The heartbeats of this entry on a busy link make the peer send at
+/// least acknowledgements, so silence means that the peer, or the path to it, is gone. An idle link
+/// has few heartbeats; there the longer idle timeout of the transport applies.
+async fn detect_silence(peer: &Peer, link: &Link, silence: Duration) {
+    let mut work = peer.watch_work();
     let mut received = link.bytes().1;
-    let mut heard = Instant::now();
+    let mut last_received = Instant::now();
     loop {
         if *work.borrow_and_update() == 0 {
-            // The peer lives as long as the link does, so this wait ends only with work.
+            // The peer, and with it the sender, outlives the link: this wait ends only with work.
             let _ = work.wait_for(|work| *work > 0).await;
-            heard = Instant::now();
+            last_received = Instant::now();
         }
-        sleep(silence / LOOKS).await;
+        sleep(silence / SILENCE_CHECKS).await;
         let now = link.bytes().1;
         if now != received {
             received = now;
-            heard = Instant::now();
+            last_received = Instant::now();
         }
-        if heard.elapsed() >= silence {
+        if last_received.elapsed() >= silence {
             return;
         }
     }
 }
 
-/// Reads a link's first stream, and says why that ended.
-async fn read(state: &State, peer: &Peer, mut receiver: Receiver) -> String {
+/// Handles the frames of a link's control stream, and returns the reason for its end.
+async fn read_frames(state: &State, peer: &Peer, mut receiver: Receiver) -> String {
     loop {
         match receiver.receive().await {
             Ok(Some(Frame::Heartbeat(heartbeat))) => {
-                if peer.hear(heartbeat) {
+                if peer.record_heartbeat(heartbeat) {
                     events::emit!(links::LEAVING, "host={}", peer.host);
                 }
-                state.tell_pool(peer);
+                state.update_pool(peer);
             }
             Ok(Some(Frame::Suspects(facts))) => state.suspects.merge(&facts),
-            Ok(Some(Frame::Spread(bytes))) => state.documents.message(&peer.host, &bytes),
+            Ok(Some(Frame::Spread(bytes))) => state.documents.receive(&peer.host, &bytes),
             Ok(Some(_)) => {}
-            Ok(None) => return "ended by the peer".into(),
+            Ok(None) => return "closed by the peer".into(),
             Err(error) => return error.to_string(),
         }
     }
 }
 
-fn note(host: &str, error: &Error, pause: Duration) {
+/// Logs a failed dial or handshake.
+fn log_failure(host: &str, error: &Error, pause: Duration) {
     match error {
         Error::Foreign(reason) => {
             events::emit!(links::FOREIGN, "host={host} reason=\"{reason}\"");
@@ -232,7 +236,8 @@
         Error::Malformed(reason) => {
             events::emit!(links::PROTOCOL, "host={host} reason=\"{reason}\"");
         }
-        // A host that is gone stays in the list for a while: say it once a second or less.
+        // A host that is gone stays in the list for a while: with longer pauses only, so that it is
+        // logged about once a second at most.
         _ if pause >= Duration::from_millis(800) => {
             events::emit!(links::LOST, "host={host} reason=\"{error}\"");
         }
--- a/components/entry/src/moves.rs
+++ b/components/entry/src/moves.rs
@@ -1,8 +1,8 @@
-//! Moves at this entry: the movers, their clock, and the store's records.
+//! Moves at this entry: runs the movers, and reads and writes the records of moves in the store.
 //!
-//! Vetoes go to every entry at once, and so does the store's record when an entry has written or
-//! read it. The entries take turns to write it, so that usually one does. Evidence isn't spread
-//! between entries yet: each judges by its own requests.
+//! A veto is spread to all entries immediately, and so is the record of a move once an entry has
+//! written or read it. The entries write the record in turns, by rank, so that usually only one
+//! does. Evidence is not spread between entries yet: each entry decides by its own requests.
 
 use std::{
     collections::BTreeMap,
@@ -44,7 +44,7 @@
 };
 
 use crate::{
-    moves::movers::running,
+    moves::movers::ready_servers,
     state::State, //
 };
 
@@ -53,62 +53,63 @@
 mod observer;
 mod store;
 
-pub(crate) use observer::Witness;
+pub(crate) use observer::Observer;
 
-/// Time between two ticks of the movers.
-const PACE: Duration = Duration::from_secs(1);
+/// Interval of the ticks of the movers.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time after the process's start by which it has heard the vetoes that its peers know: their
-/// digests come with each heartbeat.
-const SYNC: Duration = Duration::from_secs(5);
+/// Time after the start of the process by which it has received the vetoes that its peers have:
+/// their digests come with each heartbeat.
+const VETO_SYNC_TIME: Duration = Duration::from_secs(5);
 
-/// Time for which a veto or a record is spread. By then the store's record has long told the same.
-const KEPT: Duration = Duration::from_secs(30 * 24 * 3600);
+/// Time for which a veto or a record is spread. All entries have
+/// read the same from the record in the store long before that.
+const FACT_LIFETIME: Duration = Duration::from_secs(30 * 24 * 3600);
 
-/// Lets the movers' time pass and follows the document, until the entry ends.
-pub(crate) async fn follow(state: Arc<State>) {
-    let mut ticks = interval(PACE);
+/// Runs the movers and applies documents to them until the entry has stopped.
+pub(crate) async fn run(state: Arc<State>) {
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut known = state.documents.known();
+    let mut facts = state.documents.facts();
     let mut vetoes = BTreeMap::new();
-    let mut seen = 0;
+    let mut applied_revision = 0;
     loop {
         tokio::select! {
-            () = state.ended.cancelled() => return,
-            Ok((key, fact)) = known.recv() => {
-                hear(&state, &key, &fact, &mut vetoes);
+            () = state.stopped.cancelled() => return,
+            Ok((key, fact)) = facts.recv() => {
+                receive(&state, &key, &fact, &mut vetoes);
                 continue;
             }
             _ = ticks.tick() => {}
         }
-        let Some(held) = state.documents.current() else {
+        let Some(snapshot) = state.documents.current() else {
             continue;
         };
-        if held.revision != seen {
-            seen = held.revision;
-            take(&state, &held.document);
-            // A veto may come before the document that holds its move.
+        if snapshot.revision != applied_revision {
+            applied_revision = snapshot.revision;
+            apply(&state, &snapshot.document);
+            // A veto may arrive before the document that has its move.
             for (name, veto) in &vetoes {
-                on(&state, name, Event::Heard(Fact::Veto(Veto::clone(veto))));
+                handle(&state, name, Event::Heard(Fact::Veto(Veto::clone(veto))));
             }
-            state.book.set_levels(&held.document);
+            state.burn.set_levels(&snapshot.document);
         }
-        ready(&state, &held.document);
-        let names = names(&state);
+        report_ready(&state, &snapshot.document);
+        let names = active(&state);
         let others = state.hosts.other_entries();
         for name in names {
             let rank = rank(&state.settings.name, &others, &name);
-            on(&state, &name, Event::Rank(rank));
-            if state.now() >= SYNC {
-                on(&state, &name, Event::Synced);
+            handle(&state, &name, Event::Rank(rank));
+            if state.now() >= VETO_SYNC_TIME {
+                handle(&state, &name, Event::Synced);
             }
-            on(&state, &name, Event::Tick);
+            handle(&state, &name, Event::Tick);
         }
     }
 }
 
-/// Takes in a veto or a record that another entry told.
-fn hear(state: &Arc<State>, key: &Key, fact: &spread::Fact, vetoes: &mut BTreeMap<Move, Veto>) {
+/// Handles a veto or a record from another entry.
+fn receive(state: &Arc<State>, key: &Key, fact: &spread::Fact, vetoes: &mut BTreeMap<Move, Veto>) {
     let (Key::Veto(environment, name) | Key::Record(environment, name)) = key else {
         return;
     };
@@ -121,7 +122,7 @@
                 revision: fact.weight,
                 record: Some(record),
             };
-            on(state, name, Event::Stored(answer));
+            handle(state, name, Event::Stored(answer));
         }
         return;
     }
@@ -129,33 +130,34 @@
         return;
     };
     vetoes.insert(name.clone(), veto.clone());
-    on(state, name, Event::Heard(Fact::Veto(veto)));
+    handle(state, name, Event::Heard(Fact::Veto(veto)));
 }
 
-/// Tells every entry that a move's new version is bad.
-fn tell(state: &State, name: &Move, veto: &Veto) {
+/// Spreads a veto against a move's new version to all entries.
+fn publish_veto(state: &State, name: &Move, veto: &Veto) {
     let key = Key::Veto(state.settings.environment.clone(), name.clone());
     let since = veto.at.duration_since(UNIX_EPOCH).unwrap_or_default();
     let fact = spread::Fact {
         weight: 1,
-        until: Some(since + KEPT),
+        until: Some(since + FACT_LIFETIME),
         body: postcard::to_stdvec(veto).expect("a veto can be encoded"),
     };
-    state.documents.learn(key, fact);
+    state.documents.publish(key, fact);
 }
 
-fn names(state: &State) -> Vec<Move> {
+/// Returns the names of the moves that have a mover.
+fn active(state: &State) -> Vec<Move> {
     let movers = state.movers.lock();
     movers.keys().cloned().collect()
 }
 
-/// Starts movers of new moves, and tells the others what became of theirs.
-fn take(state: &Arc<State>, document: &Document) {
+/// Starts movers for new moves, and updates the movers of known and removed ones.
+fn apply(state: &Arc<State>, document: &Document) {
     for plan in &document.moves {
         let routes = routes(document, plan);
-        if names(state).contains(&plan.name) {
+        if active(state).contains(&plan.name) {
             let plan = plan.clone();
-            on(state, &plan.name.clone(), Event::Planned { plan, routes });
+            handle(state, &plan.name.clone(), Event::Planned { plan, routes });
             continue;
         }
         let owner = Owner {
@@ -171,30 +173,31 @@
         movers.insert(plan.name.clone(), mover);
         drop(movers);
         for action in actions {
-            act(state, &plan.name, action);
+            execute(state, &plan.name, action);
         }
     }
-    for name in names(state) {
+    for name in active(state) {
         if document.moves.iter().any(|plan| plan.name == name) {
             continue;
         }
-        if let Some(side) = dropped(state, document, &name) {
-            on(state, &name, Event::Dropped(side));
+        if let Some(side) = remaining_side(state, document, &name) {
+            handle(state, &name, Event::Dropped(side));
         }
     }
 }
 
+/// Returns the routes that a plan moves.
 fn routes(document: &Document, plan: &Plan) -> Vec<Route> {
-    let moved = |name: &Route| plan.routes.is_empty() || plan.routes.contains(name);
+    let included = |name: &Route| plan.routes.is_empty() || plan.routes.contains(name);
     let rules = document.routes.iter();
     let of_service = rules.filter(|rule| rule.service == plan.service);
     let names = of_service.map(|rule| rule.name.clone());
-    names.filter(|name| moved(name)).collect()
+    names.filter(|name| included(name)).collect()
 }
 
-/// The version that the routes name now that the document no longer holds a move. Forgets the
-/// mover once its outcome is known.
-fn dropped(state: &State, document: &Document, name: &Move) -> Option<Side> {
+/// Returns the side that the routes use after a move was removed from the document. Drops the
+/// mover instead if its outcome is known.
+fn remaining_side(state: &State, document: &Document, name: &Move) -> Option<Side> {
     let mut movers = state.movers.lock();
     let mover = movers.get(name)?;
     if mover.outcome().is_some() {
@@ -207,8 +210,8 @@
     Some(rule.map_or(Side::Old, |_| Side::New))
 }
 
-/// Tells each mover how many replicas of its versions can take work.
-fn ready(state: &Arc<State>, document: &Document) {
+/// Reports to each mover how many replicas of its versions are ready for work.
+fn report_ready(state: &Arc<State>, document: &Document) {
     let servers = state.fleet.servers();
     for plan in &document.moves {
         let Some(provision) = document.service(&plan.service) else {
@@ -216,18 +219,18 @@
         };
         let count = |version: &Version| {
             let release = provision.versions.iter().find(|r| r.name == *version);
-            release.map_or(0, |release| running(&servers, release).len() as u32)
+            release.map_or(0, |release| ready_servers(&servers, release).len() as u32)
         };
         let event = Event::Ready {
             old: count(&plan.from),
             new: count(&plan.to),
         };
-        on(state, &plan.name, event);
+        handle(state, &plan.name, event);
     }
 }
 
-/// Hands an event to a mover and carries out what it asks for.
-fn on(state: &Arc<State>, name: &Move, event: Event) {
+/// Passes an event to a mover and executes the resulting actions.
+fn handle(state: &Arc<State>, name: &Move, event: Event) {
     let actions = {
         let mut movers = state.movers.lock();
         let Some(mover) = movers.get_mut(name) else {
@@ -236,11 +239,12 @@
         mover.on(event, state.now(), SystemTime::now())
     };
     for action in actions {
-        act(state, name, action);
+        execute(state, name, action);
     }
 }
 
-fn act(state: &Arc<State>, name: &Move, action: Action) {
+/// Executes an action of a mover.
+fn execute(state: &Arc<State>, name: &Move, action: Action) {
     match action {
         Action::Read => {
             tokio::spawn(store::read(state.clone(), name.clone()));
@@ -248,10 +252,10 @@
         Action::Write { record, expect } => {
             tokio::spawn(store::write(state.clone(), name.clone(), record, expect));
         }
-        Action::Notice(notice) => log::log(name, &notice),
-        Action::Publish(Fact::Veto(veto)) => tell(state, name, &veto),
-        // The pick reads share and concentration from the mover; the old version's servers stay
-        // in the document.
+        Action::Notice(notice) => log::notice(name, &notice),
+        Action::Publish(Fact::Veto(veto)) => publish_veto(state, name, &veto),
+        // Picks read share and concentration from the mover, and the document keeps the servers of
+        // the old version.
         Action::Share(_) | Action::Concentrate(_) | Action::Warm(_) | Action::Publish(_) => {}
     }
 }
--- a/components/entry/src/moves/log.rs
+++ b/components/entry/src/moves/log.rs
@@ -1,16 +1,16 @@
-//! What operators are told of a move.
+//! Log messages of movers.
 
-use events::moves as logged;
+use events::moves as messages;
 use moves::step::Notice;
 use names::Move;
 
 /// Logs a notice of a mover.
-pub(super) fn log(name: &Move, notice: &Notice) {
+pub(super) fn notice(name: &Move, notice: &Notice) {
     match notice {
         Notice::Tripped(veto) => {
             let finding = &veto.finding;
             events::emit!(
-                logged::TRIPPED,
+                messages::TRIPPED,
                 "move={name} metric={:?} route={:?} new={}/{} old={}/{}",
                 finding.metric,
                 finding.route,
@@ -20,13 +20,13 @@
                 finding.of_old
             );
         }
-        Notice::Late => events::emit!(logged::LATE, "move={name}"),
+        Notice::Late => events::emit!(messages::LATE, "move={name}"),
         Notice::Reported(outcome) => {
-            events::emit!(logged::REPORTED, "move={name} end={:?}", outcome.end);
+            events::emit!(messages::REPORTED, "move={name} end={:?}", outcome.end);
         }
         Notice::Learned(outcome) => {
-            events::emit!(logged::LEARNED, "move={name} end={:?}", outcome.end);
+            events::emit!(messages::LEARNED, "move={name} end={:?}", outcome.end);
         }
-        Notice::Overruled(_) => events::emit!(logged::OVERRULED, "move={name}"),
+        Notice::Overruled(_) => events::emit!(messages::OVERRULED, "move={name}"),
     }
 }
--- a/components/entry/src/moves/movers.rs
+++ b/components/entry/src/moves/movers.rs
@@ -1,4 +1,4 @@
-//! The movers of this entry, and what they pick.
+//! The movers of this entry, and the versions that they pick for requests.
 
 use std::{
     collections::BTreeMap,
@@ -35,25 +35,25 @@
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The movers of the moves that the document holds, and of those that have yet to end.
+/// Movers of the moves in the document, and of removed moves whose outcome is not known yet.
 #[derive(Default)]
 pub(crate) struct Movers(Mutex<BTreeMap<Move, Mover>>);
 
-/// A version that a move picked for a request.
+/// Assignment of a request to one of the versions of a move.
 #[derive(Clone, Debug)]
-pub(crate) struct Picked {
+pub(crate) struct Assignment {
     pub(super) name: Move,
     pub(super) pick: Pick,
 }
 
 impl Movers {
-    /// The movers, by move.
+    /// Locks the movers, by move.
     pub(crate) fn lock(&self) -> MutexGuard<'_, BTreeMap<Move, Mover>> {
         self.0.lock().expect("no panic while held")
     }
 
-    /// Picks the version for a request, if a move says so, and points the target and the release
-    /// at it.
+    /// Assigns a request to a version if a move applies to its target, and sets target and release
+    /// to that version.
     pub(crate) fn pick(
         &self,
         document: &Document,
@@ -61,11 +61,11 @@
         servers: &[Server],
         target: &mut Target,
         release: &mut Release,
-    ) -> Option<Picked> {
-        let plan = document.moves.iter().find(|plan| moves(plan, target))?;
+    ) -> Option<Assignment> {
+        let plan = document.moves.iter().find(|plan| applies(plan, target))?;
         let movers = self.lock();
         let mover = movers.get(&plan.name)?;
-        // The move's name goes in, or the same requests would go first in every move.
+        // Seeded by the move's name, or every move would start with the same requests.
         let seed = xxh3_64_with_seed(plan.name.as_bytes(), 0);
         let hash = xxh3_64_with_seed(request.as_bytes(), seed);
         let pick = mover.pick(&target.route, hash, SystemTime::now());
@@ -74,30 +74,30 @@
             Side::New => &plan.to,
         };
         let provision = document.service(&target.service)?;
-        let wanted = provision.versions.iter().find(|r| r.name == *version)?;
-        *release = wanted.clone();
+        let picked = provision.versions.iter().find(|r| r.name == *version)?;
+        *release = picked.clone();
         target.version = version.clone();
         if pick.side == Side::New
-            && let Some(most) = mover.concentration()
+            && let Some(limit) = mover.concentration()
         {
-            let mut ready = running(servers, wanted);
-            ready.truncate(most as usize);
+            let mut ready = ready_servers(servers, picked);
+            ready.truncate(limit as usize);
             if !ready.is_empty() {
                 release.servers = ready;
             }
         }
         let name = plan.name.clone();
-        Some(Picked { name, pick })
+        Some(Assignment { name, pick })
     }
 
-    /// Every move, for a report.
+    /// Returns the progress of every move, for the report.
     pub(crate) fn progress(&self) -> Vec<Progress> {
         let movers = self.lock();
         movers.values().map(progress).collect()
     }
 }
 
-/// One move as operators see it.
+/// Returns the progress of one move.
 fn progress(mover: &Mover) -> Progress {
     let plan = mover.plan();
     let mut routes = BTreeMap::<&Route, (Count, Count)>::new();
@@ -131,6 +131,7 @@
     }
 }
 
+/// Adds a tally to a count.
 fn add(count: &mut Count, tally: &Tally) {
     count.requests += tally.requests;
     count.failed += tally.distinct_failures();
@@ -138,15 +139,15 @@
     count.slow_between += tally.slow_between;
 }
 
-/// Tells whether a plan moves the requests of a route.
-fn moves(plan: &Plan, target: &Target) -> bool {
+/// Returns whether a plan applies to the requests of a target.
+fn applies(plan: &Plan, target: &Target) -> bool {
     let version = plan.from == target.version || plan.to == target.version;
     let route = plan.routes.is_empty() || plan.routes.contains(&target.route);
     plan.service == target.service && version && route
 }
 
-/// The servers of a release that can take work, in a fixed order.
-pub(super) fn running(servers: &[Server], release: &Release) -> Vec<Server> {
-    let running = servers.iter().filter(|server| release.runs_on(server));
-    running.cloned().collect()
+/// Returns those of `servers` that run a release, in the same order.
+pub(super) fn ready_servers(servers: &[Server], release: &Release) -> Vec<Server> {
+    let ready = servers.iter().filter(|server| release.runs_on(server));
+    ready.cloned().collect()
 }
--- a/components/entry/src/moves/observer.rs
+++ b/components/entry/src/moves/observer.rs
@@ -1,4 +1,4 @@
-//! What one request shows of the version that a move picked for it.
+//! Reports the evidence of one request to the move that picked its version.
 
 use std::{
     sync::Arc,
@@ -26,66 +26,68 @@
 
 use crate::{
     moves::{
-        movers::Picked,
-        on, //
+        handle,
+        movers::Assignment, //
     },
     state::State, //
 };
 
-/// Time within which broken generations of one server are taken for one death.
+/// Time within which broken generations on one server count as one death.
 ///
-/// A death breaks all that ran on the server. Counted one by one, a single death would look like
-/// many.
-const ONE_DEATH: Duration = Duration::from_secs(10);
+/// A death breaks all generations on the server. Counted separately, they would look like as many
+/// deaths.
+const DEATH_WINDOW: Duration = Duration::from_secs(10);
 
-/// Tokens after which the mean time between them is told.
-const TOKENS: usize = 50;
+/// Tokens after which the mean time between tokens is reported.
+const GAP_REPORT_TOKENS: usize = 50;
 
-/// What one request shows of its version.
-pub(crate) struct Witness {
-    picked: Option<Picked>,
+/// Observes one request; inactive for a request without an assignment.
+pub(crate) struct Observer {
+    assignment: Option<Assignment>,
     first: Option<Instant>,
-    told: bool,
+    gap_reported: bool,
 }
 
-impl Witness {
-    pub(crate) fn new(picked: Option<Picked>) -> Self {
+impl Observer {
+    /// Creates an observer of a request.
+    pub(crate) fn new(assignment: Option<Assignment>) -> Self {
         Self {
-            picked,
+            assignment,
             first: None,
-            told: false,
+            gap_reported: false,
         }
     }
 
-    /// Tokens came; `count` is their number so far.
-    pub(crate) fn tokens(&mut self, state: &Arc<State>, begun: Instant, count: usize) {
-        let Some(picked) = &self.picked else {
+    /// Records received tokens; `count` is their total number so far, and `started` the start of the
+    /// request.
+    pub(crate) fn tokens_received(&mut self, state: &Arc<State>, started: Instant, count: usize) {
+        let Some(assignment) = &self.assignment else {
             return;
         };
         let now = Instant::now();
         let Some(first) = self.first else {
             self.first = Some(now);
-            let pick = picked.pick.clone();
+            let pick = assignment.pick.clone();
             let event = Event::First {
                 pick,
-                time: now - begun,
-                late: late(state, begun),
+                time: now - started,
+                late: delayed_share(state, started),
             };
-            on(state, &picked.name, event);
+            handle(state, &assignment.name, event);
             return;
         };
-        if !self.told && count >= TOKENS {
-            self.told = true;
-            between(state, picked, first, count);
+        if !self.gap_reported && count >= GAP_REPORT_TOKENS {
+            self.gap_reported = true;
+            report_gap(state, assignment, first, count);
         }
     }
 
-    /// A generation of the request broke at its server.
-    pub(crate) fn broken(&mut self, state: &Arc<State>, server: &Server, why: Breakage) {
-        let Some(picked) = &self.picked else {
+    /// Records that a generation of the request broke on its server.
+    pub(crate) fn broken(&mut self, state: &Arc<State>, server: &Server, reason: Breakage) {
+        let Some(assignment) = &self.assignment else {
             return;
         };
-        match why {
+        match reason {
             Breakage::EngineStalled | Breakage::Repeat | Breakage::Hole => {
                 self.ended(state, Ending::Failed, 0);
             }
@@ -94,64 +96,65 @@
                 let since = wall.duration_since(UNIX_EPOCH).unwrap_or_default();
                 let death = Death {
                     server: server.clone(),
-                    incarnation: since.as_secs() / ONE_DEATH.as_secs(),
-                    side: picked.pick.side,
-                    slot: picked.pick.slot,
-                    level: picked.pick.level,
+                    incarnation: since.as_secs() / DEATH_WINDOW.as_secs(),
+                    side: assignment.pick.side,
+                    slot: assignment.pick.slot,
+                    level: assignment.pick.level,
                     cause: Cause::Unexplained,
                 };
-                on(state, &picked.name, Event::Died(death));
+                handle(state, &assignment.name, Event::Died(death));
             }
             Breakage::LogFull | Breakage::Cancelled => {}
         }
     }
 
-    /// A sidecar refused the request.
-    pub(crate) fn refused(&mut self, state: &Arc<State>, why: Reason) {
-        // A server that answers errors, lacks its version or can't do what the old one can is the
-        // version's fault; a full or leaving one isn't.
-        let faults = [
+    /// Records that a sidecar refused the request.
+    pub(crate) fn refused(&mut self, state: &Arc<State>, reason: Reason) {
+        // Errors, a missing version and missing features count against the version; a full or
+        // leaving server doesn't.
+        let version_faults = [
             Reason::Down,
             Reason::Version,
             Reason::Invalid,
             Reason::Continuation,
         ];
-        if faults.contains(&why) {
+        if version_faults.contains(&reason) {
             self.ended(state, Ending::Failed, 0);
         }
     }
 
-    /// The request ended, or its generation broke by the version's fault. Later ends of the same
-    /// request say nothing more.
+    /// Records the end of the request, or a failure that counts against the version. Only the first
+    /// call for a request has an effect.
     pub(crate) fn ended(&mut self, state: &Arc<State>, ending: Ending, count: usize) {
-        let Some(picked) = self.picked.take() else {
+        let Some(assignment) = self.assignment.take() else {
             return;
         };
         if let Some(first) = self.first
-            && !self.told
+            && !self.gap_reported
             && count > 1
         {
-            between(state, &picked, first, count);
+            report_gap(state, &assignment, first, count);
         }
-        let pick = picked.pick;
-        on(state, &picked.name, Event::Finished { pick, ending });
+        let pick = assignment.pick;
+        handle(state, &assignment.name, Event::Finished { pick, ending });
     }
 }
 
-fn between(state: &Arc<State>, picked: &Picked, first: Instant, count: usize) {
+/// Reports the mean time between the `count` tokens so far.
+fn report_gap(state: &Arc<State>, assignment: &Assignment, first: Instant, count: usize) {
     let gaps = u32::try_from(count - 1).unwrap_or(u32::MAX);
     let event = Event::Between {
-        pick: picked.pick.clone(),
+        pick: assignment.pick.clone(),
         time: first.elapsed() / gaps.max(1),
-        late: late(state, first),
+        late: delayed_share(state, first),
     };
-    on(state, &picked.name, event);
+    handle(state, &assignment.name, event);
 }
 
-/// Part of the time since `begun` by which this entry itself ran late.
-fn late(state: &State, begun: Instant) -> f64 {
+/// Returns the share of the time since `started` by which this entry itself was delayed.
+fn delayed_share(state: &State, started: Instant) -> f64 {
     let now = state.now();
     state
         .lateness
-        .part(now.saturating_sub(begun.elapsed()), now)
+        .part(now.saturating_sub(started.elapsed()), now)
 }
--- a/components/entry/src/moves/store.rs
+++ b/components/entry/src/moves/store.rs
@@ -1,4 +1,4 @@
-//! The store's record of a move: read, written, and told to the other entries.
+//! Reads and writes the record of a move in the store, and spreads it to the other entries.
 
 use std::{
     sync::Arc,
@@ -27,22 +27,25 @@
 
 use crate::{
     moves::{
-        KEPT,
-        on, //
+        FACT_LIFETIME,
+        handle, //
     },
     state::State, //
 };
 
+/// Reads the record of a move, and passes the result to its mover.
 pub(super) async fn read(state: Arc<State>, name: Move) {
     let key = key(&state.settings.environment, &name);
     let answer = match state.platform.get(&key).await {
-        Ok(entry) => standing(entry),
+        Ok(entry) => stored_answer(entry),
         Err(_) => Answer::Failed,
     };
-    tell_record(&state, &name, &answer);
-    on(&state, &name, Event::Stored(answer));
+    publish_record(&state, &name, &answer);
+    handle(&state, &name, Event::Stored(answer));
 }
 
+/// Writes the record of a move if the store still has revision `expect` (0: no record), and passes
+/// the result to its mover.
 pub(super) async fn write(state: Arc<State>, name: Move, record: Box<Record>, expect: Revision) {
     let key = key(&state.settings.environment, &name);
     let value = serde_json::to_string(&record).expect("a record has a JSON form");
@@ -55,14 +58,15 @@
             revision,
             record: Some(record),
         },
-        Ok(Write::Conflict { entry }) => standing(entry),
+        Ok(Write::Conflict { entry }) => stored_answer(entry),
         Err(_) => Answer::Failed,
     };
-    tell_record(&state, &name, &answer);
-    on(&state, &name, Event::Stored(answer));
+    publish_record(&state, &name, &answer);
+    handle(&state, &name, Event::Stored(answer));
 }
 
-fn standing(entry: Option<store::store::Entry>) -> Answer {
+/// Converts an entry of the store; none is a record that was never written.
+fn stored_answer(entry: Option<store::store::Entry>) -> Answer {
     let Some(entry) = entry else {
         return Answer::Standing {
             revision: 0,
@@ -78,11 +82,11 @@
     }
 }
 
-/// Tells every entry what the store keeps of a move.
+/// Spreads the stored record of a move to all entries.
 ///
-/// Only the entry that wrote the record, and those that read it, know that it stands. The others
-/// would each write it again when their turn comes.
-fn tell_record(state: &State, name: &Move, answer: &Answer) {
+/// Otherwise only the entries that wrote or read the record would know that it exists, and each of
+/// the others would write it again in its turn.
+fn publish_record(state: &State, name: &Move, answer: &Answer) {
     let Answer::Standing {
         revision,
         record: Some(record),
@@ -94,8 +98,8 @@
     let since = record.by.duration_since(UNIX_EPOCH).unwrap_or_default();
     let fact = spread::Fact {
         weight: *revision,
-        until: Some(since + KEPT),
+        until: Some(since + FACT_LIFETIME),
         body: serde_json::to_vec(record).expect("a record has a JSON form"),
     };
-    state.documents.learn(key, fact);
+    state.documents.publish(key, fact);
 }
