--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! The interface for operators: documents and what is in force where.
+//! HTTP interface for operators: edits of documents, their state in each data centre, and reports.
 
 use std::{
     collections::BTreeMap,
@@ -51,35 +51,36 @@
     state::State,
 };
 
-/// How long a survey waits for the other data centres.
-const SURVEY: Duration = Duration::from_secs(2);
+/// Time limit for the answers of the other data centres to a survey.
+const SURVEY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// When an operator may come back during an outage of the store.
-const RETRY: Duration = Duration::from_secs(5);
+/// Time after which an operator may retry during an outage of the store.
+const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// The operators' interface.
+/// Returns the routes of the interface for operators.
 pub(crate) fn router(state: &Arc<State>) -> Router {
-    let with = || state.clone();
+    let state = || state.clone();
     let environment = Router::with_path("environments/{environment}")
-        .get(Get { state: with() })
-        .put(Put { state: with() })
-        .push(Router::with_path("promote").post(Promote { state: with() }))
-        .push(Router::with_path("status").get(Survey { state: with() }));
+        .get(Get { state: state() })
+        .put(Put { state: state() })
+        .push(Router::with_path("promote").post(Promote { state: state() }))
+        .push(Router::with_path("status").get(Survey { state: state() }));
     Router::new()
         .push(environment)
-        .push(Router::with_path("reports/burn").get(Burn { state: with() }))
-        .push(Router::with_path("reports/moves").get(Moves { state: with() }))
-        .push(Router::with_path("reports/resumes").get(Resumes { state: with() }))
-        .push(Router::with_path("status").get(Status { state: with() }))
+        .push(Router::with_path("reports/burn").get(Burn { state: state() }))
+        .push(Router::with_path("reports/moves").get(Moves { state: state() }))
+        .push(Router::with_path("reports/resumes").get(Resumes { state: state() }))
+        .push(Router::with_path("status").get(Status { state: state() }))
 }
 
+/// `GET /environments/<environment>`: returns the document in the store.
 struct Get {
     state: Arc<State>,
 }
 
-/// A document as the store keeps it.
+/// A document as it stands in the store.
 #[derive(Serialize)]
-struct Kept {
+struct Stored {
     revision: Revision,
     edit: Record,
     text: String,
@@ -89,9 +90,9 @@
 #[handler]
 impl Get {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let environment = name(req);
-        match edit::stored(&self.state.platform, &environment).await {
-            Ok(Some(stored)) => res.render(Json(Kept {
+        let environment = environment_name(req);
+        match edit::read(&self.state.platform, &environment).await {
+            Ok(Some(stored)) => res.render(Json(Stored {
                 revision: stored.revision,
                 edit: stored.envelope.edit,
                 text: stored.envelope.text,
@@ -101,11 +102,12 @@
                 let message = format!("there is no environment `{environment}`");
                 Problem::new(Code::NotFound, message).write(res);
             }
-            Err(error) => out(&error.to_string()).write(res),
+            Err(error) => unavailable(&error.to_string()).write(res),
         }
     }
 }
 
+/// `PUT /environments/<environment>`: replaces the document.
 struct Put {
     state: Arc<State>,
 }
@@ -113,19 +115,21 @@
 #[handler]
 impl Put {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let made = async {
-            let environment = name(req);
+        let applied = async {
+            let environment = environment_name(req);
             let bytes = payload(req, environment::MAX_BYTES as u64).await?;
             let text = String::from_utf8(bytes)
                 .map_err(|error| Problem::invalid("body", format!("not UTF-8: {error}")))?;
-            check(&text, &environment)?;
+            validate(&text, &environment)?;
             let draft = draft(&self.state, req, text, None).await?;
-            make(&self.state, draft).await
+            apply(&self.state, draft).await
         };
-        render(made.await, res);
+        render(applied.await, res);
     }
 }
 
+/// `POST /environments/<environment>/promote`: copies the document of another environment in which it
+/// was tried.
 struct Promote {
     state: Arc<State>,
 }
@@ -133,44 +137,51 @@
 #[handler]
 impl Promote {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let made = async {
+        let applied = async {
             let pin = pin(req)?;
-            let environment = name(req);
-            let trial = edit::stored(&self.state.platform, &pin.environment)
+            let environment = environment_name(req);
+            let trial = edit::read(&self.state.platform, &pin.environment)
                 .await
-                .map_err(|error| out(&error.to_string()))?;
+                .map_err(|error| unavailable(&error.to_string()))?;
             let text = trial.map_or_else(String::new, |stored| stored.envelope.text);
-            // The edit refuses a trial that isn't what the pin says; but it first looks whether it
-            // is a repeat, and a repeat is accepted even when the trial has changed since.
+            // The edit is refused if the trial differs from the pin, except for a repeated edit:
+            // that is accepted even if the trial has changed since.
             let text = environment::rename(&text, &environment).unwrap_or_default();
             let draft = draft(&self.state, req, text, Some(pin)).await?;
-            make(&self.state, draft).await
+            apply(&self.state, draft).await
         };
-        render(made.await, res);
+        render(applied.await, res);
     }
 }
 
-fn name(req: &Request) -> String {
+/// Returns the environment that the path names.
+fn environment_name(req: &Request) -> String {
     req.param("environment").unwrap_or_default()
 }
 
+/// Reads the pin of a promotion from the query.
+///
+/// # Errors
+///
+/// Returns a [`Code::Invalid`] problem for a parameter that is missing or malformed.
 fn pin(req: &mut Request) -> Result<Pin, Problem> {
-    let missing = |field: &str, what: &str| Problem::invalid(field, what);
+    let invalid = |field: &str, what: &str| Problem::invalid(field, what);
     let digest: Option<String> = req.query("digest");
     let digest = digest.and_then(|digest| u64::from_str_radix(&digest, 16).ok());
     Ok(Pin {
         environment: req
             .query("from")
-            .ok_or_else(|| missing("from", "the environment of the trial is needed"))?,
+            .ok_or_else(|| invalid("from", "the environment of the trial is required"))?,
         revision: req
             .query("revision")
-            .ok_or_else(|| missing("revision", "the revision that was tried is needed"))?,
+            .ok_or_else(|| invalid("revision", "the revision that was tried is required"))?,
         digest: digest
-            .ok_or_else(|| missing("digest", "the digest that was tried is needed, in hex"))?,
+            .ok_or_else(|| invalid("digest", "the digest that was tried is required, in hex"))?,
     })
 }
 
-fn check(text: &str, environment: &str) -> Result<(), Problem> {
+/// Checks that a text is a valid document of an environment.
+fn validate(text: &str, environment: &str) -> Result<(), Problem> {
     let document = environment::read(text).map_err(|problems| {
         let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
         Problem::invalid("body", lines.join("\n"))
@@ -182,19 +193,19 @@
     Ok(())
 }
 
-/// The edit that a request asks for. Without `base` it replaces what stands there now.
+/// Builds the edit that a request describes. Without `base`, it is based on the current revision.
 async fn draft(
     state: &State,
     req: &mut Request,
     text: String,
     trial: Option<Pin>,
 ) -> Result<Draft, Problem> {
-    let environment = name(req);
+    let environment = environment_name(req);
     let base = match req.query("base") {
         Some(base) => base,
-        None => edit::stored(&state.platform, &environment)
+        None => edit::read(&state.platform, &environment)
             .await
-            .map_err(|error| out(&error.to_string()))?
+            .map_err(|error| unavailable(&error.to_string()))?
             .map_or(0, |stored| stored.revision),
     };
     let id: Option<String> = req.query("edit");
@@ -210,46 +221,49 @@
     })
 }
 
-async fn make(state: &State, draft: Draft) -> Result<Outcome, Problem> {
+/// Applies an edit, and converts failures to problems.
+async fn apply(state: &State, draft: Draft) -> Result<Outcome, Problem> {
     let id = draft.id.clone();
     let environment = draft.environment.clone();
-    let outcome = edit::make(&state.platform, draft).await;
+    let outcome = edit::apply(&state.platform, draft).await;
     match &outcome {
         Outcome::Accepted { .. } => {
-            // Nobody needs to wait for a watch to tell what this entry knows already.
+            // Spread it now instead of waiting for a watch of the store to report it.
             if environment == state.settings.environment {
-                spread_now(state, &environment).await;
+                announce(state, &environment).await;
             }
             Ok(outcome)
         }
         Outcome::Raced { revision, other } => {
-            let by = by(other.as_ref());
-            let message = format!("another edit came first: {by}, now revision {revision}");
+            let author = author(other.as_ref());
+            let message = format!("another edit came first: {author}, now revision {revision}");
             Err(Problem::new(Code::Conflict, message))
         }
         Outcome::Changed { revision, other } => {
-            let by = by(other.as_ref());
-            let message = format!("the trial isn't what was tried: {by}, now revision {revision}");
+            let author = author(other.as_ref());
+            let message =
+                format!("the trial isn't what was tried: {author}, now revision {revision}");
             Err(Problem::new(Code::Conflict, message))
         }
         Outcome::Large => {
-            let message = "the document is larger than the store takes; nothing was written";
+            let message = "the document exceeds the size limit of the store; nothing was written";
             Err(Problem::new(Code::TooLarge, message))
         }
-        Outcome::Unavailable => Err(out("the store is out")),
+        Outcome::Unavailable => Err(unavailable("the store is unavailable")),
         Outcome::Unknown => {
             let message = format!(
-                "the store is out, and whether the document was written isn't known; \
-                 the same with edit id {id} may be repeated and takes effect once"
+                "the store is unavailable, and the document may have been written; \
+                 the edit may be repeated with edit id {id} and takes effect once"
             );
             let problem = Problem::new(Code::Unknown, message).run(Run::Unknown);
-            Err(problem.retry(RETRY))
+            Err(problem.retry(OUTAGE_RETRY_AFTER))
         }
     }
 }
 
-async fn spread_now(state: &State, environment: &str) {
-    let Ok(Some(stored)) = edit::stored(&state.platform, environment).await else {
+/// Reads the stored document and passes it to the board.
+async fn announce(state: &State, environment: &str) {
+    let Ok(Some(stored)) = edit::read(&state.platform, environment).await else {
         return;
     };
     state.documents.event(spread::Event::Seen {
@@ -258,21 +272,24 @@
     });
 }
 
-fn by(other: Option<&Record>) -> String {
+/// Describes who wrote the current revision.
+fn author(other: Option<&Record>) -> String {
     match other {
         Some(record) if record.id.is_empty() => "written by other means".into(),
         Some(record) => format!("edit {} of {}", record.id, record.operator),
-        None => "there is no such document any more".into(),
+        None => "the document no longer exists".into(),
     }
 }
 
-fn out(reason: &str) -> Problem {
+/// Creates the problem for an outage of the store.
+fn unavailable(reason: &str) -> Problem {
     let message = format!("{reason}; nothing was written");
-    Problem::new(Code::Unavailable, message).retry(RETRY)
+    Problem::new(Code::Unavailable, message).retry(OUTAGE_RETRY_AFTER)
 }
 
-fn render(made: Result<Outcome, Problem>, res: &mut Response) {
-    match made {
+/// Writes the result of an edit to the response.
+fn render(applied: Result<Outcome, Problem>, res: &mut Response) {
+    match applied {
         Ok(Outcome::Accepted {
             revision,
             replaced_by,
@@ -284,15 +301,16 @@
     }
 }
 
+/// `GET /environments/<environment>/status`: returns what is in force in each data centre.
 struct Survey {
     state: Arc<State>,
 }
 
-/// What is in force where, as far as the data centres answer.
+/// What is in force in the data centres that answered in time.
 #[derive(Serialize)]
-struct Where {
+struct Overview {
     environment: String,
-    /// Highest revision that any answer names.
+    /// Highest revision of all answers.
     revision: Revision,
     data_centres: Vec<Account>,
 }
@@ -300,34 +318,38 @@
 #[handler]
 impl Survey {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let environment = name(req);
-        let until = Instant::now() + SURVEY;
+        let environment = environment_name(req);
+        let deadline = Instant::now() + SURVEY_TIMEOUT;
         let (number, mut accounts) = self.state.documents.survey();
-        let wanted = self
+        let expected = self
             .state
             .hosts
-            .data_centres(&self.state.settings.data_centre);
-        let mut heard = BTreeMap::new();
-        while heard.len() < wanted {
-            let Ok(Some(mut account)) = timeout_at(until, accounts.recv()).await else {
+            .data_centre_count(&self.state.settings.data_centre);
+        let mut received = BTreeMap::new();
+        while received.len() < expected {
+            let Ok(Some(mut account)) = timeout_at(deadline, accounts.recv()).await else {
                 break;
             };
             account
                 .standings
-                .retain(|one| one.environment == environment);
-            heard.insert(account.data_centre.clone(), account);
+                .retain(|standing| standing.environment == environment);
+            received.insert(account.data_centre.clone(), account);
         }
-        self.state.documents.surveyed(number);
-        let standings = heard.values().flat_map(|account| &account.standings);
-        let revision = standings.map(|one| one.revision).max().unwrap_or(0);
-        res.render(Json(Where {
+        self.state.documents.end_survey(number);
+        let standings = received.values().flat_map(|account| &account.standings);
+        let revision = standings
+            .map(|standing| standing.revision)
+            .max()
+            .unwrap_or(0);
+        res.render(Json(Overview {
             environment,
             revision,
-            data_centres: heard.into_values().collect(),
+            data_centres: received.into_values().collect(),
         }));
     }
 }
 
+/// `GET /reports/burn`: returns the report on service-level burn.
 struct Burn {
     state: Arc<State>,
 }
@@ -335,7 +357,7 @@
 #[handler]
 impl Burn {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let burn = self.state.book.report(self.state.now());
+        let burn = self.state.burn.report(self.state.now());
         match req.query::<String>("format").as_deref() {
             Some("html") => res.render(Text::Html(page::burn(&burn))),
             Some("text") => res.render(Text::Plain(text::burn(&burn))),
@@ -344,6 +366,7 @@
     }
 }
 
+/// `GET /reports/moves`: returns the report on moves.
 struct Moves {
     state: Arc<State>,
 }
@@ -359,6 +382,7 @@
     }
 }
 
+/// `GET /reports/resumes`: returns the report on resumed answers.
 struct Resumes {
     state: Arc<State>,
 }
@@ -374,34 +398,36 @@
     }
 }
 
+/// `GET /status`: returns the state of this entry.
 struct Status {
     state: Arc<State>,
 }
 
-/// What is in force at one entry.
+/// State of one entry.
 #[derive(Serialize)]
-struct InForce<'a> {
+struct Summary<'a> {
     host: &'a str,
     environment: &'a str,
     revision: Revision,
     digest: String,
     ready: bool,
-    /// Backend servers that this entry has a link to and that are healthy.
+    /// Healthy backend servers that this entry has a link to.
     servers: Vec<String>,
 }
 
 #[handler]
 impl Status {
     async fn handle(&self, res: &mut Response) {
-        let held = self.state.documents.held();
-        let revision = held.as_ref().map_or(0, |held| held.revision);
-        let digest = held.map_or_else(String::new, |held| format!("{:016x}", held.digest));
-        res.render(Json(InForce {
+        let snapshot = self.state.documents.latest();
+        let revision = snapshot.as_ref().map_or(0, |snapshot| snapshot.revision);
+        let digest =
+            snapshot.map_or_else(String::new, |snapshot| format!("{:016x}", snapshot.digest));
+        res.render(Json(Summary {
             host: &self.state.settings.name,
             environment: &self.state.settings.environment,
             revision,
             digest,
-            ready: self.state.documents.serves(),
+            ready: self.state.documents.may_serve(),
             servers: self.state.fleet.servers(),
         }));
     }
--- a/components/entry/src/outage.rs
+++ b/components/entry/src/outage.rs
@@ -1,4 +1,4 @@
-//! Whether the platform's store was out a moment ago.
+//! Tracks recent outages of the platform's store.
 
 use std::{
     sync::Mutex,
@@ -7,23 +7,25 @@
 
 use tokio::time::Instant;
 
-/// Time for which kept calls are refused at once after the store was found out.
-pub(crate) const OUTAGE: Duration = Duration::from_millis(500);
+/// Time for which calls that need a record are refused immediately after a failure of the store.
+pub(crate) const COOLDOWN: Duration = Duration::from_millis(500);
 
-/// Whether the store was out a moment ago.
+/// Time of the store's last failure.
 ///
-/// Without this, each kept call of a long outage would wait for a time-out of its own before it is
+/// Without it, each recorded call during a long outage would wait for its own timeout before it is
 /// refused.
 #[derive(Default)]
 pub(crate) struct Outage(Mutex<Option<Instant>>);
 
 impl Outage {
-    pub(crate) fn note(&self) {
+    /// Records a failure of the store.
+    pub(crate) fn record(&self) {
         *self.0.lock().expect("no panic while held") = Some(Instant::now());
     }
 
-    pub(crate) fn over(&self) -> bool {
-        let noted = *self.0.lock().expect("no panic while held");
-        noted.is_none_or(|at| at.elapsed() >= OUTAGE)
+    /// Returns whether the last failure is at least [`COOLDOWN`] ago.
+    pub(crate) fn is_over(&self) -> bool {
+        let failed_at = *self.0.lock().expect("no panic while held");
+        failed_at.is_none_or(|at| at.elapsed() >= COOLDOWN)
     }
 }
--- a/components/entry/src/pointers.rs
+++ b/components/entry/src/pointers.rs
@@ -1,7 +1,7 @@
-//! Pointers: how an entry finds a generation that another one started.
+//! Publishes and looks up pointers, by which an entry finds a generation that another one started.
 //!
-//! A pointer is a hint. What it names is proved by the digest of what the caller has; without any
-//! the answer begins again, which costs time and nothing else.
+//! A pointer is a hint. The digest of the text that the caller has verifies the generation that it
+//! names. Without a pointer the answer starts over, which only costs time.
 
 use std::{
     sync::Arc,
@@ -16,21 +16,21 @@
     frame::Point, //
 };
 
-use crate::{hosts::connector::reach, state::State};
+use crate::{hosts::connector::connect, state::State};
 
-/// Time limit of telling a holder.
-const TELL: Duration = Duration::from_secs(2);
+/// Time limit for sending a pointer to a holder.
+const PUBLISH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Tells the holders of a request where its generation runs.
-pub(crate) fn tell(state: &Arc<State>, point: Point) {
+/// Sends the location of a generation to the holders of its request.
+pub(crate) fn publish(state: &Arc<State>, point: Point) {
     for host in state.hosts.holders(&point.request) {
         let state = state.clone();
         let frame = Frame::Point(point.clone());
         tokio::spawn(async move {
-            // A holder that can't be told costs a later retry its shortcut, nothing more.
-            let _ = timeout(TELL, async {
-                let joined = reach(&state, &host).await?;
-                let mut stream = joined.link.open().await.ok()?;
+            // Without the pointer, a later retry only has to start the answer over.
+            let _ = timeout(PUBLISH_TIMEOUT, async {
+                let connection = connect(&state, &host).await?;
+                let mut stream = connection.link.open().await.ok()?;
                 stream.send(&frame).await.ok()?;
                 stream.sender.finish();
                 stream.sender.stopped().await;
@@ -41,24 +41,25 @@
     }
 }
 
-/// Asks the holders of a request; of two pointers the one of the later epoch counts.
+/// Asks the holders of a request for its pointer, within `limit` each. Of several pointers, returns
+/// the one with the latest epoch.
 pub(crate) async fn find(state: &Arc<State>, request: &str, limit: Duration) -> Option<Pointer> {
-    let asked = state
+    let lookups = state
         .hosts
         .holders(request)
         .into_iter()
         .map(|host| async move {
-            let ask = async {
-                let joined = reach(state, &host).await?;
-                let mut stream = joined.link.open().await.ok()?;
+            let lookup = async {
+                let connection = connect(state, &host).await?;
+                let mut stream = connection.link.open().await.ok()?;
                 stream.send(&Frame::Find(request.to_string())).await.ok()?;
                 match stream.receive().await {
                     Ok(Some(Frame::Found(found))) => found,
                     _ => None,
                 }
             };
-            timeout(limit, ask).await.ok().flatten()
+            timeout(limit, lookup).await.ok().flatten()
         });
-    let found = join_all(asked).await.into_iter().flatten();
+    let found = join_all(lookups).await.into_iter().flatten();
     found.max_by_key(|pointer| pointer.epoch)
 }
--- a/components/entry/src/pool.rs
+++ b/components/entry/src/pool.rs
@@ -1,4 +1,4 @@
-//! The driver of the replica choice in the `routing` crate.
+//! Driver of the replica choice in the `routing` crate.
 
 use std::{
     sync::{
@@ -37,57 +37,62 @@
 };
 
 use crate::fleet::{
-    Joined,
+    Connection,
     Peer, //
 };
 
-/// Choices that are tried until one runs on a server that the document names.
-const TRIES: usize = 8;
+/// Maximum number of choices until one is a server that the document names.
+const MAX_CHOICES: usize = 8;
 
-/// Shortest time after which a caller that found no replica is asked to come back.
-pub(crate) const COME_BACK: Duration = Duration::from_millis(500);
+/// Minimum time after which a caller that found no replica may retry.
+pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What the replicas were last known to be, and the generator of the choices between them.
+/// Last known state of the replicas, and the random choice between them.
 pub(crate) struct Pool {
     inner: Mutex<Inner>,
     origin: Instant,
     data_centre: DataCentre,
 }
 
+/// State behind the lock.
 struct Inner {
     pool: routing::Pool,
-    /// Places with replicas, for the summaries of other data centres.
+    /// Places that have had replicas, for the summaries of other data centres.
     places: Vec<Place>,
     rng: SmallRng,
 }
 
-/// A wish for a replica.
-pub(crate) struct Wish<'a> {
+/// What a replica is chosen by.
+pub(crate) struct Criteria<'a> {
     pub(crate) service: &'a Service,
     pub(crate) release: &'a Release,
+    /// Hash of the prompt's prefix, to find a replica that has it cached.
     pub(crate) prefix: Option<Prefix>,
+    /// Servers to use only when there is no other.
     pub(crate) avoid: &'a [Server],
+    /// Whether the work resumes an answer.
     pub(crate) resume: bool,
 }
 
-/// One piece of work at a replica; dropping it ends it.
-pub(crate) struct Sent {
+/// Counts one unit of work at a replica until it is dropped, and reports its outcome then.
+pub(crate) struct Dispatch {
     work: Arc<watch::Sender<u32>>,
     pool: Arc<Pool>,
     server: Server,
-    begun: Instant,
+    started: Instant,
     outcome: Mutex<Option<Outcome>>,
 }
 
-/// A replica that was chosen, with the work that is about to be sent there.
+/// A chosen replica, with the unit of work that is about to be sent to it.
 pub(crate) struct Replica {
     pub(crate) peer: Arc<Peer>,
-    pub(crate) joined: Joined,
+    pub(crate) connection: Connection,
     pub(crate) server: Server,
-    pub(crate) sent: Sent,
+    pub(crate) dispatch: Dispatch,
 }
 
 impl Pool {
+    /// Creates an empty pool; `origin` is the origin of its clock readings.
     pub(crate) fn new(data_centre: &DataCentre, origin: Instant) -> Arc<Self> {
         Arc::new(Self {
             inner: Mutex::new(Inner {
@@ -100,12 +105,13 @@
         })
     }
 
+    /// Returns the time since the origin.
     fn now(&self) -> Clock {
         self.origin.elapsed()
     }
 
-    /// A link to a backend server's sidecar is up.
-    pub(crate) fn up(&self, hello: &Hello) {
+    /// Adds the backend server of a sidecar whose link is up.
+    pub(crate) fn add(&self, hello: &Hello) {
         let Some(backend) = &hello.backend else {
             return;
         };
@@ -122,8 +128,9 @@
         }
     }
 
-    /// A heartbeat came.
-    pub(crate) fn heard(&self, server: &Server, heartbeat: &Heartbeat, leaving: bool) {
+    /// Updates a server from a heartbeat. `leaving` is set when the host list has its host as
+    /// leaving.
+    pub(crate) fn update(&self, server: &Server, heartbeat: &Heartbeat, leaving: bool) {
         let load = heartbeat.load.unwrap_or_default();
         let report = Report {
             running: load.running,
@@ -138,54 +145,58 @@
         inner.pool.learn(now, server, &report);
     }
 
-    /// The link was lost.
-    pub(crate) fn lost(&self, server: &Server) {
+    /// Removes a server whose link was lost.
+    pub(crate) fn remove(&self, server: &Server) {
         let mut inner = self.inner.lock().expect("no panic while held");
         inner.pool.remove(server);
     }
 
-    /// Chooses a replica, or says when to come back.
-    pub(crate) fn choose(&self, wish: &Wish<'_>) -> Result<Server, Duration> {
+    /// Chooses a replica.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time after which to retry when there is no replica.
+    pub(crate) fn choose(&self, criteria: &Criteria<'_>) -> Result<Server, Duration> {
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic while held");
-        inner.sum_up(now, wish, &self.data_centre);
-        let mut avoid = wish.avoid.to_vec();
+        inner.refresh_summaries(now, criteria, &self.data_centre);
+        let mut avoid = criteria.avoid.to_vec();
         let mut data_centre = self.data_centre.clone();
-        let mut asked = vec![data_centre.clone()];
+        let mut tried = vec![data_centre.clone()];
         let mut avoided = None;
-        let mut wait = Duration::ZERO;
-        for _ in 0..TRIES {
-            let ask = Ask {
-                service: wish.service,
-                version: &wish.release.name,
+        let mut retry_delay = Duration::ZERO;
+        for _ in 0..MAX_CHOICES {
+            let query = Ask {
+                service: criteria.service,
+                version: &criteria.release.name,
                 data_centre: &data_centre,
-                prefix: wish.prefix,
+                prefix: criteria.prefix,
                 avoid: &avoid,
-                resume: wish.resume,
+                resume: criteria.resume,
             };
             let Inner { pool, rng, .. } = &mut *inner;
-            match pool.choose(now, &ask, rng) {
-                // A data centre gives an avoided server when it has no other. The next epoch of an
-                // answer that went back to the engine that fell silent would wait there as well,
-                // while another data centre has replicas.
-                Choice::Server(server) if wish.avoid.contains(&server) => {
+            match pool.choose(now, &query, rng) {
+                // A data centre returns an avoided server when it has no other. Try the other data
+                // centres first: on the engine that stopped responding, the next epoch of an
+                // answer would stall as well.
+                Choice::Server(server) if criteria.avoid.contains(&server) => {
                     avoided.get_or_insert(server);
-                    let Some(other) = inner.other(wish, &asked) else {
+                    let Some(other) = inner.other_data_centre(criteria, &tried) else {
                         break;
                     };
                     data_centre = other.clone();
-                    asked.push(other);
+                    tried.push(other);
                 }
-                Choice::Server(server) if wish.release.runs_on(&server) => return Ok(server),
+                Choice::Server(server) if criteria.release.runs_on(&server) => return Ok(server),
                 Choice::Server(server) if avoid.contains(&server) => break,
-                // It says that it runs the version, but the document doesn't name it.
+                // The server reports the version, but the document doesn't name the server.
                 Choice::Server(server) => avoid.push(server),
                 Choice::Elsewhere(other) => {
-                    asked.push(other.clone());
+                    tried.push(other.clone());
                     data_centre = other;
                 }
                 Choice::None { retry_after } => {
-                    wait = retry_after;
+                    retry_delay = retry_after;
                     break;
                 }
             }
@@ -193,46 +204,51 @@
         if let Some(server) = avoided {
             return Ok(server);
         }
-        Err(wait.max(COME_BACK))
+        Err(retry_delay.max(MIN_RETRY_AFTER))
     }
 
-    /// Counts a piece of work sent to a server.
-    pub(crate) fn send(
+    /// Counts a unit of work that is sent to a server.
+    pub(crate) fn start(
         self: &Arc<Self>,
         server: &Server,
         prefix: Option<Prefix>,
         work: &Arc<watch::Sender<u32>>,
-    ) -> Sent {
+    ) -> Dispatch {
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic while held");
         inner.pool.sent(now, server, prefix);
         work.send_modify(|work| *work += 1);
-        Sent {
+        Dispatch {
             work: work.clone(),
             pool: self.clone(),
             server: server.clone(),
-            begun: Instant::now(),
+            started: Instant::now(),
             outcome: Mutex::new(None),
         }
     }
 }
 
 impl Inner {
-    /// A data centre with replicas that has not been asked.
-    fn other(&self, wish: &Wish<'_>, asked: &[DataCentre]) -> Option<DataCentre> {
+    /// Returns a data centre with replicas that is not in `tried`.
+    fn other_data_centre(
+        &self,
+        criteria: &Criteria<'_>,
+        tried: &[DataCentre],
+    ) -> Option<DataCentre> {
         let mut places = self.places.iter();
         let place = places.find(|place| {
-            place.service == *wish.service
-                && place.version == wish.release.name
-                && !asked.contains(&place.data_centre)
+            place.service == *criteria.service
+                && place.version == criteria.release.name
+                && !tried.contains(&place.data_centre)
         });
         place.map(|place| place.data_centre.clone())
     }
 
-    /// Sums up the replicas of other data centres, of those that there is a link to.
-    fn sum_up(&mut self, now: Clock, wish: &Wish<'_>, own: &DataCentre) {
+    /// Refreshes the summaries of other data centres from the replicas that this entry has links to.
+    fn refresh_summaries(&mut self, now: Clock, criteria: &Criteria<'_>, own: &DataCentre) {
         for place in &self.places {
-            let serves = place.service == *wish.service && place.version == wish.release.name;
+            let serves =
+                place.service == *criteria.service && place.version == criteria.release.name;
             if !serves || place.data_centre == *own {
                 continue;
             }
@@ -242,27 +258,27 @@
     }
 }
 
-impl Sent {
-    /// The first token or byte of the answer came.
+impl Dispatch {
+    /// Records the first token or byte of the answer.
     pub(crate) fn answered(&self) {
         let mut inner = self.pool.inner.lock().expect("no panic while held");
         inner.pool.answered(&self.server);
     }
 
-    /// Served to its end.
+    /// Records that the work was completed.
     pub(crate) fn served(&self) {
-        let time = self.begun.elapsed();
-        self.ended(Outcome::Served { time });
+        let time = self.started.elapsed();
+        self.finish(Outcome::Served { time });
     }
 
-    /// Ended in another way; the first word counts.
-    pub(crate) fn ended(&self, outcome: Outcome) {
-        let mut held = self.outcome.lock().expect("no panic while held");
-        held.get_or_insert(outcome);
+    /// Records the outcome, unless one is recorded already.
+    pub(crate) fn finish(&self, outcome: Outcome) {
+        let mut recorded = self.outcome.lock().expect("no panic while held");
+        recorded.get_or_insert(outcome);
     }
 }
 
-impl Drop for Sent {
+impl Drop for Dispatch {
     fn drop(&mut self) {
         let outcome = self.outcome.lock().expect("no panic while held").take();
         let outcome = outcome.unwrap_or(Outcome::Cancelled);
--- a/components/entry/src/problem.rs
+++ b/components/entry/src/problem.rs
@@ -1,7 +1,7 @@
-//! What a caller is told when its request isn't answered.
+//! Error responses.
 //!
-//! Every refusal says whether the request was run, and when to come back. It is sent at once:
-//! held back, it would only keep the caller from asking elsewhere.
+//! Every error states whether the request was run and when it may be retried. Errors are sent
+//! without delay, since a delay would only keep the caller from trying another entry.
 
 use std::time::Duration;
 
@@ -20,69 +20,69 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Run {
-    /// It was not, and this try of it never will be.
+    /// It was not run, and this attempt of it never will be.
     NotRun,
-    /// It was.
+    /// It was run.
     Ran,
-    /// It may have been.
+    /// It may have been run.
     Unknown,
 }
 
-/// Kinds of problems, for programs.
+/// Machine-readable kinds of errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
     /// The request is malformed.
     Invalid,
-    /// The body is over the bound.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// No route, service or key of that name.
+    /// No route, service or key has that name.
     NotFound,
-    /// The same key came with another request.
+    /// The key was used with another request before.
     KeyReused,
-    /// Somebody else came first.
+    /// Another edit has changed the document.
     Conflict,
-    /// The system is full, or the team is over its limit.
+    /// The system is at capacity, or the team exceeds its limit.
     Busy,
-    /// Nothing can serve it now.
+    /// Nothing can serve the request at the moment.
     Unavailable,
-    /// The answer broke off.
+    /// The answer ended before it was complete.
     Interrupted,
-    /// A call's fate isn't known.
+    /// The outcome of the call or edit is unknown.
     Unknown,
-    /// The request is known to bring backend servers down.
+    /// The request is known to crash backend servers.
     Refused,
 }
 
-/// A typed refusal.
+/// An error response.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Problem {
-    /// Kind, for programs.
+    /// Machine-readable kind.
     pub code: Code,
-    /// What is wrong, for a person.
+    /// Human-readable description.
     pub message: String,
-    /// The field of the request that is wrong.
+    /// Field of the request that is invalid.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
     /// Whether the request was run.
     pub run: Run,
-    /// Milliseconds after which another try makes sense; none when it never does.
+    /// Milliseconds after which a retry makes sense; absent when none does.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Where to ask what became of it.
+    /// Path that returns the outcome of the call.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ask: Option<String>,
 }
 
-/// The body that carries a problem.
+/// JSON body of an error response.
 #[derive(Serialize)]
 pub struct Body<'a> {
-    /// The problem.
+    /// The error.
     pub error: &'a Problem,
 }
 
 impl Problem {
-    /// A problem of a request that was not run.
+    /// Creates an error for a request that was not run.
     pub fn new(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -94,26 +94,26 @@
         }
     }
 
-    /// A malformed request.
+    /// Creates an error for an invalid field.
     pub fn invalid(field: &str, message: impl Into<String>) -> Self {
         let mut problem = Self::new(Code::Invalid, message);
         problem.field = Some(field.to_string());
         problem
     }
 
-    /// Says when to come back.
+    /// Sets the time after which the request may be retried.
     pub fn retry(mut self, after: Duration) -> Self {
         self.retry_after_ms = Some(after.as_millis() as u64);
         self
     }
 
-    /// Says whether the request was run.
+    /// Sets whether the request was run.
     pub fn run(mut self, run: Run) -> Self {
         self.run = run;
         self
     }
 
-    /// HTTP status of the refusal.
+    /// Returns the HTTP status for the code.
     pub fn status(&self) -> StatusCode {
         match self.code {
             Code::Invalid => StatusCode::BAD_REQUEST,
@@ -127,11 +127,11 @@
         }
     }
 
-    /// Writes the refusal as an HTTP answer.
+    /// Writes the error to an HTTP response.
     pub fn write(&self, res: &mut Response) {
         res.status_code(self.status());
         if let Some(after) = self.retry_after_ms {
-            // The header knows whole seconds only; a caller that comes back early helps nobody.
+            // The header holds whole seconds only; rounded up, as an early retry would be refused.
             let seconds = after.div_ceil(1000).max(1);
             res.headers_mut()
                 .insert(RETRY_AFTER, HeaderValue::from(seconds));
--- a/components/entry/src/replicas.rs
+++ b/components/entry/src/replicas.rs
@@ -1,41 +1,47 @@
-//! The choice of a replica whose link is up.
+//! Chooses a replica whose link is up.
 
 use std::time::Duration;
 
 use crate::{
     pool::{
-        COME_BACK,
-        Replica,
-        Wish, //
+        Criteria,
+        MIN_RETRY_AFTER,
+        Replica, //
     },
     state::State, //
 };
 
-/// Choices that are tried until one has a link that is up.
-const TRIES: usize = 8;
+/// Maximum number of choices until one has a link that is up.
+const MAX_CHOICES: usize = 8;
 
 impl State {
-    /// Chooses a replica whose link is up, or says when to come back.
-    pub(crate) fn replica(&self, wish: &Wish<'_>) -> Result<Replica, Duration> {
-        let mut avoid = wish.avoid.to_vec();
-        for _ in 0..TRIES {
-            let server = self.pool.choose(&Wish {
+    /// Chooses a replica whose link is up.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time after which to retry when there is no such replica.
+    pub(crate) fn choose_replica(&self, criteria: &Criteria<'_>) -> Result<Replica, Duration> {
+        let mut avoid = criteria.avoid.to_vec();
+        for _ in 0..MAX_CHOICES {
+            let server = self.pool.choose(&Criteria {
                 avoid: &avoid,
-                ..*wish
+                ..*criteria
             })?;
-            let Some((peer, joined)) = self.fleet.beside(&server) else {
-                // Its link closed a moment ago, and the pool has not been told yet.
+            let Some((peer, connection)) = self.fleet.peer_of(&server) else {
+                // The link has just closed, and the pool is not updated yet.
                 avoid.push(server);
                 continue;
             };
-            let sent = self.pool.send(&server, wish.prefix, peer.counter());
+            let dispatch = self
+                .pool
+                .start(&server, criteria.prefix, peer.work_counter());
             return Ok(Replica {
                 peer,
-                joined,
+                connection,
                 server,
-                sent,
+                dispatch,
             });
         }
-        Err(COME_BACK)
+        Err(MIN_RETRY_AFTER)
     }
 }
--- a/components/entry/src/resumes.rs
+++ b/components/entry/src/resumes.rs
@@ -1,4 +1,4 @@
-//! Counting resumes for their report.
+//! Counts the resumes of answers for their report.
 
 use std::{
     sync::Mutex,
@@ -13,12 +13,13 @@
     Row, //
 };
 
-/// Counters of this entry.
+/// Resume counters of this entry.
 #[derive(Default)]
 pub(crate) struct Resumes(Mutex<Ledger>);
 
 impl Resumes {
-    /// An answer goes on with another epoch, from `tokens` tokens on.
+    /// Records that an answer resumes with another epoch after `tokens` tokens; `first` marks its
+    /// first resume.
     pub(crate) fn resumed(
         &self,
         target: &Target,
@@ -32,13 +33,13 @@
         ledger.resumed(service, version, cause, first, tokens as u64, now);
     }
 
-    /// The first fresh token of another epoch came.
+    /// Records the first fresh token of another epoch, `latency` after the last token before it.
     pub(crate) fn continued(&self, target: &Target, latency: Duration, now: Clock) {
         let mut ledger = self.0.lock().expect("no panic while held");
         ledger.continued(&target.service, &target.version, latency, now);
     }
 
-    /// Decoded tokens were dropped.
+    /// Records decoded tokens that were dropped.
     pub(crate) fn dropped(&self, target: &Target, tokens: u64, now: Clock) {
         if tokens == 0 {
             return;
@@ -47,7 +48,7 @@
         ledger.dropped(&target.service, &target.version, tokens, now);
     }
 
-    /// The report.
+    /// Returns the rows of the report.
     pub(crate) fn rows(&self) -> Vec<Row> {
         self.0.lock().expect("no panic while held").rows()
     }
--- a/components/entry/src/state.rs
+++ b/components/entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of an entry share.
+//! State that the tasks of an entry share.
 
 use std::{
     collections::HashMap,
@@ -38,7 +38,7 @@
 };
 
 use crate::{
-    burn::Book,
+    burn::Recorder,
     documents::Documents,
     fleet::{
         Fleet,
@@ -50,7 +50,7 @@
     outage::Outage,
     pool::Pool,
     resumes::Resumes,
-    unresponsive::Silent, //
+    unresponsive::Unresponsive, //
 };
 
 /// Shared by the tasks of one entry.
@@ -58,13 +58,13 @@
     pub(crate) settings: Entry,
     pub(crate) node: Node,
     pub(crate) hello: Hello,
-    /// What our next heartbeat says.
+    /// Content of the next heartbeat to peers.
     pub(crate) heartbeat: watch::Sender<Heartbeat>,
     pub(crate) platform: store::Client,
     /// Records of calls that run at most once.
     pub(crate) records: Records,
     pub(crate) outage: Outage,
-    /// What is known of requests that bring servers down.
+    /// Facts about requests that may crash backend servers.
     pub(crate) suspects: Arc<Suspects>,
     pub(crate) fleet: Fleet,
     pub(crate) hosts: Hosts,
@@ -73,53 +73,59 @@
     pub(crate) documents: Documents,
     pub(crate) movers: Movers,
     /// Counters of service-level burn.
-    pub(crate) book: Book,
+    pub(crate) burn: Recorder,
     /// Counters of resumed answers.
     pub(crate) resumes: Resumes,
-    pub(crate) gaps: Pools,
-    pub(crate) silent: Silent,
-    /// How late this process runs.
+    /// Time between tokens, by service and version.
+    pub(crate) gaps: Intervals,
+    pub(crate) unresponsive: Unresponsive,
+    /// Scheduling delay of this process.
     pub(crate) lateness: Lateness,
     pub(crate) requests: Requests,
-    /// Origin of the clock readings that decision code gets.
+    /// Origin of the clock readings that are passed to decision code.
     pub(crate) origin: Instant,
-    /// Set when the entry leaves.
-    pub(crate) leaving: CancellationToken,
-    /// Set when the entry ends.
-    pub(crate) ended: CancellationToken,
+    /// Cancelled when the entry begins to shut down.
+    pub(crate) stopping: CancellationToken,
+    /// Cancelled when the requests in progress have drained.
+    pub(crate) stopped: CancellationToken,
 }
 
 impl State {
-    /// Time since the process began.
+    /// Returns the time since [`State::origin`].
     pub(crate) fn now(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// Tells the pool what a peer last said.
-    pub(crate) fn tell_pool(&self, peer: &Peer) {
-        let Some(backend) = peer.joined().and_then(|joined| joined.hello.backend) else {
+    /// Updates the pool with the last reported state of a peer.
+    pub(crate) fn update_pool(&self, peer: &Peer) {
+        let Some(backend) = peer
+            .connection()
+            .and_then(|connection| connection.hello.backend)
+        else {
             return;
         };
-        let (heartbeat, leaving) = peer.last();
-        self.pool.heard(&backend.server, &heartbeat, leaving);
+        let (heartbeat, leaving) = peer.status();
+        self.pool.update(&backend.server, &heartbeat, leaving);
     }
 }
 
-/// Gaps between tokens by service and version, which new answers start from.
+/// Times between tokens by service and version, from which new answers start.
 #[derive(Default)]
-pub(crate) struct Pools(Mutex<HashMap<(Service, Version), Gaps>>);
+pub(crate) struct Intervals(Mutex<HashMap<(Service, Version), Gaps>>);
 
-impl Pools {
+impl Intervals {
+    /// Adds a time between two tokens.
     pub(crate) fn learn(&self, service: &str, version: &str, gap: Duration) {
-        let mut pools = self.0.lock().expect("no panic while held");
+        let mut intervals = self.0.lock().expect("no panic while held");
         let key = (service.to_string(), version.to_string());
-        pools.entry(key).or_default().learn(gap);
+        intervals.entry(key).or_default().learn(gap);
     }
 
+    /// Returns what is known of a version, or the default.
     pub(crate) fn get(&self, service: &str, version: &str) -> Gaps {
-        let pools = self.0.lock().expect("no panic while held");
+        let intervals = self.0.lock().expect("no panic while held");
         let key = (service.to_string(), version.to_string());
-        pools.get(&key).copied().unwrap_or_default()
+        intervals.get(&key).copied().unwrap_or_default()
     }
 }
 
@@ -127,23 +133,24 @@
 #[derive(Clone, Default)]
 pub(crate) struct Requests(Arc<AtomicUsize>);
 
-/// One request in progress; dropping it ends the count.
-pub(crate) struct Request(Arc<AtomicUsize>);
+/// Counts one request as in progress until it is dropped.
+pub(crate) struct Guard(Arc<AtomicUsize>);
 
 impl Requests {
-    /// Begins a request, unless `most` are in progress.
-    pub(crate) fn begin(&self, most: usize) -> Option<Request> {
+    /// Begins a request, unless `limit` requests are in progress.
+    pub(crate) fn begin(&self, limit: usize) -> Option<Guard> {
         let before = self.0.fetch_add(1, Ordering::AcqRel);
-        let request = Request(self.0.clone());
-        (before < most).then_some(request)
+        let guard = Guard(self.0.clone());
+        (before < limit).then_some(guard)
     }
 
+    /// Returns the number of requests in progress.
     pub(crate) fn count(&self) -> usize {
         self.0.load(Ordering::Acquire)
     }
 }
 
-impl Drop for Request {
+impl Drop for Guard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
--- a/components/entry/src/unresponsive.rs
+++ b/components/entry/src/unresponsive.rs
@@ -1,9 +1,10 @@
-//! Backend servers that were suspected rightly.
+//! Backend servers that have recently proved unresponsive.
 //!
-//! A stopped server holds up every answer on it at once, and the retry budget has not as many
-//! suspicions to give. Those that it denied would wait half a minute for certainty. Once a second
-//! epoch has overtaken one answer of a server, there is evidence, and the others go on as after a
-//! loss. A token from the server takes the evidence back.
+//! A stopped server stalls all its answers at once, and the retry budget doesn't cover a resume on
+//! suspicion for each of them. Answers that the budget denies would wait half a minute until the
+//! loss is certain. Once a second epoch has overtaken one answer of a server, that is evidence
+//! against the server, and its other answers resume as after a loss. A token from the server
+//! removes the evidence.
 
 use std::{
     collections::HashMap,
@@ -16,32 +17,32 @@
     Server, //
 };
 
-/// Time that the evidence counts.
-const COUNTS: Duration = Duration::from_secs(10);
+/// Time for which evidence against a server is valid.
+const EVIDENCE_LIFETIME: Duration = Duration::from_secs(10);
 
-/// The servers, with the time of the evidence.
+/// Unresponsive servers, each with the time of the latest evidence.
 #[derive(Default)]
-pub(crate) struct Silent(Mutex<HashMap<Server, Clock>>);
+pub(crate) struct Unresponsive(Mutex<HashMap<Server, Clock>>);
 
-impl Silent {
-    /// A second epoch overtook an answer on this server.
-    pub(crate) fn overtaken(&self, now: Clock, server: &Server) {
-        let mut silent = self.0.lock().expect("no panic while held");
-        silent.retain(|_, since| *since + COUNTS > now);
-        silent.insert(server.clone(), now);
+impl Unresponsive {
+    /// Records that a later epoch overtook an answer on this server.
+    pub(crate) fn record_overtaken(&self, now: Clock, server: &Server) {
+        let mut servers = self.0.lock().expect("no panic while held");
+        servers.retain(|_, since| *since + EVIDENCE_LIFETIME > now);
+        servers.insert(server.clone(), now);
     }
 
-    /// A fresh token came from this server.
-    pub(crate) fn spoke(&self, server: &Server) {
-        let mut silent = self.0.lock().expect("no panic while held");
-        silent.remove(server);
+    /// Clears a server, as it sent a fresh token.
+    pub(crate) fn clear(&self, server: &Server) {
+        let mut servers = self.0.lock().expect("no panic while held");
+        servers.remove(server);
     }
 
-    /// Whether there is evidence against this server.
-    pub(crate) fn is_silent(&self, now: Clock, server: &Server) -> bool {
-        let silent = self.0.lock().expect("no panic while held");
-        silent
+    /// Returns whether there is valid evidence against this server.
+    pub(crate) fn contains(&self, now: Clock, server: &Server) -> bool {
+        let servers = self.0.lock().expect("no panic while held");
+        servers
             .get(server)
-            .is_some_and(|since| *since + COUNTS > now)
+            .is_some_and(|since| *since + EVIDENCE_LIFETIME > now)
     }
 }
