--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -82,6 +82,7 @@
 /// A completion request.
 #[derive(Clone, Debug)]
 pub(crate) struct Query {
+    /// Identifier of the request.
     pub(crate) request: Request,
     pub(crate) team: Team,
     pub(crate) target: Target,
--- a/components/entry/src/callers/status.rs
+++ b/components/entry/src/callers/status.rs
@@ -55,7 +55,7 @@
                 return Ok(outcome);
             }
         }
-        // The call may still run: a request with the key may be on its way to a sidecar.
+        // A missing record proves nothing: a request with the key may be on its way to a sidecar.
         let message = "no record of a call with that key";
         Err(Problem::new(Code::NotFound, message).run(Run::Unknown))
     }
--- a/components/entry/src/documents.rs
+++ b/components/entry/src/documents.rs
@@ -135,14 +135,14 @@
     }
 
     /// Queues an event for the board.
-    pub(crate) fn event(&self, event: Event) {
+    pub(crate) fn queue_event(&self, event: Event) {
         // Dropped when the queue is full: documents and facts are sent again while digests differ.
         let _ = self.events.try_send(event);
     }
 
     /// Spreads a fact that originates at this entry.
     pub(crate) fn publish(&self, key: Key, fact: Fact) {
-        self.event(Event::Learn { key, fact });
+        self.queue_event(Event::Learn { key, fact });
     }
 
     /// Subscribes to facts from other processes. A subscriber that lags by more than [`QUEUE`] of
@@ -160,7 +160,7 @@
     /// Decodes a message from another process and queues it for the board.
     pub(crate) fn receive(&self, from: &Host, bytes: &[u8]) {
         match postcard::from_bytes(bytes) {
-            Ok(message) => self.event(Event::Message {
+            Ok(message) => self.queue_event(Event::Message {
                 from: from.clone(),
                 message,
             }),
@@ -178,7 +178,7 @@
         let mut surveys = self.surveys.lock().expect("no panic while held");
         surveys.insert(number, sender);
         drop(surveys);
-        self.event(Event::Survey { survey: number });
+        self.queue_event(Event::Survey { survey: number });
         (number, receiver)
     }
 
--- a/components/entry/src/hosts/connector.rs
+++ b/components/entry/src/hosts/connector.rs
@@ -76,7 +76,9 @@
             Ok(hosts) => {
                 unavailable = false;
                 next_read = Instant::now() + read_interval(hosts.len());
-                state.documents.event(spread::Event::List(listings(&hosts)));
+                state
+                    .documents
+                    .queue_event(spread::Event::List(listings(&hosts)));
                 update(&state, hosts);
             }
             Err(error) => {
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -266,7 +266,7 @@
     let Ok(Some(stored)) = edit::read(&state.platform, environment).await else {
         return;
     };
-    state.documents.event(spread::Event::Seen {
+    state.documents.queue_event(spread::Event::Seen {
         environment: environment.to_string(),
         edition: stored.edition(),
     });
