--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -24,7 +24,7 @@
     },
     store::{
         Read,
-        Standing,
+        Stored,
         Write, //
     },
 };
@@ -282,7 +282,7 @@
     }
 
     /// The record moved on from the base, so this attempt's write has won already or never will.
-    fn judge(&mut self, standing: Standing) -> Vec<Action> {
+    fn judge(&mut self, standing: Stored) -> Vec<Action> {
         if let Some(outcome) = standing.record.settled(&self.call.digest) {
             return self.end(outcome);
         }
--- a/components/contract/src/handover.rs
+++ b/components/contract/src/handover.rs
@@ -32,7 +32,7 @@
     },
     store::{
         Read,
-        Standing,
+        Stored,
         Write, //
     },
 };
@@ -135,7 +135,7 @@
     /// The outcome.
     Outcome(Outcome),
     /// The attempt lost: another record stands, and this attempt will never hand over.
-    Lost(Option<Standing>),
+    Lost(Option<Stored>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -258,7 +258,7 @@
     }
 
     /// Another write stands at the key, or our own whose answer was lost.
-    fn lost(&mut self, standing: Option<Standing>, now: Clock) -> Vec<Action> {
+    fn lost(&mut self, standing: Option<Stored>, now: Clock) -> Vec<Action> {
         if let Some(standing) = &standing
             && self.owns(&standing.record)
         {
--- a/components/contract/src/store.rs
+++ b/components/contract/src/store.rs
@@ -10,7 +10,7 @@
 
 /// A record as it stands in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Standing {
+pub struct Stored {
     /// The record.
     pub record: Record,
     /// Revision at which it was written.
@@ -23,7 +23,7 @@
     /// The write took effect.
     Won(Revision),
     /// Something else stands there; nothing does when `None`.
-    Lost(Option<Standing>),
+    Lost(Option<Stored>),
     /// The store answered that it didn't take the write (429, 503, unknown lease).
     Refused,
     /// No answer came: the write may have taken effect, or may do so later.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Read {
     /// The record.
-    Found(Standing),
+    Found(Stored),
     /// There is none.
     Absent,
     /// The store refused or didn't answer.
--- a/components/contract/tests/attempt.rs
+++ b/components/contract/tests/attempt.rs
@@ -23,7 +23,7 @@
     },
     store::{
         Read,
-        Standing,
+        Stored,
         Write, //
     },
 };
@@ -43,25 +43,25 @@
     (attempt, actions)
 }
 
-fn standing(state: State, digest: &str) -> Option<Standing> {
+fn standing(state: State, digest: &str) -> Option<Stored> {
     let record = Record {
         state,
         digest: digest.into(),
         server: "ledger-1".into(),
     };
     let revision = 9;
-    Some(Standing { record, revision })
+    Some(Stored { record, revision })
 }
 
-fn handed() -> Option<Standing> {
+fn handed() -> Option<Stored> {
     standing(State::Handed { nonce: 5 }, "d")
 }
 
-fn void() -> Option<Standing> {
+fn void() -> Option<Stored> {
     standing(State::Void { nonce: 5 }, "d")
 }
 
-fn answered(digest: &str) -> Option<Standing> {
+fn answered(digest: &str) -> Option<Stored> {
     let answer = Answer {
         status: 201,
         content_type: "application/json".into(),
@@ -70,7 +70,7 @@
     standing(State::Answered { nonce: 5, answer }, digest)
 }
 
-fn lost(standing: Option<Standing>) -> Event {
+fn lost(standing: Option<Stored>) -> Event {
     Event::Replied(Reply::Lost(standing))
 }
 
--- a/components/contract/tests/handover.rs
+++ b/components/contract/tests/handover.rs
@@ -18,7 +18,7 @@
     },
     store::{
         Read,
-        Standing,
+        Stored,
         Write, //
     },
 };
@@ -36,16 +36,16 @@
     }
 }
 
-fn standing(state: State, revision: u64) -> Standing {
+fn standing(state: State, revision: u64) -> Stored {
     let record = Record {
         state,
         digest: "d".into(),
         server: "ledger-1".into(),
     };
-    Standing { record, revision }
+    Stored { record, revision }
 }
 
-fn handed(nonce: u64, revision: u64) -> Standing {
+fn handed(nonce: u64, revision: u64) -> Stored {
     standing(State::Handed { nonce }, revision)
 }
 
--- a/components/daemon/src/records.rs
+++ b/components/daemon/src/records.rs
@@ -6,7 +6,7 @@
     Record,
     store::{
         Read,
-        Standing,
+        Stored,
         Write, //
     }, //
 };
@@ -109,8 +109,8 @@
     }
 }
 
-fn standing(entry: &Entry) -> Option<Standing> {
-    Some(Standing {
+fn standing(entry: &Entry) -> Option<Stored> {
+    Some(Stored {
         record: Record::decode(&entry.value)?,
         revision: entry.revision,
     })
--- a/components/models/src/contract/store.rs
+++ b/components/models/src/contract/store.rs
@@ -7,7 +7,7 @@
     handover,
     store::{
         Read,
-        Standing,
+        Stored,
         Write, //
     }, //
 };
@@ -98,7 +98,7 @@
             return Answer::Write(Write::Lost(self.stored.clone()));
         }
         self.revision += 1;
-        self.stored = Some(Standing {
+        self.stored = Some(Stored {
             record: record.clone(),
             revision: self.revision,
         });
--- a/components/models/src/contract/world.rs
+++ b/components/models/src/contract/world.rs
@@ -12,7 +12,7 @@
         State, //
     },
     seen::Seen,
-    store::Standing, //
+    store::Stored, //
 };
 use names::{
     Clock,
@@ -44,7 +44,7 @@
     pub(super) twin: Twin,
     pub(super) faults: u32,
     pub(super) revision: Revision,
-    pub(super) stored: Option<Standing>,
+    pub(super) stored: Option<Stored>,
     pub(super) late: Vec<Op>,
     pub(super) requests: Vec<Request>,
     pub(super) hands: Vec<Hand>,
