--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -262,9 +262,9 @@
 
     fn voided(&mut self, write: Write) -> Vec<Action> {
         match write {
-            Write::Won(_) => self.refuse(Reason::Silent),
-            Write::Lost(Some(standing)) => self.judge(standing),
-            Write::Lost(None) | Write::Refused => self.unknown(),
+            Write::Applied(_) => self.refuse(Reason::Silent),
+            Write::Conflict(Some(standing)) => self.judge(standing),
+            Write::Conflict(None) | Write::Refused => self.unknown(),
             Write::Unanswered => {
                 self.stage = Stage::ReadingBack;
                 vec![Action::ReadBack]
--- a/components/contract/src/handover.rs
+++ b/components/contract/src/handover.rs
@@ -228,8 +228,8 @@
 
     fn created(&mut self, write: Write, now: Clock) -> Vec<Action> {
         match write {
-            Write::Won(revision) => self.won(revision, now),
-            Write::Lost(standing) => self.lost(standing, now),
+            Write::Applied(revision) => self.won(revision, now),
+            Write::Conflict(standing) => self.lost(standing, now),
             Write::Refused => {
                 self.stage = Stage::Done;
                 self.refuse(Reason::StoreOut)
@@ -319,14 +319,14 @@
     fn written(&mut self, expect: Revision, record: Record, write: Write) -> Vec<Action> {
         match write {
             // Our own first write took effect after all: the void goes over it.
-            Write::Lost(Some(standing))
+            Write::Conflict(Some(standing))
                 if standing.record != record
                     && self.owns(&standing.record)
                     && standing.revision != expect =>
             {
                 self.write(standing.revision, record)
             }
-            Write::Won(_) | Write::Lost(_) => {
+            Write::Applied(_) | Write::Conflict(_) => {
                 self.stage = Stage::Done;
                 Vec::new()
             }
--- a/components/contract/src/store.rs
+++ b/components/contract/src/store.rs
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Write {
     /// The write took effect.
-    Won(Revision),
+    Applied(Revision),
     /// Something else stands there; nothing does when `None`.
-    Lost(Option<Stored>),
+    Conflict(Option<Stored>),
     /// The store answered that it didn't take the write (429, 503, unknown lease).
     Refused,
     /// No answer came: the write may have taken effect, or may do so later.
--- a/components/contract/tests/attempt.rs
+++ b/components/contract/tests/attempt.rs
@@ -94,10 +94,10 @@
 #[case::refused(Class::Kept, &[refused(Reason::StoreOut)], "NotRun StoreOut")]
 #[case::silent(Class::Kept, &[SILENT], "Void at 0")]
 #[case::silent_later(Class::Kept, &[lost(void()), SILENT], "Void at 9")]
-#[case::proven(Class::Kept, &[SILENT, Event::Voided(Write::Won(3))], "NotRun Silent")]
-#[case::may_run(Class::Kept, &[SILENT, Event::Voided(Write::Lost(handed()))], "Unknown /v1/calls/k")]
-#[case::ran(Class::Kept, &[SILENT, Event::Voided(Write::Lost(answered("d")))], "Ran 201 again")]
-#[case::given_up(Class::Kept, &[SILENT, Event::Voided(Write::Lost(void()))], "NotRun Silent")]
+#[case::proven(Class::Kept, &[SILENT, Event::Voided(Write::Applied(3))], "NotRun Silent")]
+#[case::may_run(Class::Kept, &[SILENT, Event::Voided(Write::Conflict(handed()))], "Unknown /v1/calls/k")]
+#[case::ran(Class::Kept, &[SILENT, Event::Voided(Write::Conflict(answered("d")))], "Ran 201 again")]
+#[case::given_up(Class::Kept, &[SILENT, Event::Voided(Write::Conflict(void()))], "NotRun Silent")]
 #[case::store_out(Class::Kept, &[SILENT, Event::Voided(Write::Refused)], "Unknown /v1/calls/k")]
 #[case::answer_lost(
     Class::Kept,
--- a/components/contract/tests/handover.rs
+++ b/components/contract/tests/handover.rs
@@ -70,19 +70,19 @@
 /// caller must not be told `not_run`; wherever it surely is, the record must end void, so that the
 /// caller's next request isn't told `unknown`.
 #[rstest]
-#[case::plain("plain", &[Event::Created(Write::Won(1)), answer(2), Event::Written(Write::Won(2))])]
+#[case::plain("plain", &[Event::Created(Write::Applied(1)), answer(2), Event::Written(Write::Applied(2))])]
 #[case::store_out("store_out", &[Event::Created(Write::Refused)])]
 #[case::answer_lost("answer_lost", &[Event::Created(Write::Unanswered), Event::Read(Read::Found(handed(OWN, 4)))])]
 #[case::write_lost("write_lost", &[
     Event::Created(Write::Unanswered),
     Event::Read(Read::Absent),
-    Event::Written(Write::Won(5)),
+    Event::Written(Write::Applied(5)),
 ])]
 #[case::write_late("write_late", &[
     Event::Created(Write::Unanswered),
     Event::Read(Read::Absent),
-    Event::Written(Write::Lost(Some(handed(OWN, 4)))),
-    Event::Written(Write::Won(5)),
+    Event::Written(Write::Conflict(Some(handed(OWN, 4)))),
+    Event::Written(Write::Applied(5)),
 ])]
 #[case::store_silent("store_silent", &[
     Event::Created(Write::Unanswered),
@@ -93,24 +93,24 @@
     Event::Waited,
     Event::Written(Write::Refused),
 ])]
-#[case::other_was_first("other_was_first", &[Event::Created(Write::Lost(Some(handed(8, 4))))])]
+#[case::other_was_first("other_was_first", &[Event::Created(Write::Conflict(Some(handed(8, 4))))])]
 #[case::other_was_first_unanswered("other_was_first_unanswered", &[
     Event::Created(Write::Unanswered),
     Event::Read(Read::Found(handed(8, 4))),
 ])]
-#[case::entry_gone("entry_gone", &[Event::Gone, Event::Created(Write::Won(1)), Event::Written(Write::Won(2))])]
-#[case::entry_gone_while_running("entry_gone_while_running", &[Event::Created(Write::Won(1)), Event::Gone, answer(2)])]
-#[case::unreachable("unreachable", &[Event::Created(Write::Won(1)), Event::Unreachable])]
-#[case::died("died", &[Event::Created(Write::Won(1)), Event::Died])]
+#[case::entry_gone("entry_gone", &[Event::Gone, Event::Created(Write::Applied(1)), Event::Written(Write::Applied(2))])]
+#[case::entry_gone_while_running("entry_gone_while_running", &[Event::Created(Write::Applied(1)), Event::Gone, answer(2)])]
+#[case::unreachable("unreachable", &[Event::Created(Write::Applied(1)), Event::Unreachable])]
+#[case::died("died", &[Event::Created(Write::Applied(1)), Event::Died])]
 #[case::silent_then_answered("silent_then_answered", &[
-    Event::Created(Write::Won(1)),
+    Event::Created(Write::Applied(1)),
     Event::Silent,
     answer(2),
     Event::Written(Write::Unanswered),
     Event::Waited,
-    Event::Written(Write::Lost(None)),
+    Event::Written(Write::Conflict(None)),
 ])]
-#[case::asked_twice("asked_twice", &[Event::Asked, Event::Created(Write::Won(1)), Event::Created(Write::Won(1))])]
+#[case::asked_twice("asked_twice", &[Event::Asked, Event::Created(Write::Applied(1)), Event::Created(Write::Applied(1))])]
 fn a_hand_over(#[case] name: &str, #[case] events: &[Event]) {
     let settings = Settings {
         tries: 2,
@@ -135,7 +135,7 @@
 fn a_create_answered_after_the_limit_is_voided() {
     let mut machine = Handover::new(call(3), Settings::default());
     machine.handle(Event::Asked, Duration::from_secs(100));
-    let actions = machine.handle(Event::Created(Write::Won(4)), Duration::from_secs(106));
+    let actions = machine.handle(Event::Created(Write::Applied(4)), Duration::from_secs(106));
     let lines: Vec<String> = actions.iter().map(line).collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
@@ -146,7 +146,7 @@
 fn a_long_body_reaches_its_caller() {
     let mut machine = Handover::new(call(0), Settings::default());
     machine.handle(Event::Asked, Duration::ZERO);
-    machine.handle(Event::Created(Write::Won(1)), Duration::ZERO);
+    machine.handle(Event::Created(Write::Applied(1)), Duration::ZERO);
     let actions = machine.handle(answer(BODY_LIMIT + 1), Duration::ZERO);
     let text = format!("{:?}", actions[0]);
     assert!(text.len() > BODY_LIMIT, "the reply holds the whole body");
--- a/components/daemon/src/records.rs
+++ b/components/daemon/src/records.rs
@@ -60,10 +60,10 @@
                 return Write::Refused;
             };
             return match self.client.put(key, &value, expect, Some(lease)).await {
-                Ok(Put::Done { revision }) => Write::Won(revision),
-                Ok(Put::Conflict { entry: None }) => Write::Lost(None),
+                Ok(Put::Done { revision }) => Write::Applied(revision),
+                Ok(Put::Conflict { entry: None }) => Write::Conflict(None),
                 Ok(Put::Conflict { entry: Some(entry) }) => match standing(&entry) {
-                    Some(standing) => Write::Lost(Some(standing)),
+                    Some(standing) => Write::Conflict(Some(standing)),
                     None => Write::Refused,
                 },
                 Err(Error::Unanswered | Error::Malformed(_)) => Write::Unanswered,
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -188,7 +188,7 @@
                 Some(Action::Void { expect, record }) => {
                     let key = self.key();
                     let write = self.state.records.write(&key, expect, &record).await;
-                    if matches!(write, Write::Won(_)) {
+                    if matches!(write, Write::Applied(_)) {
                         events::emit!(calls::VOIDED, "key={key}");
                     }
                     Event::Voided(write)
--- a/components/models/src/contract/store.rs
+++ b/components/models/src/contract/store.rs
@@ -47,7 +47,7 @@
         let creates = matches!(op, Op::Create { .. });
         let event = match self.store(op, fate) {
             Answer::Write(Write::Unanswered) if creates && self.twin == Twin::UnansweredIsWon => {
-                handover::Event::Created(Write::Won(self.revision))
+                handover::Event::Created(Write::Applied(self.revision))
             }
             Answer::Write(write) if creates => handover::Event::Created(write),
             Answer::Write(write) => handover::Event::Written(write),
@@ -95,13 +95,13 @@
         };
         let revision = self.stored.as_ref().map_or(0, |stored| stored.revision);
         if expect != revision && self.twin != Twin::NoCompare {
-            return Answer::Write(Write::Lost(self.stored.clone()));
+            return Answer::Write(Write::Conflict(self.stored.clone()));
         }
         self.revision += 1;
         self.stored = Some(Stored {
             record: record.clone(),
             revision: self.revision,
         });
-        Answer::Write(Write::Won(self.revision))
+        Answer::Write(Write::Applied(self.revision))
     }
 }
