--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -213,7 +213,7 @@
                 ..
             }) if self.sends < self.settings.sends => return self.send(),
             Reply::Outcome(outcome) => return self.end(outcome),
-            Reply::Lost(standing) => standing,
+            Reply::Conflict(standing) => standing,
         };
         let Some(standing) = standing else {
             // The record lapsed between two attempts; a new one starts from nothing.
--- a/components/contract/src/handover.rs
+++ b/components/contract/src/handover.rs
@@ -135,7 +135,7 @@
     /// The outcome.
     Outcome(Outcome),
     /// The attempt lost: another record stands, and this attempt will never hand over.
-    Lost(Option<Stored>),
+    Conflict(Option<Stored>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -265,7 +265,7 @@
             return self.won(standing.revision, now);
         }
         self.stage = Stage::Done;
-        self.reply(Reply::Lost(standing))
+        self.reply(Reply::Conflict(standing))
     }
 
     fn won(&mut self, revision: Revision, now: Clock) -> Vec<Action> {
--- a/components/contract/tests/attempt.rs
+++ b/components/contract/tests/attempt.rs
@@ -71,7 +71,7 @@
 }
 
 fn lost(standing: Option<Stored>) -> Event {
-    Event::Replied(Reply::Lost(standing))
+    Event::Replied(Reply::Conflict(standing))
 }
 
 fn refused(reason: Reason) -> Event {
--- a/components/models/src/contract/world.rs
+++ b/components/models/src/contract/world.rs
@@ -295,7 +295,7 @@
         let (entry, send) = (self.hands[index].entry, self.hands[index].send);
         if self.twin == Twin::SidecarGoesOn
             && send < 2
-            && let Reply::Lost(Some(standing)) = &reply
+            && let Reply::Conflict(Some(standing)) = &reply
             && matches!(standing.record.state, State::Void { .. })
         {
             let nonce = 200 + entry as Nonce;
