--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -61,8 +61,8 @@
     pub class: Class,
     /// Digest of the request, see [`crate::record::digest`].
     pub digest: String,
-    /// Path where the caller can ask about the call.
-    pub ask: String,
+    /// Path where the caller can query the call.
+    pub status_path: String,
     /// Number of the void record that this entry may write, freshly drawn.
     pub nonce: Nonce,
 }
@@ -301,7 +301,7 @@
     fn unknown(&mut self) -> Vec<Action> {
         let keyed = self.call.class == Class::Kept;
         self.end(Outcome::Unknown {
-            ask: keyed.then(|| self.call.ask.clone()),
+            status_path: keyed.then(|| self.call.status_path.clone()),
         })
     }
 
--- a/components/contract/src/handover.rs
+++ b/components/contract/src/handover.rs
@@ -49,8 +49,8 @@
     /// Number of this hand-over, freshly drawn by the sidecar. Never the entry's: a frame that is
     /// delivered twice must not take the first one's record for its own.
     pub nonce: Nonce,
-    /// Path where the caller can ask about the call.
-    pub ask: String,
+    /// Path where the caller can query the call.
+    pub status_path: String,
 }
 
 /// Times of a hand-over.
@@ -348,7 +348,7 @@
 
     fn unknown(&mut self) -> Vec<Action> {
         self.reply(Reply::Outcome(Outcome::Unknown {
-            ask: Some(self.call.ask.clone()),
+            status_path: Some(self.call.status_path.clone()),
         }))
     }
 
--- a/components/contract/src/outcome.rs
+++ b/components/contract/src/outcome.rs
@@ -55,7 +55,7 @@
     /// The call may have run. Nobody can tell now.
     Unknown {
         /// Path that tells more later; none for calls without a key.
-        ask: Option<String>,
+        status_path: Option<String>,
     },
 }
 
@@ -85,8 +85,8 @@
     /// See [`Outcome::Unknown`].
     Unknown {
         /// Path that tells more later.
-        #[serde(skip_serializing_if = "Option::is_none")]
-        ask: Option<String>,
+        #[serde(skip_serializing_if = "Option::is_none", rename = "ask")]
+        status_path: Option<String>,
     },
 }
 
@@ -141,7 +141,7 @@
                 body: String::from_utf8_lossy(body).into_owned(),
                 replayed: *replayed,
             },
-            Self::Unknown { ask } => Message::Unknown { ask: ask.clone() },
+            Self::Unknown { status_path } => Message::Unknown { status_path: status_path.clone() },
         }
     }
 }
--- a/components/contract/src/record.rs
+++ b/components/contract/src/record.rs
@@ -169,11 +169,11 @@
     /// A void record gives `unknown`, not `not_run`: another attempt with the same key may be on
     /// its way to a sidecar, and a caller that then chose a new key would pay twice. Sending again
     /// with the same key is always safe.
-    pub fn status(&self, ask: &str) -> Outcome {
+    pub fn status(&self, status_path: &str) -> Outcome {
         match &self.state {
             State::Answered { answer, .. } => answer.replay(),
             State::Handed { .. } | State::Void { .. } => Outcome::Unknown {
-                ask: Some(ask.to_string()),
+                status_path: Some(status_path.to_string()),
             },
         }
     }
--- a/components/contract/tests/attempt.rs
+++ b/components/contract/tests/attempt.rs
@@ -35,7 +35,7 @@
     let call = Call {
         class,
         digest: "d".into(),
-        ask: "/v1/calls/k".into(),
+        status_path: "/v1/calls/k".into(),
         nonce: 1,
     };
     let mut attempt = Attempt::new(call, Settings::default());
@@ -182,8 +182,8 @@
         Action::Reply(Outcome::Ran {
             status, replayed, ..
         }) => format!("Ran {status}{}", if *replayed { " again" } else { "" }),
-        Action::Reply(Outcome::Unknown { ask }) => {
-            format!("Unknown {}", ask.as_deref().unwrap_or("-"))
+        Action::Reply(Outcome::Unknown { status_path }) => {
+            format!("Unknown {}", status_path.as_deref().unwrap_or("-"))
         }
     }
 }
--- a/components/contract/tests/handover.rs
+++ b/components/contract/tests/handover.rs
@@ -32,7 +32,7 @@
         digest: "d".into(),
         server: "ledger-1".into(),
         nonce: OWN,
-        ask: "/v1/calls/k".into(),
+        status_path: "/v1/calls/k".into(),
     }
 }
 
--- a/components/contract/tests/record.rs
+++ b/components/contract/tests/record.rs
@@ -84,7 +84,7 @@
             replayed: true,
         },
         Outcome::Unknown {
-            ask: Some("/v1/calls/k".into()),
+            status_path: Some("/v1/calls/k".into()),
         },
     ];
     let shown =
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -155,7 +155,7 @@
         let decisions = contract::attempt::Call {
             class,
             digest: digest.clone(),
-            ask: ask.clone(),
+            status_path: ask.clone(),
             nonce: rand::random(),
         };
         Self {
@@ -330,10 +330,10 @@
             reason,
             retry_after,
         } => Err(refusal(reason, retry_after)),
-        Outcome::Unknown { ask } => {
+        Outcome::Unknown { status_path } => {
             let message = "the call may have run, and its answer was lost";
             let mut problem = Problem::new(Code::Unknown, message).run(Run::Unknown);
-            problem.ask = ask;
+            problem.ask = status_path;
             Err(problem)
         }
     }
--- a/components/models/src/contract/actors.rs
+++ b/components/models/src/contract/actors.rs
@@ -91,7 +91,7 @@
         let call = attempt::Call {
             class: Class::Kept,
             digest: String::new(),
-            ask: String::new(),
+            status_path: String::new(),
             nonce,
         };
         let settings = attempt::Settings {
--- a/components/models/src/contract/world.rs
+++ b/components/models/src/contract/world.rs
@@ -246,7 +246,7 @@
             digest: String::new(),
             server: String::new(),
             nonce,
-            ask: String::new(),
+            status_path: String::new(),
         };
         let settings = handover::Settings {
             limit: LIMIT,
--- a/components/sidecar/src/kept.rs
+++ b/components/sidecar/src/kept.rs
@@ -66,7 +66,7 @@
                 digest: kept.digest.clone(),
                 server: shared.settings.server.name.clone(),
                 nonce: rand::random(),
-                ask: kept.ask.clone(),
+                status_path: kept.ask.clone(),
             },
             Settings::default(),
         ),
