--- a/components/contract/src/handover.rs
+++ b/components/contract/src/handover.rs
@@ -57,22 +57,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// Longest time from the request to the hand-over; later the entry has given up.
-    pub limit: Duration,
+    pub start_timeout: Duration,
     /// When callers may come back after a refusal.
     pub retry_after: Duration,
     /// Wait between tries to write an outcome or a void while the store is out.
-    pub pause: Duration,
+    pub retry_interval: Duration,
     /// How often such a write is tried.
-    pub tries: u32,
+    pub max_write_attempts: u32,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            limit: Duration::from_secs(5),
+            start_timeout: Duration::from_secs(5),
             retry_after: Duration::from_secs(2),
-            pause: Duration::from_secs(1),
-            tries: 600,
+            retry_interval: Duration::from_secs(1),
+            max_write_attempts: 600,
         }
     }
 }
@@ -274,7 +274,7 @@
         }
         // A pause or a slow store can bring us here long after the entry told its caller
         // `unknown`; a call that starts only then surprises everybody.
-        if now.saturating_sub(self.asked) > self.settings.limit {
+        if now.saturating_sub(self.asked) > self.settings.start_timeout {
             return self.void(revision, Reason::Late);
         }
         self.stage = Stage::Running { revision };
@@ -330,13 +330,13 @@
                 self.stage = Stage::Done;
                 Vec::new()
             }
-            Write::Refused | Write::Unanswered if self.tries >= self.settings.tries => {
+            Write::Refused | Write::Unanswered if self.tries >= self.settings.max_write_attempts => {
                 self.stage = Stage::Done;
                 Vec::new()
             }
             Write::Refused | Write::Unanswered => {
                 self.tries += 1;
-                vec![Action::Wait(self.settings.pause)]
+                vec![Action::Wait(self.settings.retry_interval)]
             }
         }
     }
--- a/components/contract/tests/handover.rs
+++ b/components/contract/tests/handover.rs
@@ -113,7 +113,7 @@
 #[case::asked_twice("asked_twice", &[Event::Asked, Event::Created(Write::Applied(1)), Event::Created(Write::Applied(1))])]
 fn a_hand_over(#[case] name: &str, #[case] events: &[Event]) {
     let settings = Settings {
-        tries: 2,
+        max_write_attempts: 2,
         ..Settings::default()
     };
     let mut machine = Handover::new(call(0), settings);
--- a/components/models/src/contract/world.rs
+++ b/components/models/src/contract/world.rs
@@ -249,8 +249,8 @@
             status_path: String::new(),
         };
         let settings = handover::Settings {
-            limit: LIMIT,
-            tries: 2,
+            start_timeout: LIMIT,
+            max_write_attempts: 2,
             ..handover::Settings::default()
         };
         self.hands.push(Hand {
