--- a/components/contract/src/handover.rs
+++ b/components/contract/src/handover.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// The entry asks for the call.
-    Asked,
+    Requested,
     /// Answer to [`Action::Create`].
     Created(Write),
     /// Answer to [`Action::ReadBack`].
@@ -91,15 +91,15 @@
     /// The service answered.
     Answered(Response),
     /// The connection broke after bytes may have left.
-    Died,
+    ConnectionLost,
     /// The service gave no answer in its time; the connection is still open.
-    Silent,
+    TimedOut,
     /// Answer to [`Action::Write`].
     Written(Write),
     /// The time of [`Action::Wait`] is over.
-    Waited,
+    TimerFired,
     /// The entry is gone or has given up.
-    Gone,
+    EntryGone,
 }
 
 /// What the sidecar has to do.
@@ -123,7 +123,7 @@
         /// The record.
         record: Record,
     },
-    /// Come back with [`Event::Waited`].
+    /// Come back with [`Event::TimerFired`].
     Wait(Duration),
     /// Answer the entry. Given at most once.
     Reply(Reply),
@@ -186,12 +186,12 @@
 
     /// Takes an event; events that don't fit the stage are ignored.
     pub fn handle(&mut self, event: Event, now: Clock) -> Vec<Action> {
-        if event == Event::Gone {
+        if event == Event::EntryGone {
             self.gone = true;
             return Vec::new();
         }
         match (self.stage.clone(), event) {
-            (Stage::Fresh, Event::Asked) => self.create(now),
+            (Stage::Fresh, Event::Requested) => self.create(now),
             (Stage::Creating, Event::Created(write)) => self.created(write, now),
             (Stage::ReadingBack, Event::Read(read)) => self.read(read, now),
             (Stage::Running { revision }, Event::Unreachable) => {
@@ -200,15 +200,15 @@
             (Stage::Running { revision }, Event::Answered(response)) => {
                 self.answered(revision, response)
             }
-            (Stage::Running { .. }, Event::Died) => {
+            (Stage::Running { .. }, Event::ConnectionLost) => {
                 self.stage = Stage::Done;
                 self.unknown()
             }
-            (Stage::Running { .. }, Event::Silent) => self.unknown(),
+            (Stage::Running { .. }, Event::TimedOut) => self.unknown(),
             (Stage::Writing { expect, record }, Event::Written(write)) => {
                 self.written(expect, record, write)
             }
-            (Stage::Writing { expect, record }, Event::Waited) => {
+            (Stage::Writing { expect, record }, Event::TimerFired) => {
                 vec![Action::Write { expect, record }]
             }
             _ => Vec::new(),
--- a/components/contract/tests/handover.rs
+++ b/components/contract/tests/handover.rs
@@ -88,9 +88,9 @@
     Event::Created(Write::Unanswered),
     Event::Read(Read::Failed),
     Event::Written(Write::Unanswered),
-    Event::Waited,
+    Event::TimerFired,
     Event::Written(Write::Refused),
-    Event::Waited,
+    Event::TimerFired,
     Event::Written(Write::Refused),
 ])]
 #[case::other_was_first("other_was_first", &[Event::Created(Write::Conflict(Some(handed(8, 4))))])]
@@ -98,27 +98,27 @@
     Event::Created(Write::Unanswered),
     Event::Read(Read::Found(handed(8, 4))),
 ])]
-#[case::entry_gone("entry_gone", &[Event::Gone, Event::Created(Write::Applied(1)), Event::Written(Write::Applied(2))])]
-#[case::entry_gone_while_running("entry_gone_while_running", &[Event::Created(Write::Applied(1)), Event::Gone, answer(2)])]
+#[case::entry_gone("entry_gone", &[Event::EntryGone, Event::Created(Write::Applied(1)), Event::Written(Write::Applied(2))])]
+#[case::entry_gone_while_running("entry_gone_while_running", &[Event::Created(Write::Applied(1)), Event::EntryGone, answer(2)])]
 #[case::unreachable("unreachable", &[Event::Created(Write::Applied(1)), Event::Unreachable])]
-#[case::died("died", &[Event::Created(Write::Applied(1)), Event::Died])]
+#[case::died("died", &[Event::Created(Write::Applied(1)), Event::ConnectionLost])]
 #[case::silent_then_answered("silent_then_answered", &[
     Event::Created(Write::Applied(1)),
-    Event::Silent,
+    Event::TimedOut,
     answer(2),
     Event::Written(Write::Unanswered),
-    Event::Waited,
+    Event::TimerFired,
     Event::Written(Write::Conflict(None)),
 ])]
-#[case::asked_twice("asked_twice", &[Event::Asked, Event::Created(Write::Applied(1)), Event::Created(Write::Applied(1))])]
+#[case::asked_twice("asked_twice", &[Event::Requested, Event::Created(Write::Applied(1)), Event::Created(Write::Applied(1))])]
 fn a_hand_over(#[case] name: &str, #[case] events: &[Event]) {
     let settings = Settings {
         max_write_attempts: 2,
         ..Settings::default()
     };
     let mut machine = Handover::new(call(0), settings);
-    let mut lines = vec!["Asked".to_string()];
-    let asked = machine.handle(Event::Asked, Duration::ZERO);
+    let mut lines = vec!["Requested".to_string()];
+    let asked = machine.handle(Event::Requested, Duration::ZERO);
     lines.extend(asked.iter().map(|action| format!("  {}", line(action))));
     for event in events {
         lines.push(format!("{event:?}"));
@@ -134,7 +134,7 @@
 #[test]
 fn a_create_answered_after_the_limit_is_voided() {
     let mut machine = Handover::new(call(3), Settings::default());
-    machine.handle(Event::Asked, Duration::from_secs(100));
+    machine.handle(Event::Requested, Duration::from_secs(100));
     let actions = machine.handle(Event::Created(Write::Applied(4)), Duration::from_secs(106));
     let lines: Vec<String> = actions.iter().map(line).collect();
     insta::assert_snapshot!(lines.join("\n"));
@@ -145,7 +145,7 @@
 #[test]
 fn a_long_body_reaches_its_caller() {
     let mut machine = Handover::new(call(0), Settings::default());
-    machine.handle(Event::Asked, Duration::ZERO);
+    machine.handle(Event::Requested, Duration::ZERO);
     machine.handle(Event::Created(Write::Applied(1)), Duration::ZERO);
     let actions = machine.handle(answer(BODY_LIMIT + 1), Duration::ZERO);
     let text = format!("{:?}", actions[0]);
--- a/components/models/src/contract/world.rs
+++ b/components/models/src/contract/world.rs
@@ -152,17 +152,17 @@
                 self.hands[hand].service = Service::Untouched;
                 let event = match self.twin {
                     Twin::BrokenIsRefused => handover::Event::Unreachable,
-                    _ => handover::Event::Died,
+                    _ => handover::Event::ConnectionLost,
                 };
                 self.hand(hand, event, Clock::ZERO);
             }
             Step::Waited(hand) => {
                 self.hands[hand].waits = false;
-                self.hand(hand, handover::Event::Waited, Clock::ZERO);
+                self.hand(hand, handover::Event::TimerFired, Clock::ZERO);
             }
             Step::Gone(hand) => {
                 self.hands[hand].gone = true;
-                self.hand(hand, handover::Event::Gone, Clock::ZERO);
+                self.hand(hand, handover::Event::EntryGone, Clock::ZERO);
             }
             Step::EntryDies(entry) => self.entry_dies(entry),
             Step::SidecarDies(sidecar) => self.sidecar_dies(sidecar),
@@ -262,7 +262,7 @@
             waits: false,
             gone: false,
         });
-        self.hand(self.hands.len() - 1, handover::Event::Asked, Clock::ZERO);
+        self.hand(self.hands.len() - 1, handover::Event::Requested, Clock::ZERO);
     }
 
     pub(super) fn entry(&mut self, entry: usize, event: attempt::Event) {
--- a/components/sidecar/src/kept.rs
+++ b/components/sidecar/src/kept.rs
@@ -74,7 +74,7 @@
         stream,
         gone: false,
     };
-    let mut next = driver.handle(Event::Asked).await;
+    let mut next = driver.handle(Event::Requested).await;
     while let Some(mut event) = next.take() {
         let silence = sleep(shared.settings.times.call);
         tokio::pin!(silence);
@@ -84,11 +84,11 @@
                 came = &mut event => break came,
                 () = driver.stream.sender.stopped(), if !driver.gone => {
                     driver.gone = true;
-                    driver.handle(Event::Gone).await;
+                    driver.handle(Event::EntryGone).await;
                 }
                 () = &mut silence, if driver.machine.running() && !silent => {
                     silent = true;
-                    driver.handle(Event::Silent).await;
+                    driver.handle(Event::TimedOut).await;
                 }
             }
         };
@@ -158,7 +158,7 @@
 
 async fn wait(time: Duration) -> Event {
     sleep(time).await;
-    Event::Waited
+    Event::TimerFired
 }
 
 fn came(handed: Handed) -> Event {
@@ -173,7 +173,7 @@
             body,
         }),
         Handed::NotSent => Event::Unreachable,
-        Handed::Lost => Event::Died,
+        Handed::Lost => Event::ConnectionLost,
     }
 }
 
