--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -35,7 +35,7 @@
     /// It may be repeated: the service's contract says so.
     Repeatable,
     /// It runs at most once and has a key, so a record is kept.
-    Kept,
+    Recorded,
     /// It runs at most once and has no key: sent once, and never again after a byte may have left.
     Once,
 }
@@ -48,7 +48,7 @@
     pub fn of(repeatable: bool, drops_repeats: bool, keyed: bool) -> Self {
         match (repeatable || drops_repeats && keyed, keyed) {
             (true, _) => Self::Repeatable,
-            (false, true) => Self::Kept,
+            (false, true) => Self::Recorded,
             (false, false) => Self::Once,
         }
     }
@@ -186,7 +186,7 @@
 
     /// Refuses at once while the store is out: a kept call could only wait for its deadline.
     fn start(&mut self, store: bool) -> Vec<Action> {
-        if self.call.class == Class::Kept && !store {
+        if self.call.class == Class::Recorded && !store {
             return self.refuse(Reason::StoreOut);
         }
         self.send()
@@ -241,7 +241,7 @@
         match self.call.class {
             Class::Repeatable if budget && self.sends < self.settings.sends => self.send(),
             Class::Repeatable | Class::Once => self.unknown(),
-            Class::Kept => self.void(),
+            Class::Recorded => self.void(),
         }
     }
 
@@ -299,7 +299,7 @@
     }
 
     fn unknown(&mut self) -> Vec<Action> {
-        let keyed = self.call.class == Class::Kept;
+        let keyed = self.call.class == Class::Recorded;
         self.end(Outcome::Unknown {
             status_path: keyed.then(|| self.call.status_path.clone()),
         })
--- a/components/contract/tests/attempt.rs
+++ b/components/contract/tests/attempt.rs
@@ -80,37 +80,37 @@
 
 /// The text is the last action: what the caller is told, or what the entry does next.
 #[rstest]
-#[case::replayed(Class::Kept, &[lost(answered("d"))], "Ran 201 again")]
-#[case::key_reused(Class::Kept, &[lost(answered("other"))], "NotRun KeyReused")]
+#[case::replayed(Class::Recorded, &[lost(answered("d"))], "Ran 201 again")]
+#[case::key_reused(Class::Recorded, &[lost(answered("other"))], "NotRun KeyReused")]
 #[case::key_reused_while_running(
-    Class::Kept,
+    Class::Recorded,
     &[lost(standing(State::Handed { nonce: 5 }, "other"))],
     "NotRun KeyReused"
 )]
-#[case::other_entry_was_first(Class::Kept, &[lost(handed())], "Unknown /v1/calls/k")]
-#[case::voided_before(Class::Kept, &[lost(void())], "Send at 9")]
-#[case::record_lapsed(Class::Kept, &[lost(None)], "Send at 0")]
-#[case::leaving(Class::Kept, &[refused(Reason::Leaving)], "Send at 0")]
-#[case::refused(Class::Kept, &[refused(Reason::StoreOut)], "NotRun StoreOut")]
-#[case::silent(Class::Kept, &[SILENT], "Void at 0")]
-#[case::silent_later(Class::Kept, &[lost(void()), SILENT], "Void at 9")]
-#[case::proven(Class::Kept, &[SILENT, Event::Voided(Write::Applied(3))], "NotRun Silent")]
-#[case::may_run(Class::Kept, &[SILENT, Event::Voided(Write::Conflict(handed()))], "Unknown /v1/calls/k")]
-#[case::ran(Class::Kept, &[SILENT, Event::Voided(Write::Conflict(answered("d")))], "Ran 201 again")]
-#[case::given_up(Class::Kept, &[SILENT, Event::Voided(Write::Conflict(void()))], "NotRun Silent")]
-#[case::store_out(Class::Kept, &[SILENT, Event::Voided(Write::Refused)], "Unknown /v1/calls/k")]
+#[case::other_entry_was_first(Class::Recorded, &[lost(handed())], "Unknown /v1/calls/k")]
+#[case::voided_before(Class::Recorded, &[lost(void())], "Send at 9")]
+#[case::record_lapsed(Class::Recorded, &[lost(None)], "Send at 0")]
+#[case::leaving(Class::Recorded, &[refused(Reason::Leaving)], "Send at 0")]
+#[case::refused(Class::Recorded, &[refused(Reason::StoreOut)], "NotRun StoreOut")]
+#[case::silent(Class::Recorded, &[SILENT], "Void at 0")]
+#[case::silent_later(Class::Recorded, &[lost(void()), SILENT], "Void at 9")]
+#[case::proven(Class::Recorded, &[SILENT, Event::Voided(Write::Applied(3))], "NotRun Silent")]
+#[case::may_run(Class::Recorded, &[SILENT, Event::Voided(Write::Conflict(handed()))], "Unknown /v1/calls/k")]
+#[case::ran(Class::Recorded, &[SILENT, Event::Voided(Write::Conflict(answered("d")))], "Ran 201 again")]
+#[case::given_up(Class::Recorded, &[SILENT, Event::Voided(Write::Conflict(void()))], "NotRun Silent")]
+#[case::store_out(Class::Recorded, &[SILENT, Event::Voided(Write::Refused)], "Unknown /v1/calls/k")]
 #[case::answer_lost(
-    Class::Kept,
+    Class::Recorded,
     &[SILENT, Event::Voided(Write::Unanswered), Event::Read(Read::Found(void().unwrap()))],
     "NotRun Silent"
 )]
 #[case::write_lost(
-    Class::Kept,
+    Class::Recorded,
     &[SILENT, Event::Voided(Write::Unanswered), Event::Read(Read::Absent)],
     "Void at 0"
 )]
 #[case::write_lost_twice(
-    Class::Kept,
+    Class::Recorded,
     &[
         SILENT,
         Event::Voided(Write::Unanswered),
@@ -138,7 +138,7 @@
 /// The store is out. A caller of a kept call that was held until its deadline could not even come
 /// back in time; calls that need no record go on.
 #[rstest]
-#[case::kept(Class::Kept, "NotRun StoreOut")]
+#[case::kept(Class::Recorded, "NotRun StoreOut")]
 #[case::once(Class::Once, "Send at 0")]
 #[case::repeatable(Class::Repeatable, "Send at 0")]
 fn while_the_store_is_out(#[case] class: Class, #[case] first: &str) {
@@ -150,7 +150,7 @@
 #[case::idempotent(true, false, false, Class::Repeatable)]
 #[case::drops_repeats_with_key(false, true, true, Class::Repeatable)]
 #[case::drops_repeats_without_key(false, true, false, Class::Once)]
-#[case::keyed(false, false, true, Class::Kept)]
+#[case::keyed(false, false, true, Class::Recorded)]
 #[case::bare(false, false, false, Class::Once)]
 fn a_class(#[case] free: bool, #[case] drops: bool, #[case] keyed: bool, #[case] class: Class) {
     assert_eq!(Class::of(free, drops, keyed), class);
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -230,7 +230,7 @@
             return Event::Unsent;
         };
         self.avoid.push(replica.server.clone());
-        self.call.kept = (self.class == Class::Kept).then(|| Kept {
+        self.call.kept = (self.class == Class::Recorded).then(|| Kept {
             send: rand::random(),
             base,
             digest: self.digest.clone(),
--- a/components/models/src/contract/actors.rs
+++ b/components/models/src/contract/actors.rs
@@ -89,7 +89,7 @@
 impl Request {
     pub(super) fn new(nonce: Nonce) -> Self {
         let call = attempt::Call {
-            class: Class::Kept,
+            class: Class::Recorded,
             digest: String::new(),
             status_path: String::new(),
             nonce,
