--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -71,9 +71,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// Most sends of one call, the first one included.
-    pub sends: u32,
+    pub max_sends: u32,
     /// Most tries to void the record.
-    pub voids: u32,
+    pub max_voids: u32,
     /// When callers may come back after a refusal.
     pub retry_after: Duration,
 }
@@ -81,8 +81,8 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            sends: 3,
-            voids: 2,
+            max_sends: 3,
+            max_voids: 2,
             retry_after: Duration::from_secs(2),
         }
     }
@@ -199,7 +199,7 @@
     }
 
     fn unsent(&mut self) -> Vec<Action> {
-        if self.sends < self.settings.sends {
+        if self.sends < self.settings.max_sends {
             return self.send();
         }
         self.refuse(Reason::NoServer)
@@ -211,7 +211,7 @@
             Reply::Outcome(Outcome::NotRun {
                 reason: Reason::Leaving,
                 ..
-            }) if self.sends < self.settings.sends => return self.send(),
+            }) if self.sends < self.settings.max_sends => return self.send(),
             Reply::Outcome(outcome) => return self.end(outcome),
             Reply::Conflict(standing) => standing,
         };
@@ -230,7 +230,7 @@
 
     /// Starts the next attempt. The last one has lost its only write and can't hand over any more.
     fn again(&mut self, base: Revision) -> Vec<Action> {
-        if self.sends >= self.settings.sends {
+        if self.sends >= self.settings.max_sends {
             return self.refuse(Reason::NoServer);
         }
         self.base = base;
@@ -239,7 +239,7 @@
 
     fn silent(&mut self, budget: bool) -> Vec<Action> {
         match self.call.class {
-            Class::Repeatable if budget && self.sends < self.settings.sends => self.send(),
+            Class::Repeatable if budget && self.sends < self.settings.max_sends => self.send(),
             Class::Repeatable | Class::Once => self.unknown(),
             Class::Recorded => self.void(),
         }
@@ -276,7 +276,7 @@
         match read {
             Read::Found(standing) if standing.revision > self.base => self.judge(standing),
             // The void is not there yet. It may be lost or late; a second one does no harm.
-            Read::Found(_) | Read::Absent if self.voids < self.settings.voids => self.void(),
+            Read::Found(_) | Read::Absent if self.voids < self.settings.max_voids => self.void(),
             Read::Found(_) | Read::Absent | Read::Failed => self.unknown(),
         }
     }
--- a/components/models/src/contract/actors.rs
+++ b/components/models/src/contract/actors.rs
@@ -95,7 +95,7 @@
             nonce,
         };
         let settings = attempt::Settings {
-            sends: 2,
+            max_sends: 2,
             ..attempt::Settings::default()
         };
         Self {
