--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -94,7 +94,7 @@
     /// The caller's request came; `store` tells whether the store answers at present.
     Start {
         /// The store answers.
-        store: bool,
+        store_available: bool,
     },
     /// The call could not be sent: no byte left.
     Unsent,
@@ -174,7 +174,7 @@
     /// Takes an event; events that don't fit the stage are ignored.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         match (&self.stage, event) {
-            (Stage::Fresh, Event::Start { store }) => self.start(store),
+            (Stage::Fresh, Event::Start { store_available }) => self.start(store_available),
             (Stage::Sent, Event::Unsent) => self.unsent(),
             (Stage::Sent, Event::Replied(reply)) => self.replied(reply),
             (Stage::Sent, Event::Silent { budget }) => self.silent(budget),
@@ -185,8 +185,8 @@
     }
 
     /// Refuses at once while the store is out: a kept call could only wait for its deadline.
-    fn start(&mut self, store: bool) -> Vec<Action> {
-        if self.call.class == Class::Recorded && !store {
+    fn start(&mut self, store_available: bool) -> Vec<Action> {
+        if self.call.class == Class::Recorded && !store_available {
             return self.refuse(Reason::StoreOut);
         }
         self.send()
--- a/components/contract/tests/attempt.rs
+++ b/components/contract/tests/attempt.rs
@@ -31,7 +31,7 @@
 
 const SILENT: Event = Event::Silent { budget: true };
 
-fn start(class: Class, store: bool) -> (Attempt, Vec<Action>) {
+fn start(class: Class, store_available: bool) -> (Attempt, Vec<Action>) {
     let call = Call {
         class,
         digest: "d".into(),
@@ -39,7 +39,7 @@
         nonce: 1,
     };
     let mut attempt = Attempt::new(call, Settings::default());
-    let actions = attempt.handle(Event::Start { store });
+    let actions = attempt.handle(Event::Start { store_available });
     (attempt, actions)
 }
 
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -179,8 +179,8 @@
 
     /// Drives the call to its outcome.
     async fn run(&mut self) -> Outcome {
-        let store = self.state.outage.over();
-        let mut event = Event::Start { store };
+        let store_available = self.state.outage.over();
+        let mut event = Event::Start { store_available };
         loop {
             let mut actions = self.machine.handle(event).into_iter();
             event = match actions.next() {
--- a/components/models/src/contract/world.rs
+++ b/components/models/src/contract/world.rs
@@ -109,7 +109,7 @@
         match step {
             Step::Request(entry) => {
                 self.requests[entry].begun = true;
-                self.entry(entry, attempt::Event::Start { store: true });
+                self.entry(entry, attempt::Event::Start { store_available: true });
             }
             Step::Frame(entry) => self.frame(entry),
             Step::FrameTwice(entry) => {
