--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -102,9 +102,9 @@
     Replied(Reply),
     /// The sidecar fell silent or the time is over, after bytes may have left. `budget` tells
     /// whether the retry budget gave a retry.
-    Silent {
+    TimedOut {
         /// A retry may be made.
-        budget: bool,
+        retry_allowed: bool,
     },
     /// Answer to [`Action::Void`].
     Voided(Write),
@@ -177,7 +177,7 @@
             (Stage::Fresh, Event::Start { store_available }) => self.start(store_available),
             (Stage::Sent, Event::Unsent) => self.unsent(),
             (Stage::Sent, Event::Replied(reply)) => self.replied(reply),
-            (Stage::Sent, Event::Silent { budget }) => self.silent(budget),
+            (Stage::Sent, Event::TimedOut { retry_allowed }) => self.timed_out(retry_allowed),
             (Stage::Voiding, Event::Voided(write)) => self.voided(write),
             (Stage::ReadingBack, Event::Read(read)) => self.read(read),
             _ => Vec::new(),
@@ -237,9 +237,9 @@
         self.send()
     }
 
-    fn silent(&mut self, budget: bool) -> Vec<Action> {
+    fn timed_out(&mut self, retry_allowed: bool) -> Vec<Action> {
         match self.call.class {
-            Class::Repeatable if budget && self.sends < self.settings.max_sends => self.send(),
+            Class::Repeatable if retry_allowed && self.sends < self.settings.max_sends => self.send(),
             Class::Repeatable | Class::Once => self.unknown(),
             Class::Recorded => self.void(),
         }
--- a/components/contract/tests/attempt.rs
+++ b/components/contract/tests/attempt.rs
@@ -29,7 +29,7 @@
 };
 use rstest::rstest;
 
-const SILENT: Event = Event::Silent { budget: true };
+const TIMED_OUT: Event = Event::TimedOut { retry_allowed: true };
 
 fn start(class: Class, store_available: bool) -> (Attempt, Vec<Action>) {
     let call = Call {
@@ -92,27 +92,27 @@
 #[case::record_lapsed(Class::Recorded, &[lost(None)], "Send at 0")]
 #[case::leaving(Class::Recorded, &[refused(Reason::Leaving)], "Send at 0")]
 #[case::refused(Class::Recorded, &[refused(Reason::StoreOut)], "NotRun StoreOut")]
-#[case::silent(Class::Recorded, &[SILENT], "Void at 0")]
-#[case::silent_later(Class::Recorded, &[lost(void()), SILENT], "Void at 9")]
-#[case::proven(Class::Recorded, &[SILENT, Event::Voided(Write::Applied(3))], "NotRun Silent")]
-#[case::may_run(Class::Recorded, &[SILENT, Event::Voided(Write::Conflict(handed()))], "Unknown /v1/calls/k")]
-#[case::ran(Class::Recorded, &[SILENT, Event::Voided(Write::Conflict(answered("d")))], "Ran 201 again")]
-#[case::given_up(Class::Recorded, &[SILENT, Event::Voided(Write::Conflict(void()))], "NotRun Silent")]
-#[case::store_out(Class::Recorded, &[SILENT, Event::Voided(Write::Refused)], "Unknown /v1/calls/k")]
+#[case::silent(Class::Recorded, &[TIMED_OUT], "Void at 0")]
+#[case::silent_later(Class::Recorded, &[lost(void()), TIMED_OUT], "Void at 9")]
+#[case::proven(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Applied(3))], "NotRun Silent")]
+#[case::may_run(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(handed()))], "Unknown /v1/calls/k")]
+#[case::ran(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(answered("d")))], "Ran 201 again")]
+#[case::given_up(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(void()))], "NotRun Silent")]
+#[case::store_out(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Refused)], "Unknown /v1/calls/k")]
 #[case::answer_lost(
     Class::Recorded,
-    &[SILENT, Event::Voided(Write::Unanswered), Event::Read(Read::Found(void().unwrap()))],
+    &[TIMED_OUT, Event::Voided(Write::Unanswered), Event::Read(Read::Found(void().unwrap()))],
     "NotRun Silent"
 )]
 #[case::write_lost(
     Class::Recorded,
-    &[SILENT, Event::Voided(Write::Unanswered), Event::Read(Read::Absent)],
+    &[TIMED_OUT, Event::Voided(Write::Unanswered), Event::Read(Read::Absent)],
     "Void at 0"
 )]
 #[case::write_lost_twice(
     Class::Recorded,
     &[
-        SILENT,
+        TIMED_OUT,
         Event::Voided(Write::Unanswered),
         Event::Read(Read::Absent),
         Event::Voided(Write::Unanswered),
@@ -120,12 +120,12 @@
     ],
     "Unknown /v1/calls/k"
 )]
-#[case::no_key_silent(Class::Once, &[SILENT], "Unknown -")]
+#[case::no_key_silent(Class::Once, &[TIMED_OUT], "Unknown -")]
 #[case::no_key_unsent(Class::Once, &[Event::Unsent], "Send at 0")]
 #[case::nobody_there(Class::Once, &[Event::Unsent, Event::Unsent, Event::Unsent], "NotRun NoServer")]
-#[case::repeatable_silent(Class::Repeatable, &[SILENT], "Send at 0")]
-#[case::repeatable_no_budget(Class::Repeatable, &[Event::Silent { budget: false }], "Unknown -")]
-#[case::repeatable_silent_thrice(Class::Repeatable, &[SILENT, SILENT, SILENT], "Unknown -")]
+#[case::repeatable_silent(Class::Repeatable, &[TIMED_OUT], "Send at 0")]
+#[case::repeatable_no_budget(Class::Repeatable, &[Event::TimedOut { retry_allowed: false }], "Unknown -")]
+#[case::repeatable_silent_thrice(Class::Repeatable, &[TIMED_OUT, TIMED_OUT, TIMED_OUT], "Unknown -")]
 fn an_attempt(#[case] class: Class, #[case] events: &[Event], #[case] last: &str) {
     let (mut attempt, mut actions) = start(class, true);
     assert_eq!(actions, [Action::Send { base: 0 }]);
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -258,8 +258,8 @@
             Health::Failed => replica.sent.ended(routing::Outcome::Failed),
             Health::Unsaid => {}
         }
-        event.unwrap_or_else(|| Event::Silent {
-            budget: self.class == Class::Repeatable && self.state.gates.retry(),
+        event.unwrap_or_else(|| Event::TimedOut {
+            retry_allowed: self.class == Class::Repeatable && self.state.gates.retry(),
         })
     }
 }
--- a/components/models/src/contract/world.rs
+++ b/components/models/src/contract/world.rs
@@ -181,7 +181,7 @@
                 let base = self.stored.as_ref().map_or(0, |stored| stored.revision);
                 request.frames.push(Frame::new(request.sends, base));
             }
-            _ => self.entry(entry, attempt::Event::Silent { budget: false }),
+            _ => self.entry(entry, attempt::Event::TimedOut { retry_allowed: false }),
         }
     }
 
