--- a/components/contract/src/seen.rs
+++ b/components/contract/src/seen.rs
@@ -30,7 +30,7 @@
     }
 
     /// Notes a number; tells whether it is new.
-    pub fn begin(&mut self, number: Nonce) -> bool {
+    pub fn insert(&mut self, number: Nonce) -> bool {
         if !self.numbers.insert(number) {
             return false;
         }
--- a/components/contract/tests/record.rs
+++ b/components/contract/tests/record.rs
@@ -95,6 +95,6 @@
 #[test]
 fn a_send_begins_once_and_the_memory_is_bounded() {
     let mut seen = Seen::new(2);
-    let begun = [1, 1, 2, 1, 3, 1].map(|number| seen.begin(number));
+    let begun = [1, 1, 2, 1, 3, 1].map(|number| seen.insert(number));
     assert_eq!(begun, [true, false, true, false, true, true]);
 }
--- a/components/models/src/contract/world.rs
+++ b/components/models/src/contract/world.rs
@@ -231,7 +231,7 @@
             _ => Nonce::from(frame.copies),
         };
         let number = 100 + 10 * entry as Nonce + 3 * Nonce::from(frame.send);
-        let new = self.seen[goes_to(entry, frame.send)].begin(number);
+        let new = self.seen[goes_to(entry, frame.send)].insert(number);
         let begins_copies = matches!(self.twin, Twin::CopyBegins | Twin::NonceFromFrame);
         if !new && !begins_copies {
             return;
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -109,7 +109,7 @@
 
     fn begins(&self, kept: &Kept) -> bool {
         let mut seen = self.seen.lock().expect("no panic while held");
-        seen.begin(kept.send)
+        seen.insert(kept.send)
     }
 
     /// Passes a call on of which no record is kept.
