--- a/components/contract/src/sends.rs
+++ b/components/contract/src/sends.rs
@@ -67,17 +67,17 @@
     }
 
     /// Whether it may have run somewhere.
-    pub fn ran(&self) -> bool {
+    pub fn may_have_run(&self) -> bool {
         self.ran
     }
 
     /// Servers that it may still reach.
-    pub fn left(&self) -> u32 {
+    pub fn remaining(&self) -> u32 {
         self.most.saturating_sub(self.reached)
     }
 
     /// Takes the ending of a send.
-    pub fn ended(&mut self, ending: Ending) -> Verdict {
+    pub fn record(&mut self, ending: Ending) -> Verdict {
         match ending {
             Ending::Answered => return Verdict::Answer,
             Ending::Failed => {
--- a/components/contract/tests/sends.rs
+++ b/components/contract/tests/sends.rs
@@ -24,7 +24,7 @@
 ) {
     let mut sends = Sends::new(Class::Once, 1);
     for (number, ending) in endings.iter().enumerate() {
-        let verdict = sends.ended(*ending);
+        let verdict = sends.record(*ending);
         let expected = match number + 1 == endings.len() {
             true => told,
             false => Verdict::Send,
@@ -37,9 +37,9 @@
 #[test]
 fn a_call_that_was_declined_may_go_on_within_its_bound() {
     let mut sends = Sends::new(Class::Once, 3);
-    assert_eq!(sends.ended(Ending::Declined), Verdict::Send);
-    assert_eq!(sends.ended(Ending::Declined), Verdict::Send);
-    assert_eq!(sends.ended(Ending::Lost), Verdict::Unknown);
+    assert_eq!(sends.record(Ending::Declined), Verdict::Send);
+    assert_eq!(sends.record(Ending::Declined), Verdict::Send);
+    assert_eq!(sends.record(Ending::Lost), Verdict::Unknown);
 }
 
 /// A look-up fails at one server and gets no answer from the next. The caller gets the failure that
@@ -47,8 +47,8 @@
 #[test]
 fn a_lookup_is_repeated_within_its_bound_and_its_last_answer_counts() {
     let mut sends = Sends::new(Class::Repeatable, 2);
-    assert_eq!(sends.ended(Ending::Failed), Verdict::Send);
-    assert_eq!(sends.ended(Ending::Lost), Verdict::Answer);
+    assert_eq!(sends.record(Ending::Failed), Verdict::Send);
+    assert_eq!(sends.record(Ending::Lost), Verdict::Answer);
 }
 
 /// Whatever comes, in whatever order: "not run" is said only when no send can have run, and a call
@@ -71,7 +71,7 @@
                 rest /= ALL.len();
                 ran |= matches!(ending, Ending::Failed | Ending::Lost);
                 reached += u32::from(!matches!(ending, Ending::Misdirected | Ending::Unsent));
-                match sends.ended(ending) {
+                match sends.record(ending) {
                     Verdict::Send => {
                         assert!(!ran || class == Class::Repeatable);
                         assert!(reached < 3);
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -143,7 +143,7 @@
             for result in results {
                 self.unsent += u32::from(result.ending == Ending::Unsent);
                 self.answer = result.answer.or(self.answer.take());
-                verdict = self.sends.ended(result.ending);
+                verdict = self.sends.record(result.ending);
             }
             if verdict != Verdict::Send {
                 return self.finish(verdict);
@@ -184,7 +184,7 @@
         let (context, call) = (self.context.clone(), self.call.clone());
         let first = attempt(&context, &call, &target);
         let mut first = std::pin::pin!(first);
-        if self.class == Class::Once || self.sends.left() < 2 {
+        if self.class == Class::Once || self.sends.remaining() < 2 {
             return vec![first.await];
         }
         let hedge = sleep(self.hedge_delay());
@@ -221,7 +221,7 @@
 
     fn timed_out(mut self) -> Response<Body> {
         // An attempt that was in progress at the deadline may have run.
-        let verdict = self.sends.ended(Ending::Lost);
+        let verdict = self.sends.record(Ending::Lost);
         match (verdict, self.answer.take()) {
             (Verdict::Answer, Some(answer)) => answer,
             _ => self.call.refuse(&Refusal::DeadlineExceeded),
