--- a/components/contract/src/record.rs
+++ b/components/contract/src/record.rs
@@ -23,7 +23,7 @@
 
 /// Longest body that is kept, in bytes. With its encoding it stays under half of the megabyte that
 /// a value of the store may have.
-pub const BODY_LIMIT: usize = 256 * 1024;
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
 
 /// The record of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -89,14 +89,14 @@
     Text(String),
     /// Other bytes, in base64.
     Base64(String),
-    /// Longer than [`BODY_LIMIT`]; this many bytes, which aren't kept.
+    /// Longer than [`MAX_BODY_BYTES`]; this many bytes, which aren't kept.
     TooLong(usize),
 }
 
 impl Body {
     /// Encodes a body; one that is too long is left out.
     pub fn keep(bytes: &[u8]) -> Self {
-        if bytes.len() > BODY_LIMIT {
+        if bytes.len() > MAX_BODY_BYTES {
             return Self::TooLong(bytes.len());
         }
         match std::str::from_utf8(bytes) {
--- a/components/contract/tests/handover.rs
+++ b/components/contract/tests/handover.rs
@@ -11,7 +11,7 @@
         Settings, //
     },
     record::{
-        BODY_LIMIT,
+        MAX_BODY_BYTES,
         Record,
         Response,
         State, //
@@ -147,8 +147,8 @@
     let mut machine = Handover::new(call(0), Settings::default());
     machine.handle(Event::Requested, Duration::ZERO);
     machine.handle(Event::Created(Write::Applied(1)), Duration::ZERO);
-    let actions = machine.handle(answer(BODY_LIMIT + 1), Duration::ZERO);
+    let actions = machine.handle(answer(MAX_BODY_BYTES + 1), Duration::ZERO);
     let text = format!("{:?}", actions[0]);
-    assert!(text.len() > BODY_LIMIT, "the reply holds the whole body");
+    assert!(text.len() > MAX_BODY_BYTES, "the reply holds the whole body");
     insta::assert_snapshot!(line(&actions[1]));
 }
