--- a/components/contract/src/handover.rs
+++ b/components/contract/src/handover.rs
@@ -295,7 +295,7 @@
     fn answered(&mut self, expect: Revision, response: Response) -> Vec<Action> {
         let record = self.record(State::Answered {
             nonce: self.call.nonce,
-            answer: Answer::keep(&response),
+            answer: Answer::from_response(&response),
         });
         let mut actions = self.reply(Reply::Outcome(Outcome::Ran {
             status: response.status,
--- a/components/contract/src/record.rs
+++ b/components/contract/src/record.rs
@@ -95,7 +95,7 @@
 
 impl Body {
     /// Encodes a body; one that is too long is left out.
-    pub fn keep(bytes: &[u8]) -> Self {
+    pub fn from_bytes(bytes: &[u8]) -> Self {
         if bytes.len() > MAX_BODY_BYTES {
             return Self::TooLong(bytes.len());
         }
@@ -117,11 +117,11 @@
 
 impl Answer {
     /// The part of a response that is kept.
-    pub fn keep(response: &Response) -> Self {
+    pub fn from_response(response: &Response) -> Self {
         Self {
             status: response.status,
             content_type: response.content_type.clone(),
-            body: Body::keep(&response.body),
+            body: Body::from_bytes(&response.body),
         }
     }
 
--- a/components/contract/tests/record.rs
+++ b/components/contract/tests/record.rs
@@ -44,7 +44,7 @@
             answer: Answer {
                 status: 201,
                 content_type: "application/json".into(),
-                body: Body::keep(b"{\"deposit\":1}"),
+                body: Body::from_bytes(b"{\"deposit\":1}"),
             },
         },
         State::Answered {
@@ -52,7 +52,7 @@
             answer: Answer {
                 status: 200,
                 content_type: String::new(),
-                body: Body::keep(&[0xff, 0x00]),
+                body: Body::from_bytes(&[0xff, 0x00]),
             },
         },
     ];
