--- a/components/contract/src/lib.rs
+++ b/components/contract/src/lib.rs
@@ -3,7 +3,7 @@
 //! A kept call has a record in the platform's store. Three small state machines share it:
 //! [`handover::Handover`] at the sidecar, which alone hands the call to its service;
 //! [`attempt::Attempt`] at the entry, which proves `not_run` when a sidecar falls silent; and
-//! [`poison::Ledger`], which finds requests that bring down each server that runs them.
+//! [`poison::Detector`], which finds requests that bring down each server that runs them.
 
 pub mod attempt;
 pub mod handover;
--- a/components/contract/src/poison.rs
+++ b/components/contract/src/poison.rs
@@ -10,15 +10,15 @@
 //! derives the same verdicts from the same facts.
 
 mod facts;
-mod ledger;
+mod detector;
 
 pub use facts::{
     Death,
     Facts,
     Flight, //
 };
-pub use ledger::{
-    Ledger,
+pub use detector::{
+    Detector,
     Place,
     Settings,
     Verdict, //
--- a/components/contract/src/poison/ledger.rs
+++ b/components/contract/src/poison/detector.rs
@@ -77,7 +77,7 @@
 
 /// The facts and what follows from them.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct Detector {
     settings: Settings,
     facts: Facts,
     /// Number of deaths that blame each suspect. Worked out once a change of the facts, since it is
@@ -88,7 +88,7 @@
 /// Deaths that blame each fingerprint.
 type Blames<'a> = BTreeMap<Fingerprint, Vec<&'a Death>>;
 
-impl Ledger {
+impl Detector {
     /// Starts with no facts.
     pub fn new(settings: Settings) -> Self {
         Self {
--- a/components/contract/tests/poison.rs
+++ b/components/contract/tests/poison.rs
@@ -7,7 +7,7 @@
     Facts,
     Fingerprint,
     Flight,
-    Ledger,
+    Detector,
     Place,
     Settings,
     Verdict,
@@ -24,7 +24,7 @@
 
 /// Servers that die when the poison has run on them for a time; what was in flight is placed again.
 struct Fleet {
-    ledger: Ledger,
+    detector: Detector,
     now: Duration,
     servers: Vec<Vec<Flight>>,
     waiting: Vec<Fingerprint>,
@@ -36,7 +36,7 @@
 impl Fleet {
     fn new(servers: usize) -> Self {
         Self {
-            ledger: Ledger::new(Settings::default()),
+            detector: Detector::new(Settings::default()),
             now: seconds(1_000_000),
             servers: vec![Vec::new(); servers],
             waiting: Vec::new(),
@@ -49,7 +49,7 @@
     fn place(&mut self) {
         for request in std::mem::take(&mut self.waiting) {
             if matches!(
-                self.ledger.verdict(request, self.now),
+                self.detector.verdict(request, self.now),
                 Verdict::Refused { .. }
             ) {
                 self.refused.push(request);
@@ -58,7 +58,7 @@
             let free = self
                 .servers
                 .iter_mut()
-                .find(|running| self.ledger.place(request, running, self.now) == Place::Free);
+                .find(|running| self.detector.place(request, running, self.now) == Place::Free);
             let Some(server) = free else {
                 self.waiting.push(request);
                 continue;
@@ -84,7 +84,7 @@
             let ended = flights.extract_if(.., |flight| flight.ran >= length);
             let ended: Vec<Flight> = ended.collect();
             for flight in ended {
-                self.ledger.ended(flight.fingerprint, self.now);
+                self.detector.ended(flight.fingerprint, self.now);
                 self.ended.push(flight.fingerprint);
             }
         }
@@ -99,7 +99,7 @@
             at: self.now,
             flights,
         };
-        self.ledger.died(self.lost, death, self.now);
+        self.detector.died(self.lost, death, self.now);
     }
 }
 
@@ -177,10 +177,10 @@
     #[case] second: &[(Fingerprint, u64)],
     #[case] refused: &[Fingerprint],
 ) {
-    let mut ledger = Ledger::new(Settings::default());
-    ledger.died(1, death(100, first), seconds(100));
-    ledger.died(2, death(200, second), seconds(200));
-    let found: Vec<Fingerprint> = ledger.facts().refused.keys().copied().collect();
+    let mut detector = Detector::new(Settings::default());
+    detector.died(1, death(100, first), seconds(100));
+    detector.died(2, death(200, second), seconds(200));
+    let found: Vec<Fingerprint> = detector.facts().refused.keys().copied().collect();
     assert_eq!(found, refused);
 }
 
@@ -188,42 +188,42 @@
 /// later, that is its first death again.
 #[test]
 fn a_run_to_the_end_clears() {
-    let mut ledger = Ledger::new(Settings::default());
-    ledger.died(1, death(100, &[(1, 1), (2, 1)]), seconds(100));
-    assert_eq!(ledger.verdict(2, seconds(101)), Verdict::Suspect);
-    ledger.ended(2, seconds(110));
-    assert_eq!(ledger.verdict(2, seconds(111)), Verdict::Clear);
-    ledger.died(2, death(200, &[(2, 1)]), seconds(200));
-    assert_eq!(ledger.verdict(2, seconds(201)), Verdict::Suspect);
+    let mut detector = Detector::new(Settings::default());
+    detector.died(1, death(100, &[(1, 1), (2, 1)]), seconds(100));
+    assert_eq!(detector.verdict(2, seconds(101)), Verdict::Suspect);
+    detector.ended(2, seconds(110));
+    assert_eq!(detector.verdict(2, seconds(111)), Verdict::Clear);
+    detector.died(2, death(200, &[(2, 1)]), seconds(200));
+    assert_eq!(detector.verdict(2, seconds(201)), Verdict::Suspect);
 }
 
 /// A refusal clears everybody else who was at those deaths, so that they needn't run apart.
 #[test]
 fn a_refusal_clears_the_others() {
-    let mut ledger = Ledger::new(Settings::default());
-    ledger.died(1, death(100, &[(1, 1), (2, 1)]), seconds(100));
-    ledger.died(2, death(101, &[(1, 1), (3, 60)]), seconds(101));
-    assert_eq!(ledger.verdict(2, seconds(102)), Verdict::Clear);
-    assert_eq!(ledger.verdict(3, seconds(102)), Verdict::Clear);
+    let mut detector = Detector::new(Settings::default());
+    detector.died(1, death(100, &[(1, 1), (2, 1)]), seconds(100));
+    detector.died(2, death(101, &[(1, 1), (3, 60)]), seconds(101));
+    assert_eq!(detector.verdict(2, seconds(102)), Verdict::Clear);
+    assert_eq!(detector.verdict(3, seconds(102)), Verdict::Clear);
 }
 
 /// Two sidecars each saw one death; entries hear of them in either order, twice, or through a
 /// third. All must refuse the same.
 #[test]
 fn facts_merge_in_any_order() {
-    let mut one = Ledger::new(Settings::default());
+    let mut one = Detector::new(Settings::default());
     one.died(1, death(100, &[(1, 1), (2, 1)]), seconds(100));
-    let mut other = Ledger::new(Settings::default());
+    let mut other = Detector::new(Settings::default());
     other.died(2, death(101, &[(1, 1), (3, 60)]), seconds(101));
     let (a, b) = (one.facts().clone(), other.facts().clone());
     let orders = [vec![&a, &b], vec![&b, &a], vec![&a, &b, &a, &b]];
     for order in orders {
-        let mut ledger = Ledger::new(Settings::default());
+        let mut detector = Detector::new(Settings::default());
         let new = order
             .iter()
-            .filter(|facts| ledger.merge(facts, seconds(102)));
+            .filter(|facts| detector.merge(facts, seconds(102)));
         assert_eq!(new.count(), 2);
-        let refused = ledger.verdict(1, seconds(102));
+        let refused = detector.verdict(1, seconds(102));
         assert!(matches!(refused, Verdict::Refused { .. }), "{refused:?}");
     }
 }
@@ -236,20 +236,20 @@
         flights: 3,
         ..Settings::default()
     };
-    let mut ledger = Ledger::new(settings);
+    let mut detector = Detector::new(settings);
     for number in 0..50 {
         let flights: Vec<_> = (0..10).map(|n| (100 * number + n, 1)).collect();
-        ledger.died(number as u64, death(100, &flights), seconds(100));
+        detector.died(number as u64, death(100, &flights), seconds(100));
     }
-    assert_eq!(ledger.facts().deaths.len(), 4);
-    assert!(ledger.facts().deaths.values().all(|d| d.flights.len() == 3));
-    let mut ledger = Ledger::new(settings);
-    ledger.died(1, death(100, &[(1, 1)]), seconds(100));
-    ledger.died(2, death(101, &[(1, 1)]), seconds(101));
+    assert_eq!(detector.facts().deaths.len(), 4);
+    assert!(detector.facts().deaths.values().all(|d| d.flights.len() == 3));
+    let mut detector = Detector::new(settings);
+    detector.died(1, death(100, &[(1, 1)]), seconds(100));
+    detector.died(2, death(101, &[(1, 1)]), seconds(101));
     let later = seconds(102) + settings.refusal;
-    ledger.merge(&Facts::default(), later);
-    assert_eq!(ledger.verdict(1, later), Verdict::Clear);
-    assert_eq!(ledger.facts(), &Facts::default());
+    detector.merge(&Facts::default(), later);
+    assert_eq!(detector.verdict(1, later), Verdict::Clear);
+    assert_eq!(detector.facts(), &Facts::default());
 }
 
 #[test]
--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -14,7 +14,7 @@
     Facts,
     Fingerprint,
     Flight,
-    Ledger,
+    Detector,
     Place,
     Settings,
     Verdict, //
@@ -33,7 +33,7 @@
 
 /// The ledger of one process, and its facts for the links.
 pub struct Suspects {
-    ledger: Mutex<Ledger>,
+    ledger: Mutex<Detector>,
     facts: watch::Sender<Facts>,
 }
 
@@ -45,7 +45,7 @@
             ..Settings::default()
         };
         Self {
-            ledger: Mutex::new(Ledger::new(settings)),
+            ledger: Mutex::new(Detector::new(settings)),
             facts: watch::Sender::default(),
         }
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Ledger> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Detector> {
         self.ledger.lock().expect("no panic while held")
     }
 }
