--- a/components/contract/src/poison.rs
+++ b/components/contract/src/poison.rs
@@ -19,7 +19,7 @@
 };
 pub use detector::{
     Detector,
-    Place,
+    Placement,
     Settings,
     Verdict, //
 };
--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -68,11 +68,11 @@
 
 /// Whether a request may start on a server now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Place {
+pub enum Placement {
     /// It may.
-    Free,
+    Allowed,
     /// Not now: a death could not be told apart. Another server, or a little later.
-    Later,
+    Deferred,
 }
 
 /// The facts and what follows from them.
@@ -147,7 +147,7 @@
     /// innocent refused, or a third server lost. So a suspect starts beside no fresh request and no
     /// fresh suspect, nothing starts beside a fresh suspect, and nothing at all beside a solitary
     /// one.
-    pub fn place(&self, fingerprint: Fingerprint, running: &[Flight], now: Clock) -> Place {
+    pub fn place(&self, fingerprint: Fingerprint, running: &[Flight], now: Clock) -> Placement {
         let verdict = self.verdict(fingerprint, now);
         for flight in running {
             let fresh = flight.ran < self.settings.probation;
@@ -157,10 +157,10 @@
                 (_, _) => fresh,
             };
             if apart {
-                return Place::Later;
+                return Placement::Deferred;
             }
         }
-        Place::Free
+        Placement::Allowed
     }
 
     /// Refuses whoever is proven, then forgets what has expired.
--- a/components/contract/tests/poison.rs
+++ b/components/contract/tests/poison.rs
@@ -8,7 +8,7 @@
     Fingerprint,
     Flight,
     Detector,
-    Place,
+    Placement,
     Settings,
     Verdict,
     fingerprint, //
@@ -58,7 +58,7 @@
             let free = self
                 .servers
                 .iter_mut()
-                .find(|running| self.detector.place(request, running, self.now) == Place::Free);
+                .find(|running| self.detector.place(request, running, self.now) == Placement::Allowed);
             let Some(server) = free else {
                 self.waiting.push(request);
                 continue;
--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -15,7 +15,7 @@
     Fingerprint,
     Flight,
     Detector,
-    Place,
+    Placement,
     Settings,
     Verdict, //
 };
@@ -58,7 +58,7 @@
     }
 
     /// Tells whether a request may start beside what runs on a server.
-    pub fn place(&self, fingerprint: Fingerprint, running: &[Flight]) -> Place {
+    pub fn place(&self, fingerprint: Fingerprint, running: &[Flight]) -> Placement {
         self.lock().place(fingerprint, running, wall())
     }
 
--- a/components/measure/src/calls/poison.rs
+++ b/components/measure/src/calls/poison.rs
@@ -10,7 +10,7 @@
     Fingerprint,
     Flight,
     Detector,
-    Place,
+    Placement,
     Settings,
     Verdict, //
 };
@@ -259,7 +259,7 @@
             let free = order.iter().find(|server| {
                 let running = &self.servers[**server];
                 self.rule != Rule::Apart
-                    || self.ledger.place(request.fingerprint, running, self.now) == Place::Free
+                    || self.ledger.place(request.fingerprint, running, self.now) == Placement::Allowed
             });
             let Some(server) = free else {
                 self.waiting.push(request);
--- a/components/sidecar/src/flights.rs
+++ b/components/sidecar/src/flights.rs
@@ -13,7 +13,7 @@
     Facts,
     Fingerprint,
     Flight,
-    Place,
+    Placement,
     Verdict, //
 };
 use daemon::suspects::Suspects;
@@ -112,7 +112,7 @@
 
     fn enter(self: &Arc<Self>, fingerprint: Fingerprint) -> Option<Flying> {
         let mut running = self.running.lock().expect("no panic while held");
-        if self.suspects.place(fingerprint, &running.list()) != Place::Free {
+        if self.suspects.place(fingerprint, &running.list()) != Placement::Allowed {
             return None;
         }
         running.next += 1;
