--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -58,11 +58,11 @@
     /// It was in flight at one death that nobody else explains: at most one such on a server.
     Suspect,
     /// It was in flight at several: it runs with no other request that may be to blame.
-    Solitary,
+    Isolated,
     /// It is refused.
     Refused {
         /// For how long.
-        left: Duration,
+        remaining: Duration,
     },
 }
 
@@ -132,12 +132,12 @@
         if let Some(until) = self.facts.refused.get(&fingerprint)
             && *until > now
         {
-            return Verdict::Refused { left: *until - now };
+            return Verdict::Refused { remaining: *until - now };
         }
         match self.suspects.get(&fingerprint) {
             None => Verdict::Clear,
             Some(1) => Verdict::Suspect,
-            Some(_) => Verdict::Solitary,
+            Some(_) => Verdict::Isolated,
         }
     }
 
@@ -152,7 +152,7 @@
         for flight in running {
             let fresh = flight.ran < self.settings.probation;
             let apart = match (verdict, self.verdict(flight.fingerprint, now)) {
-                (_, Verdict::Solitary) | (Verdict::Solitary, Verdict::Suspect) => true,
+                (_, Verdict::Isolated) | (Verdict::Isolated, Verdict::Suspect) => true,
                 (Verdict::Clear, Verdict::Clear | Verdict::Refused { .. }) => false,
                 (_, _) => fresh,
             };
--- a/components/entry/src/answers/epochs.rs
+++ b/components/entry/src/answers/epochs.rs
@@ -36,18 +36,18 @@
 impl Driver {
     pub(super) fn start(&mut self, epoch: Epoch, avoid: &[Server], cause: Cause) -> Option<Event> {
         match self.state.suspects.verdict(self.ask.fingerprint()) {
-            Verdict::Refused { left } => {
+            Verdict::Refused { remaining } => {
                 return Some(Event::NoPlace {
                     epoch,
-                    retry_after: left,
+                    retry_after: remaining,
                 });
             }
             // A suspect that waits for its place would be started at a second one as well, and
             // bring both engines down at once.
-            Verdict::Suspect | Verdict::Solitary if cause == Cause::Suspicion => {
+            Verdict::Suspect | Verdict::Isolated if cause == Cause::Suspicion => {
                 return Some(Event::Denied { epoch });
             }
-            Verdict::Clear | Verdict::Suspect | Verdict::Solitary => {}
+            Verdict::Clear | Verdict::Suspect | Verdict::Isolated => {}
         }
         match cause {
             Cause::First => {}
--- a/components/entry/src/callers/completions.rs
+++ b/components/entry/src/callers/completions.rs
@@ -156,8 +156,8 @@
             prefix: prefix(&body.prompt),
             prompt: body.prompt,
         };
-        if let Verdict::Refused { left } = state.suspects.verdict(ask.fingerprint()) {
-            return Err(calls::refusal(Reason::Poisonous, Some(left)));
+        if let Verdict::Refused { remaining } = state.suspects.verdict(ask.fingerprint()) {
+            return Err(calls::refusal(Reason::Poisonous, Some(remaining)));
         }
         let request = gates::Request {
             service: &ask.target.service,
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -81,8 +81,8 @@
         .find(|release| release.name == version)
         .ok_or_else(|| Problem::new(Code::Unavailable, "the route has no such version"))?;
     let mut driver = Driver::new(state, provision, release, call);
-    if let Verdict::Refused { left } = driver.verdict() {
-        return Err(refusal(Reason::Poisonous, Some(left)));
+    if let Verdict::Refused { remaining } = driver.verdict() {
+        return Err(refusal(Reason::Poisonous, Some(remaining)));
     }
     let outcome = driver.run().await;
     if matches!(outcome, Outcome::Unknown { .. }) {
--- a/components/sidecar/src/flights.rs
+++ b/components/sidecar/src/flights.rs
@@ -97,8 +97,8 @@
         let _turn = self.gate.lock().await;
         let begun = Instant::now();
         loop {
-            if let Verdict::Refused { left } = self.suspects.verdict(fingerprint) {
-                return Err(Refusal::Poisonous(left));
+            if let Verdict::Refused { remaining } = self.suspects.verdict(fingerprint) {
+                return Err(Refusal::Poisonous(remaining));
             }
             if let Some(flying) = self.enter(fingerprint) {
                 return Ok(flying);
