--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -111,7 +111,7 @@
     }
 
     /// Takes the death of a server that this process saw.
-    pub fn died(&mut self, number: Nonce, mut death: Death, now: Clock) {
+    pub fn record_death(&mut self, number: Nonce, mut death: Death, now: Clock) {
         death.flights.sort_by_key(|flight| flight.ran);
         death.flights.truncate(self.settings.flights);
         self.facts.deaths.entry(number).or_insert(death);
@@ -119,7 +119,7 @@
     }
 
     /// A request ran to its end. If it was a suspect, it is cleared.
-    pub fn ended(&mut self, fingerprint: Fingerprint, now: Clock) {
+    pub fn record_completion(&mut self, fingerprint: Fingerprint, now: Clock) {
         if !self.suspects.contains_key(&fingerprint) {
             return;
         }
@@ -147,7 +147,7 @@
     /// innocent refused, or a third server lost. So a suspect starts beside no fresh request and no
     /// fresh suspect, nothing starts beside a fresh suspect, and nothing at all beside a solitary
     /// one.
-    pub fn place(&self, fingerprint: Fingerprint, running: &[Flight], now: Clock) -> Placement {
+    pub fn placement(&self, fingerprint: Fingerprint, running: &[Flight], now: Clock) -> Placement {
         let verdict = self.verdict(fingerprint, now);
         for flight in running {
             let fresh = flight.ran < self.settings.probation;
--- a/components/contract/tests/poison.rs
+++ b/components/contract/tests/poison.rs
@@ -58,7 +58,7 @@
             let free = self
                 .servers
                 .iter_mut()
-                .find(|running| self.detector.place(request, running, self.now) == Placement::Allowed);
+                .find(|running| self.detector.placement(request, running, self.now) == Placement::Allowed);
             let Some(server) = free else {
                 self.waiting.push(request);
                 continue;
@@ -84,7 +84,7 @@
             let ended = flights.extract_if(.., |flight| flight.ran >= length);
             let ended: Vec<Flight> = ended.collect();
             for flight in ended {
-                self.detector.ended(flight.fingerprint, self.now);
+                self.detector.record_completion(flight.fingerprint, self.now);
                 self.ended.push(flight.fingerprint);
             }
         }
@@ -99,7 +99,7 @@
             at: self.now,
             flights,
         };
-        self.detector.died(self.lost, death, self.now);
+        self.detector.record_death(self.lost, death, self.now);
     }
 }
 
@@ -178,8 +178,8 @@
     #[case] refused: &[Fingerprint],
 ) {
     let mut detector = Detector::new(Settings::default());
-    detector.died(1, death(100, first), seconds(100));
-    detector.died(2, death(200, second), seconds(200));
+    detector.record_death(1, death(100, first), seconds(100));
+    detector.record_death(2, death(200, second), seconds(200));
     let found: Vec<Fingerprint> = detector.facts().refused.keys().copied().collect();
     assert_eq!(found, refused);
 }
@@ -189,11 +189,11 @@
 #[test]
 fn a_run_to_the_end_clears() {
     let mut detector = Detector::new(Settings::default());
-    detector.died(1, death(100, &[(1, 1), (2, 1)]), seconds(100));
+    detector.record_death(1, death(100, &[(1, 1), (2, 1)]), seconds(100));
     assert_eq!(detector.verdict(2, seconds(101)), Verdict::Suspect);
-    detector.ended(2, seconds(110));
+    detector.record_completion(2, seconds(110));
     assert_eq!(detector.verdict(2, seconds(111)), Verdict::Clear);
-    detector.died(2, death(200, &[(2, 1)]), seconds(200));
+    detector.record_death(2, death(200, &[(2, 1)]), seconds(200));
     assert_eq!(detector.verdict(2, seconds(201)), Verdict::Suspect);
 }
 
@@ -201,8 +201,8 @@
 #[test]
 fn a_refusal_clears_the_others() {
     let mut detector = Detector::new(Settings::default());
-    detector.died(1, death(100, &[(1, 1), (2, 1)]), seconds(100));
-    detector.died(2, death(101, &[(1, 1), (3, 60)]), seconds(101));
+    detector.record_death(1, death(100, &[(1, 1), (2, 1)]), seconds(100));
+    detector.record_death(2, death(101, &[(1, 1), (3, 60)]), seconds(101));
     assert_eq!(detector.verdict(2, seconds(102)), Verdict::Clear);
     assert_eq!(detector.verdict(3, seconds(102)), Verdict::Clear);
 }
@@ -212,9 +212,9 @@
 #[test]
 fn facts_merge_in_any_order() {
     let mut one = Detector::new(Settings::default());
-    one.died(1, death(100, &[(1, 1), (2, 1)]), seconds(100));
+    one.record_death(1, death(100, &[(1, 1), (2, 1)]), seconds(100));
     let mut other = Detector::new(Settings::default());
-    other.died(2, death(101, &[(1, 1), (3, 60)]), seconds(101));
+    other.record_death(2, death(101, &[(1, 1), (3, 60)]), seconds(101));
     let (a, b) = (one.facts().clone(), other.facts().clone());
     let orders = [vec![&a, &b], vec![&b, &a], vec![&a, &b, &a, &b]];
     for order in orders {
@@ -239,13 +239,13 @@
     let mut detector = Detector::new(settings);
     for number in 0..50 {
         let flights: Vec<_> = (0..10).map(|n| (100 * number + n, 1)).collect();
-        detector.died(number as u64, death(100, &flights), seconds(100));
+        detector.record_death(number as u64, death(100, &flights), seconds(100));
     }
     assert_eq!(detector.facts().deaths.len(), 4);
     assert!(detector.facts().deaths.values().all(|d| d.flights.len() == 3));
     let mut detector = Detector::new(settings);
-    detector.died(1, death(100, &[(1, 1)]), seconds(100));
-    detector.died(2, death(101, &[(1, 1)]), seconds(101));
+    detector.record_death(1, death(100, &[(1, 1)]), seconds(100));
+    detector.record_death(2, death(101, &[(1, 1)]), seconds(101));
     let later = seconds(102) + settings.refusal;
     detector.merge(&Facts::default(), later);
     assert_eq!(detector.verdict(1, later), Verdict::Clear);
--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -59,7 +59,7 @@
 
     /// Tells whether a request may start beside what runs on a server.
     pub fn place(&self, fingerprint: Fingerprint, running: &[Flight]) -> Placement {
-        self.lock().place(fingerprint, running, wall())
+        self.lock().placement(fingerprint, running, wall())
     }
 
     /// All facts; to be sent along with a request that is under suspicion.
@@ -83,7 +83,7 @@
             at: wall(),
             flights,
         };
-        ledger.died(rand::random(), death, wall());
+        ledger.record_death(rand::random(), death, wall());
         self.facts.send_replace(ledger.facts().clone());
     }
 
@@ -93,7 +93,7 @@
         if ledger.verdict(fingerprint, wall()) == Verdict::Clear {
             return;
         }
-        ledger.ended(fingerprint, wall());
+        ledger.record_completion(fingerprint, wall());
         self.facts.send_replace(ledger.facts().clone());
     }
 
--- a/components/measure/src/calls/poison.rs
+++ b/components/measure/src/calls/poison.rs
@@ -259,7 +259,7 @@
             let free = order.iter().find(|server| {
                 let running = &self.servers[**server];
                 self.rule != Rule::Apart
-                    || self.ledger.place(request.fingerprint, running, self.now) == Placement::Allowed
+                    || self.ledger.placement(request.fingerprint, running, self.now) == Placement::Allowed
             });
             let Some(server) = free else {
                 self.waiting.push(request);
@@ -302,7 +302,7 @@
         let length = Duration::from_secs(60);
         for flight in self.servers[server].extract_if(.., |flight| flight.ran >= length) {
             if self.rule == Rule::Apart {
-                self.ledger.ended(flight.fingerprint, self.now);
+                self.ledger.record_completion(flight.fingerprint, self.now);
             }
         }
     }
@@ -329,6 +329,6 @@
             flights,
         };
         let number = self.deaths.len() as u64;
-        self.ledger.died(number, death, self.now);
+        self.ledger.record_death(number, death, self.now);
     }
 }
