--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -29,23 +29,23 @@
     /// A request that has run this long beside others is no longer fresh.
     pub probation: Duration,
     /// How long a death blames.
-    pub blame: Duration,
+    pub death_ttl: Duration,
     /// How long a fingerprint is refused.
-    pub refusal: Duration,
+    pub refusal_ttl: Duration,
     /// Most deaths, refusals and passes that are kept, each.
-    pub most: usize,
+    pub max_facts: usize,
     /// Most flights of a death that are kept; the freshest stay.
-    pub flights: usize,
+    pub max_flights: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             probation: Duration::from_secs(2),
-            blame: Duration::from_secs(30 * 60),
-            refusal: Duration::from_secs(60 * 60),
-            most: 256,
-            flights: 256,
+            death_ttl: Duration::from_secs(30 * 60),
+            refusal_ttl: Duration::from_secs(60 * 60),
+            max_facts: 256,
+            max_flights: 256,
         }
     }
 }
@@ -113,7 +113,7 @@
     /// Takes the death of a server that this process saw.
     pub fn record_death(&mut self, number: Nonce, mut death: Death, now: Clock) {
         death.flights.sort_by_key(|flight| flight.ran);
-        death.flights.truncate(self.settings.flights);
+        death.flights.truncate(self.settings.max_flights);
         self.facts.deaths.entry(number).or_insert(death);
         self.settle(now);
     }
@@ -165,12 +165,12 @@
 
     /// Refuses whoever is proven, then forgets what has expired.
     fn settle(&mut self, now: Clock) {
-        let until = now + self.settings.refusal;
+        let until = now + self.settings.refusal_ttl;
         while let Some(fingerprint) = self.proven() {
             self.facts.refused.insert(fingerprint, until);
         }
         self.facts
-            .trim(now, self.settings.blame, self.settings.most);
+            .trim(now, self.settings.death_ttl, self.settings.max_facts);
         let blames = self.blames();
         self.suspects = blames
             .iter()
--- a/components/contract/tests/poison.rs
+++ b/components/contract/tests/poison.rs
@@ -232,8 +232,8 @@
 #[test]
 fn memory_is_bounded_and_facts_expire() {
     let settings = Settings {
-        most: 4,
-        flights: 3,
+        max_facts: 4,
+        max_flights: 3,
         ..Settings::default()
     };
     let mut detector = Detector::new(settings);
@@ -246,7 +246,7 @@
     let mut detector = Detector::new(settings);
     detector.record_death(1, death(100, &[(1, 1)]), seconds(100));
     detector.record_death(2, death(101, &[(1, 1)]), seconds(101));
-    let later = seconds(102) + settings.refusal;
+    let later = seconds(102) + settings.refusal_ttl;
     detector.merge(&Facts::default(), later);
     assert_eq!(detector.verdict(1, later), Verdict::Clear);
     assert_eq!(detector.facts(), &Facts::default());
--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -40,8 +40,8 @@
 impl Default for Suspects {
     fn default() -> Self {
         let settings = Settings {
-            most: MOST,
-            flights: FLIGHTS,
+            max_facts: MOST,
+            max_flights: FLIGHTS,
             ..Settings::default()
         };
         Self {
