--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -112,7 +112,7 @@
 
     /// Takes the death of a server that this process saw.
     pub fn record_death(&mut self, number: Nonce, mut death: Death, now: Clock) {
-        death.flights.sort_by_key(|flight| flight.ran);
+        death.flights.sort_by_key(|flight| flight.elapsed);
         death.flights.truncate(self.settings.max_flights);
         self.facts.deaths.entry(number).or_insert(death);
         self.settle(now);
@@ -150,7 +150,7 @@
     pub fn placement(&self, fingerprint: Fingerprint, running: &[Flight], now: Clock) -> Placement {
         let verdict = self.verdict(fingerprint, now);
         for flight in running {
-            let fresh = flight.ran < self.settings.probation;
+            let fresh = flight.elapsed < self.settings.probation;
             let apart = match (verdict, self.verdict(flight.fingerprint, now)) {
                 (_, Verdict::Isolated) | (Verdict::Isolated, Verdict::Suspect) => true,
                 (Verdict::Clear, Verdict::Clear | Verdict::Refused { .. }) => false,
@@ -203,7 +203,7 @@
     fn alike(&self, fingerprint: Fingerprint, deaths: &[&Death]) -> bool {
         let (mut shortest, mut longest) = (Duration::MAX, Duration::ZERO);
         for death in deaths {
-            let time = ran(fingerprint, death);
+            let time = elapsed(fingerprint, death);
             shortest = shortest.min(time);
             longest = longest.max(time);
         }
@@ -224,12 +224,12 @@
                     .any(|other| *other != death && holds(other, flight.fingerprint))
             };
             flight.fingerprint != fingerprint
-                && (flight.ran < self.settings.probation || !prompt && shared())
+                && (flight.elapsed < self.settings.probation || !prompt && shared())
         })
     }
 
     fn fresh(&self, fingerprint: Fingerprint, death: &Death) -> bool {
-        ran(fingerprint, death) < self.settings.probation
+        elapsed(fingerprint, death) < self.settings.probation
     }
 
     /// Deaths that blame each fingerprint: it was there, nobody refused was, and it has not run to
@@ -264,10 +264,10 @@
 }
 
 /// How long a request had run when its server died; of several with the content the shortest.
-fn ran(fingerprint: Fingerprint, death: &Death) -> Duration {
+fn elapsed(fingerprint: Fingerprint, death: &Death) -> Duration {
     let flights = death.flights.iter();
     let own = flights.filter(|flight| flight.fingerprint == fingerprint);
-    own.map(|flight| flight.ran).min().unwrap_or(Duration::MAX)
+    own.map(|flight| flight.elapsed).min().unwrap_or(Duration::MAX)
 }
 
 fn holds(death: &Death, fingerprint: Fingerprint) -> bool {
--- a/components/contract/src/poison/facts.rs
+++ b/components/contract/src/poison/facts.rs
@@ -23,7 +23,7 @@
     /// Its fingerprint.
     pub fingerprint: Fingerprint,
     /// How long it had run there.
-    pub ran: Duration,
+    pub elapsed: Duration,
 }
 
 /// The death of a backend server whose sidecar lived on.
--- a/components/contract/tests/poison.rs
+++ b/components/contract/tests/poison.rs
@@ -65,7 +65,7 @@
             };
             server.push(Flight {
                 fingerprint: request,
-                ran: Duration::ZERO,
+                elapsed: Duration::ZERO,
             });
         }
     }
@@ -75,13 +75,13 @@
         self.place();
         for server in 0..self.servers.len() {
             let flights = &mut self.servers[server];
-            flights.iter_mut().for_each(|flight| flight.ran += STEP);
-            let crashes = |flight: &Flight| flight.fingerprint == POISON && flight.ran >= crash;
+            flights.iter_mut().for_each(|flight| flight.elapsed += STEP);
+            let crashes = |flight: &Flight| flight.fingerprint == POISON && flight.elapsed >= crash;
             if flights.iter().any(crashes) {
                 self.die(server);
                 continue;
             }
-            let ended = flights.extract_if(.., |flight| flight.ran >= length);
+            let ended = flights.extract_if(.., |flight| flight.elapsed >= length);
             let ended: Vec<Flight> = ended.collect();
             for flight in ended {
                 self.detector.record_completion(flight.fingerprint, self.now);
@@ -119,13 +119,13 @@
     // All of the batch run on one engine, and every other one is busy with long work too.
     let batch = (1..=1 + innocents).map(|fingerprint| Flight {
         fingerprint,
-        ran: Duration::ZERO,
+        elapsed: Duration::ZERO,
     });
     fleet.servers[0] = batch.collect();
     for server in 1..servers {
         let busy = (0..8).map(|n| Flight {
             fingerprint: 1000 + 8 * server as u128 + n,
-            ran: seconds(30),
+            elapsed: seconds(30),
         });
         fleet.servers[server] = busy.collect();
     }
@@ -151,7 +151,7 @@
 fn death(at: u64, flights: &[(Fingerprint, u64)]) -> Death {
     let flights = flights.iter().map(|(fingerprint, ran)| Flight {
         fingerprint: *fingerprint,
-        ran: seconds(*ran),
+        elapsed: seconds(*ran),
     });
     Death {
         server: "engine-1".into(),
--- a/components/measure/src/calls/poison.rs
+++ b/components/measure/src/calls/poison.rs
@@ -172,7 +172,7 @@
             for slot in 0..8 {
                 server.push(Flight {
                     fingerprint: 1000 * (1 + number as u128) + slot,
-                    ran: Duration::from_millis(rng.random_range(0..60_000)),
+                    elapsed: Duration::from_millis(rng.random_range(0..60_000)),
                 });
             }
         }
@@ -181,7 +181,7 @@
             .chain(innocents)
             .map(|fingerprint| Flight {
                 fingerprint,
-                ran: Duration::ZERO,
+                elapsed: Duration::ZERO,
             })
             .collect();
         Self {
@@ -270,7 +270,7 @@
             }
             self.servers[*server].push(Flight {
                 fingerprint: request.fingerprint,
-                ran: Duration::ZERO,
+                elapsed: Duration::ZERO,
             });
         }
     }
@@ -291,16 +291,16 @@
 
     fn advance(&mut self, server: usize) {
         for flight in &mut self.servers[server] {
-            flight.ran += STEP;
+            flight.elapsed += STEP;
         }
         let crash = self.case.crash;
         let mut flights = self.servers[server].iter();
-        if flights.any(|flight| flight.fingerprint < INNOCENT && flight.ran >= crash) {
+        if flights.any(|flight| flight.fingerprint < INNOCENT && flight.elapsed >= crash) {
             self.die(server, true);
             return;
         }
         let length = Duration::from_secs(60);
-        for flight in self.servers[server].extract_if(.., |flight| flight.ran >= length) {
+        for flight in self.servers[server].extract_if(.., |flight| flight.elapsed >= length) {
             if self.rule == Rule::Apart {
                 self.ledger.record_completion(flight.fingerprint, self.now);
             }
--- a/components/sidecar/src/flights.rs
+++ b/components/sidecar/src/flights.rs
@@ -149,7 +149,7 @@
         let flights = self.flights.values();
         let flights = flights.map(|(fingerprint, since)| Flight {
             fingerprint: *fingerprint,
-            ran: since.elapsed(),
+            elapsed: since.elapsed(),
         });
         flights.collect()
     }
