--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -123,7 +123,7 @@
         if !self.suspects.contains_key(&fingerprint) {
             return;
         }
-        self.facts.passed.insert(fingerprint, now);
+        self.facts.cleared.insert(fingerprint, now);
         self.settle(now);
     }
 
@@ -241,7 +241,7 @@
                 continue;
             }
             for flight in &death.flights {
-                let passed = self.facts.passed.get(&flight.fingerprint);
+                let passed = self.facts.cleared.get(&flight.fingerprint);
                 if passed.is_some_and(|at| *at >= death.at) {
                     continue;
                 }
--- a/components/contract/src/poison/facts.rs
+++ b/components/contract/src/poison/facts.rs
@@ -47,7 +47,7 @@
     /// Refused fingerprints and until when, as time since the Unix epoch.
     pub refused: BTreeMap<Fingerprint, Clock>,
     /// Suspects that ran to their end since, and when: they are innocent of earlier deaths.
-    pub passed: BTreeMap<Fingerprint, Clock>,
+    pub cleared: BTreeMap<Fingerprint, Clock>,
 }
 
 impl Facts {
@@ -62,7 +62,7 @@
             new = true;
         }
         new |= raise(&mut self.refused, &other.refused);
-        new |= raise(&mut self.passed, &other.passed);
+        new |= raise(&mut self.cleared, &other.cleared);
         new
     }
 
@@ -70,7 +70,7 @@
     pub fn trim(&mut self, now: Clock, keep: Duration, most: usize) {
         self.deaths.retain(|_, death| death.at + keep > now);
         self.refused.retain(|_, until| *until > now);
-        self.passed.retain(|_, at| *at + keep > now);
+        self.cleared.retain(|_, at| *at + keep > now);
         while self.deaths.len() > most {
             let oldest = self.deaths.iter().min_by_key(|(_, death)| death.at);
             let Some(number) = oldest.map(|(number, _)| *number) else {
@@ -79,7 +79,7 @@
             self.deaths.remove(&number);
         }
         drop_earliest(&mut self.refused, most);
-        drop_earliest(&mut self.passed, most);
+        drop_earliest(&mut self.cleared, most);
     }
 }
 
