--- a/components/contract/src/poison.rs
+++ b/components/contract/src/poison.rs
@@ -41,12 +41,12 @@
 }
 
 /// Fingerprint of a generation: everything that its engine gets but ids, seeds and priorities.
-pub fn of_generation(team: &str, service: &str, model: &str, prompt: &str) -> Fingerprint {
+pub fn generation_fingerprint(team: &str, service: &str, model: &str, prompt: &str) -> Fingerprint {
     let content = [model.as_bytes(), &[0], prompt.as_bytes()].concat();
     fingerprint(team, service, &content)
 }
 
 /// Fingerprint of a call to a plain service.
-pub fn of_call(team: &str, service: &str, digest: &str) -> Fingerprint {
+pub fn call_fingerprint(team: &str, service: &str, digest: &str) -> Fingerprint {
     fingerprint(team, service, digest.as_bytes())
 }
--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -107,7 +107,7 @@
 
 impl Ask {
     pub(crate) fn fingerprint(&self) -> Fingerprint {
-        poison::of_generation(&self.team, &self.target.service, &self.model, &self.prompt)
+        poison::generation_fingerprint(&self.team, &self.target.service, &self.model, &self.prompt)
     }
 }
 
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -173,7 +173,7 @@
 
     fn verdict(&self) -> Verdict {
         let call = &self.call;
-        let fingerprint = poison::of_call(&call.team, &call.service, &self.digest);
+        let fingerprint = poison::call_fingerprint(&call.team, &call.service, &self.digest);
         self.state.suspects.verdict(fingerprint)
     }
 
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -138,7 +138,7 @@
 
 fn fingerprint(call: &Call) -> Fingerprint {
     let digest = record::digest(&call.method, &call.path, &call.body);
-    poison::of_call(&call.team, &call.service, &digest)
+    poison::call_fingerprint(&call.team, &call.service, &digest)
 }
 
 fn apart(refusal: Refusal) -> Reply {
--- a/components/sidecar/src/generations.rs
+++ b/components/sidecar/src/generations.rs
@@ -136,7 +136,7 @@
             shared.suspects.merge(facts);
         }
         let fingerprint =
-            poison::of_generation(&start.team, &start.service, &start.model, &start.prompt);
+            poison::generation_fingerprint(&start.team, &start.service, &start.model, &start.prompt);
         let flying = shared.flights.admit(fingerprint).await.map_err(apart)?;
         let lines = self.engine.generate(&start).await?;
         let generation = Arc::new(generation);
