--- a/components/models/src/orders.rs
+++ b/components/models/src/orders.rs
@@ -10,10 +10,10 @@
 };
 use orders::{
     Order,
-    keeper::{
+    sequencer::{
         Action,
         Event,
-        Keeper,
+        Sequencer,
         Settings, //
     },
     order::Numbered,
@@ -85,7 +85,7 @@
     faults: u32,
     newest: Fence,
     on_the_way: Vec<Fence>,
-    keeper: Keeper,
+    sequencer: Sequencer,
     reads: bool,
     settles: bool,
     timers: bool,
@@ -112,7 +112,7 @@
             faults,
             newest: 0,
             on_the_way: Vec::new(),
-            keeper: Keeper::new(settings),
+            sequencer: Sequencer::new(settings),
             reads: false,
             settles: false,
             timers: false,
@@ -217,7 +217,7 @@
                 for pending in &mut self.pending {
                     pending.connected = false;
                 }
-                self.keeper = Keeper::new(self.settings);
+                self.sequencer = Sequencer::new(self.settings);
                 self.start();
             }
             Step::ServerRestarts => {
@@ -289,7 +289,7 @@
     }
 
     fn tell_at(&mut self, event: Event, now: Clock) {
-        for action in self.keeper.handle(event, now) {
+        for action in self.sequencer.handle(event, now) {
             match action {
                 Action::ReadStore => self.reads = true,
                 Action::Wait(_) => {
--- a/components/orders/src/keeper.rs
+++ b/components/orders/src/sequencer.rs
@@ -1,8 +1,8 @@
-//! The sidecar's keeper of orders: the only way to its backend server.
+//! The sidecar's sequencer of orders: the only way to its backend server.
 //!
-//! A server that checks fencing tokens protects itself. For one that doesn't, the keeper lets one
+//! A server that checks fencing tokens protects itself. For one that doesn't, the sequencer lets one
 //! order at a time through and holds the next one back until the last can't take effect any more.
-//! A keeper that has just started knows neither the newest number nor what its predecessor left
+//! A sequencer that has just started knows neither the newest number nor what its predecessor left
 //! with the server; it learns the first from the store and waits out the second. Until then it
 //! refuses orders, while the sidecar serves.
 
@@ -19,7 +19,7 @@
 
 use crate::order::Numbered;
 
-/// What the keeper is told of its server.
+/// What the sequencer is told of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// The server refuses old numbers itself.
@@ -41,7 +41,7 @@
     }
 }
 
-/// What happens to the keeper.
+/// What happens to the sequencer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// The sidecar started.
@@ -102,7 +102,7 @@
     },
     /// The server refused it.
     Refused,
-    /// The keeper can't know the newest number while the store is out. Nothing was sent.
+    /// The sequencer can't know the newest number while the store is out. Nothing was sent.
     StoreOut {
         /// When to come back.
         retry_after: Duration,
@@ -128,9 +128,9 @@
     Settling(Clock),
 }
 
-/// State of the keeper.
+/// State of the sequencer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Keeper {
+pub struct Sequencer {
     settings: Settings,
     knowledge: Knowledge,
     server: Server,
@@ -138,8 +138,8 @@
     applied: Fence,
 }
 
-impl Keeper {
-    /// Makes the keeper of a sidecar that is starting.
+impl Sequencer {
+    /// Makes the sequencer of a sidecar that is starting.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The newest number that the keeper has taken or read.
+    /// The newest number that the sequencer has taken or read.
     pub fn highest(&self) -> Option<Fence> {
         match self.knowledge {
             Knowledge::Highest(fence) => Some(fence),
--- a/components/orders/tests/orders.rs
+++ b/components/orders/tests/orders.rs
@@ -1,13 +1,13 @@
-//! The keeper and the slot, case by case.
+//! The sequencer and the slot, case by case.
 
 use std::time::Duration;
 
 use orders::{
     Order,
-    keeper::{
+    sequencer::{
         self,
         Answer,
-        Keeper, //
+        Sequencer, //
     },
     order::Numbered,
     slot::{
@@ -17,21 +17,21 @@
 };
 use rstest::rstest;
 
-fn order(fence: u64) -> keeper::Event {
+fn order(fence: u64) -> sequencer::Event {
     let order = Order::Load {
         model: "m".into(),
         version: format!("v{fence}"),
     };
-    keeper::Event::Order(Numbered { fence, order })
+    sequencer::Event::Order(Numbered { fence, order })
 }
 
 /// One line an action.
-fn line(action: &keeper::Action) -> String {
+fn line(action: &sequencer::Action) -> String {
     match action {
-        keeper::Action::ReadStore => "read".into(),
-        keeper::Action::Send(order) => format!("send {}", order.fence),
-        keeper::Action::Wait(_) => "wait".into(),
-        keeper::Action::Answer { fence, answer } => match answer {
+        sequencer::Action::ReadStore => "read".into(),
+        sequencer::Action::Send(order) => format!("send {}", order.fence),
+        sequencer::Action::Wait(_) => "wait".into(),
+        sequencer::Action::Answer { fence, answer } => match answer {
             Answer::Old { highest } => format!("{fence}: old, {highest}"),
             other => format!(
                 "{fence}: {}",
@@ -43,33 +43,33 @@
 
 /// Events come a minute apart, so that a wait is over when it is said to be.
 #[rstest]
-#[case::fresh(false, &[keeper::Event::Newest(0), keeper::Event::Waited, order(3)], "send 3")]
-#[case::store_out(false, &[keeper::Event::StoreOut, order(3)], "3: StoreOut, read")]
+#[case::fresh(false, &[sequencer::Event::Newest(0), sequencer::Event::Waited, order(3)], "send 3")]
+#[case::store_out(false, &[sequencer::Event::StoreOut, order(3)], "3: StoreOut, read")]
 #[case::store_slow(false, &[order(3)], "3: StoreOut")]
 #[case::store_back(
     false,
-    &[keeper::Event::StoreOut, order(3), keeper::Event::Newest(3), keeper::Event::Waited, order(3)],
+    &[sequencer::Event::StoreOut, order(3), sequencer::Event::Newest(3), sequencer::Event::Waited, order(3)],
     "send 3"
 )]
-#[case::old_after_restart(false, &[keeper::Event::Newest(9), order(3)], "3: old, 9")]
-#[case::held_until_settled(false, &[keeper::Event::Newest(0), order(3)], "")]
+#[case::old_after_restart(false, &[sequencer::Event::Newest(9), order(3)], "3: old, 9")]
+#[case::held_until_settled(false, &[sequencer::Event::Newest(0), order(3)], "")]
 #[case::sent_when_settled(
     false,
-    &[keeper::Event::Newest(0), order(3), keeper::Event::Waited],
+    &[sequencer::Event::Newest(0), order(3), sequencer::Event::Waited],
     "send 3"
 )]
 #[case::newer_replaces_held(
     false,
-    &[keeper::Event::Newest(0), order(3), order(4)],
+    &[sequencer::Event::Newest(0), order(3), order(4)],
     "3: old, 4"
 )]
 #[case::newer_waits_for_slow(
     false,
     &[
-        keeper::Event::Newest(0),
-        keeper::Event::Waited,
+        sequencer::Event::Newest(0),
+        sequencer::Event::Waited,
         order(3),
-        keeper::Event::Slow(3),
+        sequencer::Event::Slow(3),
         order(4),
     ],
     ""
@@ -77,54 +77,54 @@
 #[case::newer_goes_after_answer(
     false,
     &[
-        keeper::Event::Newest(0),
-        keeper::Event::Waited,
+        sequencer::Event::Newest(0),
+        sequencer::Event::Waited,
         order(3),
         order(4),
-        keeper::Event::Applied(3),
+        sequencer::Event::Applied(3),
     ],
     "3: Applied, send 4"
 )]
 #[case::closed_settles(
     false,
     &[
-        keeper::Event::Newest(0),
-        keeper::Event::Waited,
+        sequencer::Event::Newest(0),
+        sequencer::Event::Waited,
         order(3),
         order(4),
-        keeper::Event::Closed(3),
+        sequencer::Event::Closed(3),
     ],
     "3: Unknown, wait"
 )]
 #[case::server_restarted(
     false,
-    &[keeper::Event::Newest(0), order(3), keeper::Event::Restarted],
+    &[sequencer::Event::Newest(0), order(3), sequencer::Event::Restarted],
     "send 3"
 )]
-#[case::checks_needs_no_wait(true, &[keeper::Event::Newest(0), order(3)], "send 3")]
+#[case::checks_needs_no_wait(true, &[sequencer::Event::Newest(0), order(3)], "send 3")]
 #[case::checks_refuses(
     true,
     &[
-        keeper::Event::Newest(0),
+        sequencer::Event::Newest(0),
         order(3),
-        keeper::Event::Refused { fence: 3, highest: 5 },
+        sequencer::Event::Refused { fence: 3, highest: 5 },
     ],
     "3: old, 5"
 )]
 #[case::sent_again(
     true,
-    &[keeper::Event::Newest(0), order(3), keeper::Event::Applied(3), order(3)],
+    &[sequencer::Event::Newest(0), order(3), sequencer::Event::Applied(3), order(3)],
     "3: Applied"
 )]
-fn a_keeper(#[case] checks: bool, #[case] events: &[keeper::Event], #[case] last: &str) {
-    let settings = keeper::Settings {
+fn a_keeper(#[case] checks: bool, #[case] events: &[sequencer::Event], #[case] last: &str) {
+    let settings = sequencer::Settings {
         checks,
-        ..keeper::Settings::default()
+        ..sequencer::Settings::default()
     };
-    let mut keeper = Keeper::new(settings);
-    let mut actions = keeper.handle(keeper::Event::Started, Duration::ZERO);
+    let mut sequencer = Sequencer::new(settings);
+    let mut actions = sequencer.handle(sequencer::Event::Started, Duration::ZERO);
     for (minute, event) in (1..).zip(events) {
-        actions = keeper.handle(event.clone(), Duration::from_secs(60 * minute));
+        actions = sequencer.handle(event.clone(), Duration::from_secs(60 * minute));
     }
     let lines: Vec<String> = actions.iter().map(line).collect();
     assert_eq!(lines.join(", "), last);
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine beside this sidecar: the driver of [`orders::keeper`].
+//! Orders to the engine beside this sidecar: the driver of [`orders::sequencer`].
 //!
 //! An order is a value of the platform's store; its revision is the fencing token. This sidecar
 //! watches the key of its server and is the only one that passes orders on.
@@ -12,11 +12,11 @@
 use names::Revision;
 use orders::{
     Order,
-    keeper::{
+    sequencer::{
         Action,
         Answer,
         Event,
-        Keeper,
+        Sequencer,
         Settings, //
     },
     key,
@@ -43,7 +43,7 @@
 
 use crate::state::State;
 
-/// Events that wait for the keeper.
+/// Events that wait for the sequencer.
 const WAITING: usize = 16;
 
 /// Pause after a failed reading of the store.
@@ -79,7 +79,7 @@
         settle: times.settle,
         ..Settings::default()
     };
-    let mut keeper = Keeper::new(settings);
+    let mut sequencer = Sequencer::new(settings);
     let watching = watch(
         platform,
         key(&state.shared.settings.server.name),
@@ -89,7 +89,7 @@
     let mut event = Some(Event::Started);
     loop {
         if let Some(event) = event.take() {
-            for action in keeper.handle(event, state.shared.now()) {
+            for action in sequencer.handle(event, state.shared.now()) {
                 driver.act(action);
             }
         }
@@ -102,7 +102,7 @@
 }
 
 /// Reads the newest order, tells its number, and follows its changes. While the store is out the
-/// keeper knows no number and lets nothing through.
+/// sequencer knows no number and lets nothing through.
 async fn watch(platform: Platform, key: String, events: &mpsc::Sender<Event>) {
     let mut after = None;
     loop {
@@ -235,6 +235,6 @@
 }
 
 async fn give(events: &mpsc::Sender<Event>, event: Event) {
-    // The keeper is gone when the sidecar ends.
+    // The sequencer is gone when the sidecar ends.
     let _ = events.send(event).await;
 }
