--- a/components/models/src/orders.rs
+++ b/components/models/src/orders.rs
@@ -16,7 +16,7 @@
         Sequencer,
         Settings, //
     },
-    order::Numbered,
+    order::Fenced,
 };
 
 use crate::search::{
@@ -306,8 +306,8 @@
     }
 }
 
-fn numbered(fence: Fence) -> Numbered {
-    Numbered {
+fn numbered(fence: Fence) -> Fenced {
+    Fenced {
         fence,
         order: Order::Role {
             role: String::new(),
--- a/components/orders/src/order.rs
+++ b/components/orders/src/order.rs
@@ -36,7 +36,7 @@
 
 /// An order with its fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Numbered {
+pub struct Fenced {
     /// The store's revision at which the order was written.
     pub fence: Fence,
     /// The order.
--- a/components/orders/src/sequencer.rs
+++ b/components/orders/src/sequencer.rs
@@ -17,7 +17,7 @@
     Serialize, //
 };
 
-use crate::order::Numbered;
+use crate::order::Fenced;
 
 /// What the sequencer is told of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -51,7 +51,7 @@
     /// The store didn't answer.
     StoreOut,
     /// An order came.
-    Order(Numbered),
+    Order(Fenced),
     /// The server carried out the order with this number.
     Applied(Fence),
     /// The server refused an order for its number, or as one that it can't do.
@@ -77,7 +77,7 @@
     /// Read the newest order from the store, see [`crate::key`].
     ReadStore,
     /// Send the order to the server.
-    Send(Numbered),
+    Send(Fenced),
     /// Come back with [`Event::Waited`].
     Wait(Duration),
     /// Tell the orderer.
@@ -134,7 +134,7 @@
     settings: Settings,
     knowledge: Knowledge,
     server: Server,
-    held: Option<Numbered>,
+    held: Option<Fenced>,
     applied: Fence,
 }
 
@@ -198,7 +198,7 @@
         Vec::new()
     }
 
-    fn order(&mut self, order: Numbered) -> Vec<Action> {
+    fn order(&mut self, order: Fenced) -> Vec<Action> {
         let Knowledge::Highest(highest) = self.knowledge else {
             return self.unready(order.fence);
         };
@@ -230,13 +230,13 @@
         vec![refusal, Action::ReadStore]
     }
 
-    fn send(&mut self, order: Numbered) -> Vec<Action> {
+    fn send(&mut self, order: Fenced) -> Vec<Action> {
         self.server = Server::Busy(order.fence);
         vec![Action::Send(order)]
     }
 
     /// Keeps the order until the server is idle. Only the newest waits.
-    fn hold(&mut self, order: Numbered) -> Vec<Action> {
+    fn hold(&mut self, order: Fenced) -> Vec<Action> {
         if matches!(self.server, Server::Busy(fence) if fence == order.fence) {
             return Vec::new();
         }
--- a/components/orders/tests/orders.rs
+++ b/components/orders/tests/orders.rs
@@ -9,7 +9,7 @@
         Answer,
         Sequencer, //
     },
-    order::Numbered,
+    order::Fenced,
     slot::{
         self,
         Slot, //
@@ -22,7 +22,7 @@
         model: "m".into(),
         version: format!("v{fence}"),
     };
-    sequencer::Event::Order(Numbered { fence, order })
+    sequencer::Event::Order(Fenced { fence, order })
 }
 
 /// One line an action.
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -20,7 +20,7 @@
         Settings, //
     },
     key,
-    order::Numbered,
+    order::Fenced,
 };
 use reqwest::{
     Client,
@@ -155,7 +155,7 @@
 
 async fn order(fence: Revision, value: &str, events: &mpsc::Sender<Event>) {
     match serde_json::from_str::<Order>(value) {
-        Ok(order) => give(events, Event::Order(Numbered { fence, order })).await,
+        Ok(order) => give(events, Event::Order(Fenced { fence, order })).await,
         Err(error) => {
             events::emit!(order_events::UNREADABLE, "fence={fence} reason=\"{error}\"");
         }
