--- a/components/models/src/orders.rs
+++ b/components/models/src/orders.rs
@@ -103,7 +103,7 @@
 impl World {
     fn new(twin: Twin, checks: bool, faults: u32) -> Self {
         let settings = Settings {
-            checks,
+            checks_fence: checks,
             ..Settings::default()
         };
         let mut world = Self {
@@ -203,11 +203,11 @@
             Step::Close => self.close(),
             Step::Settled => {
                 self.settles = false;
-                self.tell_at(Event::Waited, self.settings.settle);
+                self.tell_at(Event::Waited, self.settings.settle_time);
             }
             Step::StaleTimer => {
                 let now = match self.twin {
-                    Twin::StaleCounts => self.settings.settle,
+                    Twin::StaleCounts => self.settings.settle_time,
                     _ => Clock::ZERO,
                 };
                 self.tell_at(Event::Waited, now);
@@ -241,7 +241,7 @@
             return;
         };
         let pending = self.pending.remove(at);
-        let checks = self.settings.checks && self.twin != Twin::IgnoresFence;
+        let checks = self.settings.checks_fence && self.twin != Twin::IgnoresFence;
         if checks && fence < self.taken {
             let highest = self.taken;
             return self.answer(&pending, Event::Refused { fence, highest });
--- a/components/orders/src/sequencer.rs
+++ b/components/orders/src/sequencer.rs
@@ -23,20 +23,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// The server refuses old numbers itself.
-    pub checks: bool,
+    pub checks_fence: bool,
     /// Longest time for which a server that doesn't check may still carry out an order after the
     /// connection it came on was closed.
-    pub settle: Duration,
+    pub settle_time: Duration,
     /// Wait between tries to read the store, and when orderers may come back.
-    pub retry: Duration,
+    pub retry_interval: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            checks: false,
-            settle: Duration::from_secs(30),
-            retry: Duration::from_secs(2),
+            checks_fence: false,
+            settle_time: Duration::from_secs(30),
+            retry_interval: Duration::from_secs(2),
         }
     }
 }
@@ -178,7 +178,7 @@
         self.knowledge = Knowledge::Asking;
         let mut actions = vec![Action::ReadStore];
         // The last sidecar may have left an order with a server that doesn't check.
-        if !self.settings.checks {
+        if !self.settings.checks_fence {
             actions.push(self.settle(now));
         }
         actions
@@ -209,7 +209,7 @@
             return vec![answer(order.fence, Answer::Applied)];
         }
         self.knowledge = Knowledge::Highest(order.fence);
-        if self.settings.checks || self.server == Server::Idle {
+        if self.settings.checks_fence || self.server == Server::Idle {
             return self.send(order);
         }
         self.hold(order)
@@ -220,7 +220,7 @@
         let refusal = answer(
             fence,
             Answer::StoreOut {
-                retry_after: self.settings.retry,
+                retry_after: self.settings.retry_interval,
             },
         );
         if self.knowledge == Knowledge::Asking {
@@ -273,7 +273,7 @@
         if self.server != Server::Busy(fence) {
             return actions;
         }
-        if self.settings.checks {
+        if self.settings.checks_fence {
             actions.extend(self.idle());
             return actions;
         }
@@ -282,8 +282,8 @@
     }
 
     fn settle(&mut self, now: Clock) -> Action {
-        self.server = Server::Settling(now + self.settings.settle);
-        Action::Wait(self.settings.settle)
+        self.server = Server::Settling(now + self.settings.settle_time);
+        Action::Wait(self.settings.settle_time)
     }
 
     /// A timer from an earlier settling may end within a later one, so the time decides.
--- a/components/orders/tests/orders.rs
+++ b/components/orders/tests/orders.rs
@@ -118,7 +118,7 @@
 )]
 fn a_keeper(#[case] checks: bool, #[case] events: &[sequencer::Event], #[case] last: &str) {
     let settings = sequencer::Settings {
-        checks,
+        checks_fence: checks,
         ..sequencer::Settings::default()
     };
     let mut sequencer = Sequencer::new(settings);
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -75,8 +75,8 @@
         events,
     };
     let settings = Settings {
-        checks: state.shared.settings.server.checks_fence,
-        settle: times.settle,
+        checks_fence: state.shared.settings.server.checks_fence,
+        settle_time: times.settle,
         ..Settings::default()
     };
     let mut sequencer = Sequencer::new(settings);
