--- a/components/models/src/orders.rs
+++ b/components/models/src/orders.rs
@@ -191,7 +191,7 @@
                     Twin::NoRead => 0,
                     _ => self.newest,
                 };
-                self.tell(Event::Newest(newest));
+                self.tell(Event::NewestRead(newest));
             }
             Step::StoreOut => {
                 self.faults -= 1;
@@ -203,14 +203,14 @@
             Step::Close => self.close(),
             Step::Settled => {
                 self.settles = false;
-                self.tell_at(Event::Waited, self.settings.settle_time);
+                self.tell_at(Event::TimerFired, self.settings.settle_time);
             }
             Step::StaleTimer => {
                 let now = match self.twin {
                     Twin::StaleCounts => self.settings.settle_time,
                     _ => Clock::ZERO,
                 };
-                self.tell_at(Event::Waited, now);
+                self.tell_at(Event::TimerFired, now);
             }
             Step::SidecarRestarts => {
                 self.faults -= 1;
@@ -264,7 +264,7 @@
         };
         match self.twin {
             Twin::SlowIsOver => self.tell(Event::Restarted),
-            _ => self.tell(Event::Slow(fence)),
+            _ => self.tell(Event::TimedOut(fence)),
         }
     }
 
--- a/components/orders/src/sequencer.rs
+++ b/components/orders/src/sequencer.rs
@@ -47,7 +47,7 @@
     /// The sidecar started.
     Started,
     /// The store's newest order for the server: its number, 0 when there was never one.
-    Newest(Fence),
+    NewestRead(Fence),
     /// The store didn't answer.
     StoreOut,
     /// An order came.
@@ -62,13 +62,13 @@
         highest: Fence,
     },
     /// The server has not answered in time; the connection is still open.
-    Slow(Fence),
+    TimedOut(Fence),
     /// The order's connection closed without an answer: the server may still carry it out.
     Closed(Fence),
     /// The server's process is a new one: nothing is left of earlier orders.
     Restarted,
     /// The time of [`Action::Wait`] is over.
-    Waited,
+    TimerFired,
 }
 
 /// What the sidecar has to do.
@@ -78,7 +78,7 @@
     ReadStore,
     /// Send the order to the server.
     Send(Fenced),
-    /// Come back with [`Event::Waited`].
+    /// Come back with [`Event::TimerFired`].
     Wait(Duration),
     /// Tell the orderer.
     Answer {
@@ -162,15 +162,15 @@
     pub fn handle(&mut self, event: Event, now: Clock) -> Vec<Action> {
         match event {
             Event::Started => self.started(now),
-            Event::Newest(fence) => self.newest(fence),
+            Event::NewestRead(fence) => self.newest(fence),
             Event::StoreOut => self.store_out(),
             Event::Order(order) => self.order(order),
             Event::Applied(fence) => self.answered(fence, Answer::Applied),
             Event::Refused { fence, highest } => self.refused(fence, highest),
-            Event::Slow(fence) => vec![answer(fence, Answer::Unknown)],
+            Event::TimedOut(fence) => vec![answer(fence, Answer::Unknown)],
             Event::Closed(fence) => self.closed(fence, now),
             Event::Restarted => self.idle(),
-            Event::Waited => self.waited(now),
+            Event::TimerFired => self.waited(now),
         }
     }
 
--- a/components/orders/tests/orders.rs
+++ b/components/orders/tests/orders.rs
@@ -43,33 +43,33 @@
 
 /// Events come a minute apart, so that a wait is over when it is said to be.
 #[rstest]
-#[case::fresh(false, &[sequencer::Event::Newest(0), sequencer::Event::Waited, order(3)], "send 3")]
+#[case::fresh(false, &[sequencer::Event::NewestRead(0), sequencer::Event::TimerFired, order(3)], "send 3")]
 #[case::store_out(false, &[sequencer::Event::StoreOut, order(3)], "3: StoreOut, read")]
 #[case::store_slow(false, &[order(3)], "3: StoreOut")]
 #[case::store_back(
     false,
-    &[sequencer::Event::StoreOut, order(3), sequencer::Event::Newest(3), sequencer::Event::Waited, order(3)],
+    &[sequencer::Event::StoreOut, order(3), sequencer::Event::NewestRead(3), sequencer::Event::TimerFired, order(3)],
     "send 3"
 )]
-#[case::old_after_restart(false, &[sequencer::Event::Newest(9), order(3)], "3: old, 9")]
-#[case::held_until_settled(false, &[sequencer::Event::Newest(0), order(3)], "")]
+#[case::old_after_restart(false, &[sequencer::Event::NewestRead(9), order(3)], "3: old, 9")]
+#[case::held_until_settled(false, &[sequencer::Event::NewestRead(0), order(3)], "")]
 #[case::sent_when_settled(
     false,
-    &[sequencer::Event::Newest(0), order(3), sequencer::Event::Waited],
+    &[sequencer::Event::NewestRead(0), order(3), sequencer::Event::TimerFired],
     "send 3"
 )]
 #[case::newer_replaces_held(
     false,
-    &[sequencer::Event::Newest(0), order(3), order(4)],
+    &[sequencer::Event::NewestRead(0), order(3), order(4)],
     "3: old, 4"
 )]
 #[case::newer_waits_for_slow(
     false,
     &[
-        sequencer::Event::Newest(0),
-        sequencer::Event::Waited,
+        sequencer::Event::NewestRead(0),
+        sequencer::Event::TimerFired,
         order(3),
-        sequencer::Event::Slow(3),
+        sequencer::Event::TimedOut(3),
         order(4),
     ],
     ""
@@ -77,8 +77,8 @@
 #[case::newer_goes_after_answer(
     false,
     &[
-        sequencer::Event::Newest(0),
-        sequencer::Event::Waited,
+        sequencer::Event::NewestRead(0),
+        sequencer::Event::TimerFired,
         order(3),
         order(4),
         sequencer::Event::Applied(3),
@@ -88,8 +88,8 @@
 #[case::closed_settles(
     false,
     &[
-        sequencer::Event::Newest(0),
-        sequencer::Event::Waited,
+        sequencer::Event::NewestRead(0),
+        sequencer::Event::TimerFired,
         order(3),
         order(4),
         sequencer::Event::Closed(3),
@@ -98,14 +98,14 @@
 )]
 #[case::server_restarted(
     false,
-    &[sequencer::Event::Newest(0), order(3), sequencer::Event::Restarted],
+    &[sequencer::Event::NewestRead(0), order(3), sequencer::Event::Restarted],
     "send 3"
 )]
-#[case::checks_needs_no_wait(true, &[sequencer::Event::Newest(0), order(3)], "send 3")]
+#[case::checks_needs_no_wait(true, &[sequencer::Event::NewestRead(0), order(3)], "send 3")]
 #[case::checks_refuses(
     true,
     &[
-        sequencer::Event::Newest(0),
+        sequencer::Event::NewestRead(0),
         order(3),
         sequencer::Event::Refused { fence: 3, highest: 5 },
     ],
@@ -113,7 +113,7 @@
 )]
 #[case::sent_again(
     true,
-    &[sequencer::Event::Newest(0), order(3), sequencer::Event::Applied(3), order(3)],
+    &[sequencer::Event::NewestRead(0), order(3), sequencer::Event::Applied(3), order(3)],
     "3: Applied"
 )]
 fn a_keeper(#[case] checks: bool, #[case] events: &[sequencer::Event], #[case] last: &str) {
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -125,7 +125,7 @@
     let listing = platform.list(key).await?;
     let entry = listing.entries.into_iter().find(|entry| entry.key == key);
     let newest = entry.as_ref().map_or(0, |entry| entry.revision);
-    give(events, Event::Newest(newest)).await;
+    give(events, Event::NewestRead(newest)).await;
     if let Some(Entry {
         value, revision, ..
     }) = entry
@@ -179,7 +179,7 @@
             Action::Wait(time) => {
                 tokio::spawn(async move {
                     sleep(time).await;
-                    give(&events, Event::Waited).await;
+                    give(&events, Event::TimerFired).await;
                 });
             }
             Action::Send(order) => {
@@ -215,7 +215,7 @@
     let answer = match timeout(slow, &mut answer).await {
         Ok(answer) => answer,
         Err(_) => {
-            give(&events, Event::Slow(fence)).await;
+            give(&events, Event::TimedOut(fence)).await;
             answer.await
         }
     };
