--- a/components/orders/src/slot.rs
+++ b/components/orders/src/slot.rs
@@ -18,7 +18,7 @@
     /// Time to live of the lease.
     pub ttl: Duration,
     /// Wait before all slots are tried again.
-    pub retry: Duration,
+    pub retry_interval: Duration,
 }
 
 impl Default for Settings {
@@ -26,7 +26,7 @@
         Self {
             slots: 4,
             ttl: Duration::from_secs(10),
-            retry: Duration::from_secs(2),
+            retry_interval: Duration::from_secs(2),
         }
     }
 }
@@ -35,13 +35,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// A load is wanted; trying begins at slot `first`, so that not all begin at the same one.
-    Wanted {
+    Requested {
         /// Number of the slot.
         first: u32,
     },
-    /// Answer to [`Action::Take`]: the slot is ours.
-    Taken,
-    /// Answer to [`Action::Take`]: somebody else holds it.
+    /// Answer to [`Action::Acquire`]: the slot is ours.
+    Acquired,
+    /// Answer to [`Action::Acquire`]: somebody else holds it.
     Occupied,
     /// The store refused or didn't answer.
     Failed,
@@ -52,7 +52,7 @@
     /// Time went by; the driver sends this at least each third of the lease's time.
     Tick,
     /// The load is over.
-    Loaded,
+    Finished,
 }
 
 /// What the holder has to do.
@@ -60,7 +60,7 @@
 pub enum Action {
     /// Get a fresh lease and create the slot's key with it, only when absent. After a failure the
     /// lease is dropped, so that a late write can't hold the slot.
-    Take {
+    Acquire {
         /// Number of the slot.
         slot: u32,
     },
@@ -68,10 +68,10 @@
     Renew,
     /// Begin to load.
     Load,
-    /// Stop loading at once and throw away what came; then start over with [`Event::Wanted`].
+    /// Stop loading at once and throw away what came; then start over with [`Event::Requested`].
     Abort,
     /// Drop the lease.
-    Drop,
+    Release,
     /// Come back with [`Event::Tick`] after this time.
     Wait(Duration),
 }
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Stage {
     Idle,
-    Taking {
+    Acquiring {
         first: u32,
         tried: u32,
         sent: Clock,
@@ -124,15 +124,15 @@
             return self.abort();
         }
         match (self.stage, event) {
-            (Stage::Idle, Event::Wanted { first }) => self.take(first, 0, now),
-            (Stage::Taking { sent, .. }, Event::Taken) => self.taken(sent, now),
-            (Stage::Taking { first, tried, .. }, Event::Occupied) => {
+            (Stage::Idle, Event::Requested { first }) => self.take(first, 0, now),
+            (Stage::Acquiring { sent, .. }, Event::Acquired) => self.taken(sent, now),
+            (Stage::Acquiring { first, tried, .. }, Event::Occupied) => {
                 if tried + 1 < self.settings.slots {
                     return self.take(first, tried + 1, now);
                 }
                 self.wait(first, now)
             }
-            (Stage::Taking { first, .. }, Event::Failed) => self.wait(first, now),
+            (Stage::Acquiring { first, .. }, Event::Failed) => self.wait(first, now),
             (Stage::Waiting { first, until }, Event::Tick) if now >= until => {
                 self.take(first, 0, now)
             }
@@ -158,22 +158,22 @@
                 Vec::new()
             }
             (Stage::Held { .. }, Event::Lapsed) => self.abort(),
-            (Stage::Held { .. }, Event::Loaded) => {
+            (Stage::Held { .. }, Event::Finished) => {
                 self.stage = Stage::Idle;
-                vec![Action::Drop]
+                vec![Action::Release]
             }
             _ => Vec::new(),
         }
     }
 
     fn take(&mut self, first: u32, tried: u32, now: Clock) -> Vec<Action> {
-        self.stage = Stage::Taking {
+        self.stage = Stage::Acquiring {
             first,
             tried,
             sent: now,
         };
         let slot = (first + tried) % self.settings.slots.max(1);
-        vec![Action::Take { slot }]
+        vec![Action::Acquire { slot }]
     }
 
     /// The lease began at the latest when the store answered, at the earliest when we asked.
@@ -181,7 +181,7 @@
         let until = sent + self.settings.ttl;
         if now >= until {
             self.stage = Stage::Idle;
-            return vec![Action::Drop, Action::Abort];
+            return vec![Action::Release, Action::Abort];
         }
         self.stage = Stage::Held {
             until,
@@ -193,9 +193,9 @@
     fn wait(&mut self, first: u32, now: Clock) -> Vec<Action> {
         self.stage = Stage::Waiting {
             first,
-            until: now + self.settings.retry,
+            until: now + self.settings.retry_interval,
         };
-        vec![Action::Drop, Action::Wait(self.settings.retry)]
+        vec![Action::Release, Action::Wait(self.settings.retry_interval)]
     }
 
     fn renew(&mut self, until: Clock, renewal: Option<Clock>, now: Clock) -> Vec<Action> {
@@ -212,6 +212,6 @@
 
     fn abort(&mut self) -> Vec<Action> {
         self.stage = Stage::Idle;
-        vec![Action::Abort, Action::Drop]
+        vec![Action::Abort, Action::Release]
     }
 }
--- a/components/orders/tests/orders.rs
+++ b/components/orders/tests/orders.rs
@@ -134,54 +134,54 @@
 /// seconds. A holder that loads past its lease would load beside the next one, and an operator
 /// would see a weight store that refuses everybody.
 #[rstest]
-#[case::loads(&[(0, slot::Event::Taken)], 1, true, "[Load, Wait(3.333333333s)]")]
-#[case::next_slot(&[(0, slot::Event::Occupied)], 1, false, "[Take { slot: 0 }]")]
+#[case::loads(&[(0, slot::Event::Acquired)], 1, true, "[Load, Wait(3.333333333s)]")]
+#[case::next_slot(&[(0, slot::Event::Occupied)], 1, false, "[Acquire { slot: 0 }]")]
 #[case::all_taken(
     &[(0, slot::Event::Occupied), (0, slot::Event::Occupied)],
     1,
     false,
-    "[Drop, Wait(2s)]"
+    "[Release, Wait(2s)]"
 )]
-#[case::store_out(&[(0, slot::Event::Failed)], 1, false, "[Drop, Wait(2s)]")]
-#[case::taken_after_a_pause(&[(11, slot::Event::Taken)], 11, false, "[Drop, Abort]")]
+#[case::store_out(&[(0, slot::Event::Failed)], 1, false, "[Release, Wait(2s)]")]
+#[case::taken_after_a_pause(&[(11, slot::Event::Acquired)], 11, false, "[Release, Abort]")]
 #[case::paused_past_lease(
-    &[(0, slot::Event::Taken), (11, slot::Event::Tick)],
+    &[(0, slot::Event::Acquired), (11, slot::Event::Tick)],
     11,
     false,
-    "[Abort, Drop]"
+    "[Abort, Release]"
 )]
 #[case::paused_then_loaded(
-    &[(0, slot::Event::Taken), (11, slot::Event::Loaded)],
+    &[(0, slot::Event::Acquired), (11, slot::Event::Finished)],
     11,
     false,
-    "[Abort, Drop]"
+    "[Abort, Release]"
 )]
-#[case::no_event_after_pause(&[(0, slot::Event::Taken)], 10, false, "[Load, Wait(3.333333333s)]")]
+#[case::no_event_after_pause(&[(0, slot::Event::Acquired)], 10, false, "[Load, Wait(3.333333333s)]")]
 #[case::renewed(
-    &[(0, slot::Event::Taken), (4, slot::Event::Tick), (6, slot::Event::Renewed)],
+    &[(0, slot::Event::Acquired), (4, slot::Event::Tick), (6, slot::Event::Renewed)],
     13,
     true,
     "[]"
 )]
 #[case::renewal_counts_from_its_sending(
-    &[(0, slot::Event::Taken), (4, slot::Event::Tick), (6, slot::Event::Renewed)],
+    &[(0, slot::Event::Acquired), (4, slot::Event::Tick), (6, slot::Event::Renewed)],
     14,
     false,
     "[]"
 )]
 #[case::renewal_failed(
-    &[(0, slot::Event::Taken), (4, slot::Event::Tick), (6, slot::Event::Failed)],
+    &[(0, slot::Event::Acquired), (4, slot::Event::Tick), (6, slot::Event::Failed)],
     10,
     false,
     "[]"
 )]
 #[case::lapsed(
-    &[(0, slot::Event::Taken), (4, slot::Event::Tick), (6, slot::Event::Lapsed)],
+    &[(0, slot::Event::Acquired), (4, slot::Event::Tick), (6, slot::Event::Lapsed)],
     6,
     false,
-    "[Abort, Drop]"
+    "[Abort, Release]"
 )]
-#[case::loaded(&[(0, slot::Event::Taken), (5, slot::Event::Loaded)], 5, false, "[Drop]")]
+#[case::loaded(&[(0, slot::Event::Acquired), (5, slot::Event::Finished)], 5, false, "[Release]")]
 fn a_slot(
     #[case] events: &[(u64, slot::Event)],
     #[case] asked: u64,
@@ -193,8 +193,8 @@
         ..slot::Settings::default()
     };
     let mut slot = Slot::new(settings);
-    let mut actions = slot.handle(slot::Event::Wanted { first: 1 }, Duration::ZERO);
-    assert_eq!(actions, [slot::Action::Take { slot: 1 }]);
+    let mut actions = slot.handle(slot::Event::Requested { first: 1 }, Duration::ZERO);
+    assert_eq!(actions, [slot::Action::Acquire { slot: 1 }]);
     for (second, event) in events {
         actions = slot.handle(*event, Duration::from_secs(*second));
     }
