--- a/components/daemon/src/records.rs
+++ b/components/daemon/src/records.rs
@@ -96,7 +96,7 @@
             return Ok(lease);
         }
         let since = Instant::now();
-        let lease = self.client.lease(RETENTION + SHARED).await?;
+        let lease = self.client.grant_lease(RETENTION + SHARED).await?;
         *held = Some((lease, since));
         Ok(lease)
     }
--- a/components/store/src/client.rs
+++ b/components/store/src/client.rs
@@ -242,7 +242,7 @@
     /// # Errors
     ///
     /// As [`Client::put`]; a lease whose answer was lost lapses by itself.
-    pub async fn lease(&self, ttl: Duration) -> Result<Lease, Error> {
+    pub async fn grant_lease(&self, ttl: Duration) -> Result<Lease, Error> {
         let grant = Grant {
             ttl_ms: ttl.as_millis() as u64,
         };
@@ -259,7 +259,7 @@
     /// # Errors
     ///
     /// [`Error::UnknownLease`] once it has lapsed.
-    pub async fn keep(&self, lease: Lease) -> Result<(), Error> {
+    pub async fn renew_lease(&self, lease: Lease) -> Result<(), Error> {
         self.on_lease("keep", lease).await
     }
 
@@ -268,7 +268,7 @@
     /// # Errors
     ///
     /// As [`Client::put`].
-    pub async fn drop_lease(&self, lease: Lease) -> Result<(), Error> {
+    pub async fn revoke_lease(&self, lease: Lease) -> Result<(), Error> {
         self.on_lease("drop", lease).await
     }
 
--- a/components/store/tests/store.rs
+++ b/components/store/tests/store.rs
@@ -160,13 +160,13 @@
 async fn lapsed_lease_takes_its_keys() {
     let platform = start(Settings::default()).await;
     let client = client(&platform, LONG);
-    let lease = client.lease(Duration::from_millis(50)).await;
+    let lease = client.grant_lease(Duration::from_millis(50)).await;
     let lease = lease.expect("the store answers");
     let put = client.put("slot", "a", Expect::Absent, Some(lease)).await;
     assert_matches!(put, Ok(Write::Done { .. }));
     let change = client.watch("slot", 1, LONG).await.expect("an answer");
     assert_eq!(change.events[0].value, None);
-    assert_eq!(client.keep(lease).await, Err(Error::UnknownLease));
+    assert_eq!(client.renew_lease(lease).await, Err(Error::UnknownLease));
     let put = client.put("slot", "a", Expect::Absent, Some(lease)).await;
     assert_eq!(put, Err(Error::UnknownLease));
 }
@@ -175,12 +175,12 @@
 async fn kept_lease_stays_and_dropped_lease_goes() {
     let platform = start(Settings::default()).await;
     let client = client(&platform, LONG);
-    let lease = client.lease(LONG).await.expect("the store answers");
+    let lease = client.grant_lease(LONG).await.expect("the store answers");
     let put = client.put("slot", "a", Expect::Absent, Some(lease)).await;
     assert_matches!(put, Ok(Write::Done { .. }));
-    assert_eq!(client.keep(lease).await, Ok(()));
+    assert_eq!(client.renew_lease(lease).await, Ok(()));
     assert_eq!(platform.counts().leases, 1);
-    assert_eq!(client.drop_lease(lease).await, Ok(()));
+    assert_eq!(client.revoke_lease(lease).await, Ok(()));
     assert_eq!(value(&client, "slot").await, None);
     assert_eq!(platform.counts().leases, 0);
 }
@@ -304,7 +304,7 @@
     put(&client, "k", "a", Expect::Any).await;
     value(&client, "k").await;
     client.list("k").await.expect("an answer");
-    client.lease(LONG).await.expect("an answer");
+    client.grant_lease(LONG).await.expect("an answer");
     client.watch("k", 0, LONG).await.expect("an answer");
     let counts = platform.counts();
     assert_eq!((counts.reads, counts.writes, counts.watches), (2, 2, 1));
