--- a/components/store/src/client.rs
+++ b/components/store/src/client.rs
@@ -39,7 +39,7 @@
 const PAGE: usize = 500;
 
 /// How long reads are retried, in units of one call's time-out, unless set otherwise.
-const PATIENCE: u32 = 4;
+const SETTLE_TIMEOUT_FACTOR: u32 = 4;
 
 /// A client of the platform. Clones share connections.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
     http: reqwest::Client,
     base: Url,
     pub(crate) timeout: Duration,
-    pub(crate) patience: Duration,
+    pub(crate) settle_timeout: Duration,
 }
 
 /// Kind of a store call, as the metric `medlarhatch_store_calls_total` tells them apart.
@@ -121,13 +121,13 @@
             http,
             base: url,
             timeout,
-            patience: timeout * PATIENCE,
+            settle_timeout: timeout * SETTLE_TIMEOUT_FACTOR,
         })
     }
 
     /// Sets for how long [`Client::settle`] goes on; four time-outs otherwise.
-    pub fn with_patience(self, patience: Duration) -> Client {
-        Client { patience, ..self }
+    pub fn with_settle_timeout(self, settle_timeout: Duration) -> Client {
+        Client { settle_timeout, ..self }
     }
 
     /// Reads a key.
--- a/components/store/src/settle.rs
+++ b/components/store/src/settle.rs
@@ -91,7 +91,7 @@
         expect: Expect,
         lease: Option<Lease>,
     ) -> Result<Settled, Error> {
-        let deadline = Instant::now() + self.patience;
+        let deadline = Instant::now() + self.settle_timeout;
         let mut wait = FIRST;
         let mut first = true;
         loop {
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -146,7 +146,7 @@
 #[tokio::test]
 async fn outage_after_the_write_is_unknown() {
     let (platform, client) = start().await;
-    let client = client.with_patience(Duration::from_millis(200));
+    let client = client.with_settle_timeout(Duration::from_millis(200));
     platform.fault(Fault {
         slow_ms: Some(50),
         lose_answers: Some(1),
@@ -174,7 +174,7 @@
     let (platform, _) = start().await;
     let base = format!("http://{}", platform.address());
     let client = Client::new(&base, Duration::from_millis(100));
-    let client = client.expect("the base is a URL").with_patience(LONG);
+    let client = client.expect("the base is a URL").with_settle_timeout(LONG);
     platform.fault(Fault {
         slow_ms: Some(400),
         ..Fault::default()
