--- a/components/store/src/settle.rs
+++ b/components/store/src/settle.rs
@@ -54,7 +54,7 @@
     ///
     /// The [`Error`] of the last try that came to an end by itself; [`Error::Unanswered`] if none
     /// did.
-    pub async fn get_within(&self, key: &str, deadline: Instant) -> Result<Option<Entry>, Error> {
+    pub async fn get_until(&self, key: &str, deadline: Instant) -> Result<Option<Entry>, Error> {
         let mut last = Error::Unanswered;
         for wait in backoff().build() {
             match timeout_at(deadline, self.get(key)).await {
@@ -121,7 +121,7 @@
     }
 
     async fn look(&self, key: &str, value: &str, expect: Expect, deadline: Instant) -> Look {
-        match self.get_within(key, deadline).await {
+        match self.get_until(key, deadline).await {
             Ok(entry) => self.judge(key, value, expect, entry).await,
             Err(_) => Look::Passed,
         }
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -233,12 +233,12 @@
         outage_ms: Some(100),
         ..Fault::default()
     });
-    let read = client.get_within("k", Instant::now() + LONG).await;
+    let read = client.get_until("k", Instant::now() + LONG).await;
     assert_eq!(read, Ok(None));
     platform.fault(Fault {
         outage: true,
         ..Fault::default()
     });
     let deadline = Instant::now() + Duration::from_millis(200);
-    assert_eq!(client.get_within("k", deadline).await, Err(Error::Outage));
+    assert_eq!(client.get_until("k", deadline).await, Err(Error::Outage));
 }
