--- a/components/store/src/settle.rs
+++ b/components/store/src/settle.rs
@@ -107,8 +107,8 @@
             };
             first = false;
             match look {
-                Look::Won(revision) => return Ok(Settled::Won { revision }),
-                Look::Lost(entry) => return Ok(Settled::Lost { entry }),
+                Look::Won(revision) => return Ok(Settled::Applied { revision }),
+                Look::Lost(entry) => return Ok(Settled::Conflict { entry }),
                 Look::Passed => return Ok(Settled::Unknown),
                 Look::Open => {}
             }
--- a/components/store/src/store.rs
+++ b/components/store/src/store.rs
@@ -69,13 +69,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Settled {
     /// It took effect, once.
-    Won {
+    Applied {
         /// Revision that it was written at.
         revision: Revision,
     },
     /// It took no effect and can't take one any more, as long as keys that are created only when
     /// absent are changed and deleted by their creator alone.
-    Lost {
+    Conflict {
         /// The key as it stands.
         entry: Option<Entry>,
     },
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -69,7 +69,7 @@
     let before = platform.counts().writes;
     platform.fault(lose(answers, writes));
     let settled = client.settle("k", "nonce-1", expect, None).await;
-    assert_matches!(settled, Ok(Settled::Won { .. }));
+    assert_matches!(settled, Ok(Settled::Applied { .. }));
     assert_eq!(platform.counts().writes - before, attempts);
     let entry = client.get("k").await.expect("the store answers");
     assert_eq!(entry.expect("the key is there").value, "nonce-1");
@@ -84,7 +84,7 @@
     revision(&client, "other").await;
     platform.fault(fault);
     let settled = client.settle("k", "nonce-1", Expect::Absent, None).await;
-    let Ok(Settled::Lost { entry }) = settled else {
+    let Ok(Settled::Conflict { entry }) = settled else {
         panic!("the other's key stands: {settled:?}");
     };
     assert_eq!(entry.expect("the key is there").value, "other");
@@ -107,7 +107,7 @@
     let settled = client.settle("k", "nonce-1", expect, None).await;
     assert_eq!(
         settled,
-        Ok(Settled::Won {
+        Ok(Settled::Applied {
             revision: first + 1
         })
     );
@@ -120,7 +120,7 @@
     revision(&client, "other").await;
     platform.fault(lose(0, 1));
     let settled = client.settle("k", "nonce-1", Expect::Revision(first), None);
-    assert_matches!(settled.await, Ok(Settled::Lost { entry: Some(_) }));
+    assert_matches!(settled.await, Ok(Settled::Conflict { entry: Some(_) }));
 }
 
 // The changes since the expected revision are no longer kept, so nobody can say whether the edit
@@ -191,7 +191,7 @@
         ..Fault::default()
     });
     let settled = task.await.expect("the task ends");
-    let Ok(Settled::Won { revision }) = settled else {
+    let Ok(Settled::Applied { revision }) = settled else {
         panic!("the write is decided: {settled:?}");
     };
     tokio::time::sleep(Duration::from_millis(500)).await;
