--- a/components/entry/src/documents/edit.rs
+++ b/components/entry/src/documents/edit.rs
@@ -93,7 +93,7 @@
         Ok(Write::Done { revision }) => Answer::Written(revision),
         Ok(Write::Conflict { entry }) => Answer::Conflict(entry.as_ref().map(open)),
         Err(Error::TooLarge) => Answer::Large,
-        Err(Error::Outage | Error::Busy { .. }) => Answer::Refused,
+        Err(Error::Unavailable | Error::RateLimited { .. }) => Answer::Refused,
         // All that is left may have taken effect.
         Err(_) => Answer::Silent,
     }
--- a/components/store/src/answer.rs
+++ b/components/store/src/answer.rs
@@ -37,7 +37,7 @@
 /// A request that never got a connection can't have had an effect; any other may.
 pub(crate) fn failure(error: &reqwest::Error) -> Error {
     if error.is_connect() {
-        return Error::Outage;
+        return Error::Unavailable;
     }
     if error.is_builder() {
         return Error::Malformed(error.to_string());
--- a/components/store/src/client.rs
+++ b/components/store/src/client.rs
@@ -302,7 +302,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Busy`] over the weight store's rate.
+    /// [`Error::RateLimited`] over the weight store's rate.
     pub async fn weights(&self, model: &str, version: &str) -> Result<Bytes, Error> {
         let url = self.url(&["weights", model, version], &[]);
         let response = self
@@ -351,10 +351,10 @@
         }
         let response = request.send().await.map_err(|error| failure(&error))?;
         match response.status() {
-            StatusCode::TOO_MANY_REQUESTS => Err(Error::Busy {
+            StatusCode::TOO_MANY_REQUESTS => Err(Error::RateLimited {
                 retry_after: retry_after(&response),
             }),
-            StatusCode::SERVICE_UNAVAILABLE => Err(Error::Outage),
+            StatusCode::SERVICE_UNAVAILABLE => Err(Error::Unavailable),
             StatusCode::GONE => Err(Error::Compacted),
             StatusCode::PAYLOAD_TOO_LARGE => Err(Error::TooLarge),
             // A fault inside the platform says nothing about the write's effect.
--- a/components/store/src/error.rs
+++ b/components/store/src/error.rs
@@ -7,10 +7,10 @@
 pub enum Error {
     /// Out of service, or nobody listens. A write had no effect.
     #[error("the platform is out of service")]
-    Outage,
+    Unavailable,
     /// Over a rate. A write had no effect.
     #[error("the platform is busy, come back in {} s", retry_after.as_secs())]
-    Busy {
+    RateLimited {
         /// Time to wait before the next try.
         retry_after: Duration,
     },
@@ -36,7 +36,7 @@
     /// Whether the same read may succeed later.
     pub(crate) fn passing(&self) -> bool {
         match self {
-            Error::Outage | Error::Busy { .. } | Error::Unanswered => true,
+            Error::Unavailable | Error::RateLimited { .. } | Error::Unanswered => true,
             Error::Compacted | Error::TooLarge | Error::UnknownLease | Error::Malformed(_) => false,
         }
     }
--- a/components/store/src/settle.rs
+++ b/components/store/src/settle.rs
@@ -82,8 +82,8 @@
     ///
     /// # Errors
     ///
-    /// Errors of the first try that say that it had no effect: [`Error::Outage`],
-    /// [`Error::Busy`], [`Error::TooLarge`], and [`Error::UnknownLease`].
+    /// Errors of the first try that say that it had no effect: [`Error::Unavailable`],
+    /// [`Error::RateLimited`], [`Error::TooLarge`], and [`Error::UnknownLease`].
     pub async fn settle(
         &self,
         key: &str,
--- a/components/store/tests/hosts.rs
+++ b/components/store/tests/hosts.rs
@@ -118,5 +118,5 @@
     });
     let refused = client.weights("m", "v1").await;
     let retry_after = Duration::from_secs(1);
-    assert_eq!(refused, Err(Error::Busy { retry_after }));
+    assert_eq!(refused, Err(Error::RateLimited { retry_after }));
 }
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -202,10 +202,10 @@
 }
 
 #[rstest]
-#[case::outage(Fault { outage: true, ..Fault::default() }, Error::Outage)]
+#[case::outage(Fault { outage: true, ..Fault::default() }, Error::Unavailable)]
 #[case::rate(
     Fault { writes_per_s: Some(0.5), ..Fault::default() },
-    Error::Busy { retry_after: Duration::from_secs(1) }
+    Error::RateLimited { retry_after: Duration::from_secs(1) }
 )]
 #[tokio::test]
 async fn refused_writes_had_no_effect(#[case] fault: Fault, #[case] error: Error) {
@@ -240,5 +240,5 @@
         ..Fault::default()
     });
     let deadline = Instant::now() + Duration::from_millis(200);
-    assert_eq!(client.get_until("k", deadline).await, Err(Error::Outage));
+    assert_eq!(client.get_until("k", deadline).await, Err(Error::Unavailable));
 }
--- a/components/store/tests/store.rs
+++ b/components/store/tests/store.rs
@@ -202,15 +202,15 @@
 // The platform's store is down, silent, overloaded or slow. Each call must end within its
 // time-out with an error that says whether a write can have had an effect.
 #[rstest]
-#[case::outage(Fault { outage: true, ..Fault::default() }, Error::Outage)]
-#[case::outage_for(Fault { outage_ms: Some(3_600_000), ..Fault::default() }, Error::Outage)]
+#[case::outage(Fault { outage: true, ..Fault::default() }, Error::Unavailable)]
+#[case::outage_for(Fault { outage_ms: Some(3_600_000), ..Fault::default() }, Error::Unavailable)]
 #[case::silence(Fault { silence: true, ..Fault::default() }, Error::Unanswered)]
 #[case::slow(Fault { slow_ms: Some(3_600_000), ..Fault::default() }, Error::Unanswered)]
 #[case::lost_write(Fault { lose_writes: Some(1), ..Fault::default() }, Error::Unanswered)]
 #[case::lost_answer(Fault { lose_answers: Some(1), ..Fault::default() }, Error::Unanswered)]
 #[case::rate(
     Fault { writes_per_s: Some(0.5), ..Fault::default() },
-    Error::Busy { retry_after: Duration::from_secs(1) }
+    Error::RateLimited { retry_after: Duration::from_secs(1) }
 )]
 #[tokio::test]
 async fn faults_of_writes(#[case] fault: Fault, #[case] error: Error) {
@@ -228,11 +228,11 @@
 }
 
 #[rstest]
-#[case::outage(Fault { outage: true, ..Fault::default() }, Error::Outage)]
+#[case::outage(Fault { outage: true, ..Fault::default() }, Error::Unavailable)]
 #[case::silence(Fault { silence: true, ..Fault::default() }, Error::Unanswered)]
 #[case::rate(
     Fault { reads_per_s: Some(0.5), ..Fault::default() },
-    Error::Busy { retry_after: Duration::from_secs(1) }
+    Error::RateLimited { retry_after: Duration::from_secs(1) }
 )]
 #[tokio::test]
 async fn faults_of_reads(#[case] fault: Fault, #[case] error: Error) {
@@ -253,7 +253,7 @@
     loop {
         // The connection that closes in the midst of the stop may leave a call unanswered.
         let put = client.put("k", "a", Expect::Any, None).await;
-        if put == Err(Error::Outage) {
+        if put == Err(Error::Unavailable) {
             return;
         }
         assert!(Instant::now() < end, "{put:?}");
@@ -294,7 +294,7 @@
         outage: true,
         ..Fault::default()
     });
-    assert_eq!(waiting.await.expect("the task ends"), Err(Error::Outage));
+    assert_eq!(waiting.await.expect("the task ends"), Err(Error::Unavailable));
 }
 
 #[tokio::test]
