--- a/components/environment/src/difference.rs
+++ b/components/environment/src/difference.rs
@@ -11,7 +11,7 @@
 
 /// One difference between two documents.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct Difference {
     /// Where, with list elements by name, such as `services[draft].versions[2]`.
     pub path: String,
     /// What happened there.
@@ -45,7 +45,7 @@
     },
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for Difference {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let path = &self.path;
         match &self.change {
@@ -58,7 +58,7 @@
 }
 
 /// Lists what changes from one document to another; empty when they say the same.
-pub fn difference(before: &Document, after: &Document) -> Vec<Line> {
+pub fn diff(before: &Document, after: &Document) -> Vec<Difference> {
     let mut lines = Vec::new();
     compare("", &json(before), &json(after), &mut lines);
     lines
@@ -68,7 +68,7 @@
     serde_json::to_value(document).unwrap_or(Value::Null)
 }
 
-fn compare(path: &str, before: &Value, after: &Value, lines: &mut Vec<Line>) {
+fn compare(path: &str, before: &Value, after: &Value, lines: &mut Vec<Difference>) {
     if before == after {
         return;
     }
@@ -86,7 +86,7 @@
         (Value::Array(old), Value::Array(new)) if named(old) && named(new) => {
             elements(path, old, new, lines);
         }
-        _ => lines.push(Line {
+        _ => lines.push(Difference {
             path: path.into(),
             change: Change::Changed {
                 before: before.to_string(),
@@ -96,7 +96,7 @@
     }
 }
 
-fn either(path: &str, before: Option<&Value>, after: Option<&Value>, lines: &mut Vec<Line>) {
+fn either(path: &str, before: Option<&Value>, after: Option<&Value>, lines: &mut Vec<Difference>) {
     let change = match (before, after) {
         (Some(before), Some(after)) => return compare(path, before, after, lines),
         (None, None) => return,
@@ -107,14 +107,14 @@
             before: before.to_string(),
         },
     };
-    lines.push(Line {
+    lines.push(Difference {
         path: path.into(),
         change,
     });
 }
 
 /// Compares lists of things that have names, element by element of the same name.
-fn elements(path: &str, old: &[Value], new: &[Value], lines: &mut Vec<Line>) {
+fn elements(path: &str, old: &[Value], new: &[Value], lines: &mut Vec<Difference>) {
     for value in old {
         let Some(name) = name(value) else { continue };
         let path = format!("{path}[{name}]");
@@ -136,7 +136,7 @@
     let order = kept(new, old);
     if kept(old, new) != order {
         let all: Vec<_> = new.iter().filter_map(name).collect();
-        lines.push(Line {
+        lines.push(Difference {
             path: path.into(),
             change: Change::Reordered {
                 after: all.join(", "),
--- a/components/environment/src/lib.rs
+++ b/components/environment/src/lib.rs
@@ -16,8 +16,8 @@
     check, //
 };
 pub use difference::{
-    Line,
-    difference, //
+    Difference,
+    diff, //
 };
 pub use digest::digest;
 pub use document::{
--- a/components/environment/tests/document.rs
+++ b/components/environment/tests/document.rs
@@ -5,7 +5,7 @@
 use environment::{
     Document,
     Target,
-    difference,
+    diff,
     digest,
     parse,
     read,
@@ -125,12 +125,12 @@
     after.moves.clear();
     after.teams.remove("members");
     after.levels[0].objective = 0.99;
-    let lines: Vec<_> = difference(&before, &after)
+    let lines: Vec<_> = diff(&before, &after)
         .iter()
         .map(ToString::to_string)
         .collect();
     insta::assert_snapshot!("difference", lines.join("\n"));
-    assert_eq!(difference(&before, &before), []);
+    assert_eq!(diff(&before, &before), []);
 }
 
 #[rstest]
--- a/src/cmd/env.rs
+++ b/src/cmd/env.rs
@@ -8,7 +8,7 @@
 
 use environment::{
     Document,
-    difference, //
+    diff, //
 };
 use serde_json::{
     Value,
@@ -205,7 +205,7 @@
         return vec!["+ the environment is new".into()];
     };
     match environment::parse(text) {
-        Ok(before) => difference(&before, document)
+        Ok(before) => diff(&before, document)
             .iter()
             .map(ToString::to_string)
             .collect(),
