--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -115,7 +115,7 @@
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let made = async {
             let environment = name(req);
-            let bytes = payload(req, environment::MAX_BYTES as u64).await?;
+            let bytes = payload(req, environment::MAX_DOCUMENT_BYTES as u64).await?;
             let text = String::from_utf8(bytes)
                 .map_err(|error| Problem::invalid("body", format!("not UTF-8: {error}")))?;
             check(&text, &environment)?;
--- a/components/environment/src/lib.rs
+++ b/components/environment/src/lib.rs
@@ -27,7 +27,7 @@
 pub use index::Index;
 pub use parse::{
     Error,
-    MAX_BYTES,
+    MAX_DOCUMENT_BYTES,
     parse,
     read,
     rename, //
--- a/components/environment/src/parse.rs
+++ b/components/environment/src/parse.rs
@@ -17,13 +17,13 @@
 
 /// Largest document, in bytes: the platform's store takes values up to a megabyte, and the entry
 /// wraps a document in an envelope with its history; the last 64 KiB are kept for that.
-pub const MAX_BYTES: usize = (1 << 20) - (64 << 10);
+pub const MAX_DOCUMENT_BYTES: usize = (1 << 20) - (64 << 10);
 
 /// Why a text isn't a document.
 #[derive(Clone, Debug, PartialEq, Eq, ThisError)]
 pub enum Error {
     /// The text is larger than the store takes.
-    #[error("the document has {bytes} bytes; at most {MAX_BYTES} are accepted")]
+    #[error("the document has {bytes} bytes; at most {MAX_DOCUMENT_BYTES} are accepted")]
     Large {
         /// Size of the text in bytes.
         bytes: usize,
@@ -42,7 +42,7 @@
 
 /// Reads a document's shape. Unknown fields are refused; [`check`] tells whether it makes sense.
 pub fn parse(text: &str) -> Result<Document, Error> {
-    if text.len() > MAX_BYTES {
+    if text.len() > MAX_DOCUMENT_BYTES {
         return Err(Error::Large { bytes: text.len() });
     }
     serde_norway::from_str(text).map_err(|error| field(&error))
