--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -142,7 +142,7 @@
             let text = trial.map_or_else(String::new, |stored| stored.envelope.text);
             // The edit refuses a trial that isn't what the pin says; but it first looks whether it
             // is a repeat, and a repeat is accepted even when the trial has changed since.
-            let text = environment::rename(&text, &environment).unwrap_or_default();
+            let text = environment::replace_environment(&text, &environment).unwrap_or_default();
             let draft = draft(&self.state, req, text, Some(pin)).await?;
             make(&self.state, draft).await
         };
--- a/components/environment/src/lib.rs
+++ b/components/environment/src/lib.rs
@@ -30,5 +30,5 @@
     MAX_DOCUMENT_BYTES,
     parse,
     read,
-    rename, //
+    replace_environment, //
 };
--- a/components/environment/src/parse.rs
+++ b/components/environment/src/parse.rs
@@ -66,7 +66,7 @@
 }
 
 /// Gives a document's text another environment; everything else stays as it is, comments too.
-pub fn rename(text: &str, environment: &str) -> Option<String> {
+pub fn replace_environment(text: &str, environment: &str) -> Option<String> {
     let document = parse(text).ok()?;
     let line = Path::root().field("environment").line(text)?;
     let mut lines: Vec<_> = text.lines().map(str::to_string).collect();
--- a/src/cmd/env.rs
+++ b/src/cmd/env.rs
@@ -109,7 +109,7 @@
     let newest = trial["revision"].as_u64().unwrap_or_default();
     let tried = args.revision.unwrap_or(newest);
     let text = trial["text"].as_str().unwrap_or_default();
-    let document = environment::rename(text, &args.to)
+    let document = environment::replace_environment(text, &args.to)
         .and_then(|text| environment::parse(&text).ok())
         .ok_or_else(|| Failure::Failed(format!("`{}` can't be read", args.from)))?;
     let stands = stands(&args.entry, &args.to).await?;
