--- a/components/environment/src/parse.rs
+++ b/components/environment/src/parse.rs
@@ -24,7 +24,7 @@
 pub enum Error {
     /// The text is larger than the store takes.
     #[error("the document has {bytes} bytes; at most {MAX_DOCUMENT_BYTES} are accepted")]
-    Large {
+    TooLarge {
         /// Size of the text in bytes.
         bytes: usize,
     },
@@ -43,7 +43,7 @@
 /// Reads a document's shape. Unknown fields are refused; [`check`] tells whether it makes sense.
 pub fn parse(text: &str) -> Result<Document, Error> {
     if text.len() > MAX_DOCUMENT_BYTES {
-        return Err(Error::Large { bytes: text.len() });
+        return Err(Error::TooLarge { bytes: text.len() });
     }
     serde_norway::from_str(text).map_err(|error| field(&error))
 }
@@ -128,7 +128,7 @@
 impl From<Error> for Problem {
     fn from(error: Error) -> Self {
         match error {
-            Error::Large { .. } => Problem::new(Path::root(), error.to_string()),
+            Error::TooLarge { .. } => Problem::new(Path::root(), error.to_string()),
             Error::Field {
                 line,
                 field,
