--- a/components/environment/src/document.rs
+++ b/components/environment/src/document.rs
@@ -185,13 +185,13 @@
     /// Present on routes whose requests are passed through as bytes to backend servers that the
     /// entry reaches itself.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub pass: Option<Pass>,
+    pub pass: Option<Passthrough>,
 }
 
 /// How the requests of a route are passed through.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Pass {
+pub struct Passthrough {
     /// What may be repeated.
     pub repeats: Repeats,
     /// The answer is a stream of events.
--- a/components/environment/src/index.rs
+++ b/components/environment/src/index.rs
@@ -6,7 +6,7 @@
 
 use crate::document::{
     Document,
-    Pass,
+    Passthrough,
     Rule, //
 };
 
@@ -25,7 +25,7 @@
     /// The route.
     pub rule: &'a Rule,
     /// How its requests are passed through.
-    pub pass: &'a Pass,
+    pub pass: &'a Passthrough,
 }
 
 impl Index {
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -22,7 +22,7 @@
     document::{
         Bounds,
         Engine,
-        Pass, //
+        Passthrough, //
     },
 };
 use events::{
@@ -128,7 +128,7 @@
     /// Route that it matched.
     pub route: Route,
     /// How requests of the route are forwarded.
-    pub pass: Pass,
+    pub pass: Passthrough,
     /// Service to which it is sent.
     pub service: Service,
     /// The caller's team.
@@ -304,7 +304,7 @@
     index: &Index,
     parts: &Parts,
     metadata: &Metadata,
-) -> Result<(Route, Pass, Service, Option<Team>), Refusal> {
+) -> Result<(Route, Passthrough, Service, Option<Team>), Refusal> {
     let host = requested_host(parts).ok_or(Refusal::NoRoute)?;
     let found = index.find(host, parts.uri.path()).ok_or(Refusal::NoRoute)?;
     let team = metadata.key.as_deref().and_then(|key| index.team(key));
@@ -324,7 +324,7 @@
 }
 
 /// Picks the service of a split route by the hash of the request's id.
-fn split_service(pass: &Pass, service: &Service, id: &str) -> Service {
+fn split_service(pass: &Passthrough, service: &Service, id: &str) -> Service {
     let sum: u64 = pass.split.iter().map(|share| u64::from(share.weight)).sum();
     if sum == 0 {
         return service.clone();
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -23,7 +23,7 @@
         Engine,
         Kind,
         Limit,
-        Pass,
+        Passthrough,
         Provision,
         Repeats,
         Rule, //
@@ -461,8 +461,8 @@
 }
 
 /// How the requests of a route are passed through.
-pub fn pass(repeats: Repeats, stream: bool) -> Pass {
-    Pass {
+pub fn pass(repeats: Repeats, stream: bool) -> Passthrough {
+    Passthrough {
         repeats,
         stream,
         timeout: Some(Duration::from_secs(20)),
@@ -476,7 +476,7 @@
     }
 }
 
-fn rule(name: &str, service: &str, pass: Pass) -> Rule {
+fn rule(name: &str, service: &str, pass: Passthrough) -> Rule {
     Rule {
         name: name.into(),
         matches: Condition {
