--- a/components/environment/src/check.rs
+++ b/components/environment/src/check.rs
@@ -260,7 +260,7 @@
                 let both = document
                     .routes
                     .iter()
-                    .find(|rule| plan.moves(rule) && other.moves(rule));
+                    .find(|rule| plan.applies_to(rule) && other.applies_to(rule));
                 if let Some(rule) = both {
                     self.add(
                         path.clone(),
@@ -302,7 +302,7 @@
             }
         }
         let mut any = false;
-        for rule in self.document.routes.iter().filter(|rule| plan.moves(rule)) {
+        for rule in self.document.routes.iter().filter(|rule| plan.applies_to(rule)) {
             any = true;
             if rule.version != plan.from && rule.version != plan.to {
                 self.add(
@@ -401,7 +401,7 @@
 
 impl Plan {
     /// Tells whether the move takes a route's traffic along.
-    pub fn moves(&self, rule: &Rule) -> bool {
+    pub fn applies_to(&self, rule: &Rule) -> bool {
         rule.service == self.service && (self.routes.is_empty() || self.routes.contains(&rule.name))
     }
 }
--- a/components/environment/src/document.rs
+++ b/components/environment/src/document.rs
@@ -385,7 +385,7 @@
         let rule = self
             .routes
             .iter()
-            .find(|rule| rule.matches.holds(path, team, model, &header))?;
+            .find(|rule| rule.matches.matches(path, team, model, &header))?;
         Some(Target {
             service: rule.service.clone(),
             version: rule.version.clone(),
@@ -405,7 +405,7 @@
 
 impl Condition {
     /// Tells whether a request meets every condition.
-    pub fn holds(
+    pub fn matches(
         &self,
         path: &str,
         team: &str,
--- a/components/environment/src/index.rs
+++ b/components/environment/src/index.rs
@@ -62,7 +62,7 @@
     }
 
     /// Finds the route with the longest prefix among those of a host.
-    pub fn find(&self, host: &str, path: &str) -> Option<Match<'_>> {
+    pub fn route(&self, host: &str, path: &str) -> Option<Match<'_>> {
         let lower;
         let routes = match self.hosts.get(host) {
             Some(routes) => routes,
