--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -239,7 +239,9 @@
 
     fn timed_out(&mut self, retry_allowed: bool) -> Vec<Action> {
         match self.call.class {
-            Class::Repeatable if retry_allowed && self.sends < self.settings.max_sends => self.send(),
+            Class::Repeatable if retry_allowed && self.sends < self.settings.max_sends => {
+                self.send()
+            }
             Class::Repeatable | Class::Once => self.unknown(),
             Class::Recorded => self.void(),
         }
--- a/components/contract/src/handover.rs
+++ b/components/contract/src/handover.rs
@@ -330,7 +330,9 @@
                 self.stage = Stage::Done;
                 Vec::new()
             }
-            Write::Refused | Write::Unanswered if self.tries >= self.settings.max_write_attempts => {
+            Write::Refused | Write::Unanswered
+                if self.tries >= self.settings.max_write_attempts =>
+            {
                 self.stage = Stage::Done;
                 Vec::new()
             }
--- a/components/contract/src/outcome.rs
+++ b/components/contract/src/outcome.rs
@@ -141,7 +141,9 @@
                 body: String::from_utf8_lossy(body).into_owned(),
                 replayed: *replayed,
             },
-            Self::Unknown { status_path } => Message::Unknown { status_path: status_path.clone() },
+            Self::Unknown { status_path } => Message::Unknown {
+                status_path: status_path.clone(),
+            },
         }
     }
 }
--- a/components/contract/src/poison.rs
+++ b/components/contract/src/poison.rs
@@ -9,20 +9,20 @@
 //! Deaths and refusals are facts: they only add up, merge in any order, and expire. Each process
 //! derives the same verdicts from the same facts.
 
-mod facts;
 mod detector;
+mod facts;
 
-pub use facts::{
-    Death,
-    Facts,
-    Flight, //
-};
 pub use detector::{
     Detector,
     Placement,
     Settings,
     Verdict, //
 };
+pub use facts::{
+    Death,
+    Facts,
+    Flight, //
+};
 
 use xxhash_rust::xxh3::Xxh3;
 
--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -132,7 +132,9 @@
         if let Some(until) = self.facts.refused.get(&fingerprint)
             && *until > now
         {
-            return Verdict::Refused { remaining: *until - now };
+            return Verdict::Refused {
+                remaining: *until - now,
+            };
         }
         match self.suspects.get(&fingerprint) {
             None => Verdict::Clear,
@@ -267,7 +269,9 @@
 fn elapsed(fingerprint: Fingerprint, death: &Death) -> Duration {
     let flights = death.flights.iter();
     let own = flights.filter(|flight| flight.fingerprint == fingerprint);
-    own.map(|flight| flight.elapsed).min().unwrap_or(Duration::MAX)
+    own.map(|flight| flight.elapsed)
+        .min()
+        .unwrap_or(Duration::MAX)
 }
 
 fn holds(death: &Death, fingerprint: Fingerprint) -> bool {
--- a/components/contract/tests/attempt.rs
+++ b/components/contract/tests/attempt.rs
@@ -29,7 +29,9 @@
 };
 use rstest::rstest;
 
-const TIMED_OUT: Event = Event::TimedOut { retry_allowed: true };
+const TIMED_OUT: Event = Event::TimedOut {
+    retry_allowed: true,
+};
 
 fn start(class: Class, store_available: bool) -> (Attempt, Vec<Action>) {
     let call = Call {
--- a/components/contract/tests/handover.rs
+++ b/components/contract/tests/handover.rs
@@ -149,6 +149,9 @@
     machine.handle(Event::Created(Write::Applied(1)), Duration::ZERO);
     let actions = machine.handle(answer(MAX_BODY_BYTES + 1), Duration::ZERO);
     let text = format!("{:?}", actions[0]);
-    assert!(text.len() > MAX_BODY_BYTES, "the reply holds the whole body");
+    assert!(
+        text.len() > MAX_BODY_BYTES,
+        "the reply holds the whole body"
+    );
     insta::assert_snapshot!(line(&actions[1]));
 }
--- a/components/contract/tests/poison.rs
+++ b/components/contract/tests/poison.rs
@@ -4,10 +4,10 @@
 
 use contract::poison::{
     Death,
+    Detector,
     Facts,
     Fingerprint,
     Flight,
-    Detector,
     Placement,
     Settings,
     Verdict,
@@ -55,10 +55,9 @@
                 self.refused.push(request);
                 continue;
             }
-            let free = self
-                .servers
-                .iter_mut()
-                .find(|running| self.detector.placement(request, running, self.now) == Placement::Allowed);
+            let free = self.servers.iter_mut().find(|running| {
+                self.detector.placement(request, running, self.now) == Placement::Allowed
+            });
             let Some(server) = free else {
                 self.waiting.push(request);
                 continue;
@@ -84,7 +83,8 @@
             let ended = flights.extract_if(.., |flight| flight.elapsed >= length);
             let ended: Vec<Flight> = ended.collect();
             for flight in ended {
-                self.detector.record_completion(flight.fingerprint, self.now);
+                self.detector
+                    .record_completion(flight.fingerprint, self.now);
                 self.ended.push(flight.fingerprint);
             }
         }
@@ -242,7 +242,13 @@
         detector.record_death(number as u64, death(100, &flights), seconds(100));
     }
     assert_eq!(detector.facts().deaths.len(), 4);
-    assert!(detector.facts().deaths.values().all(|d| d.flights.len() == 3));
+    assert!(
+        detector
+            .facts()
+            .deaths
+            .values()
+            .all(|d| d.flights.len() == 3)
+    );
     let mut detector = Detector::new(settings);
     detector.record_death(1, death(100, &[(1, 1)]), seconds(100));
     detector.record_death(2, death(101, &[(1, 1)]), seconds(101));
--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -11,10 +11,10 @@
 
 use contract::poison::{
     Death,
+    Detector,
     Facts,
     Fingerprint,
     Flight,
-    Detector,
     Placement,
     Settings,
     Verdict, //
--- a/components/environment/src/check.rs
+++ b/components/environment/src/check.rs
@@ -302,7 +302,12 @@
             }
         }
         let mut any = false;
-        for rule in self.document.routes.iter().filter(|rule| plan.applies_to(rule)) {
+        for rule in self
+            .document
+            .routes
+            .iter()
+            .filter(|rule| plan.applies_to(rule))
+        {
             any = true;
             if rule.version != plan.from && rule.version != plan.to {
                 self.add(
--- a/components/environment/tests/document.rs
+++ b/components/environment/tests/document.rs
@@ -186,6 +186,9 @@
 fn a_text_is_renamed_for_another_environment() {
     let text = "# About e.\nenvironment: 'e' # Here e.\nservices: []\nroutes: []\n";
     let wanted = "# About e.\nenvironment: 'production' # Here e.\nservices: []\nroutes: []\n";
-    assert_eq!(replace_environment(text, "production").as_deref(), Some(wanted));
+    assert_eq!(
+        replace_environment(text, "production").as_deref(),
+        Some(wanted)
+    );
     assert_eq!(replace_environment("not a document", "production"), None);
 }
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -306,7 +306,9 @@
     metadata: &Metadata,
 ) -> Result<(Route, Passthrough, Service, Option<Team>), Refusal> {
     let host = requested_host(parts).ok_or(Refusal::NoRoute)?;
-    let found = index.route(host, parts.uri.path()).ok_or(Refusal::NoRoute)?;
+    let found = index
+        .route(host, parts.uri.path())
+        .ok_or(Refusal::NoRoute)?;
     let team = metadata.key.as_deref().and_then(|key| index.team(key));
     if team.is_none() && index.keyed() && !found.pass.public {
         return Err(Refusal::NoKey);
--- a/components/measure/src/calls/poison.rs
+++ b/components/measure/src/calls/poison.rs
@@ -7,9 +7,9 @@
 
 use contract::poison::{
     Death,
+    Detector,
     Fingerprint,
     Flight,
-    Detector,
     Placement,
     Settings,
     Verdict, //
@@ -259,7 +259,10 @@
             let free = order.iter().find(|server| {
                 let running = &self.servers[**server];
                 self.rule != Rule::Apart
-                    || self.ledger.placement(request.fingerprint, running, self.now) == Placement::Allowed
+                    || self
+                        .ledger
+                        .placement(request.fingerprint, running, self.now)
+                        == Placement::Allowed
             });
             let Some(server) = free else {
                 self.waiting.push(request);
--- a/components/models/src/contract/world.rs
+++ b/components/models/src/contract/world.rs
@@ -109,7 +109,12 @@
         match step {
             Step::Request(entry) => {
                 self.requests[entry].begun = true;
-                self.entry(entry, attempt::Event::Start { store_available: true });
+                self.entry(
+                    entry,
+                    attempt::Event::Start {
+                        store_available: true,
+                    },
+                );
             }
             Step::Frame(entry) => self.frame(entry),
             Step::FrameTwice(entry) => {
@@ -181,7 +186,12 @@
                 let base = self.stored.as_ref().map_or(0, |stored| stored.revision);
                 request.frames.push(Frame::new(request.sends, base));
             }
-            _ => self.entry(entry, attempt::Event::TimedOut { retry_allowed: false }),
+            _ => self.entry(
+                entry,
+                attempt::Event::TimedOut {
+                    retry_allowed: false,
+                },
+            ),
         }
     }
 
@@ -262,7 +272,11 @@
             waits: false,
             gone: false,
         });
-        self.hand(self.hands.len() - 1, handover::Event::Requested, Clock::ZERO);
+        self.hand(
+            self.hands.len() - 1,
+            handover::Event::Requested,
+            Clock::ZERO,
+        );
     }
 
     pub(super) fn entry(&mut self, entry: usize, event: attempt::Event) {
--- a/components/models/src/orders.rs
+++ b/components/models/src/orders.rs
@@ -10,13 +10,13 @@
 };
 use orders::{
     Order,
+    order::Fenced,
     sequencer::{
         Action,
         Event,
         Sequencer,
         Settings, //
     },
-    order::Fenced,
 };
 
 use crate::search::{
--- a/components/orders/src/lib.rs
+++ b/components/orders/src/lib.rs
@@ -6,8 +6,8 @@
 //! one, also where the server doesn't check. [`slot::Slot`] bounds how many servers load weights
 //! at a time.
 
-pub mod sequencer;
 pub mod order;
+pub mod sequencer;
 pub mod slot;
 
 pub use order::{
--- a/components/orders/tests/orders.rs
+++ b/components/orders/tests/orders.rs
@@ -4,12 +4,12 @@
 
 use orders::{
     Order,
+    order::Fenced,
     sequencer::{
         self,
         Answer,
         Sequencer, //
     },
-    order::Fenced,
     slot::{
         self,
         Slot, //
--- a/components/sidecar/src/generations.rs
+++ b/components/sidecar/src/generations.rs
@@ -135,8 +135,12 @@
         if let Some(facts) = &start.suspects {
             shared.suspects.merge(facts);
         }
-        let fingerprint =
-            poison::generation_fingerprint(&start.team, &start.service, &start.model, &start.prompt);
+        let fingerprint = poison::generation_fingerprint(
+            &start.team,
+            &start.service,
+            &start.model,
+            &start.prompt,
+        );
         let flying = shared.flights.admit(fingerprint).await.map_err(apart)?;
         let lines = self.engine.generate(&start).await?;
         let generation = Arc::new(generation);
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -11,7 +11,8 @@
 use events::orders as order_events;
 use names::Revision;
 use orders::{
-    Order,
+    Order, key,
+    order::Fenced,
     sequencer::{
         Action,
         Answer,
@@ -19,8 +20,6 @@
         Sequencer,
         Settings, //
     },
-    key,
-    order::Fenced,
 };
 use reqwest::{
     Client,
--- a/components/store/src/client.rs
+++ b/components/store/src/client.rs
@@ -127,7 +127,10 @@
 
     /// Sets for how long [`Client::settle`] goes on; four time-outs otherwise.
     pub fn with_settle_timeout(self, settle_timeout: Duration) -> Client {
-        Client { settle_timeout, ..self }
+        Client {
+            settle_timeout,
+            ..self
+        }
     }
 
     /// Reads a key.
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -240,5 +240,8 @@
         ..Fault::default()
     });
     let deadline = Instant::now() + Duration::from_millis(200);
-    assert_eq!(client.get_until("k", deadline).await, Err(Error::Unavailable));
+    assert_eq!(
+        client.get_until("k", deadline).await,
+        Err(Error::Unavailable)
+    );
 }
--- a/components/store/tests/store.rs
+++ b/components/store/tests/store.rs
@@ -294,7 +294,10 @@
         outage: true,
         ..Fault::default()
     });
-    assert_eq!(waiting.await.expect("the task ends"), Err(Error::Unavailable));
+    assert_eq!(
+        waiting.await.expect("the task ends"),
+        Err(Error::Unavailable)
+    );
 }
 
 #[tokio::test]
