--- a/components/orders/src/order.rs
+++ b/components/orders/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders as they stand in the store and go to a backend server.
+//! Orders, as stored and as sent to a backend server.
 
 use names::{
     Fence,
@@ -9,25 +9,25 @@
     Serialize, //
 };
 
-/// What a backend server is told to do. Each order sets a state, so sending one twice does no harm.
+/// An instruction to a backend server. Each order sets a state, so sending one twice is harmless.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
     /// Load a version of a model.
     Load {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// Its version.
+        /// Version of the model.
         version: Version,
     },
     /// Unload a version of a model.
     Unload {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// Its version.
+        /// Version of the model.
         version: Version,
     },
-    /// Change the role.
+    /// Change the server's role.
     Role {
         /// The new role, such as `prefill`.
         role: String,
@@ -37,13 +37,13 @@
 /// An order with its fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fenced {
-    /// The store's revision at which the order was written.
+    /// Revision of the store at which the order was written.
     pub fence: Fence,
-    /// The order.
+    /// The order to carry out.
     pub order: Order,
 }
 
-/// Key of the newest order to a server.
+/// Returns the store key of the newest order to a server.
 pub fn key(server: &str) -> String {
     format!("order/{server}")
 }
--- a/components/orders/src/sequencer.rs
+++ b/components/orders/src/sequencer.rs
@@ -1,10 +1,11 @@
-//! The sidecar's sequencer of orders: the only way to its backend server.
+//! The sidecar's sequencer of orders, through which all orders reach its backend server.
 //!
-//! A server that checks fencing tokens protects itself. For one that doesn't, the sequencer lets one
-//! order at a time through and holds the next one back until the last can't take effect any more.
-//! A sequencer that has just started knows neither the newest number nor what its predecessor left
-//! with the server; it learns the first from the store and waits out the second. Until then it
-//! refuses orders, while the sidecar serves.
+//! A server that checks fencing tokens rejects old orders itself. For a server that doesn't, the
+//! sequencer forwards one order at a time and holds the next one back until the previous one can no
+//! longer take effect. A sequencer that has just started knows neither the newest token nor which
+//! orders its predecessor left in progress at the server. It reads the former from the store and
+//! waits for the latter to settle. Until it knows the newest token it refuses orders, while the
+//! sidecar serves requests.
 
 use std::time::Duration;
 
@@ -19,15 +20,15 @@
 
 use crate::order::Fenced;
 
-/// What the sequencer is told of its server.
+/// Properties of the server, and timing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// The server refuses old numbers itself.
+    /// Whether the server rejects old fencing tokens itself.
     pub checks_fence: bool,
-    /// Longest time for which a server that doesn't check may still carry out an order after the
-    /// connection it came on was closed.
+    /// Maximum time for which a server that doesn't check tokens may still carry out an order after
+    /// the order's connection was closed.
     pub settle_time: Duration,
-    /// Wait between tries to read the store, and when orderers may come back.
+    /// Retry delay that issuers receive while the store is unavailable.
     pub retry_interval: Duration,
 }
 
@@ -41,192 +42,193 @@
     }
 }
 
-/// What happens to the sequencer.
+/// Input to the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// The sidecar started.
     Started,
-    /// The store's newest order for the server: its number, 0 when there was never one.
+    /// The store returned the token of the server's newest order; 0 if there has never been one.
     NewestRead(Fence),
-    /// The store didn't answer.
+    /// The store did not answer.
     StoreOut,
-    /// An order came.
+    /// An order arrived.
     Order(Fenced),
-    /// The server carried out the order with this number.
+    /// The server carried out the order with this token.
     Applied(Fence),
-    /// The server refused an order for its number, or as one that it can't do.
+    /// The server refused an order because of its token, or because it can't carry it out.
     Refused {
-        /// The order's number.
+        /// Token of the refused order.
         fence: Fence,
-        /// The highest number that the server took; 0 when it didn't say.
+        /// Highest token that the server has accepted; 0 if it did not report one.
         highest: Fence,
     },
-    /// The server has not answered in time; the connection is still open.
+    /// The server did not respond in time; the connection is still open.
     TimedOut(Fence),
-    /// The order's connection closed without an answer: the server may still carry it out.
+    /// The order's connection closed without a response; the server may still carry it out.
     Closed(Fence),
-    /// The server's process is a new one: nothing is left of earlier orders.
+    /// The server's process was replaced, so no earlier order can take effect any more.
     Restarted,
-    /// The time of [`Action::Wait`] is over.
+    /// The timer set by [`Action::Wait`] expired.
     TimerFired,
 }
 
-/// What the sidecar has to do.
+/// Output of the state machine, to be carried out by the sidecar.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Read the newest order from the store, see [`crate::key`].
     ReadStore,
     /// Send the order to the server.
     Send(Fenced),
-    /// Come back with [`Event::TimerFired`].
+    /// Deliver [`Event::TimerFired`] after this time.
     Wait(Duration),
-    /// Tell the orderer.
+    /// Answer the issuer of an order.
     Answer {
-        /// Number of its order.
+        /// Token of the order.
         fence: Fence,
-        /// What became of it.
+        /// Result of the order.
         answer: Answer,
     },
 }
 
-/// What an orderer is told.
+/// Result of an order, as reported to its issuer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
     /// The server carried the order out.
     Applied,
-    /// A newer order came before; this one will not take effect.
+    /// A newer order arrived first; this one will not take effect.
     Old {
-        /// The newer order's number.
+        /// Token of the newer order.
         highest: Fence,
     },
-    /// The server refused it.
+    /// The server refused the order.
     Refused,
-    /// The sequencer can't know the newest number while the store is out. Nothing was sent.
+    /// The newest token is unknown because the store is unavailable. Nothing was sent.
     StoreOut {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// The order was sent; whether it took effect isn't known.
+    /// The order was sent, but whether it took effect is unknown.
     Unknown,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Knowledge {
-    Nothing,
-    Asking,
-    Highest(Fence),
+enum Newest {
+    Unknown,
+    Reading,
+    Known(Fence),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Server {
-    /// Nothing is left with the server.
+    /// No order can still take effect.
     Idle,
-    /// An order is with it.
+    /// The order with this token is in progress.
     Busy(Fence),
-    /// An order may still take effect until then; its connection is gone.
+    /// The connection of an order closed; the order may still take effect until this time.
     Settling(Clock),
 }
 
-/// State of the sequencer.
+/// State machine that sequences the orders to one backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Sequencer {
     settings: Settings,
-    knowledge: Knowledge,
+    newest: Newest,
     server: Server,
-    held: Option<Fenced>,
-    applied: Fence,
+    pending: Option<Fenced>,
+    highest_applied: Fence,
 }
 
 impl Sequencer {
-    /// Makes the sequencer of a sidecar that is starting.
+    /// Creates the sequencer of a sidecar that is starting.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            knowledge: Knowledge::Nothing,
+            newest: Newest::Unknown,
             server: Server::Idle,
-            held: None,
-            applied: 0,
+            pending: None,
+            highest_applied: 0,
         }
     }
 
-    /// The newest number that the sequencer has taken or read.
+    /// Returns the newest token that the sequencer has accepted or read, if known.
     pub fn highest(&self) -> Option<Fence> {
-        match self.knowledge {
-            Knowledge::Highest(fence) => Some(fence),
-            Knowledge::Nothing | Knowledge::Asking => None,
+        match self.newest {
+            Newest::Known(fence) => Some(fence),
+            Newest::Unknown | Newest::Reading => None,
         }
     }
 
-    /// Takes an event; events that don't fit are ignored.
+    /// Handles an event. Events that don't apply to the current state are ignored.
     pub fn handle(&mut self, event: Event, now: Clock) -> Vec<Action> {
         match event {
             Event::Started => self.started(now),
-            Event::NewestRead(fence) => self.newest(fence),
-            Event::StoreOut => self.store_out(),
+            Event::NewestRead(fence) => self.newest_read(fence),
+            Event::StoreOut => self.store_unavailable(),
             Event::Order(order) => self.order(order),
             Event::Applied(fence) => self.answered(fence, Answer::Applied),
             Event::Refused { fence, highest } => self.refused(fence, highest),
             Event::TimedOut(fence) => vec![answer(fence, Answer::Unknown)],
             Event::Closed(fence) => self.closed(fence, now),
             Event::Restarted => self.idle(),
-            Event::TimerFired => self.waited(now),
+            Event::TimerFired => self.timer_fired(now),
         }
     }
 
     fn started(&mut self, now: Clock) -> Vec<Action> {
-        self.knowledge = Knowledge::Asking;
+        self.newest = Newest::Reading;
         let mut actions = vec![Action::ReadStore];
-        // The last sidecar may have left an order with a server that doesn't check.
+        // The previous sidecar may have left an order in progress at a server that doesn't check
+        // tokens.
         if !self.settings.checks_fence {
             actions.push(self.settle(now));
         }
         actions
     }
 
-    fn newest(&mut self, fence: Fence) -> Vec<Action> {
-        if self.knowledge == Knowledge::Asking {
-            self.knowledge = Knowledge::Highest(fence);
+    fn newest_read(&mut self, fence: Fence) -> Vec<Action> {
+        if self.newest == Newest::Reading {
+            self.newest = Newest::Known(fence);
         }
         Vec::new()
     }
 
-    fn store_out(&mut self) -> Vec<Action> {
-        if self.knowledge == Knowledge::Asking {
-            self.knowledge = Knowledge::Nothing;
+    fn store_unavailable(&mut self) -> Vec<Action> {
+        if self.newest == Newest::Reading {
+            self.newest = Newest::Unknown;
         }
         Vec::new()
     }
 
     fn order(&mut self, order: Fenced) -> Vec<Action> {
-        let Knowledge::Highest(highest) = self.knowledge else {
-            return self.unready(order.fence);
+        let Newest::Known(highest) = self.newest else {
+            return self.refuse_unready(order.fence);
         };
         if order.fence < highest {
             return vec![answer(order.fence, Answer::Old { highest })];
         }
-        if order.fence == self.applied {
+        if order.fence == self.highest_applied {
             return vec![answer(order.fence, Answer::Applied)];
         }
-        self.knowledge = Knowledge::Highest(order.fence);
+        self.newest = Newest::Known(order.fence);
         if self.settings.checks_fence || self.server == Server::Idle {
             return self.send(order);
         }
         self.hold(order)
     }
 
-    /// Refuses an order while the newest number isn't known, and asks the store for it.
-    fn unready(&mut self, fence: Fence) -> Vec<Action> {
+    /// Refuses an order while the newest token is unknown, and reads it from the store.
+    fn refuse_unready(&mut self, fence: Fence) -> Vec<Action> {
         let refusal = answer(
             fence,
             Answer::StoreOut {
                 retry_after: self.settings.retry_interval,
             },
         );
-        if self.knowledge == Knowledge::Asking {
+        if self.newest == Newest::Reading {
             return vec![refusal];
         }
-        self.knowledge = Knowledge::Asking;
+        self.newest = Newest::Reading;
         vec![refusal, Action::ReadStore]
     }
 
@@ -235,13 +237,13 @@
         vec![Action::Send(order)]
     }
 
-    /// Keeps the order until the server is idle. Only the newest waits.
+    /// Holds the order back until the server is idle. Only the newest order is retained.
     fn hold(&mut self, order: Fenced) -> Vec<Action> {
         if matches!(self.server, Server::Busy(fence) if fence == order.fence) {
             return Vec::new();
         }
         let highest = order.fence;
-        let Some(older) = self.held.replace(order) else {
+        let Some(older) = self.pending.replace(order) else {
             return Vec::new();
         };
         if older.fence == highest {
@@ -259,7 +261,7 @@
 
     fn answered(&mut self, fence: Fence, result: Answer) -> Vec<Action> {
         if result == Answer::Applied {
-            self.applied = self.applied.max(fence);
+            self.highest_applied = self.highest_applied.max(fence);
         }
         let mut actions = vec![answer(fence, result)];
         if self.server == Server::Busy(fence) {
@@ -286,8 +288,9 @@
         Action::Wait(self.settings.settle_time)
     }
 
-    /// A timer from an earlier settling may end within a later one, so the time decides.
-    fn waited(&mut self, now: Clock) -> Vec<Action> {
+    /// Ends a settling period. A timer of an earlier period may fire during a later one, so the
+    /// deadline is checked.
+    fn timer_fired(&mut self, now: Clock) -> Vec<Action> {
         match self.server {
             Server::Settling(until) if now >= until => self.idle(),
             _ => Vec::new(),
@@ -296,7 +299,7 @@
 
     fn idle(&mut self) -> Vec<Action> {
         self.server = Server::Idle;
-        let Some(order) = self.held.take() else {
+        let Some(order) = self.pending.take() else {
             return Vec::new();
         };
         self.send(order)
--- a/components/orders/src/slot.rs
+++ b/components/orders/src/slot.rs
@@ -1,23 +1,23 @@
-//! Slots of the weight store, held by lease.
+//! Slots of the weight store, held by lease: a distributed semaphore.
 //!
-//! The weight store is limited in its rate, so at most N servers load at a time: each holds one of
-//! N keys, created only when absent and bound to a lease. A holder that was paused past its lease
-//! would load beside the next one; one would notice a weight store that refuses everybody. So each
-//! chunk is fetched only while the lease is surely held by the holder's own clock, counted from
-//! before the last successful renewal was sent.
+//! The weight store is rate-limited, so at most N servers load weights at the same time. Each
+//! holds one of N keys, which is created only when absent and bound to a lease. A holder that was
+//! paused beyond its lease would load in parallel with the next holder, and the weight store would
+//! refuse both. Each chunk is therefore fetched only while the lease is certainly valid by the
+//! holder's own clock, counted from the moment before the last successful renewal was sent.
 
 use std::time::Duration;
 
 use names::Clock;
 
-/// Bounds of a slot.
+/// Limits and timing of slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Number of slots.
+    /// Number of slots of the weight store.
     pub slots: u32,
     /// Time to live of the lease.
     pub ttl: Duration,
-    /// Wait before all slots are tried again.
+    /// Delay before all slots are tried again.
     pub retry_interval: Duration,
 }
 
@@ -31,48 +31,50 @@
     }
 }
 
-/// What happens to a slot.
+/// Input to the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A load is wanted; trying begins at slot `first`, so that not all begin at the same one.
+    /// A load was requested. Acquisition starts at slot `first`, so that servers don't all contend
+    /// for the same slot.
     Requested {
-        /// Number of the slot.
+        /// Number of the first slot to try.
         first: u32,
     },
-    /// Answer to [`Action::Acquire`]: the slot is ours.
+    /// Result of [`Action::Acquire`]: this server holds the slot.
     Acquired,
-    /// Answer to [`Action::Acquire`]: somebody else holds it.
+    /// Result of [`Action::Acquire`]: another server holds the slot.
     Occupied,
-    /// The store refused or didn't answer.
+    /// The store refused the last call or didn't answer it.
     Failed,
-    /// Answer to [`Action::Renew`]: done.
+    /// Result of [`Action::Renew`]: the lease was renewed.
     Renewed,
-    /// Answer to [`Action::Renew`]: the lease has lapsed.
-    Lapsed,
-    /// Time went by; the driver sends this at least each third of the lease's time.
+    /// Result of [`Action::Renew`]: the lease has expired.
+    Expired,
+    /// Time passed. The driver sends this at least once per third of the lease's time to live.
     Tick,
-    /// The load is over.
+    /// The load finished.
     Finished,
 }
 
-/// What the holder has to do.
+/// Output of the state machine, to be carried out by the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Get a fresh lease and create the slot's key with it, only when absent. After a failure the
-    /// lease is dropped, so that a late write can't hold the slot.
+    /// Acquire a new lease and create the slot's key with it, only when absent. After a failure the
+    /// lease is revoked, so that a late write can't occupy the slot.
     Acquire {
-        /// Number of the slot.
+        /// Number of the slot to acquire.
         slot: u32,
     },
     /// Renew the lease.
     Renew,
-    /// Begin to load.
+    /// Start loading.
     Load,
-    /// Stop loading at once and throw away what came; then start over with [`Event::Requested`].
+    /// Stop loading at once and discard the loaded data; then start over with
+    /// [`Event::Requested`].
     Abort,
-    /// Drop the lease.
+    /// Revoke the lease.
     Release,
-    /// Come back with [`Event::Tick`] after this time.
+    /// Deliver [`Event::Tick`] after this time.
     Wait(Duration),
 }
 
@@ -82,7 +84,7 @@
     Acquiring {
         first: u32,
         tried: u32,
-        sent: Clock,
+        sent_at: Clock,
     },
     Waiting {
         first: u32,
@@ -90,11 +92,12 @@
     },
     Held {
         until: Clock,
+        /// Time at which a renewal was sent that has no result yet.
         renewal: Option<Clock>,
     },
 }
 
-/// State of one load.
+/// State machine of one load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Slot {
     settings: Settings,
@@ -102,7 +105,7 @@
 }
 
 impl Slot {
-    /// Makes a holder that wants nothing yet.
+    /// Creates an idle state machine.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -110,42 +113,42 @@
         }
     }
 
-    /// Tells whether the next chunk may be fetched. To be asked right before each fetch.
+    /// Returns whether the next chunk may be fetched. Callers check this right before each fetch.
     pub fn holds(&self, now: Clock) -> bool {
         matches!(self.stage, Stage::Held { until, .. } if now < until)
     }
 
-    /// Takes an event; events that don't fit the stage are ignored.
+    /// Handles an event. Events that don't apply to the current stage are ignored.
     pub fn handle(&mut self, event: Event, now: Clock) -> Vec<Action> {
-        // After a pause any event may be the first one; the lease goes before all of them.
+        // Any event may be the first one after a pause, so the lease is checked before all of them.
         if let Stage::Held { until, .. } = self.stage
             && now >= until
         {
             return self.abort();
         }
         match (self.stage, event) {
-            (Stage::Idle, Event::Requested { first }) => self.take(first, 0, now),
-            (Stage::Acquiring { sent, .. }, Event::Acquired) => self.taken(sent, now),
+            (Stage::Idle, Event::Requested { first }) => self.acquire(first, 0, now),
+            (Stage::Acquiring { sent_at, .. }, Event::Acquired) => self.acquired(sent_at, now),
             (Stage::Acquiring { first, tried, .. }, Event::Occupied) => {
                 if tried + 1 < self.settings.slots {
-                    return self.take(first, tried + 1, now);
+                    return self.acquire(first, tried + 1, now);
                 }
                 self.wait(first, now)
             }
             (Stage::Acquiring { first, .. }, Event::Failed) => self.wait(first, now),
             (Stage::Waiting { first, until }, Event::Tick) if now >= until => {
-                self.take(first, 0, now)
+                self.acquire(first, 0, now)
             }
             (Stage::Held { until, renewal }, Event::Tick) => self.renew(until, renewal, now),
             (
                 Stage::Held {
-                    renewal: Some(sent),
+                    renewal: Some(sent_at),
                     ..
                 },
                 Event::Renewed,
             ) => {
                 self.stage = Stage::Held {
-                    until: sent + self.settings.ttl,
+                    until: sent_at + self.settings.ttl,
                     renewal: None,
                 };
                 Vec::new()
@@ -157,7 +160,7 @@
                 };
                 Vec::new()
             }
-            (Stage::Held { .. }, Event::Lapsed) => self.abort(),
+            (Stage::Held { .. }, Event::Expired) => self.abort(),
             (Stage::Held { .. }, Event::Finished) => {
                 self.stage = Stage::Idle;
                 vec![Action::Release]
@@ -166,19 +169,20 @@
         }
     }
 
-    fn take(&mut self, first: u32, tried: u32, now: Clock) -> Vec<Action> {
+    fn acquire(&mut self, first: u32, tried: u32, now: Clock) -> Vec<Action> {
         self.stage = Stage::Acquiring {
             first,
             tried,
-            sent: now,
+            sent_at: now,
         };
         let slot = (first + tried) % self.settings.slots.max(1);
         vec![Action::Acquire { slot }]
     }
 
-    /// The lease began at the latest when the store answered, at the earliest when we asked.
-    fn taken(&mut self, sent: Clock, now: Clock) -> Vec<Action> {
-        let until = sent + self.settings.ttl;
+    /// Starts the load. The lease may have started as early as when the request was sent, so its
+    /// end is counted from then.
+    fn acquired(&mut self, sent_at: Clock, now: Clock) -> Vec<Action> {
+        let until = sent_at + self.settings.ttl;
         if now >= until {
             self.stage = Stage::Idle;
             return vec![Action::Release, Action::Abort];
@@ -199,15 +203,15 @@
     }
 
     fn renew(&mut self, until: Clock, renewal: Option<Clock>, now: Clock) -> Vec<Action> {
-        let again = Action::Wait(self.settings.ttl / 3);
+        let next_tick = Action::Wait(self.settings.ttl / 3);
         if renewal.is_some() {
-            return vec![again];
+            return vec![next_tick];
         }
         self.stage = Stage::Held {
             until,
             renewal: Some(now),
         };
-        vec![Action::Renew, again]
+        vec![Action::Renew, next_tick]
     }
 
     fn abort(&mut self) -> Vec<Action> {
--- a/components/orders/tests/orders.rs
+++ b/components/orders/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The sequencer and the slot, case by case.
+//! Cases of the sequencer and of the slot.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     sequencer::Event::Order(Fenced { fence, order })
 }
 
-/// One line an action.
+/// Formats an action as one line.
 fn line(action: &sequencer::Action) -> String {
     match action {
         sequencer::Action::ReadStore => "read".into(),
@@ -41,12 +41,13 @@
     }
 }
 
-/// Events come a minute apart, so that a wait is over when it is said to be.
+/// Events are a minute apart, so every timer has expired by the next event. `last` lists the
+/// actions that follow the last event.
 #[rstest]
-#[case::fresh(false, &[sequencer::Event::NewestRead(0), sequencer::Event::TimerFired, order(3)], "send 3")]
-#[case::store_out(false, &[sequencer::Event::StoreOut, order(3)], "3: StoreOut, read")]
-#[case::store_slow(false, &[order(3)], "3: StoreOut")]
-#[case::store_back(
+#[case::first_order(false, &[sequencer::Event::NewestRead(0), sequencer::Event::TimerFired, order(3)], "send 3")]
+#[case::store_unavailable(false, &[sequencer::Event::StoreOut, order(3)], "3: StoreOut, read")]
+#[case::store_not_answered_yet(false, &[order(3)], "3: StoreOut")]
+#[case::store_available_again(
     false,
     &[sequencer::Event::StoreOut, order(3), sequencer::Event::NewestRead(3), sequencer::Event::TimerFired, order(3)],
     "send 3"
@@ -63,7 +64,7 @@
     &[sequencer::Event::NewestRead(0), order(3), order(4)],
     "3: old, 4"
 )]
-#[case::newer_waits_for_slow(
+#[case::newer_waits_for_timed_out(
     false,
     &[
         sequencer::Event::NewestRead(0),
@@ -74,7 +75,7 @@
     ],
     ""
 )]
-#[case::newer_goes_after_answer(
+#[case::newer_sent_after_answer(
     false,
     &[
         sequencer::Event::NewestRead(0),
@@ -116,9 +117,13 @@
     &[sequencer::Event::NewestRead(0), order(3), sequencer::Event::Applied(3), order(3)],
     "3: Applied"
 )]
-fn a_keeper(#[case] checks: bool, #[case] events: &[sequencer::Event], #[case] last: &str) {
+fn sequencer_emits_the_expected_actions(
+    #[case] checks_fence: bool,
+    #[case] events: &[sequencer::Event],
+    #[case] last: &str,
+) {
     let settings = sequencer::Settings {
-        checks_fence: checks,
+        checks_fence,
         ..sequencer::Settings::default()
     };
     let mut sequencer = Sequencer::new(settings);
@@ -130,27 +135,27 @@
     assert_eq!(lines.join(", "), last);
 }
 
-/// Each event with the second at which it comes, and what follows the last one. The lease lives ten
-/// seconds. A holder that loads past its lease would load beside the next one, and an operator
-/// would see a weight store that refuses everybody.
+/// Each event has the second at which it arrives; `last` lists the actions after the last one. The
+/// lease lasts ten seconds. A holder that continued past its lease would load in parallel with the
+/// next holder, and the weight store would refuse both.
 #[rstest]
 #[case::loads(&[(0, slot::Event::Acquired)], 1, true, "[Load, Wait(3.333333333s)]")]
 #[case::next_slot(&[(0, slot::Event::Occupied)], 1, false, "[Acquire { slot: 0 }]")]
-#[case::all_taken(
+#[case::all_occupied(
     &[(0, slot::Event::Occupied), (0, slot::Event::Occupied)],
     1,
     false,
     "[Release, Wait(2s)]"
 )]
-#[case::store_out(&[(0, slot::Event::Failed)], 1, false, "[Release, Wait(2s)]")]
-#[case::taken_after_a_pause(&[(11, slot::Event::Acquired)], 11, false, "[Release, Abort]")]
+#[case::store_unavailable(&[(0, slot::Event::Failed)], 1, false, "[Release, Wait(2s)]")]
+#[case::acquired_after_a_pause(&[(11, slot::Event::Acquired)], 11, false, "[Release, Abort]")]
 #[case::paused_past_lease(
     &[(0, slot::Event::Acquired), (11, slot::Event::Tick)],
     11,
     false,
     "[Abort, Release]"
 )]
-#[case::paused_then_loaded(
+#[case::paused_then_finished(
     &[(0, slot::Event::Acquired), (11, slot::Event::Finished)],
     11,
     false,
@@ -163,7 +168,7 @@
     true,
     "[]"
 )]
-#[case::renewal_counts_from_its_sending(
+#[case::renewal_counts_from_its_request(
     &[(0, slot::Event::Acquired), (4, slot::Event::Tick), (6, slot::Event::Renewed)],
     14,
     false,
@@ -175,16 +180,16 @@
     false,
     "[]"
 )]
-#[case::lapsed(
-    &[(0, slot::Event::Acquired), (4, slot::Event::Tick), (6, slot::Event::Lapsed)],
+#[case::expired(
+    &[(0, slot::Event::Acquired), (4, slot::Event::Tick), (6, slot::Event::Expired)],
     6,
     false,
     "[Abort, Release]"
 )]
-#[case::loaded(&[(0, slot::Event::Acquired), (5, slot::Event::Finished)], 5, false, "[Release]")]
-fn a_slot(
+#[case::finished(&[(0, slot::Event::Acquired), (5, slot::Event::Finished)], 5, false, "[Release]")]
+fn slot_emits_the_expected_actions(
     #[case] events: &[(u64, slot::Event)],
-    #[case] asked: u64,
+    #[case] checked_at: u64,
     #[case] holds: bool,
     #[case] last: &str,
 ) {
@@ -199,5 +204,5 @@
         actions = slot.handle(*event, Duration::from_secs(*second));
     }
     assert_eq!(format!("{actions:?}"), last);
-    assert_eq!(slot.holds(Duration::from_secs(asked)), holds);
+    assert_eq!(slot.holds(Duration::from_secs(checked_at)), holds);
 }
