--- a/components/store/src/answer.rs
+++ b/components/store/src/answer.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's answers.
+//! Decodes the platform's answers.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
     }, //
 };
 
-/// Time to come back in when the platform is busy and names none.
-const RETRY: Duration = Duration::from_secs(1);
+/// Retry delay if the platform limits the rate without a `Retry-After` header.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Deserialize)]
 struct Written {
@@ -34,8 +34,9 @@
     entry: Option<Entry>,
 }
 
-/// A request that never got a connection can't have had an effect; any other may.
-pub(crate) fn failure(error: &reqwest::Error) -> Error {
+/// Classifies a transport error. A request without a connection can't have had an effect; any other
+/// request may have.
+pub(crate) fn transport_error(error: &reqwest::Error) -> Error {
     if error.is_connect() {
         return Error::Unavailable;
     }
@@ -48,7 +49,7 @@
 pub(crate) fn retry_after(response: &Response) -> Duration {
     let header = response.headers().get(RETRY_AFTER);
     let seconds = header.and_then(|value| value.to_str().ok()?.parse().ok());
-    seconds.map_or(RETRY, Duration::from_secs)
+    seconds.map_or(DEFAULT_RETRY_AFTER, Duration::from_secs)
 }
 
 pub(crate) fn expect_ok(response: &Response) -> Result<(), Error> {
@@ -58,28 +59,31 @@
     Err(Error::Malformed(format!("status {}", response.status())))
 }
 
-pub(crate) async fn read<T: DeserializeOwned>(response: Response) -> Result<T, Error> {
+pub(crate) async fn decode<T: DeserializeOwned>(response: Response) -> Result<T, Error> {
     expect_ok(&response)?;
-    body(response).await
+    decode_body(response).await
 }
 
-async fn body<T: DeserializeOwned>(response: Response) -> Result<T, Error> {
-    // A body that breaks off is a lost answer; one that can't be read is a wrong one.
-    let bytes = response.bytes().await.map_err(|error| failure(&error))?;
+async fn decode_body<T: DeserializeOwned>(response: Response) -> Result<T, Error> {
+    // A truncated body counts as a lost answer, an undecodable one as malformed.
+    let bytes = response
+        .bytes()
+        .await
+        .map_err(|error| transport_error(&error))?;
     serde_json::from_slice(&bytes).map_err(|error| Error::Malformed(error.to_string()))
 }
 
-pub(crate) async fn written(response: Response) -> Result<Write, Error> {
+pub(crate) async fn decode_write(response: Response) -> Result<Write, Error> {
     match response.status() {
         StatusCode::CONFLICT => {
-            let conflict: Conflict = body(response).await?;
+            let conflict: Conflict = decode_body(response).await?;
             Ok(Write::Conflict {
                 entry: conflict.entry,
             })
         }
         StatusCode::NOT_FOUND => Err(Error::UnknownLease),
         _ => {
-            let written: Written = read(response).await?;
+            let written: Written = decode(response).await?;
             Ok(Write::Done {
                 revision: written.revision,
             })
--- a/components/store/src/client.rs
+++ b/components/store/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform, one attempt each.
+//! Client of the platform; each method makes one attempt.
 
 use std::time::Duration;
 
@@ -18,11 +18,11 @@
 use crate::{
     Error,
     answer::{
+        decode,
+        decode_write,
         expect_ok,
-        failure,
-        read,
         retry_after,
-        written, //
+        transport_error, //
     },
     hosts::Host,
     store::{
@@ -35,13 +35,13 @@
     }, //
 };
 
-/// Entries asked for in one page of a listing.
-const PAGE: usize = 500;
+/// Maximum number of entries per page of a listing.
+const PAGE_ENTRIES: usize = 500;
 
-/// How long reads are retried, in units of one call's time-out, unless set otherwise.
+/// Default time limit of [`Client::settle`], as a multiple of the timeout of one call.
 const SETTLE_TIMEOUT_FACTOR: u32 = 4;
 
-/// A client of the platform. Clones share connections.
+/// A client of the platform. Clones share one connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: reqwest::Client,
@@ -50,7 +50,7 @@
     pub(crate) settle_timeout: Duration,
 }
 
-/// Kind of a store call, as the metric `medlarhatch_store_calls_total` tells them apart.
+/// Kind of a call, the label `kind` of the metric `medlarhatch_store_calls_total`.
 #[derive(Clone, Copy)]
 enum Kind {
     Read,
@@ -83,34 +83,34 @@
 }
 
 #[derive(Serialize)]
-struct Grant {
+struct LeaseRequest {
     ttl_ms: u64,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Leased {
+struct LeaseBody {
     lease: Lease,
 }
 
 #[derive(Deserialize)]
-struct Hosts {
+struct HostList {
     hosts: Vec<Host>,
 }
 
 impl Client {
-    /// Makes a client for the platform at `base`, such as `http://10.0.0.1:7000`. Each call must
-    /// answer within `timeout`.
+    /// Creates a client of the platform at `base`, such as `http://10.0.0.1:7000`. Each call times
+    /// out after `timeout`.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] when `base` is no URL.
+    /// [`Error::Malformed`] if `base` is not an `http` URL.
     pub fn new(base: &str, timeout: Duration) -> Result<Client, Error> {
         let url = Url::parse(base)
-            .map_err(|error| Error::Malformed(format!("{base} is no URL: {error}")))?;
+            .map_err(|error| Error::Malformed(format!("{base} is not a URL: {error}")))?;
         if url.scheme() != "http" || url.cannot_be_a_base() {
-            return Err(Error::Malformed(format!("{base} is no http URL")));
+            return Err(Error::Malformed(format!("{base} is not an http URL")));
         }
-        // Retries are decided here and by callers: a write must not be sent twice unseen.
+        // The HTTP library must not retry on its own, or a write could be sent twice unnoticed.
         let http = reqwest::Client::builder()
             .connect_timeout(timeout)
             .no_proxy()
@@ -125,7 +125,7 @@
         })
     }
 
-    /// Sets for how long [`Client::settle`] goes on; four time-outs otherwise.
+    /// Sets the time limit of [`Client::settle`]; the default is four times the timeout of a call.
     pub fn with_settle_timeout(self, settle_timeout: Duration) -> Client {
         Client {
             settle_timeout,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Reads a key.
+    /// Reads a key; `None` if it is absent.
     ///
     /// # Errors
     ///
@@ -144,44 +144,44 @@
         if response.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        read(response).await
+        decode(response).await
     }
 
     /// Reads all keys under a prefix, page by page.
     ///
     /// # Errors
     ///
-    /// Any [`Error`] of a read; pages before it are thrown away.
+    /// Any [`Error`] of a read; pages already read are discarded.
     pub async fn list(&self, prefix: &str) -> Result<Listing, Error> {
         let mut listing = self.page(prefix, "").await?;
-        let mut full = listing.entries.len() >= PAGE;
+        let mut full = listing.entries.len() >= PAGE_ENTRIES;
         while full {
             let Some(last) = listing.entries.last() else {
                 break;
             };
             let page = self.page(prefix, &last.key.clone()).await?;
-            full = page.entries.len() >= PAGE;
+            full = page.entries.len() >= PAGE_ENTRIES;
             listing.entries.extend(page.entries);
         }
         Ok(listing)
     }
 
     async fn page(&self, prefix: &str, after: &str) -> Result<Listing, Error> {
-        let limit = PAGE.to_string();
+        let limit = PAGE_ENTRIES.to_string();
         let mut query = vec![("prefix", prefix), ("limit", limit.as_str())];
         if !after.is_empty() {
             query.push(("after", after));
         }
         let url = self.url(&["kv"], &query);
-        read(self.send(Kind::Read, Method::GET, url, None::<&()>).await?).await
+        decode(self.send(Kind::Read, Method::GET, url, None::<&()>).await?).await
     }
 
     /// Writes a key.
     ///
     /// # Errors
     ///
-    /// [`Error::Unanswered`] leaves open whether the write took effect; all others say that it
-    /// didn't, but for [`Error::Malformed`].
+    /// After [`Error::Unanswered`] or [`Error::Malformed`] the write may have taken effect; after
+    /// any other error it had no effect.
     pub async fn put(
         &self,
         key: &str,
@@ -196,14 +196,14 @@
             lease,
         };
         let url = self.url(&["kv"], &[]);
-        written(self.send(Kind::Write, Method::PUT, url, Some(&put)).await?).await
+        decode_write(self.send(Kind::Write, Method::PUT, url, Some(&put)).await?).await
     }
 
-    /// Deletes a key. Deleting an absent key without a condition is no error.
+    /// Deletes a key. Deleting an absent key without a condition succeeds.
     ///
     /// # Errors
     ///
-    /// As [`Client::put`].
+    /// Same as [`Client::put`].
     pub async fn delete(&self, key: &str, expect: Expect) -> Result<Write, Error> {
         let number = expect.number().map(|number| number.to_string());
         let mut query = vec![("key", key)];
@@ -214,14 +214,15 @@
         let response = self
             .send(Kind::Write, Method::DELETE, url, None::<&()>)
             .await?;
-        written(response).await
+        decode_write(response).await
     }
 
-    /// Waits for a change under a prefix after a revision, at most for `wait`.
+    /// Waits up to `wait` for changes under a prefix after a revision.
     ///
     /// # Errors
     ///
-    /// [`Error::Compacted`] when the revision is too old: list, and watch from there.
+    /// [`Error::Compacted`] if the revision is too old; list the keys and watch from the listing's
+    /// revision. Otherwise any [`Error`] of a read.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -235,49 +236,49 @@
             ("wait_ms", millis.as_str()),
         ];
         let url = self.url(&["watch"], &query);
-        let time = wait + self.timeout;
-        let sent = self.send_within(Kind::Watch, Method::GET, url, None::<&()>, time);
-        read(sent.await?).await
+        let timeout = wait + self.timeout;
+        let sent = self.send_within(Kind::Watch, Method::GET, url, None::<&()>, timeout);
+        decode(sent.await?).await
     }
 
-    /// Takes a lease.
+    /// Acquires a lease with the given time to live.
     ///
     /// # Errors
     ///
-    /// As [`Client::put`]; a lease whose answer was lost lapses by itself.
+    /// Same as [`Client::put`]; a lease whose answer was lost expires on its own.
     pub async fn grant_lease(&self, ttl: Duration) -> Result<Lease, Error> {
-        let grant = Grant {
+        let request = LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         };
         let url = self.url(&["lease"], &[]);
         let response = self
-            .send(Kind::Lease, Method::POST, url, Some(&grant))
+            .send(Kind::Lease, Method::POST, url, Some(&request))
             .await?;
-        let leased: Leased = read(response).await?;
-        Ok(leased.lease)
+        let granted: LeaseBody = decode(response).await?;
+        Ok(granted.lease)
     }
 
-    /// Prolongs a lease by its time.
+    /// Extends a lease by its time to live.
     ///
     /// # Errors
     ///
-    /// [`Error::UnknownLease`] once it has lapsed.
+    /// [`Error::UnknownLease`] if the lease has expired; otherwise same as [`Client::put`].
     pub async fn renew_lease(&self, lease: Lease) -> Result<(), Error> {
-        self.on_lease("keep", lease).await
+        self.lease_call("keep", lease).await
     }
 
-    /// Ends a lease; its keys go.
+    /// Revokes a lease; the store deletes its keys.
     ///
     /// # Errors
     ///
-    /// As [`Client::put`].
+    /// Same as [`Client::put`].
     pub async fn revoke_lease(&self, lease: Lease) -> Result<(), Error> {
-        self.on_lease("drop", lease).await
+        self.lease_call("drop", lease).await
     }
 
-    async fn on_lease(&self, call: &str, lease: Lease) -> Result<(), Error> {
+    async fn lease_call(&self, call: &str, lease: Lease) -> Result<(), Error> {
         let url = self.url(&["lease", call], &[]);
-        let body = Leased { lease };
+        let body = LeaseBody { lease };
         let response = self
             .send(Kind::Lease, Method::POST, url, Some(&body))
             .await?;
@@ -297,22 +298,26 @@
         let response = self
             .send(Kind::Hosts, Method::GET, url, None::<&()>)
             .await?;
-        let list: Hosts = read(response).await?;
+        let list: HostList = decode(response).await?;
         Ok(list.hosts)
     }
 
-    /// Reads a version's weights.
+    /// Downloads the weights of a model version.
     ///
     /// # Errors
     ///
-    /// [`Error::RateLimited`] over the weight store's rate.
+    /// [`Error::RateLimited`] above the weight store's rate limit; otherwise any [`Error`] of a
+    /// read.
     pub async fn weights(&self, model: &str, version: &str) -> Result<Bytes, Error> {
         let url = self.url(&["weights", model, version], &[]);
         let response = self
             .send(Kind::Weights, Method::GET, url, None::<&()>)
             .await?;
         expect_ok(&response)?;
-        response.bytes().await.map_err(|error| failure(&error))
+        response
+            .bytes()
+            .await
+            .map_err(|error| transport_error(&error))
     }
 
     fn url(&self, path: &[&str], query: &[(&str, &str)]) -> Url {
@@ -338,21 +343,24 @@
             .await
     }
 
-    /// Sends a call and sorts out the answers that any call can get.
+    /// Sends a call and maps the error statuses that are common to all calls.
     async fn send_within(
         &self,
         kind: Kind,
         method: Method,
         url: Url,
         body: Option<&impl Serialize>,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<Response, Error> {
         metrics::counter!("medlarhatch_store_calls_total", "kind" => kind.label()).increment(1);
-        let mut request = self.http.request(method, url).timeout(time);
+        let mut request = self.http.request(method, url).timeout(timeout);
         if let Some(body) = body {
             request = request.json(body);
         }
-        let response = request.send().await.map_err(|error| failure(&error))?;
+        let response = request
+            .send()
+            .await
+            .map_err(|error| transport_error(&error))?;
         match response.status() {
             StatusCode::TOO_MANY_REQUESTS => Err(Error::RateLimited {
                 retry_after: retry_after(&response),
@@ -360,7 +368,7 @@
             StatusCode::SERVICE_UNAVAILABLE => Err(Error::Unavailable),
             StatusCode::GONE => Err(Error::Compacted),
             StatusCode::PAYLOAD_TOO_LARGE => Err(Error::TooLarge),
-            // A fault inside the platform says nothing about the write's effect.
+            // After an internal error of the platform a write may still have taken effect.
             status if status.is_server_error() => Err(Error::Unanswered),
             _ => Ok(response),
         }
--- a/components/store/src/hosts.rs
+++ b/components/store/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Values of the host list.
+//! Types of the host list.
 
 use std::net::SocketAddr;
 
@@ -8,39 +8,39 @@
     Serialize, //
 };
 
-/// What runs on a host.
+/// Role of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// An entry.
+    /// Runs an entry.
     Entry,
-    /// A sidecar beside a backend server.
+    /// Runs a sidecar beside a backend server.
     Sidecar,
 }
 
-/// Whether a host stays.
+/// Life-cycle state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     /// In service.
     Live,
-    /// About to go; gets no new work.
+    /// About to be removed; receives no new work.
     Leaving,
 }
 
-/// A host as the list shows it. The list lags by seconds, and holds hosts that are gone.
+/// An entry of the host list. The list lags by seconds and may contain hosts that no longer exist.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     /// Unique name.
     pub name: names::Host,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Its region.
+    /// Region of the host.
     pub region: String,
-    /// What runs there.
+    /// Role of the host.
     pub role: Role,
-    /// QUIC address.
+    /// Address of its QUIC endpoint.
     pub address: SocketAddr,
-    /// Whether it stays.
+    /// Life-cycle state.
     pub state: State,
 }
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -1,7 +1,8 @@
-//! The edge to the platform: key-value store, host list, weight store.
+//! Client of the platform's services: key-value store, host list and weight store.
 //!
-//! The contracts are `docs/interfaces/store.md` and `docs/interfaces/hosts.md`. One method of
-//! [`Client`] is one attempt; [`Client::settle`] and [`Client::get_until`] stand above that.
+//! The interfaces are specified in `docs/interfaces/store.md` and `docs/interfaces/hosts.md`. Each
+//! method of [`Client`] makes one attempt, except [`Client::settle`] and [`Client::get_until`],
+//! which retry.
 
 mod answer;
 mod client;
--- a/components/store/src/settle.rs
+++ b/components/store/src/settle.rs
@@ -1,10 +1,10 @@
-//! Writes whose answer was lost, and reads that are retried.
+//! Resolution of writes whose answer was lost, and retried reads.
 //!
-//! A write that got no answer may have taken effect, may never do so, or may still do so: it can
-//! be held up on its way. Reading the key tells the first case by the value, which must hold a
-//! nonce. That the value is not there tells nothing by itself, as the write may land right after
-//! the read. A second write of the same value under the same condition decides it: only one of the
-//! two can find the condition met.
+//! A write without an answer may have taken effect, may never take effect, or may still do so,
+//! since the request can be delayed in transit. Reading the key identifies the first case by the
+//! value, which must contain a nonce. An absent value proves nothing, because the write may arrive
+//! right after the read. A second write of the same value under the same condition decides: the
+//! condition can hold for only one of the two.
 
 use std::time::Duration;
 
@@ -31,39 +31,41 @@
     }, //
 };
 
-/// First wait between tries; it doubles, with jitter.
-const FIRST: Duration = Duration::from_millis(20);
+/// Initial delay between attempts; it doubles after each attempt.
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Longest wait between tries.
-const LONGEST: Duration = Duration::from_secs(1);
+/// Maximum delay between attempts.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// What one look at the key says about a write.
-enum Look {
-    Won(Revision),
-    Lost(Option<Entry>),
-    /// The condition still holds: the write may yet land.
-    Open,
-    /// The key has moved on, and what was between is not known.
-    Passed,
+/// What the current state of the key reveals about a write.
+enum Status {
+    /// The write took effect at this revision.
+    Applied(Revision),
+    /// The write took no effect and can't any more.
+    Conflict(Option<Entry>),
+    /// The condition still holds, so the write may yet take effect.
+    Undecided,
+    /// The write's effect can't be determined: the key's history or its state is not available.
+    Unknown,
 }
 
 impl Client {
-    /// Reads a key, with retries until the deadline.
+    /// Reads a key, retrying transient errors until the deadline.
     ///
     /// # Errors
     ///
-    /// The [`Error`] of the last try that came to an end by itself; [`Error::Unanswered`] if none
-    /// did.
+    /// The [`Error`] of the last attempt that completed before the deadline, or
+    /// [`Error::Unanswered`] if none did.
     pub async fn get_until(&self, key: &str, deadline: Instant) -> Result<Option<Entry>, Error> {
         let mut last = Error::Unanswered;
         for wait in backoff().build() {
             match timeout_at(deadline, self.get(key)).await {
                 Ok(Ok(entry)) => return Ok(entry),
-                Ok(Err(error)) if error.passing() => last = error,
+                Ok(Err(error)) if error.is_transient() => last = error,
                 Ok(Err(error)) => return Err(error),
                 Err(_) => return Err(last),
             }
-            // A sleep past the deadline would only hide the reason.
+            // Sleeping past the deadline would only delay the error.
             if Instant::now() + wait >= deadline {
                 return Err(last);
             }
@@ -72,17 +74,18 @@
         Err(last)
     }
 
-    /// Writes a key and finds out what came of it, also when the answer is lost.
+    /// Writes a key and determines whether the write took effect, even if its answer is lost.
     ///
-    /// The value must be one that no other write has, by a nonce in it. With [`Expect::Any`] a
-    /// lost answer can only be settled as won.
+    /// The value must contain a nonce that makes it unique among all writes. With [`Expect::Any`],
+    /// a lost answer is resolved as [`Settled::Applied`] or [`Settled::Unknown`], never as
+    /// [`Settled::Conflict`].
     ///
-    /// May be called again with the same value after [`Settled::Unknown`]. Ends within the
-    /// client's patience and one time-out.
+    /// May be called again with the same value after [`Settled::Unknown`]. Returns within the
+    /// client's settle timeout plus the timeout of one call.
     ///
     /// # Errors
     ///
-    /// Errors of the first try that say that it had no effect: [`Error::Unavailable`],
+    /// Errors of the first attempt after which the write had no effect: [`Error::Unavailable`],
     /// [`Error::RateLimited`], [`Error::TooLarge`], and [`Error::UnknownLease`].
     pub async fn settle(
         &self,
@@ -92,85 +95,87 @@
         lease: Option<Lease>,
     ) -> Result<Settled, Error> {
         let deadline = Instant::now() + self.settle_timeout;
-        let mut wait = FIRST;
+        let mut wait = MIN_BACKOFF;
         let mut first = true;
         loop {
-            let look = match self.put(key, value, expect, lease).await {
-                Ok(Write::Done { revision }) => Look::Won(revision),
-                Ok(Write::Conflict { entry }) => self.judge(key, value, expect, entry).await,
+            let status = match self.put(key, value, expect, lease).await {
+                Ok(Write::Done { revision }) => Status::Applied(revision),
+                Ok(Write::Conflict { entry }) => self.status(key, value, expect, entry).await,
                 Err(Error::Unanswered | Error::Malformed(_)) => {
-                    self.look(key, value, expect, deadline).await
+                    self.read_back(key, value, expect, deadline).await
                 }
                 Err(error) if first => return Err(error),
-                Err(error) if error.passing() => Look::Open,
-                Err(_) => Look::Passed,
+                Err(error) if error.is_transient() => Status::Undecided,
+                Err(_) => Status::Unknown,
             };
             first = false;
-            match look {
-                Look::Won(revision) => return Ok(Settled::Applied { revision }),
-                Look::Lost(entry) => return Ok(Settled::Conflict { entry }),
-                Look::Passed => return Ok(Settled::Unknown),
-                Look::Open => {}
+            match status {
+                Status::Applied(revision) => return Ok(Settled::Applied { revision }),
+                Status::Conflict(entry) => return Ok(Settled::Conflict { entry }),
+                Status::Unknown => return Ok(Settled::Unknown),
+                Status::Undecided => {}
             }
             if Instant::now() + wait >= deadline {
                 return Ok(Settled::Unknown);
             }
             sleep(wait).await;
-            wait = (wait * 2).min(LONGEST);
+            wait = (wait * 2).min(MAX_BACKOFF);
         }
     }
 
-    async fn look(&self, key: &str, value: &str, expect: Expect, deadline: Instant) -> Look {
+    async fn read_back(&self, key: &str, value: &str, expect: Expect, deadline: Instant) -> Status {
         match self.get_until(key, deadline).await {
-            Ok(entry) => self.judge(key, value, expect, entry).await,
-            Err(_) => Look::Passed,
+            Ok(entry) => self.status(key, value, expect, entry).await,
+            Err(_) => Status::Unknown,
         }
     }
 
-    /// Says what the key as it stands tells about the write.
-    async fn judge(&self, key: &str, value: &str, expect: Expect, entry: Option<Entry>) -> Look {
+    /// Derives the write's status from the current state of the key.
+    async fn status(&self, key: &str, value: &str, expect: Expect, entry: Option<Entry>) -> Status {
         if let Some(entry) = &entry
             && entry.value == value
         {
-            return Look::Won(entry.revision);
+            return Status::Applied(entry.revision);
         }
-        let stands = entry.as_ref().map(|entry| entry.revision);
-        match (expect, stands) {
-            (Expect::Any, _) => Look::Passed,
-            (Expect::Absent, None) => Look::Open,
-            // Only its creator changes such a key, so this one's creator is another.
-            (Expect::Absent, Some(_)) => Look::Lost(entry),
-            (Expect::Revision(expected), Some(stands)) if stands == expected => Look::Open,
-            (Expect::Revision(expected), _) => self.history(key, value, expected, entry).await,
+        let current = entry.as_ref().map(|entry| entry.revision);
+        match (expect, current) {
+            (Expect::Any, _) => Status::Unknown,
+            (Expect::Absent, None) => Status::Undecided,
+            // Only its creator changes such a key, so another writer created this one.
+            (Expect::Absent, Some(_)) => Status::Conflict(entry),
+            (Expect::Revision(expected), Some(current)) if current == expected => Status::Undecided,
+            (Expect::Revision(expected), _) => {
+                self.search_history(key, value, expected, entry).await
+            }
         }
     }
 
-    /// Looks for the write among the changes since the revision that it expected: it may have
-    /// taken effect and have been overwritten since.
-    async fn history(
+    /// Searches for the write among the changes since its expected revision, as it may have taken
+    /// effect and been overwritten since.
+    async fn search_history(
         &self,
         key: &str,
         value: &str,
         expected: Revision,
         entry: Option<Entry>,
-    ) -> Look {
+    ) -> Status {
         let Ok(change) = self.watch(key, expected, Duration::ZERO).await else {
-            return Look::Passed;
+            return Status::Unknown;
         };
         for event in &change.events {
             if event.key == key && event.value.as_deref() == Some(value) {
-                return Look::Won(event.revision);
+                return Status::Applied(event.revision);
             }
         }
-        // Revisions only grow, so the condition can't be met again.
-        Look::Lost(entry)
+        // Revisions only increase, so the condition can't hold again.
+        Status::Conflict(entry)
     }
 }
 
 fn backoff() -> ExponentialBuilder {
     ExponentialBuilder::new()
-        .with_min_delay(FIRST)
-        .with_max_delay(LONGEST)
+        .with_min_delay(MIN_BACKOFF)
+        .with_max_delay(MAX_BACKOFF)
         .with_jitter()
         .without_max_times()
 }
--- a/components/store/src/store.rs
+++ b/components/store/src/store.rs
@@ -1,46 +1,47 @@
-//! Values of the key-value store.
+//! Types of the key-value store.
 
 use names::Revision;
 use serde::Deserialize;
 
-/// Number of a lease.
+/// Id of a lease.
 pub type Lease = u64;
 
-/// A key as it stands.
+/// The current state of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Entry {
-    /// Key, path-like.
+    /// Key, a path such as `a/b`.
     pub key: String,
     /// Value, UTF-8 text of up to 1 MiB.
     pub value: String,
-    /// Revision of its last write.
+    /// Revision of the key's last write.
     pub revision: Revision,
-    /// Lease that it goes with.
+    /// Lease that the key is bound to; the key is deleted when the lease ends.
     pub lease: Option<Lease>,
 }
 
-/// Keys under a prefix.
+/// All keys under a prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Listing {
-    /// In key order.
+    /// Entries, sorted by key.
     pub entries: Vec<Entry>,
-    /// A watch from here on misses no change. It is the first page's revision, so that a change
-    /// between two pages is seen again rather than lost.
+    /// Revision from which a watch misses no change. It is the revision of the first page, so a
+    /// change between two pages is reported again rather than missed.
     pub revision: Revision,
 }
 
 /// Condition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
-    /// None: writes always.
+    /// No condition; the write always applies.
     Any,
-    /// The key is absent.
+    /// The key must be absent.
     Absent,
-    /// The key's revision is this one.
+    /// The key must have this revision.
     Revision(Revision),
 }
 
 impl Expect {
+    /// Returns the condition as the interface encodes it: 0 stands for an absent key.
     pub(crate) fn number(self) -> Option<Revision> {
         match self {
             Expect::Any => None,
@@ -50,40 +51,40 @@
     }
 }
 
-/// What came of a write that got its answer.
+/// Result of an answered write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// Written.
+    /// The write took effect.
     Done {
-        /// The store's revision.
+        /// Revision of the write.
         revision: Revision,
     },
-    /// The condition didn't hold.
+    /// The condition did not hold.
     Conflict {
-        /// The key as it stands.
+        /// Current state of the key; `None` if it is absent.
         entry: Option<Entry>,
     },
 }
 
-/// What came of a write whose answer may have been lost.
+/// Result of a write whose answer may have been lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Settled {
-    /// It took effect, once.
+    /// The write took effect exactly once.
     Applied {
-        /// Revision that it was written at.
+        /// Revision of the write.
         revision: Revision,
     },
-    /// It took no effect and can't take one any more, as long as keys that are created only when
-    /// absent are changed and deleted by their creator alone.
+    /// The write took no effect and can't any more. This assumes that keys that are created only
+    /// when absent are changed and deleted only by their creator.
     Conflict {
-        /// The key as it stands.
+        /// Current state of the key; `None` if it is absent.
         entry: Option<Entry>,
     },
-    /// It can't be told. The write may have taken effect, or may do so later.
+    /// Undetermined: the write may have taken effect, or may still do so later.
     Unknown,
 }
 
-/// One change.
+/// A change of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Event {
     /// Key that changed.
@@ -94,11 +95,11 @@
     pub revision: Revision,
 }
 
-/// Answer of a watch.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Change {
-    /// Every change since, in order; empty when the wait passed.
+    /// All changes after the requested revision, in order; empty if the wait timed out.
     pub events: Vec<Event>,
-    /// Revision to watch from next.
+    /// Revision to continue the watch from.
     pub revision: Revision,
 }
--- a/components/store/tests/hosts.rs
+++ b/components/store/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! The contracts of the host list and the weight store.
+//! Interfaces of the host list and the weight store.
 
 use std::{
     net::SocketAddr,
@@ -22,7 +22,7 @@
     }, //
 };
 
-const LONG: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn host(name: &str) -> fake::Host {
     fake::Host {
@@ -42,7 +42,7 @@
     });
     let platform = platform.await.expect("loopback can be bound");
     let base = format!("http://{}", platform.address());
-    let client = Client::new(&base, LONG).expect("the base is a URL");
+    let client = Client::new(&base, TEST_TIMEOUT).expect("the base is a URL");
     (platform, client)
 }
 
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn hosts_are_read_whole() {
+async fn hosts_are_read_with_all_fields() {
     let (_platform, client) = start().await;
     let hosts = client.hosts().await.expect("the platform answers");
     assert_eq!(hosts[0].name, "a");
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn list_is_changed_over_http() {
+async fn host_list_is_edited_over_http() {
     let (platform, client) = start().await;
     let url = format!("http://{}/hosts", platform.address());
     let http = reqwest::Client::new();
@@ -78,19 +78,19 @@
     assert_eq!(names(&client).await, ["c"]);
 }
 
-// The host list lags, stands still, or is wrongly empty. Whoever trusted it would send work to
-// hosts that are gone, or drop every host at once.
+// The host list lags, is frozen, or is empty by mistake. A reader that trusts it would send work to
+// hosts that no longer exist, or drop every host at once.
 #[rstest]
 #[case::lag(Fault { hosts_lag_ms: Some(3_600_000), ..Fault::default() }, &["a"])]
 #[case::stale(Fault { hosts_stale: true, ..Fault::default() }, &["a"])]
 #[case::empty(Fault { hosts_empty: true, ..Fault::default() }, &[])]
 #[case::outage_of_the_store(Fault { outage: true, ..Fault::default() }, &["b"])]
 #[tokio::test]
-async fn faults_of_the_list(#[case] fault: Fault, #[case] seen: &[&str]) {
+async fn faults_of_the_host_list(#[case] fault: Fault, #[case] listed: &[&str]) {
     let (platform, client) = start().await;
     platform.fault(fault);
     platform.set_hosts(vec![host("b")]);
-    assert_eq!(names(&client).await, seen);
+    assert_eq!(names(&client).await, listed);
     platform.fault(Fault {
         clear: true,
         ..Fault::default()
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn weights_are_derived_from_their_name() {
+async fn weights_depend_on_model_and_version() {
     let (_platform, client) = start().await;
     let one = client.weights("m", "v1").await.expect("the weights");
     let again = client.weights("m", "v1").await.expect("the weights");
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -1,4 +1,4 @@
-//! Writes whose answers are lost, and what is found out about them.
+//! Writes whose answers are lost, and how they are resolved.
 
 use std::time::Duration;
 
@@ -20,13 +20,13 @@
 };
 use tokio::time::Instant;
 
-const LONG: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 async fn start() -> (Platform, Client) {
     let platform = Platform::start(Settings::default()).await;
     let platform = platform.expect("loopback can be bound");
     let base = format!("http://{}", platform.address());
-    let client = Client::new(&base, LONG).expect("the base is a URL");
+    let client = Client::new(&base, TEST_TIMEOUT).expect("the base is a URL");
     (platform, client)
 }
 
@@ -41,22 +41,22 @@
 async fn revision(client: &Client, value: &str) -> u64 {
     match client.put("k", value, Expect::Any, None).await {
         Ok(Write::Done { revision }) => revision,
-        other => panic!("the store takes a plain write: {other:?}"),
+        other => panic!("the store accepts an unconditional write: {other:?}"),
     }
 }
 
-// A write's answer is lost after it took effect, or the write itself is lost. The writer must
-// learn which: taken for lost, an order would be given twice; taken for done, a call would run
-// without its record.
+// A write's answer is lost after the write took effect, or the write itself is lost. The writer
+// must learn which: if an applied write is taken for lost, an order is issued twice; if a lost
+// write is taken for applied, a call runs without its record.
 #[rstest]
-#[case::answered(0, 0, 1)]
+#[case::nothing_lost(0, 0, 1)]
 #[case::answer_lost(1, 0, 1)]
 #[case::answers_lost(3, 0, 1)]
 #[case::write_lost(0, 1, 2)]
 #[case::writes_lost(0, 3, 4)]
 #[case::both_lost(1, 1, 2)]
 #[tokio::test]
-async fn lost_answers_are_settled(
+async fn lost_answers_are_resolved(
     #[case] answers: u64,
     #[case] writes: u64,
     #[case] attempts: u64,
@@ -77,23 +77,23 @@
 
 #[rstest]
 #[case::lost_write(lose(0, 1))]
-#[case::plain(Fault::default())]
+#[case::no_fault(Fault::default())]
 #[tokio::test]
-async fn other_creator_wins(#[case] fault: Fault) {
+async fn key_created_by_another_writer_is_a_conflict(#[case] fault: Fault) {
     let (platform, client) = start().await;
     revision(&client, "other").await;
     platform.fault(fault);
     let settled = client.settle("k", "nonce-1", Expect::Absent, None).await;
     let Ok(Settled::Conflict { entry }) = settled else {
-        panic!("the other's key stands: {settled:?}");
+        panic!("the key of the other writer remains: {settled:?}");
     };
     assert_eq!(entry.expect("the key is there").value, "other");
 }
 
-// An edit takes effect, its answer is lost, and another operator edits on top before the first one
-// looks. Reading the key alone would say that the first edit never was.
+// An edit takes effect, its answer is lost, and another operator overwrites it before the first one
+// reads the key. The key alone would suggest that the first edit never took effect.
 #[tokio::test]
-async fn overwritten_write_is_still_won() {
+async fn overwritten_write_counts_as_applied() {
     let (platform, client) = start().await;
     let first = revision(&client, "before").await;
     platform.fault(Fault {
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn passed_revision_is_lost() {
+async fn outdated_revision_is_a_conflict() {
     let (platform, client) = start().await;
     let first = revision(&client, "before").await;
     revision(&client, "other").await;
@@ -123,17 +123,17 @@
     assert_matches!(settled.await, Ok(Settled::Conflict { entry: Some(_) }));
 }
 
-// The changes since the expected revision are no longer kept, so nobody can say whether the edit
-// was in force for a while.
+// The store has compacted the changes since the expected revision, so whether the edit ever took
+// effect can't be determined.
 #[tokio::test]
-async fn forgotten_history_is_unknown() {
+async fn compacted_history_is_unknown() {
     let platform = Platform::start(Settings {
         kept: 1,
         ..Settings::default()
     });
     let platform = platform.await.expect("loopback can be bound");
     let base = format!("http://{}", platform.address());
-    let client = Client::new(&base, LONG).expect("the base is a URL");
+    let client = Client::new(&base, TEST_TIMEOUT).expect("the base is a URL");
     let first = revision(&client, "before").await;
     revision(&client, "other").await;
     revision(&client, "another").await;
@@ -141,8 +141,8 @@
     assert_eq!(settled.await, Ok(Settled::Unknown));
 }
 
-// The store goes down right after it took a write. The writer can't learn what came of it, and
-// must not guess.
+// The store goes down right after it accepted a write. The result can't be determined and must be
+// reported as unknown.
 #[tokio::test]
 async fn outage_after_the_write_is_unknown() {
     let (platform, client) = start().await;
@@ -154,7 +154,7 @@
     });
     let settling = client.clone();
     let task = tokio::spawn(async move { settling.settle("k", "n-1", Expect::Absent, None).await });
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + TEST_TIMEOUT;
     while platform.counts().reads == 0 {
         assert!(Instant::now() < end, "the write is read back");
         tokio::time::sleep(Duration::from_millis(1)).await;
@@ -166,22 +166,24 @@
     assert_eq!(task.await.expect("the task ends"), Ok(Settled::Unknown));
 }
 
-// A write times out on its way and lands late, after the writer looked and saw nothing. A reader
-// of the key alone would say "lost" of a write that then takes effect; the second conditional
-// write makes the late one harmless.
+// A write is delayed in transit and arrives after the writer has read the key and found nothing.
+// From the read alone the write would count as lost although it then takes effect; the second
+// conditional write makes the late one harmless.
 #[tokio::test]
-async fn late_write_lands_once() {
+async fn delayed_write_takes_effect_once() {
     let (platform, _) = start().await;
     let base = format!("http://{}", platform.address());
     let client = Client::new(&base, Duration::from_millis(100));
-    let client = client.expect("the base is a URL").with_settle_timeout(LONG);
+    let client = client
+        .expect("the base is a URL")
+        .with_settle_timeout(TEST_TIMEOUT);
     platform.fault(Fault {
         slow_ms: Some(400),
         ..Fault::default()
     });
     let settling = client.clone();
     let task = tokio::spawn(async move { settling.settle("k", "n-1", Expect::Absent, None).await });
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + TEST_TIMEOUT;
     while platform.counts().reads == 0 {
         assert!(Instant::now() < end, "the write is read back");
         tokio::time::sleep(Duration::from_millis(1)).await;
@@ -203,7 +205,7 @@
 
 #[rstest]
 #[case::outage(Fault { outage: true, ..Fault::default() }, Error::Unavailable)]
-#[case::rate(
+#[case::rate_limit(
     Fault { writes_per_s: Some(0.5), ..Fault::default() },
     Error::RateLimited { retry_after: Duration::from_secs(1) }
 )]
@@ -217,7 +219,7 @@
 }
 
 #[tokio::test]
-async fn unconditional_write_is_not_repeated() {
+async fn unconditional_write_is_not_retried() {
     let (platform, client) = start().await;
     platform.fault(lose(0, 1));
     let settled = client.settle("k", "nonce-1", Expect::Any, None).await;
@@ -225,7 +227,7 @@
     assert_eq!(platform.counts().writes, 1);
 }
 
-// The store is out for a moment; a read goes on as soon as it is back.
+// The store is briefly unavailable; a read succeeds as soon as it is available again.
 #[tokio::test]
 async fn reads_are_retried_until_their_deadline() {
     let (platform, client) = start().await;
@@ -233,7 +235,7 @@
         outage_ms: Some(100),
         ..Fault::default()
     });
-    let read = client.get_until("k", Instant::now() + LONG).await;
+    let read = client.get_until("k", Instant::now() + TEST_TIMEOUT).await;
     assert_eq!(read, Ok(None));
     platform.fault(Fault {
         outage: true,
--- a/components/store/tests/store.rs
+++ b/components/store/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store's contract and its fault cases, by the real client against the stand-in.
+//! The store's interface and its fault cases, tested with the real client against a fake platform.
 
 use std::time::Duration;
 
@@ -22,11 +22,11 @@
     timeout, //
 };
 
-/// Far beyond what any step takes on a busy machine.
-const LONG: Duration = Duration::from_secs(30);
+/// Far longer than any step takes on a loaded machine.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time-out for calls that are not answered.
-const SHORT: Duration = Duration::from_millis(200);
+/// Timeout of calls that are not answered.
+const CALL_TIMEOUT: Duration = Duration::from_millis(200);
 
 async fn start(settings: Settings) -> Platform {
     Platform::start(settings)
@@ -34,8 +34,8 @@
         .expect("loopback can be bound")
 }
 
-fn client(platform: &Platform, time: Duration) -> Client {
-    Client::new(&format!("http://{}", platform.address()), time).expect("the base is a URL")
+fn client(platform: &Platform, timeout: Duration) -> Client {
+    Client::new(&format!("http://{}", platform.address()), timeout).expect("the base is a URL")
 }
 
 async fn put(client: &Client, key: &str, value: &str, expect: Expect) -> Write {
@@ -57,13 +57,13 @@
 #[case::other_revision(Some("a"), Expect::Revision(7), false)]
 #[case::revision_but_absent(None, Expect::Revision(1), false)]
 #[tokio::test]
-async fn writes_keep_their_condition(
+async fn writes_respect_their_condition(
     #[case] before: Option<&str>,
     #[case] expect: Expect,
     #[case] done: bool,
 ) {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, LONG);
+    let client = client(&platform, TEST_TIMEOUT);
     if let Some(before) = before {
         put(&client, "k", before, Expect::Any).await;
     }
@@ -82,19 +82,19 @@
     let after = if done { Some("b") } else { before };
     assert_eq!(value(&client, "k").await.as_deref(), after);
     let deleted = client.delete("k", expect).await;
-    let held = match expect {
+    let holds = match expect {
         Expect::Any => true,
         Expect::Absent => after.is_none(),
         Expect::Revision(number) => !done && before.is_some() && number == 1,
     };
     let deleted = matches!(deleted, Ok(Write::Done { .. }));
-    assert_eq!(deleted, held);
+    assert_eq!(deleted, holds);
 }
 
 #[tokio::test]
-async fn listing_goes_over_pages() {
+async fn listing_reads_all_pages() {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, LONG);
+    let client = client(&platform, TEST_TIMEOUT);
     for number in 0..1203 {
         put(&client, &format!("a/{number:05}"), "v", Expect::Any).await;
     }
@@ -108,42 +108,42 @@
 }
 
 #[tokio::test]
-async fn watch_gives_changes_in_order() {
+async fn watch_returns_changes_in_order() {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, LONG);
+    let client = client(&platform, TEST_TIMEOUT);
     put(&client, "env/a", "1", Expect::Any).await;
     let watching = client.clone();
-    let waiting = tokio::spawn(async move { watching.watch("env/", 1, LONG).await });
+    let waiting = tokio::spawn(async move { watching.watch("env/", 1, TEST_TIMEOUT).await });
     wait_for(|| platform.counts().watching == 1).await;
     put(&client, "other", "x", Expect::Any).await;
     put(&client, "env/a", "2", Expect::Any).await;
     let change = waiting.await.expect("the task ends").expect("an answer");
     assert_eq!(change.events[0].value.as_deref(), Some("2"));
     client.delete("env/a", Expect::Any).await.expect("deleted");
-    let change = client.watch("env/", change.revision, LONG).await;
+    let change = client.watch("env/", change.revision, TEST_TIMEOUT).await;
     let change = change.expect("an answer");
     assert_eq!(change.events[0].value, None);
     assert_eq!(platform.counts().watching, 0);
 }
 
 #[tokio::test]
-async fn watch_ends_after_its_wait() {
+async fn watch_without_changes_ends_after_its_wait() {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, LONG);
+    let client = client(&platform, TEST_TIMEOUT);
     let change = client.watch("env/", 0, Duration::from_millis(20)).await;
     assert!(change.expect("an answer").events.is_empty());
 }
 
-// A reader was cut off for long; the store no longer has the changes that it missed. It must be
-// told so, or it would serve an old document for good.
+// A reader was disconnected for so long that the store no longer retains the changes it missed. It
+// must receive an error, or it would serve an outdated document permanently.
 #[tokio::test]
-async fn watch_from_too_far_back_is_compacted() {
+async fn watch_from_a_compacted_revision_fails() {
     let platform = start(Settings {
         kept: 2,
         ..Settings::default()
     })
     .await;
-    let client = client(&platform, LONG);
+    let client = client(&platform, TEST_TIMEOUT);
     for value in ["1", "2", "3", "4"] {
         put(&client, "k", value, Expect::Any).await;
     }
@@ -154,17 +154,20 @@
     assert!(client.watch("k", 2, Duration::ZERO).await.is_ok());
 }
 
-// The holder of a lease is paused, its lease lapses, and its keys go; when it wakes it must learn
-// that it holds nothing.
+// The holder of a lease is paused, the lease expires, and its keys are deleted. When the holder
+// resumes, it must learn that it no longer holds the lease.
 #[tokio::test]
-async fn lapsed_lease_takes_its_keys() {
+async fn expired_lease_deletes_its_keys() {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, LONG);
+    let client = client(&platform, TEST_TIMEOUT);
     let lease = client.grant_lease(Duration::from_millis(50)).await;
     let lease = lease.expect("the store answers");
     let put = client.put("slot", "a", Expect::Absent, Some(lease)).await;
     assert_matches!(put, Ok(Write::Done { .. }));
-    let change = client.watch("slot", 1, LONG).await.expect("an answer");
+    let change = client
+        .watch("slot", 1, TEST_TIMEOUT)
+        .await
+        .expect("an answer");
     assert_eq!(change.events[0].value, None);
     assert_eq!(client.renew_lease(lease).await, Err(Error::UnknownLease));
     let put = client.put("slot", "a", Expect::Absent, Some(lease)).await;
@@ -172,10 +175,13 @@
 }
 
 #[tokio::test]
-async fn kept_lease_stays_and_dropped_lease_goes() {
+async fn renewed_lease_remains_and_revoked_lease_ends() {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, LONG);
-    let lease = client.grant_lease(LONG).await.expect("the store answers");
+    let client = client(&platform, TEST_TIMEOUT);
+    let lease = client
+        .grant_lease(TEST_TIMEOUT)
+        .await
+        .expect("the store answers");
     let put = client.put("slot", "a", Expect::Absent, Some(lease)).await;
     assert_matches!(put, Ok(Write::Done { .. }));
     assert_eq!(client.renew_lease(lease).await, Ok(()));
@@ -186,21 +192,21 @@
 }
 
 #[tokio::test]
-async fn values_over_a_mebibyte_are_refused() {
+async fn values_larger_than_a_mebibyte_are_refused() {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, LONG);
-    let most = "v".repeat(1 << 20);
+    let client = client(&platform, TEST_TIMEOUT);
+    let largest = "v".repeat(1 << 20);
     assert_matches!(
-        client.put("k", &most, Expect::Any, None).await,
+        client.put("k", &largest, Expect::Any, None).await,
         Ok(Write::Done { .. })
     );
-    let more = format!("{most}v");
-    let put = client.put("k", &more, Expect::Any, None).await;
+    let too_large = format!("{largest}v");
+    let put = client.put("k", &too_large, Expect::Any, None).await;
     assert_eq!(put, Err(Error::TooLarge));
 }
 
-// The platform's store is down, silent, overloaded or slow. Each call must end within its
-// time-out with an error that says whether a write can have had an effect.
+// The platform's store is down, unresponsive, overloaded or slow. Each call must end within its
+// timeout with an error that tells whether a write may have taken effect.
 #[rstest]
 #[case::outage(Fault { outage: true, ..Fault::default() }, Error::Unavailable)]
 #[case::outage_for(Fault { outage_ms: Some(3_600_000), ..Fault::default() }, Error::Unavailable)]
@@ -208,15 +214,15 @@
 #[case::slow(Fault { slow_ms: Some(3_600_000), ..Fault::default() }, Error::Unanswered)]
 #[case::lost_write(Fault { lose_writes: Some(1), ..Fault::default() }, Error::Unanswered)]
 #[case::lost_answer(Fault { lose_answers: Some(1), ..Fault::default() }, Error::Unanswered)]
-#[case::rate(
+#[case::rate_limit(
     Fault { writes_per_s: Some(0.5), ..Fault::default() },
     Error::RateLimited { retry_after: Duration::from_secs(1) }
 )]
 #[tokio::test]
 async fn faults_of_writes(#[case] fault: Fault, #[case] error: Error) {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, SHORT);
-    let landed = fault.lose_answers.is_some();
+    let client = client(&platform, CALL_TIMEOUT);
+    let applied = fault.lose_answers.is_some();
     platform.fault(fault);
     let put = client.put("k", "a", Expect::Absent, None).await;
     assert_eq!(put, Err(error));
@@ -224,20 +230,20 @@
         clear: true,
         ..Fault::default()
     });
-    assert_eq!(value(&client, "k").await.is_some(), landed);
+    assert_eq!(value(&client, "k").await.is_some(), applied);
 }
 
 #[rstest]
 #[case::outage(Fault { outage: true, ..Fault::default() }, Error::Unavailable)]
 #[case::silence(Fault { silence: true, ..Fault::default() }, Error::Unanswered)]
-#[case::rate(
+#[case::rate_limit(
     Fault { reads_per_s: Some(0.5), ..Fault::default() },
     Error::RateLimited { retry_after: Duration::from_secs(1) }
 )]
 #[tokio::test]
 async fn faults_of_reads(#[case] fault: Fault, #[case] error: Error) {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, SHORT);
+    let client = client(&platform, CALL_TIMEOUT);
     platform.fault(fault);
     assert_eq!(client.get("k").await, Err(error.clone()));
     assert_eq!(client.list("k").await, Err(error.clone()));
@@ -245,13 +251,13 @@
 }
 
 #[tokio::test]
-async fn nobody_listening_is_an_outage() {
+async fn refused_connection_is_unavailable() {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, SHORT);
+    let client = client(&platform, CALL_TIMEOUT);
     platform.stop();
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + TEST_TIMEOUT;
     loop {
-        // The connection that closes in the midst of the stop may leave a call unanswered.
+        // A connection that closes while the platform stops may leave a call unanswered.
         let put = client.put("k", "a", Expect::Any, None).await;
         if put == Err(Error::Unavailable) {
             return;
@@ -260,14 +266,14 @@
     }
 }
 
-// A watch's connection is forgotten by something between the two ends: the watch waits for good
-// while new ones work. Only its own time-out can end it.
+// A middlebox drops the connection of a watch without notice: the watch would wait forever while
+// new ones work. Only its own timeout ends it.
 #[tokio::test]
-async fn silent_watch_ends_by_its_timeout() {
+async fn unresponsive_watch_ends_by_its_timeout() {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, SHORT);
+    let client = client(&platform, CALL_TIMEOUT);
     let watching = client.clone();
-    let waiting = tokio::spawn(async move { watching.watch("k", 0, SHORT).await });
+    let waiting = tokio::spawn(async move { watching.watch("k", 0, CALL_TIMEOUT).await });
     wait_for(|| platform.counts().watching == 1).await;
     platform.fault(Fault {
         silent_watches: true,
@@ -282,13 +288,13 @@
     assert_eq!(change.expect("an answer").events.len(), 1);
 }
 
-// The store goes down under waiting watches: they end at once, so that readers know.
+// When the store goes down, waiting watches end at once, so that readers notice.
 #[tokio::test]
 async fn outage_ends_waiting_watches() {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, LONG);
+    let client = client(&platform, TEST_TIMEOUT);
     let watching = client.clone();
-    let waiting = tokio::spawn(async move { watching.watch("k", 0, LONG).await });
+    let waiting = tokio::spawn(async move { watching.watch("k", 0, TEST_TIMEOUT).await });
     wait_for(|| platform.counts().watching == 1).await;
     platform.fault(Fault {
         outage: true,
@@ -301,14 +307,14 @@
 }
 
 #[tokio::test]
-async fn counts_tell_calls_apart() {
+async fn calls_are_counted_by_kind() {
     let platform = start(Settings::default()).await;
-    let client = client(&platform, LONG);
+    let client = client(&platform, TEST_TIMEOUT);
     put(&client, "k", "a", Expect::Any).await;
     value(&client, "k").await;
     client.list("k").await.expect("an answer");
-    client.grant_lease(LONG).await.expect("an answer");
-    client.watch("k", 0, LONG).await.expect("an answer");
+    client.grant_lease(TEST_TIMEOUT).await.expect("an answer");
+    client.watch("k", 0, TEST_TIMEOUT).await.expect("an answer");
     let counts = platform.counts();
     assert_eq!((counts.reads, counts.writes, counts.watches), (2, 2, 1));
 }
@@ -316,9 +322,9 @@
 #[rstest]
 #[case::scheme("ftp://10.0.0.1")]
 #[case::text("no address")]
-#[case::bare("10.0.0.1:7000")]
-fn wrong_bases_are_refused(#[case] base: &str) {
-    assert_matches!(Client::new(base, LONG), Err(Error::Malformed(_)));
+#[case::no_scheme("10.0.0.1:7000")]
+fn invalid_base_urls_are_refused(#[case] base: &str) {
+    assert_matches!(Client::new(base, TEST_TIMEOUT), Err(Error::Malformed(_)));
 }
 
 async fn wait_for(condition: impl Fn() -> bool) {
@@ -327,7 +333,7 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(LONG, wait)
+    timeout(TEST_TIMEOUT, wait)
         .await
         .expect("the condition holds in time");
 }
