--- a/components/environment/src/check.rs
+++ b/components/environment/src/check.rs
@@ -1,4 +1,4 @@
-//! Whether a document makes sense: names, references, numbers.
+//! Consistency checks of a document: names, references and numbers.
 
 use std::{
     collections::BTreeSet,
@@ -17,17 +17,17 @@
     path::Path, //
 };
 
-/// Longest name of anything in a document, in bytes: names become parts of the store's keys.
-const MAX_NAME: usize = 100;
+/// Maximum length of a name in a document, in bytes. Names become parts of the store's keys.
+const MAX_NAME_BYTES: usize = 100;
 
-/// Something in a document that can't be accepted.
+/// An error in a document that prevents its acceptance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Where it stands.
+    /// Path of the invalid value.
     pub path: Path,
-    /// Line in the text, from 1, where the text is known.
+    /// Line in the text, counted from 1, if the text is known.
     pub line: Option<usize>,
-    /// What is wrong, and what is accepted.
+    /// Description of the error and of what is accepted.
     pub message: String,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Checks a document; an empty list means that it can be accepted.
+/// Checks a document and returns its problems; a document without problems can be accepted.
 pub fn check(document: &Document) -> Vec<Problem> {
     let mut check = Check {
         document,
@@ -78,25 +78,28 @@
     }
 
     fn name(&mut self, path: &Path, name: &str) {
-        let plain = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-        if name.is_empty() || name.len() > MAX_NAME || !name.chars().all(plain) {
+        let allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(allowed) {
             self.add(
                 path.clone(),
                 format!(
-                    "{name:?} isn't a name; 1 to {MAX_NAME} letters, digits, `-`, `_` and `.` are accepted"
+                    "{name:?} isn't a name; 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` and `.` are accepted"
                 ),
             );
         }
     }
 
-    /// Checks the names of a list, and that none stands twice.
+    /// Checks that the names of a list are valid and unique.
     fn names<'a>(&mut self, list: &Path, names: impl Iterator<Item = &'a str>) {
         let mut seen = BTreeSet::new();
-        for (at, name) in names.enumerate() {
-            let path = list.index(at).field("name");
+        for (index, name) in names.enumerate() {
+            let path = list.index(index).field("name");
             self.name(&path, name);
             if !seen.insert(name) {
-                self.add(path, format!("`{name}` stands twice; names must be unique"));
+                self.add(
+                    path,
+                    format!("`{name}` is used twice; names must be unique"),
+                );
             }
         }
     }
@@ -105,8 +108,8 @@
         let document = self.document;
         let list = Path::root().field("services");
         self.names(&list, document.services.iter().map(|s| s.name.as_str()));
-        for (at, service) in document.services.iter().enumerate() {
-            self.service(&list.index(at), service);
+        for (index, service) in document.services.iter().enumerate() {
+            self.service(&list.index(index), service);
         }
     }
 
@@ -114,65 +117,73 @@
         let contract = path.field("contract");
         match service.kind {
             Kind::Engine if service.model.is_empty() => {
-                self.add(path.field("model"), "an engine needs the name of its model");
+                self.add(path.field("model"), "an engine needs a model");
             }
             Kind::Plain if !service.model.is_empty() => {
-                self.add(path.field("model"), "only engines have a model");
+                self.add(path.field("model"), "only engines can have a model");
             }
             Kind::Engine | Kind::Plain => {}
         }
         if service.kind == Kind::Engine {
             if service.contract.idempotent {
-                self.add(contract.field("idempotent"), "only for plain services");
+                self.add(
+                    contract.field("idempotent"),
+                    "accepted only for plain services",
+                );
             }
             if service.contract.drops_repeats {
-                self.add(contract.field("drops_repeats"), "only for plain services");
+                self.add(
+                    contract.field("drops_repeats"),
+                    "accepted only for plain services",
+                );
             }
         }
-        for (at, method) in service.contract.safe_methods.iter().enumerate() {
+        for (index, method) in service.contract.safe_methods.iter().enumerate() {
             if method.is_empty() || !method.chars().all(|c| c.is_ascii_uppercase()) {
-                let path = contract.field("safe_methods").index(at);
+                let path = contract.field("safe_methods").index(index);
                 self.add(
                     path,
                     format!(
-                        "{method:?} isn't a method; capital letters are accepted, such as `GET`"
+                        "{method:?} isn't a method; upper-case letters are accepted, such as `GET`"
                     ),
                 );
             }
         }
         let versions = path.field("versions");
         if service.versions.is_empty() {
-            self.add(versions.clone(), "a service needs a version");
+            self.add(versions.clone(), "a service needs at least one version");
         }
         self.names(&versions, service.versions.iter().map(|v| v.name.as_str()));
     }
 
-    /// A backend server runs one version of one service: a pattern that two claim would send a
-    /// version's traffic to the other's servers.
+    /// Checks that no backend server is claimed twice.
+    ///
+    /// A server runs one version of one service. If the patterns of two versions overlapped, the
+    /// traffic of one would reach servers of the other.
     fn servers(&mut self) {
         let document = self.document;
         let mut seen: Vec<(&str, Path)> = Vec::new();
-        for (at, service) in document.services.iter().enumerate() {
+        for (index, service) in document.services.iter().enumerate() {
             for (version, release) in service.versions.iter().enumerate() {
                 let list = Path::root()
                     .field("services")
-                    .index(at)
+                    .index(index)
                     .field("versions")
                     .index(version)
                     .field("servers");
                 if release.servers.is_empty() {
-                    self.add(list.clone(), "a version needs a backend server");
+                    self.add(list.clone(), "a version needs at least one backend server");
                 }
                 for (server, pattern) in release.servers.iter().enumerate() {
                     let path = list.index(server);
-                    let stem = pattern.strip_suffix('*').unwrap_or(pattern);
-                    if !stem.is_empty() || pattern.is_empty() {
-                        self.name(&path, stem);
+                    let prefix = pattern.strip_suffix('*').unwrap_or(pattern);
+                    if !prefix.is_empty() || pattern.is_empty() {
+                        self.name(&path, prefix);
                     }
                     let other = seen.iter().find(|(other, _)| overlap(pattern, other));
                     if let Some((other, place)) = other {
                         let message = format!(
-                            "`{pattern}` names servers that `{other}` at {place} names too"
+                            "`{pattern}` matches servers that `{other}` at {place} also matches"
                         );
                         self.add(path.clone(), message);
                     }
@@ -186,18 +197,18 @@
         let document = self.document;
         let list = Path::root().field("routes");
         self.names(&list, document.routes.iter().map(|r| r.name.as_str()));
-        for (at, rule) in document.routes.iter().enumerate() {
-            let path = list.index(at);
+        for (index, rule) in document.routes.iter().enumerate() {
+            let path = list.index(index);
             self.version(&path, &rule.service, "version", &rule.version);
             self.condition(&path.field("match"), &rule.matches);
-            let hidden = document.routes[..at]
+            let shadowing = document.routes[..index]
                 .iter()
                 .find(|earlier| earlier.matches.covers(&rule.matches));
-            if let Some(earlier) = hidden {
+            if let Some(earlier) = shadowing {
                 self.add(
                     path,
                     format!(
-                        "no request gets here: route `{}` above matches it first",
+                        "unreachable: the earlier route `{}` matches every such request",
                         earlier.name
                     ),
                 );
@@ -207,23 +218,23 @@
 
     fn condition(&mut self, path: &Path, condition: &Condition) {
         if !condition.path.is_empty() && !condition.path.starts_with('/') {
-            self.add(path.field("path"), "a path begins with `/`");
+            self.add(path.field("path"), "a path must begin with `/`");
         }
         for name in condition.headers.keys() {
             let lower = name.to_ascii_lowercase();
             if *name != lower {
                 self.add(
                     path.field("headers").field(name),
-                    format!("header names are written in lower case: `{lower}`"),
+                    format!("header names must be in lower case: `{lower}`"),
                 );
             }
         }
     }
 
-    /// Checks that a service and a version of it exist; `field` is where the version stands.
+    /// Checks that a service and a version of it exist; `field` names the field with the version.
     fn version(&mut self, path: &Path, service: &str, field: &str, version: &str) {
         let Some(found) = self.document.service(service) else {
-            // Both versions of a move report their service; once is enough.
+            // Both versions of a move refer to the same service, which is reported only once.
             let problem = Problem::new(
                 path.field("service"),
                 format!(
@@ -250,22 +261,22 @@
         let document = self.document;
         let list = Path::root().field("moves");
         self.names(&list, document.moves.iter().map(|m| m.name.as_str()));
-        for (at, plan) in document.moves.iter().enumerate() {
-            let path = list.index(at);
+        for (index, plan) in document.moves.iter().enumerate() {
+            let path = list.index(index);
             self.plan(&path, plan);
-            for (before, other) in document.moves[..at].iter().enumerate() {
+            for (before, other) in document.moves[..index].iter().enumerate() {
                 if other.service != plan.service {
                     continue;
                 }
-                let both = document
+                let shared = document
                     .routes
                     .iter()
                     .find(|rule| plan.applies_to(rule) && other.applies_to(rule));
-                if let Some(rule) = both {
+                if let Some(rule) = shared {
                     self.add(
                         path.clone(),
                         format!(
-                            "route `{}` is moved by `{}` at {} too; take that one out first",
+                            "route `{}` is already moved by `{}` at {}; remove that move first",
                             rule.name,
                             other.name,
                             list.index(before)
@@ -280,16 +291,13 @@
         self.version(path, &plan.service, "from", &plan.from);
         self.version(path, &plan.service, "to", &plan.to);
         if plan.from == plan.to {
-            self.add(
-                path.field("to"),
-                "a move goes to another version than it comes from",
-            );
+            self.add(path.field("to"), "`to` must differ from `from`");
         }
         if plan.start.is_some_and(|start| start >= plan.by) {
             self.add(path.field("by"), "`by` must be later than `start`");
         }
-        for (at, name) in plan.routes.iter().enumerate() {
-            let place = path.field("routes").index(at);
+        for (index, name) in plan.routes.iter().enumerate() {
+            let place = path.field("routes").index(index);
             match self.document.routes.iter().find(|rule| rule.name == *name) {
                 None => self.add(place, format!("there is no route `{name}`")),
                 Some(rule) if rule.service != plan.service => {
@@ -301,26 +309,26 @@
                 Some(_) => {}
             }
         }
-        let mut any = false;
+        let mut affects_any = false;
         for rule in self
             .document
             .routes
             .iter()
             .filter(|rule| plan.applies_to(rule))
         {
-            any = true;
+            affects_any = true;
             if rule.version != plan.from && rule.version != plan.to {
                 self.add(
                     path.field("from"),
                     format!(
-                        "route `{}` goes to version `{}`, neither where the move comes from nor where it goes",
+                        "route `{}` goes to version `{}`, which is neither `from` nor `to` of the move",
                         rule.name, rule.version
                     ),
                 );
             }
         }
-        if !any {
-            self.add(path.clone(), "no route of the service is moved by this");
+        if !affects_any {
+            self.add(path.clone(), "the move affects no route of the service");
         }
     }
 
@@ -338,8 +346,8 @@
     fn levels(&mut self) {
         let document = self.document;
         let mut seen = BTreeSet::new();
-        for (at, level) in document.levels.iter().enumerate() {
-            let path = Path::root().field("levels").index(at);
+        for (index, level) in document.levels.iter().enumerate() {
+            let path = Path::root().field("levels").index(index);
             if document.service(&level.service).is_none() {
                 let names = known(document.services.iter().map(|s| s.name.as_str()));
                 self.add(
@@ -348,28 +356,28 @@
                 );
             }
             if !seen.insert(&level.service) {
-                self.add(path.field("service"), "a service has one level");
+                self.add(path.field("service"), "a service can have only one level");
             }
             if !(level.objective > 0.0 && level.objective < 1.0) {
                 self.add(
                     path.field("objective"),
                     format!(
-                        "{} isn't a share; more than 0 and less than 1 is accepted",
+                        "{} is out of range; a share of more than 0 and less than 1 is accepted",
                         level.objective
                     ),
                 );
             }
             if level.first.is_zero() {
-                self.add(path.field("first"), "a time is more than 0");
+                self.add(path.field("first"), "a time must be more than 0");
             }
             if level.between.is_some_and(|between| between.is_zero()) {
-                self.add(path.field("between"), "a time is more than 0");
+                self.add(path.field("between"), "a time must be more than 0");
             }
         }
     }
 }
 
-/// Says which names would be accepted.
+/// Lists the accepted names for an error message.
 fn known<'a>(names: impl Iterator<Item = &'a str>) -> String {
     let names: Vec<_> = names.map(|name| format!("`{name}`")).collect();
     if names.is_empty() {
@@ -378,7 +386,7 @@
     format!("there is {}", names.join(", "))
 }
 
-/// Tells whether two patterns of server names can match the same server.
+/// Returns whether two patterns of server names can match the same server.
 fn overlap(one: &str, other: &str) -> bool {
     match (one.strip_suffix('*'), other.strip_suffix('*')) {
         (Some(one), Some(other)) => one.starts_with(other) || other.starts_with(one),
@@ -389,7 +397,7 @@
 }
 
 impl Condition {
-    /// Tells whether every request that meets `other` meets this too.
+    /// Returns whether every request that meets `other` also meets this condition.
     fn covers(&self, other: &Self) -> bool {
         let teams = self.teams.is_empty()
             || (!other.teams.is_empty() && other.teams.iter().all(|t| self.teams.contains(t)));
@@ -405,7 +413,7 @@
 }
 
 impl Plan {
-    /// Tells whether the move takes a route's traffic along.
+    /// Returns whether the move affects a route's traffic.
     pub fn applies_to(&self, rule: &Rule) -> bool {
         rule.service == self.service && (self.routes.is_empty() || self.routes.contains(&rule.name))
     }
--- a/components/environment/src/difference.rs
+++ b/components/environment/src/difference.rs
@@ -1,4 +1,4 @@
-//! What changes between two documents, as shown to an operator before a put.
+//! Differences between two documents, shown to an operator before an edit.
 
 use std::{
     collections::BTreeSet,
@@ -9,38 +9,38 @@
 
 use crate::document::Document;
 
-/// One difference between two documents.
+/// One difference between two documents, displayed as one line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// Where, with list elements by name, such as `services[draft].versions[2]`.
+    /// Path of the value, with list elements by name, such as `services[draft].versions[2]`.
     pub path: String,
-    /// What happened there.
+    /// Change of the value.
     pub change: Change,
 }
 
-/// What happened to a value; values are given as JSON.
+/// Change of a value. Values are given as JSON.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It is new.
+    /// The value was added.
     Added {
-        /// What stands there now.
+        /// New value.
         after: String,
     },
-    /// It is gone.
+    /// The value was removed.
     Removed {
-        /// What stood there.
+        /// Old value.
         before: String,
     },
-    /// It is another one.
+    /// The value was replaced.
     Changed {
-        /// What stood there.
+        /// Old value.
         before: String,
-        /// What stands there now.
+        /// New value.
         after: String,
     },
-    /// The same elements stand in another order; for routes the first that matches wins.
+    /// The elements of a list changed their order, which matters for routes: the first match wins.
     Reordered {
-        /// The order now.
+        /// Names of the elements in the new order, separated by commas.
         after: String,
     },
 }
@@ -57,18 +57,18 @@
     }
 }
 
-/// Lists what changes from one document to another; empty when they say the same.
+/// Returns the differences between two documents; empty if they have the same content.
 pub fn diff(before: &Document, after: &Document) -> Vec<Difference> {
-    let mut lines = Vec::new();
-    compare("", &json(before), &json(after), &mut lines);
-    lines
+    let mut differences = Vec::new();
+    compare("", &json(before), &json(after), &mut differences);
+    differences
 }
 
 fn json(document: &Document) -> Value {
     serde_json::to_value(document).unwrap_or(Value::Null)
 }
 
-fn compare(path: &str, before: &Value, after: &Value, lines: &mut Vec<Difference>) {
+fn compare(path: &str, before: &Value, after: &Value, differences: &mut Vec<Difference>) {
     if before == after {
         return;
     }
@@ -80,13 +80,13 @@
                     "" => key.clone(),
                     _ => format!("{path}.{key}"),
                 };
-                either(&path, old.get(key), new.get(key), lines);
+                compare_optional(&path, old.get(key), new.get(key), differences);
             }
         }
-        (Value::Array(old), Value::Array(new)) if named(old) && named(new) => {
-            elements(path, old, new, lines);
+        (Value::Array(old), Value::Array(new)) if all_named(old) && all_named(new) => {
+            compare_elements(path, old, new, differences);
         }
-        _ => lines.push(Difference {
+        _ => differences.push(Difference {
             path: path.into(),
             change: Change::Changed {
                 before: before.to_string(),
@@ -96,9 +96,14 @@
     }
 }
 
-fn either(path: &str, before: Option<&Value>, after: Option<&Value>, lines: &mut Vec<Difference>) {
+fn compare_optional(
+    path: &str,
+    before: Option<&Value>,
+    after: Option<&Value>,
+    differences: &mut Vec<Difference>,
+) {
     let change = match (before, after) {
-        (Some(before), Some(after)) => return compare(path, before, after, lines),
+        (Some(before), Some(after)) => return compare(path, before, after, differences),
         (None, None) => return,
         (None, Some(after)) => Change::Added {
             after: after.to_string(),
@@ -107,51 +112,52 @@
             before: before.to_string(),
         },
     };
-    lines.push(Difference {
+    differences.push(Difference {
         path: path.into(),
         change,
     });
 }
 
-/// Compares lists of things that have names, element by element of the same name.
-fn elements(path: &str, old: &[Value], new: &[Value], lines: &mut Vec<Difference>) {
+/// Compares two lists of named elements, matching the elements by name.
+fn compare_elements(path: &str, old: &[Value], new: &[Value], differences: &mut Vec<Difference>) {
     for value in old {
         let Some(name) = name(value) else { continue };
         let path = format!("{path}[{name}]");
-        either(&path, Some(value), find(new, name), lines);
+        compare_optional(&path, Some(value), find(new, name), differences);
     }
     for value in new {
         let Some(name) = name(value) else { continue };
         if find(old, name).is_none() {
-            either(&format!("{path}[{name}]"), None, Some(value), lines);
+            compare_optional(&format!("{path}[{name}]"), None, Some(value), differences);
         }
     }
-    let kept = |list: &[Value], other: &[Value]| -> Vec<String> {
+    let common = |list: &[Value], other: &[Value]| -> Vec<String> {
         list.iter()
             .filter_map(name)
             .filter(|name| find(other, name).is_some())
             .map(String::from)
             .collect()
     };
-    let order = kept(new, old);
-    if kept(old, new) != order {
-        let all: Vec<_> = new.iter().filter_map(name).collect();
-        lines.push(Difference {
+    let order = common(new, old);
+    if common(old, new) != order {
+        let names: Vec<_> = new.iter().filter_map(name).collect();
+        differences.push(Difference {
             path: path.into(),
             change: Change::Reordered {
-                after: all.join(", "),
+                after: names.join(", "),
             },
         });
     }
 }
 
-/// An element's name; a level goes by its service, a text by itself.
+/// Returns the name of an element: its `name` field, its `service` field for levels, or the text
+/// itself.
 fn name(value: &Value) -> Option<&str> {
     let named = value.get("name").or_else(|| value.get("service"));
     named.unwrap_or(value).as_str()
 }
 
-fn named(list: &[Value]) -> bool {
+fn all_named(list: &[Value]) -> bool {
     list.iter().all(|value| name(value).is_some())
 }
 
--- a/components/environment/src/digest.rs
+++ b/components/environment/src/digest.rs
@@ -1,22 +1,24 @@
-//! A document's digest: equal for texts that say the same.
+//! Digest of a document that is independent of its formatting.
 
 use serde_norway::Value;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Digest of a document's text: comments, layout, quoting and the order of fields don't count.
+/// Returns the digest of a document's text. Comments, layout, quoting and the order of fields don't
+/// affect it.
 ///
-/// It is taken from the YAML values and not from [`crate::Document`], so that processes of two
-/// releases, one of which knows more fields, agree on it. A text that isn't YAML is taken as is.
+/// The digest is computed from the YAML values rather than from [`crate::Document`], so processes
+/// of two releases agree on it even if one of them knows more fields. A text that isn't YAML is
+/// hashed as is.
 pub fn digest(text: &str) -> u64 {
     let mut hash = Xxh3::new();
     match serde_norway::from_str::<Value>(text) {
-        Ok(value) => feed(&mut hash, &value),
+        Ok(value) => hash_value(&mut hash, &value),
         Err(_) => hash.update(text.as_bytes()),
     }
     hash.digest()
 }
 
-/// Kinds of values, so that `1` and `"1"`, or a list and its only element, differ.
+/// Type tags that make the digests of `1` and `"1"`, or of a list and its only element, differ.
 #[repr(u8)]
 enum Tag {
     Null,
@@ -28,23 +30,23 @@
     Tagged,
 }
 
-fn feed(hash: &mut Xxh3, value: &Value) {
+fn hash_value(hash: &mut Xxh3, value: &Value) {
     match value {
         Value::Null => hash.update(&[Tag::Null as u8]),
         Value::Bool(value) => hash.update(&[Tag::Bool as u8, u8::from(*value)]),
-        Value::Number(number) => text(hash, Tag::Number, &number.to_string()),
-        Value::String(value) => text(hash, Tag::String, value),
+        Value::Number(number) => hash_text(hash, Tag::Number, &number.to_string()),
+        Value::String(value) => hash_text(hash, Tag::String, value),
         Value::Sequence(list) => {
-            count(hash, Tag::List, list.len());
+            hash_length(hash, Tag::List, list.len());
             for value in list {
-                feed(hash, value);
+                hash_value(hash, value);
             }
         }
         Value::Mapping(map) => {
-            count(hash, Tag::Map, map.len());
+            hash_length(hash, Tag::Map, map.len());
             let mut entries: Vec<_> = map
                 .iter()
-                .map(|(key, value)| (alone(key), alone(value)))
+                .map(|(key, value)| (value_digest(key), value_digest(value)))
                 .collect();
             entries.sort_unstable();
             for (key, value) in entries {
@@ -53,25 +55,26 @@
             }
         }
         Value::Tagged(tagged) => {
-            text(hash, Tag::Tagged, &tagged.tag.to_string());
-            feed(hash, &tagged.value);
+            hash_text(hash, Tag::Tagged, &tagged.tag.to_string());
+            hash_value(hash, &tagged.value);
         }
     }
 }
 
-/// Digest of one value; mappings are sorted by it, since values of YAML have no whole order.
-fn alone(value: &Value) -> u64 {
+/// Returns the digest of one value. Mappings are sorted by the digests of their entries, since YAML
+/// values have no total order.
+fn value_digest(value: &Value) -> u64 {
     let mut hash = Xxh3::new();
-    feed(&mut hash, value);
+    hash_value(&mut hash, value);
     hash.digest()
 }
 
-fn count(hash: &mut Xxh3, tag: Tag, length: usize) {
+fn hash_length(hash: &mut Xxh3, tag: Tag, length: usize) {
     hash.update(&[tag as u8]);
     hash.update(&(length as u64).to_le_bytes());
 }
 
-fn text(hash: &mut Xxh3, tag: Tag, value: &str) {
-    count(hash, tag, value.len());
+fn hash_text(hash: &mut Xxh3, tag: Tag, value: &str) {
+    hash_length(hash, tag, value.len());
     hash.update(value.as_bytes());
 }
--- a/components/environment/src/document.rs
+++ b/components/environment/src/document.rs
@@ -1,4 +1,4 @@
-//! The shape of an environment's document.
+//! Structure of an environment's document.
 
 use std::{
     collections::BTreeMap,
@@ -22,128 +22,129 @@
     Serialize, //
 };
 
-/// Name under which limits stand for teams that aren't named.
+/// Name of the entry in `teams` whose limits apply to all teams without an entry of their own.
 pub const DEFAULT_TEAM: &str = "default";
 
-/// One environment, whole. Unknown fields are refused.
+/// The document of one environment. Unknown fields are rejected.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// The environment that the document describes, such as `production`.
+    /// Name of the environment, such as `production`.
     pub environment: Environment,
-    /// The services that traffic may go to.
+    /// Services that can receive traffic.
     pub services: Vec<Provision>,
-    /// Which traffic goes to which service and version; the first that matches wins.
+    /// Routes of traffic to services and versions; the first match wins.
     pub routes: Vec<Rule>,
     /// Moves of traffic from one version to another.
     #[serde(default)]
     pub moves: Vec<Plan>,
-    /// Limits and priorities by team; `default` stands for teams that aren't named.
+    /// Limits and priorities by team; `default` applies to teams without an entry.
     #[serde(default)]
     pub teams: BTreeMap<Team, Limit>,
-    /// Service levels that `report burn` measures against.
+    /// Service levels, against which `report burn` measures.
     #[serde(default)]
     pub levels: Vec<Level>,
-    /// What callers may send, and how long they may take over it.
+    /// Limits on the size and duration of callers' requests.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub callers: Option<Bounds>,
 }
 
-/// What callers may send, and how long they may take over it.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time for the head of a request, from its first byte.
+    /// Maximum time to receive a request's head, from its first byte.
     #[serde(with = "humantime_serde")]
     pub header_time: Duration,
-    /// Time for which a connection may rest between two requests.
+    /// Maximum time for which a connection may be idle between two requests.
     #[serde(with = "humantime_serde")]
     pub idle_time: Duration,
 }
 
-/// A service: what kind it is, what it promises, and where its versions run.
+/// A service: its kind, its delivery contract, and the backend servers of its versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Provision {
     /// Name, unique within the document.
     pub name: Service,
-    /// Engine or plain service.
+    /// Kind of backend: engine or plain service.
     pub kind: Kind,
-    /// Model that engines of the service run; empty for plain services.
+    /// Model that the service's engines run; empty for plain services.
     #[serde(default)]
     pub model: String,
-    /// What its backend servers promise.
+    /// Guarantees of the service's backend servers.
     #[serde(default)]
     pub contract: Contract,
-    /// Versions that may get traffic.
+    /// Versions that can receive traffic.
     pub versions: Vec<Release>,
-    /// Present where entries reach the backend servers themselves, without sidecars.
+    /// Present if entries connect to the backend servers directly, without sidecars.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub direct: Option<Direct>,
 }
 
-/// What entries must know of backend servers that they reach themselves.
+/// Properties of backend servers that entries connect to directly.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Direct {
     /// Path of the health check.
     pub health: String,
-    /// Connections that one backend server takes from all entries together; 0 is no limit.
+    /// Maximum number of connections to one backend server, over all entries; 0 means no limit.
     pub connections: u32,
-    /// Engines only: how they work.
+    /// Properties of the engine; engines only.
     pub engine: Option<Engine>,
 }
 
-/// How an engine works.
+/// Properties of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Memory for the tokens of running requests and cached prefixes, in tokens.
+    /// Memory for running requests and cached prefixes, in tokens.
     pub memory: u64,
-    /// Size of one token's part of that memory, in bytes.
+    /// Memory per token, in bytes.
     pub token_bytes: u64,
-    /// Rate at which engines copy memory to one another, in megabits a second.
+    /// Rate at which engines copy memory to each other, in megabits per second.
     pub link_mbps: f64,
-    /// Tokens that one event of a stream may hold.
+    /// Maximum number of tokens in one event of a stream.
     pub stride: u32,
-    /// A running request's memory can be moved to another engine.
+    /// Whether a running request's memory can be moved to another engine.
     pub moves: bool,
-    /// A running request's memory can be copied to another engine as it grows.
+    /// Whether a running request's memory can be replicated to another engine while it grows.
     pub backups: bool,
-    /// How long a copy that isn't used is kept.
+    /// How long an unused copy is retained.
     #[serde(with = "humantime_serde")]
     pub copy_kept: Duration,
 }
 
-/// What stands behind a service.
+/// Kind of a service's backend servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A model engine, which answers with streams of tokens.
+    /// A model engine, which responds with streams of tokens.
     Engine,
-    /// A plain service, whose calls are passed through.
+    /// A plain service, whose calls are forwarded unchanged.
     Plain,
 }
 
-/// What the backend servers of a service promise.
+/// Guarantees of a service's backend servers about repeated and continued requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Contract {
-    /// Engines: a run can continue from tokens that exist already.
+    /// Engines: a run can continue from existing tokens.
     pub continues: bool,
-    /// Plain services: any call may be repeated. Otherwise calls run at most once.
+    /// Plain services: any call may be repeated; otherwise calls run at most once.
     pub idempotent: bool,
-    /// Plain services: methods whose calls may be repeated all the same, such as `GET`.
+    /// Plain services: methods whose calls may be repeated even if the service isn't idempotent,
+    /// such as `GET`.
     pub safe_methods: Vec<String>,
-    /// Plain services: the service itself drops a second call with the same key.
+    /// Plain services: the service deduplicates calls with the same key.
     pub drops_repeats: bool,
-    /// The backend servers refuse an order that carries an old fencing token.
+    /// The backend servers reject an order with an old fencing token.
     pub checks_fence: bool,
 }
 
@@ -165,25 +166,25 @@
 pub struct Release {
     /// Name, unique within the service.
     pub name: Version,
-    /// Backend servers by name; a trailing `*` matches any ending.
+    /// Names of backend servers; a trailing `*` matches any suffix.
     pub servers: Vec<Server>,
 }
 
-/// A route: which traffic it matches and where that goes.
+/// A route: a condition on requests, and the service and version that receive them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     /// Name, unique within the document.
     pub name: Route,
-    /// All given conditions must hold; no condition matches everything.
+    /// Condition that requests must meet; an empty one matches every request.
     #[serde(default, rename = "match")]
     pub matches: Condition,
-    /// Service that the traffic goes to.
+    /// Service that receives the traffic.
     pub service: Service,
-    /// Version that the traffic goes to when no move says otherwise.
+    /// Version that receives the traffic unless a move changes it.
     pub version: Version,
-    /// Present on routes whose requests are passed through as bytes to backend servers that the
-    /// entry reaches itself.
+    /// Present on routes whose requests are passed through as bytes to backend servers that entries
+    /// connect to directly.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pass: Option<Passthrough>,
 }
@@ -192,91 +193,92 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Passthrough {
-    /// What may be repeated.
+    /// Whether and how requests may be repeated.
     pub repeats: Repeats,
-    /// The answer is a stream of events.
+    /// Whether the response is a stream of events.
     #[serde(default)]
     pub stream: bool,
-    /// Longest time that a request is kept waiting for its whole answer.
+    /// Maximum time until the complete response.
     #[serde(
         default,
         with = "humantime_serde::option",
         skip_serializing_if = "Option::is_none"
     )]
     pub timeout: Option<Duration>,
-    /// Time within which an answer, or a stream's first event, is worth most.
+    /// Target time until the response, or until a stream's first event.
     #[serde(with = "humantime_serde")]
     pub objective: Duration,
-    /// Streams: longest time between two events with which an answer is still in time.
+    /// Streams: target for the maximum time between two events.
     #[serde(
         default,
         with = "humantime_serde::option",
         skip_serializing_if = "Option::is_none"
     )]
     pub gap: Option<Duration>,
-    /// Backend servers that one request may be sent to.
+    /// Maximum number of backend servers that one request is sent to.
     pub attempts: u32,
-    /// Rank: 0 goes first.
+    /// Priority rank; 0 is served first.
     #[serde(default)]
     pub rank: u8,
-    /// Needs no key.
+    /// Whether requests need no key.
     #[serde(default)]
     pub public: bool,
-    /// Requests that share the beginning of their prompts gain from the same engine.
+    /// Whether requests with a common prompt prefix benefit from the same engine.
     #[serde(default)]
     pub sticky: bool,
-    /// Shares of the route's requests by service; empty when all go to the route's own service.
+    /// Weighted split of the route's requests over services; if empty, all requests go to the
+    /// route's own service.
     #[serde(default)]
     pub split: Vec<Share>,
 }
 
-/// What may be repeated.
+/// Whether and how the requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeats {
-    /// Nothing: a request runs at most once.
+    /// Never: a request runs at most once.
     Never,
-    /// A request may run again from its beginning.
+    /// A request may be repeated from the start.
     Always,
-    /// A stream may go on elsewhere behind the last event that was delivered.
+    /// A stream may resume on another backend server after the last delivered event.
     Resumes,
 }
 
-/// A part of a route's requests.
+/// A service's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
-    /// Where this part goes.
+    /// Service that receives this share.
     pub service: Service,
-    /// Its size against the sum of all weights.
+    /// Weight of this share, relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// Conditions of a route. An empty field holds for everything.
+/// Condition of a route. All fields must match; an empty field matches every request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Condition {
-    /// Host that the request names.
+    /// Value of the request's `Host`.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub host: String,
-    /// Prefix of the path.
+    /// Prefix of the request's path.
     pub path: String,
-    /// Teams, any of them.
+    /// Teams, one of which must have sent the request.
     pub teams: Vec<Team>,
-    /// The `model` field of the body.
+    /// Value of the `model` field in the request's body.
     pub model: String,
-    /// Headers that must have these values; names in lower case.
+    /// Required header values; names in lower case.
     pub headers: BTreeMap<String, String>,
 }
 
-/// Where a request goes.
+/// Destination of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Target {
-    /// Service that answers.
+    /// Service that handles the request.
     pub service: Service,
-    /// Version that answers when no move says otherwise.
+    /// Version that handles the request unless a move changes it.
     pub version: Version,
-    /// Route that matched.
+    /// Route that matched the request.
     pub route: Route,
 }
 
@@ -284,34 +286,35 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Name, unique within the environment for good: its outcome is kept under this name.
+    /// Name, unique within the environment for all time, because the move's outcome is stored under
+    /// it.
     pub name: Move,
     /// Service whose traffic moves.
     pub service: Service,
-    /// Version that the traffic leaves.
+    /// Version that the traffic moves away from.
     pub from: Version,
-    /// Version that the traffic goes to.
+    /// Version that the traffic moves to.
     pub to: Version,
-    /// Routes that move; all routes of the service when empty.
+    /// Names of the affected routes; all routes of the service if empty.
     #[serde(default)]
     pub routes: Vec<Route>,
-    /// When the ramp begins, as wall-clock time; when the document is accepted if not given.
+    /// Wall-clock time at which the ramp begins; the time of the document's acceptance if absent.
     #[serde(
         default,
         with = "humantime_serde::option",
         skip_serializing_if = "Option::is_none"
     )]
     pub start: Option<SystemTime>,
-    /// Wall-clock time by which all traffic must have moved.
+    /// Wall-clock deadline by which all traffic must have moved.
     #[serde(with = "humantime_serde")]
     pub by: SystemTime,
-    /// How long the old version stays ready after the end, for faults that show late.
+    /// How long the old version stays ready after the move, in case faults appear late.
     #[serde(default = "Plan::default_watch", with = "humantime_serde")]
     pub watch: Duration,
 }
 
 impl Plan {
-    /// Watch time when the document gives none.
+    /// Default of `watch`.
     fn default_watch() -> Duration {
         Duration::from_secs(15 * 60)
     }
@@ -321,15 +324,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limit {
-    /// Requests that may be in flight at once over the whole system; 0 is no limit.
+    /// Maximum number of requests in flight over the whole system; 0 means no limit.
     pub in_flight: u32,
-    /// Requests a second over the whole system; 0 is no limit.
+    /// Maximum number of requests per second over the whole system; 0 means no limit.
     pub rate: u32,
-    /// Weight of the team's fair share.
+    /// Weight of the team in fair queueing.
     pub weight: u32,
-    /// Priority: higher goes first.
+    /// Priority; higher values are served first.
     pub priority: u8,
-    /// Keys by which callers of the team are known on routes that are passed through.
+    /// Keys that identify the team's callers on routes whose requests are passed through.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub keys: Vec<String>,
 }
@@ -346,35 +349,35 @@
     }
 }
 
-/// A service level: what share of requests must meet which times.
+/// A service level: the share of requests that must meet given times.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Level {
-    /// Service that the level is for.
+    /// Service that the level applies to.
     pub service: Service,
-    /// Time from a request's arrival to its first token or byte.
+    /// Maximum time from a request's arrival to its first token or byte.
     #[serde(with = "humantime_serde")]
     pub first: Duration,
-    /// Time between tokens; not checked for plain services.
+    /// Maximum time between tokens; not checked for plain services.
     #[serde(
         default,
         with = "humantime_serde::option",
         skip_serializing_if = "Option::is_none"
     )]
     pub between: Option<Duration>,
-    /// Share of requests that must meet the level, between 0 and 1.
+    /// Share of requests that must meet the level, more than 0 and less than 1.
     pub objective: f64,
 }
 
 impl Document {
-    /// Finds a service by its name.
+    /// Returns the service with a name.
     pub fn service(&self, name: &str) -> Option<&Provision> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// Finds where a request goes: the first route that matches it wins.
+    /// Returns the destination of a request: that of the first route that matches it.
     ///
-    /// `header` gives a header's value by its name in lower case.
+    /// `header` returns a header's value by its name in lower case.
     pub fn route(
         &self,
         path: &str,
@@ -393,7 +396,7 @@
         })
     }
 
-    /// Finds the limits of a team; teams that aren't named have those of `default`.
+    /// Returns the limits of a team; those of `default` if the team has no entry.
     pub fn limit(&self, team: &str) -> Limit {
         self.teams
             .get(team)
@@ -404,7 +407,7 @@
 }
 
 impl Condition {
-    /// Tells whether a request meets every condition.
+    /// Returns whether a request meets the condition, apart from its host.
     pub fn matches(
         &self,
         path: &str,
@@ -428,12 +431,12 @@
 }
 
 impl Release {
-    /// Tells whether a backend server runs this version.
+    /// Returns whether a backend server runs this version.
     pub fn runs_on(&self, server: &str) -> bool {
         self.servers
             .iter()
             .any(|pattern| match pattern.strip_suffix('*') {
-                Some(start) => server.starts_with(start),
+                Some(prefix) => server.starts_with(prefix),
                 None => pattern == server,
             })
     }
--- a/components/environment/src/index.rs
+++ b/components/environment/src/index.rs
@@ -1,4 +1,4 @@
-//! A document made ready for look-ups: routes by host and prefix, teams by key.
+//! A document with lookup tables: routes by host and path prefix, teams by key.
 
 use std::collections::HashMap;
 
@@ -10,38 +10,39 @@
     Rule, //
 };
 
-/// A document with the tables that each request needs.
+/// A document with the lookup tables that serve each request.
 #[derive(Clone, Debug)]
 pub struct Index {
     document: Document,
     /// Positions in `document.routes` by host, longest prefix first.
     hosts: HashMap<String, Vec<usize>>,
+    /// Teams by key.
     keys: HashMap<String, Team>,
 }
 
-/// A route that a request matched.
+/// The route that a request matches.
 #[derive(Clone, Copy, Debug)]
 pub struct Match<'a> {
-    /// The route.
+    /// Rule of the route.
     pub rule: &'a Rule,
-    /// How its requests are passed through.
+    /// How requests of the route are passed through.
     pub pass: &'a Passthrough,
 }
 
 impl Index {
-    /// Builds the tables. Routes that aren't passed through are left out.
+    /// Builds the tables. They contain only routes whose requests are passed through.
     pub fn new(document: Document) -> Index {
         let mut hosts: HashMap<String, Vec<usize>> = HashMap::new();
-        for (at, rule) in document.routes.iter().enumerate() {
+        for (index, rule) in document.routes.iter().enumerate() {
             if rule.pass.is_none() {
                 continue;
             }
             let host = rule.matches.host.to_ascii_lowercase();
-            hosts.entry(host).or_default().push(at);
+            hosts.entry(host).or_default().push(index);
         }
         for routes in hosts.values_mut() {
-            let length = |at: &usize| document.routes[*at].matches.path.len();
-            routes.sort_by_key(|at| std::cmp::Reverse(length(at)));
+            let length = |index: &usize| document.routes[*index].matches.path.len();
+            routes.sort_by_key(|index| std::cmp::Reverse(length(index)));
         }
         let mut keys = HashMap::new();
         for (team, limit) in &document.teams {
@@ -56,23 +57,23 @@
         }
     }
 
-    /// The document.
+    /// Returns the document.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// Finds the route with the longest prefix among those of a host.
+    /// Returns the route of a host with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<Match<'_>> {
-        let lower;
+        let lowercase;
         let routes = match self.hosts.get(host) {
             Some(routes) => routes,
             None => {
-                lower = host.to_ascii_lowercase();
-                self.hosts.get(&lower)?
+                lowercase = host.to_ascii_lowercase();
+                self.hosts.get(&lowercase)?
             }
         };
-        for at in routes {
-            let rule = &self.document.routes[*at];
+        for index in routes {
+            let rule = &self.document.routes[*index];
             if !path.starts_with(&rule.matches.path) {
                 continue;
             }
@@ -82,12 +83,12 @@
         None
     }
 
-    /// Finds the team that holds a key.
+    /// Returns the team that owns a key.
     pub fn team(&self, key: &str) -> Option<&Team> {
         self.keys.get(key)
     }
 
-    /// Whether callers are known by keys at all.
+    /// Returns whether the document defines teams, whose callers identify themselves by keys.
     pub fn keyed(&self) -> bool {
         !self.document.teams.is_empty()
     }
--- a/components/environment/src/lib.rs
+++ b/components/environment/src/lib.rs
@@ -1,7 +1,7 @@
-//! Operators' documents: one YAML document describes one environment.
+//! Environment documents: one YAML document, written by operators, describes one environment.
 //!
-//! The document says which backend servers and versions serve which traffic, what each service
-//! promises about repeats, which limits the teams have, and which moves of traffic are under way.
+//! The document defines which backend servers and versions serve which traffic, whether calls to
+//! each service may be repeated, the limits of the teams, and the moves of traffic in progress.
 
 pub mod check;
 pub mod difference;
--- a/components/environment/src/parse.rs
+++ b/components/environment/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a document from YAML, with errors that a person can act on.
+//! Parsing of documents from YAML, with errors that name the line and the accepted values.
 
 use serde::de::{
     DeserializeSeed,
@@ -15,40 +15,48 @@
     path::Path, //
 };
 
-/// Largest document, in bytes: the platform's store takes values up to a megabyte, and the entry
-/// wraps a document in an envelope with its history; the last 64 KiB are kept for that.
+/// Maximum size of a document, in bytes. The platform's store accepts values of up to 1 MiB; 64 KiB
+/// of it are reserved for the envelope with the document's history, which the entry adds.
 pub const MAX_DOCUMENT_BYTES: usize = (1 << 20) - (64 << 10);
 
-/// Why a text isn't a document.
+/// Why a text can't be parsed as a document.
 #[derive(Clone, Debug, PartialEq, Eq, ThisError)]
 pub enum Error {
-    /// The text is larger than the store takes.
+    /// The text is larger than [`MAX_DOCUMENT_BYTES`].
     #[error("the document has {bytes} bytes; at most {MAX_DOCUMENT_BYTES} are accepted")]
     TooLarge {
         /// Size of the text in bytes.
         bytes: usize,
     },
-    /// The text isn't YAML, or a field is unknown, missing or of the wrong kind.
+    /// The text isn't YAML, or a field is unknown, missing or of the wrong type.
     #[error("line {line}, {field}: {message}")]
     Field {
-        /// Line in the text, from 1.
+        /// Line in the text, counted from 1.
         line: usize,
         /// Path of the field, such as `services[0].kind`.
         field: String,
-        /// What is wrong, and what is accepted.
+        /// Description of the error and of what is accepted.
         message: String,
     },
 }
 
-/// Reads a document's shape. Unknown fields are refused; [`check`] tells whether it makes sense.
+/// Parses a document without checking its consistency, see [`check`]. Unknown fields are rejected.
+///
+/// # Errors
+///
+/// [`Error::TooLarge`] above [`MAX_DOCUMENT_BYTES`], [`Error::Field`] for the first syntax error.
 pub fn parse(text: &str) -> Result<Document, Error> {
     if text.len() > MAX_DOCUMENT_BYTES {
         return Err(Error::TooLarge { bytes: text.len() });
     }
-    serde_norway::from_str(text).map_err(|error| field(&error))
+    serde_norway::from_str(text).map_err(|error| field_error(&error))
 }
 
-/// Reads a document and checks it; every problem that is found comes with its line.
+/// Parses and checks a document.
+///
+/// # Errors
+///
+/// All problems, sorted by line.
 pub fn read(text: &str) -> Result<Document, Vec<Problem>> {
     let document = match parse(text) {
         Ok(document) => document,
@@ -65,7 +73,10 @@
     Err(problems)
 }
 
-/// Gives a document's text another environment; everything else stays as it is, comments too.
+/// Replaces the environment's name in a document's text and leaves everything else unchanged,
+/// including comments.
+///
+/// Returns `None` if the text isn't a document or the name can't be replaced unambiguously.
 pub fn replace_environment(text: &str, environment: &str) -> Option<String> {
     let document = parse(text).ok()?;
     let line = Path::root().field("environment").line(text)?;
@@ -74,18 +85,18 @@
     let (name, value) = line.split_once(':')?;
     let value = value.replacen(&document.environment, environment, 1);
     *line = format!("{name}:{value}");
-    let mut renamed = lines.join("\n");
-    renamed.push('\n');
-    // A text in which the name stands elsewhere on the line is refused rather than spoilt.
-    let wanted = Document {
+    let mut replaced = lines.join("\n");
+    replaced.push('\n');
+    // If the name also occurs elsewhere on the line, fail instead of corrupting the text.
+    let expected = Document {
         environment: environment.into(),
         ..document
     };
-    (parse(&renamed).ok()? == wanted).then_some(renamed)
+    (parse(&replaced).ok()? == expected).then_some(replaced)
 }
 
-/// What the library expects, and how a person would put it.
-const EXPECTED: [(&str, &str); 6] = [
+/// Expectations in the YAML library's messages and their replacements in terms of the document.
+const EXPECTATIONS: [(&str, &str); 6] = [
     (
         "expected a timestamp",
         "expected a time such as `2026-12-03T11:00:00Z`",
@@ -100,9 +111,9 @@
     ("expected a sequence", "expected a list"),
 ];
 
-/// Takes the library's message apart: it reads `services[0].kind: unknown variant .. at line 3
-/// column 5`, with the path and the place left out where they aren't known.
-fn field(error: &serde_norway::Error) -> Error {
+/// Converts an error of the YAML library. Its message has the form `services[0].kind: unknown
+/// variant .. at line 3 column 5`, where the path and the position are optional.
+fn field_error(error: &serde_norway::Error) -> Error {
     let text = error.to_string();
     let text = match text.rfind(" at line ") {
         Some(end) => &text[..end],
@@ -113,13 +124,13 @@
         _ => ("document", text),
     };
     let mut message = message.to_string();
-    for (said, meant) in EXPECTED {
-        if message.ends_with(said) {
-            message = message.replace(said, meant);
+    for (original, replacement) in EXPECTATIONS {
+        if message.ends_with(original) {
+            message = message.replace(original, replacement);
         }
     }
     Error::Field {
-        line: error.location().map_or(1, |place| place.line()),
+        line: error.location().map_or(1, |location| location.line()),
         field: field.to_string(),
         message,
     }
@@ -143,13 +154,13 @@
 }
 
 impl Path {
-    /// Finds the line at which this path's value begins in a text.
+    /// Returns the line, counted from 1, at which the value at this path begins in a text.
     fn line(&self, text: &str) -> Option<usize> {
-        // The search ends with an error on purpose: the library says where it was.
+        // The seed fails on purpose at the value, and the library's error contains the position.
         let result: Result<IgnoredAny, _> = self
             .seek()
             .deserialize(serde_norway::Deserializer::from_str(text));
         let error = result.err()?;
-        error.location().map(|place| place.line())
+        error.location().map(|location| location.line())
     }
 }
--- a/components/environment/src/path.rs
+++ b/components/environment/src/path.rs
@@ -1,4 +1,4 @@
-//! Where in a document something stands.
+//! Paths of values in a document.
 
 use std::fmt;
 
@@ -14,31 +14,31 @@
     }, //
 };
 
-/// One step down from a value to a part of it.
+/// One step of a path, from a value to one of its parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
     /// A field or key of a mapping.
     Field(String),
-    /// An element of a sequence, from 0.
+    /// An element of a sequence, counted from 0.
     Index(usize),
 }
 
-/// Path of a value from the document's top, written like `services[0].kind`.
+/// Path of a value from the root of the document, displayed as `services[0].kind`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Path(Vec<Step>);
 
 impl Path {
-    /// The document itself.
+    /// Returns the path of the document itself.
     pub fn root() -> Self {
         Self::default()
     }
 
-    /// The path of a field below this one.
+    /// Returns the path of a field of the value at this path.
     pub fn field(&self, name: impl Into<String>) -> Self {
         self.with(Step::Field(name.into()))
     }
 
-    /// The path of an element of the sequence that this path leads to.
+    /// Returns the path of an element of the sequence at this path.
     pub fn index(&self, index: usize) -> Self {
         self.with(Step::Index(index))
     }
@@ -49,7 +49,7 @@
         Self(steps)
     }
 
-    /// A search for this path in YAML; it ends with an error at the value it was looking for.
+    /// Returns a deserializer seed that fails at the value at this path.
     pub(crate) fn seek(&self) -> Seek<'_> {
         Seek(&self.0)
     }
@@ -60,9 +60,9 @@
         if self.0.is_empty() {
             return out.write_str("document");
         }
-        for (at, step) in self.0.iter().enumerate() {
+        for (position, step) in self.0.iter().enumerate() {
             match step {
-                Step::Field(name) if at == 0 => out.write_str(name)?,
+                Step::Field(name) if position == 0 => out.write_str(name)?,
                 Step::Field(name) => write!(out, ".{name}")?,
                 Step::Index(index) => write!(out, "[{index}]")?,
             }
@@ -71,10 +71,10 @@
     }
 }
 
-/// Walks the remaining steps, skips everything else, and fails where the last step leads.
+/// Follows the remaining steps, skips all other values, and fails at the end of the path.
 ///
-/// The YAML library keeps no positions in what it reads, but its errors carry one. A second parser
-/// only for line numbers isn't needed so.
+/// The YAML library doesn't retain positions in deserialized values, but its errors carry one.
+/// Failing on purpose yields the line number without a second parser.
 pub(crate) struct Seek<'a>(&'a [Step]);
 
 impl<'de> DeserializeSeed<'de> for Seek<'_> {
@@ -84,7 +84,7 @@
         match self.0.first() {
             Some(Step::Field(_)) => from.deserialize_map(self),
             Some(Step::Index(_)) => from.deserialize_seq(self),
-            // The visitor takes no scalar, so that the library refuses what stands here, with its
+            // The visitor accepts no scalar, so the library rejects the value here and reports its
             // line.
             None => from.deserialize_any(self),
         }
@@ -95,7 +95,7 @@
     type Value = IgnoredAny;
 
     fn expecting(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str("a value on the way")
+        out.write_str("a mapping or sequence on the path")
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<IgnoredAny, A::Error> {
@@ -112,18 +112,18 @@
                 }
             }
         }
-        // A field that was left out stands, for a reader, where its mapping begins.
-        Err(A::Error::custom("left out"))
+        // A missing field is reported at the start of its mapping.
+        Err(A::Error::custom("missing"))
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<IgnoredAny, A::Error> {
         if self.0.is_empty() {
             return Err(A::Error::custom("found"));
         }
-        let mut at = 0;
+        let mut position = 0;
         loop {
             let found = match self.0 {
-                [Step::Index(index), rest @ ..] if *index == at => {
+                [Step::Index(index), rest @ ..] if *index == position => {
                     seq.next_element_seed(Seek(rest))?
                 }
                 _ => seq.next_element::<IgnoredAny>()?,
@@ -131,7 +131,7 @@
             if found.is_none() {
                 return Ok(IgnoredAny);
             }
-            at += 1;
+            position += 1;
         }
     }
 }
--- a/components/environment/tests/document.rs
+++ b/components/environment/tests/document.rs
@@ -1,4 +1,4 @@
-//! Documents: the examples are accepted, mistakes are named with their line, requests find a target.
+//! Parsing, checking, comparing and routing of documents.
 
 use std::collections::BTreeMap;
 
@@ -16,8 +16,8 @@
 const PAYOUT: &str = include_str!("../../../examples/payout-desk.yaml");
 const PRE_ORDER: &str = include_str!("../../../examples/pre-order-desk.yaml");
 
-fn example(text: &str) -> Document {
-    read(text).expect("an example is a document that can be accepted")
+fn document(text: &str) -> Document {
+    read(text).expect("the document is valid")
 }
 
 #[rstest]
@@ -25,15 +25,15 @@
 #[case(PAYOUT, "ledger", 3)]
 #[case(PRE_ORDER, "letters", 20)]
 #[case(PRE_ORDER, "booking", 3)]
-fn an_example_names_its_replicas(#[case] text: &str, #[case] name: &str, #[case] replicas: usize) {
-    let document = example(text);
+fn example_lists_its_replicas(#[case] text: &str, #[case] name: &str, #[case] replicas: usize) {
+    let document = document(text);
     let service = document.service(name).expect("the example has the service");
-    let named: usize = service.versions.iter().map(|v| v.servers.len()).sum();
-    assert_eq!(named, replicas);
+    let listed: usize = service.versions.iter().map(|v| v.servers.len()).sum();
+    assert_eq!(listed, replicas);
 }
 
-// An operator slips in one place of a document that is right otherwise. Without the line and what
-// is accepted the mistake has to be looked for in hundreds of lines, while a move waits.
+// A document with one error must be rejected with the error's line and the accepted values.
+// Otherwise an operator searches hundreds of lines while a move waits.
 #[rstest]
 #[case("unknown_field", "    kind: plain\n", "    kind: plain\n    sort: x\n")]
 #[case("unknown_kind", "    kind: plain\n", "    kind: simple\n")]
@@ -47,22 +47,22 @@
     "versions: 14"
 )]
 #[case("not_yaml", "services:\n", "services: [\n")]
-#[case("bad_name", "environment: production", "environment: a/b")]
+#[case("invalid_name", "environment: production", "environment: a/b")]
 #[case(
-    "service_twice",
+    "duplicate_service",
     "- name: ledger\n    kind",
     "- name: drafting\n    kind"
 )]
 #[case(
-    "version_twice",
+    "duplicate_version",
     "\"2026.11\"\n        servers",
     "\"2026.10\"\n        servers"
 )]
-#[case("server_twice", "- draft-west-08", "- draft-w*")]
-#[case("no_model", "    model: rota-writer\n", "")]
+#[case("server_claimed_twice", "- draft-west-08", "- draft-w*")]
+#[case("missing_model", "    model: rota-writer\n", "")]
 #[case("unknown_service", "    service: ledger\n", "    service: leger\n")]
 #[case("unknown_version", "version: \"14\"", "version: \"15\"")]
-#[case("hidden_route", "path: /svc/ledger/", "path: \"\"")]
+#[case("unreachable_route", "path: /svc/ledger/", "path: \"\"")]
 #[case("move_to_itself", "to: \"2026.11\"", "to: \"2026.10\"")]
 #[case("move_unknown_version", "to: \"2026.11\"", "to: \"2026.12\"")]
 #[case("move_ends_before_start", "11:00:00Z", "07:00:00Z")]
@@ -76,32 +76,32 @@
     "moves:\n",
     "moves:\n  - { name: other, service: drafting, from: \"2026.10\", to: \"2026.11\", routes: [questions], by: 2026-12-03T11:00:00Z }\n"
 )]
-#[case("no_weight", "    weight: 4\n", "    weight: 0\n")]
-#[case("objective", "objective: 0.95", "objective: 95")]
+#[case("zero_weight", "    weight: 4\n", "    weight: 0\n")]
+#[case("objective_out_of_range", "objective: 0.95", "objective: 95")]
 #[case(
     "level_unknown_service",
     "  - service: ledger\n",
     "  - service: leger\n"
 )]
-#[case("method", "[GET, HEAD]", "[get]")]
-fn a_mistake_is_named_with_its_line(#[case] name: &str, #[case] from: &str, #[case] to: &str) {
+#[case("invalid_method", "[GET, HEAD]", "[get]")]
+fn error_is_reported_with_its_line(#[case] name: &str, #[case] from: &str, #[case] to: &str) {
     assert!(
         PAYOUT.contains(from),
-        "the example has the text that {name} replaces"
+        "the example contains the text that {name} replaces"
     );
-    let problems = read(&PAYOUT.replacen(from, to, 1)).expect_err("the mistake is found");
+    let problems = read(&PAYOUT.replacen(from, to, 1)).expect_err("the error is found");
     let lines: Vec<_> = problems.iter().map(ToString::to_string).collect();
     insta::assert_snapshot!(name, lines.join("\n"));
 }
 
 #[test]
-fn a_document_past_the_stores_size_is_refused() {
+fn oversized_document_is_rejected() {
     let text = format!("{PAYOUT}# {}\n", "x".repeat(1 << 20));
-    insta::assert_snapshot!("large", parse(&text).expect_err("it is too large"));
+    insta::assert_snapshot!("too_large", parse(&text).expect_err("it is too large"));
 }
 
 #[test]
-fn the_digest_counts_what_is_said_and_not_how() {
+fn digest_depends_on_content_and_not_on_formatting() {
     let plain = "environment: a\nservices: []\nroutes: []\n";
     let other = "# A comment.\nroutes: []\nservices: [ ]\nenvironment: \"a\"\n";
     assert_eq!(digest(plain), digest(other));
@@ -115,8 +115,8 @@
 }
 
 #[test]
-fn a_difference_is_shown_by_name() {
-    let before = example(PAYOUT);
+fn differences_are_reported_by_element_name() {
+    let before = document(PAYOUT);
     let mut after = before.clone();
     after.services[0].versions[1]
         .servers
@@ -138,18 +138,18 @@
 #[case("/v1/completions", "statements", "rota-writer", Some("statements"))]
 #[case("/v1/completions", "members", "rota-writer", Some("questions"))]
 #[case("/other", "members", "", None)]
-fn a_request_finds_the_first_route_that_matches(
+fn request_takes_the_first_matching_route(
     #[case] path: &str,
     #[case] team: &str,
     #[case] model: &str,
     #[case] route: Option<&str>,
 ) {
-    let target = example(PAYOUT).route(path, team, model, |_| None);
+    let target = document(PAYOUT).route(path, team, model, |_| None);
     assert_eq!(target.map(|target| target.route).as_deref(), route);
 }
 
 #[test]
-fn a_route_matches_headers_and_model() {
+fn route_matches_headers_and_model() {
     let text = "
 environment: a
 services:
@@ -158,7 +158,7 @@
   - { name: canary, match: { headers: { x-try: 'yes' }, model: m }, service: s, version: '1' }
   - { name: rest, service: s, version: '1' }
 ";
-    let document = example(text);
+    let document = document(text);
     let headers = BTreeMap::from([("x-try", "yes")]);
     let header = |name: &str| headers.get(name).map(ToString::to_string);
     let target = |model: &str| document.route("/", "t", model, header);
@@ -174,21 +174,21 @@
 }
 
 #[test]
-fn limits_fall_back_to_those_of_default() {
-    let document = example(PAYOUT);
+fn limits_fall_back_to_the_default_team() {
+    let document = document(PAYOUT);
     assert_eq!(document.limit("statements").weight, 4);
     assert_eq!(document.limit("nobody").in_flight, 20);
 }
 
-// A trial is promoted: its text goes on under the name of production. A name that stands in the
-// text elsewhere must stay as it is, and so must the comments.
+// When a trial environment is promoted, its document is stored under the name of production. Other
+// occurrences of the name in the text, and the comments, must remain unchanged.
 #[test]
-fn a_text_is_renamed_for_another_environment() {
+fn environment_name_is_replaced_in_a_text() {
     let text = "# About e.\nenvironment: 'e' # Here e.\nservices: []\nroutes: []\n";
-    let wanted = "# About e.\nenvironment: 'production' # Here e.\nservices: []\nroutes: []\n";
+    let expected = "# About e.\nenvironment: 'production' # Here e.\nservices: []\nroutes: []\n";
     assert_eq!(
         replace_environment(text, "production").as_deref(),
-        Some(wanted)
+        Some(expected)
     );
     assert_eq!(replace_environment("not a document", "production"), None);
 }
