--- a/components/orders/src/sequencer.rs
+++ b/components/orders/src/sequencer.rs
@@ -29,7 +29,7 @@
     /// the order's connection was closed.
     pub settle_time: Duration,
     /// Retry delay that issuers receive while the store is unavailable.
-    pub retry_interval: Duration,
+    pub retry_after: Duration,
 }
 
 impl Default for Settings {
@@ -37,7 +37,7 @@
         Self {
             checks_fence: false,
             settle_time: Duration::from_secs(30),
-            retry_interval: Duration::from_secs(2),
+            retry_after: Duration::from_secs(2),
         }
     }
 }
@@ -152,7 +152,7 @@
     }
 
     /// Returns the newest token that the sequencer has accepted or read, if known.
-    pub fn highest(&self) -> Option<Fence> {
+    pub fn newest(&self) -> Option<Fence> {
         match self.newest {
             Newest::Known(fence) => Some(fence),
             Newest::Unknown | Newest::Reading => None,
@@ -222,7 +222,7 @@
         let refusal = answer(
             fence,
             Answer::StoreOut {
-                retry_after: self.settings.retry_interval,
+                retry_after: self.settings.retry_after,
             },
         );
         if self.newest == Newest::Reading {
