--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -171,7 +171,7 @@
 }
 
 fn check(text: &str, environment: &str) -> Result<(), Problem> {
-    let document = environment::read(text).map_err(|problems| {
+    let document = environment::parse_checked(text).map_err(|problems| {
         let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
         Problem::invalid("body", lines.join("\n"))
     })?;
--- a/components/environment/src/lib.rs
+++ b/components/environment/src/lib.rs
@@ -29,6 +29,6 @@
     Error,
     MAX_DOCUMENT_BYTES,
     parse,
-    read,
+    parse_checked,
     replace_environment, //
 };
--- a/components/environment/src/parse.rs
+++ b/components/environment/src/parse.rs
@@ -57,7 +57,7 @@
 /// # Errors
 ///
 /// All problems, sorted by line.
-pub fn read(text: &str) -> Result<Document, Vec<Problem>> {
+pub fn parse_checked(text: &str) -> Result<Document, Vec<Problem>> {
     let document = match parse(text) {
         Ok(document) => document,
         Err(error) => return Err(vec![Problem::from(error)]),
--- a/components/environment/tests/document.rs
+++ b/components/environment/tests/document.rs
@@ -8,23 +8,23 @@
     diff,
     digest,
     parse,
-    read,
+    parse_checked,
     replace_environment, //
 };
 use rstest::rstest;
 
-const PAYOUT: &str = include_str!("../../../examples/payout-desk.yaml");
-const PRE_ORDER: &str = include_str!("../../../examples/pre-order-desk.yaml");
+const PAYOUT_DESK: &str = include_str!("../../../examples/payout-desk.yaml");
+const PRE_ORDER_DESK: &str = include_str!("../../../examples/pre-order-desk.yaml");
 
 fn document(text: &str) -> Document {
-    read(text).expect("the document is valid")
+    parse_checked(text).expect("the document is valid")
 }
 
 #[rstest]
-#[case(PAYOUT, "drafting", 25)]
-#[case(PAYOUT, "ledger", 3)]
-#[case(PRE_ORDER, "letters", 20)]
-#[case(PRE_ORDER, "booking", 3)]
+#[case(PAYOUT_DESK, "drafting", 25)]
+#[case(PAYOUT_DESK, "ledger", 3)]
+#[case(PRE_ORDER_DESK, "letters", 20)]
+#[case(PRE_ORDER_DESK, "booking", 3)]
 fn example_lists_its_replicas(#[case] text: &str, #[case] name: &str, #[case] replicas: usize) {
     let document = document(text);
     let service = document.service(name).expect("the example has the service");
@@ -86,17 +86,17 @@
 #[case("invalid_method", "[GET, HEAD]", "[get]")]
 fn error_is_reported_with_its_line(#[case] name: &str, #[case] from: &str, #[case] to: &str) {
     assert!(
-        PAYOUT.contains(from),
+        PAYOUT_DESK.contains(from),
         "the example contains the text that {name} replaces"
     );
-    let problems = read(&PAYOUT.replacen(from, to, 1)).expect_err("the error is found");
+    let problems = parse_checked(&PAYOUT_DESK.replacen(from, to, 1)).expect_err("the error is found");
     let lines: Vec<_> = problems.iter().map(ToString::to_string).collect();
     insta::assert_snapshot!(name, lines.join("\n"));
 }
 
 #[test]
 fn oversized_document_is_rejected() {
-    let text = format!("{PAYOUT}# {}\n", "x".repeat(1 << 20));
+    let text = format!("{PAYOUT_DESK}# {}\n", "x".repeat(1 << 20));
     insta::assert_snapshot!("too_large", parse(&text).expect_err("it is too large"));
 }
 
@@ -116,7 +116,7 @@
 
 #[test]
 fn differences_are_reported_by_element_name() {
-    let before = document(PAYOUT);
+    let before = document(PAYOUT_DESK);
     let mut after = before.clone();
     after.services[0].versions[1]
         .servers
@@ -144,7 +144,7 @@
     #[case] model: &str,
     #[case] route: Option<&str>,
 ) {
-    let target = document(PAYOUT).route(path, team, model, |_| None);
+    let target = document(PAYOUT_DESK).route(path, team, model, |_| None);
     assert_eq!(target.map(|target| target.route).as_deref(), route);
 }
 
@@ -175,7 +175,7 @@
 
 #[test]
 fn limits_fall_back_to_the_default_team() {
-    let document = document(PAYOUT);
+    let document = document(PAYOUT_DESK);
     assert_eq!(document.limit("statements").weight, 4);
     assert_eq!(document.limit("nobody").in_flight, 20);
 }
--- a/src/cmd/env.rs
+++ b/src/cmd/env.rs
@@ -68,7 +68,7 @@
     let name = path.display();
     let text =
         fs::read_to_string(path).map_err(|error| Failure::Failed(format!("{name}: {error}")))?;
-    let document = environment::read(&text).map_err(|problems| {
+    let document = environment::parse_checked(&text).map_err(|problems| {
         let lines: Vec<String> = problems
             .iter()
             .map(|problem| format!("{name}: {problem}"))
