--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -221,7 +221,7 @@
             // The record expired between two attempts; the next one expects no record.
             return self.retry(0);
         };
-        if let Some(outcome) = stored.record.settled(&self.call.digest) {
+        if let Some(outcome) = stored.record.outcome_for(&self.call.digest) {
             return self.finish(outcome);
         }
         match stored.record.state {
@@ -289,7 +289,7 @@
     /// Derives the outcome from a record past the base revision. This attempt's own write has
     /// applied already or never will.
     fn resolve(&mut self, stored: Stored) -> Vec<Action> {
-        if let Some(outcome) = stored.record.settled(&self.call.digest) {
+        if let Some(outcome) = stored.record.outcome_for(&self.call.digest) {
             return self.finish(outcome);
         }
         match stored.record.state {
--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -221,7 +221,9 @@
     /// was fresh at every death, since the other one had run without a crash before this one
     /// started.
     fn has_rival(&self, fingerprint: Fingerprint, death: &Death, deaths: &[&Death]) -> bool {
-        let always_fresh = deaths.iter().all(|death| self.fresh(fingerprint, death));
+        let always_fresh = deaths
+            .iter()
+            .all(|death| self.was_fresh(fingerprint, death));
         death.flights.iter().any(|flight| {
             let shared = || {
                 deaths
@@ -233,7 +235,7 @@
         })
     }
 
-    fn fresh(&self, fingerprint: Fingerprint, death: &Death) -> bool {
+    fn was_fresh(&self, fingerprint: Fingerprint, death: &Death) -> bool {
         elapsed(fingerprint, death) < self.settings.probation
     }
 
--- a/components/contract/src/record.rs
+++ b/components/contract/src/record.rs
@@ -152,7 +152,7 @@
     ///
     /// A handed call may still be running, and the key of a void record is free for another
     /// attempt.
-    pub fn settled(&self, digest: &str) -> Option<Outcome> {
+    pub fn outcome_for(&self, digest: &str) -> Option<Outcome> {
         if self.digest != digest {
             return Some(Outcome::NotRun {
                 reason: Reason::KeyReused,
--- a/components/contract/tests/poison.rs
+++ b/components/contract/tests/poison.rs
@@ -15,8 +15,8 @@
 };
 use rstest::rstest;
 
-const STEP: Duration = Duration::from_millis(100);
-const POISON: Fingerprint = 1;
+const SIMULATION_STEP: Duration = Duration::from_millis(100);
+const POISONOUS: Fingerprint = 1;
 
 fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
@@ -71,12 +71,15 @@
     }
 
     fn step(&mut self, crash: Duration, length: Duration) {
-        self.now += STEP;
+        self.now += SIMULATION_STEP;
         self.place();
         for server in 0..self.servers.len() {
             let flights = &mut self.servers[server];
-            flights.iter_mut().for_each(|flight| flight.elapsed += STEP);
-            let crashes = |flight: &Flight| flight.fingerprint == POISON && flight.elapsed >= crash;
+            flights
+                .iter_mut()
+                .for_each(|flight| flight.elapsed += SIMULATION_STEP);
+            let crashes =
+                |flight: &Flight| flight.fingerprint == POISONOUS && flight.elapsed >= crash;
             if flights.iter().any(crashes) {
                 self.die(server);
                 continue;
@@ -135,9 +138,9 @@
     for step in 0..4000 {
         if step % 100 == 50 {
             let running = fleet.servers.iter().flatten();
-            let in_flight = running.chain(&[]).any(|f| f.fingerprint == POISON);
-            if !in_flight && !fleet.waiting.contains(&POISON) {
-                fleet.waiting.push(POISON);
+            let in_flight = running.chain(&[]).any(|f| f.fingerprint == POISONOUS);
+            if !in_flight && !fleet.waiting.contains(&POISONOUS) {
+                fleet.waiting.push(POISONOUS);
             }
         }
         fleet.step(Duration::from_millis(crash), seconds(60));
@@ -150,7 +153,7 @@
         fleet.servers_lost
     );
     assert!(fleet.refused.len() > 5, "repeats are refused");
-    assert!(fleet.refused.iter().all(|refused| *refused == POISON));
+    assert!(fleet.refused.iter().all(|refused| *refused == POISONOUS));
     let completed = (2..=1 + innocents).filter(|request| fleet.completed.contains(request));
     assert_eq!(completed.count() as u128, innocents, "completed");
 }
--- a/components/environment/tests/document.rs
+++ b/components/environment/tests/document.rs
@@ -89,7 +89,8 @@
         PAYOUT_DESK.contains(from),
         "the example contains the text that {name} replaces"
     );
-    let problems = parse_checked(&PAYOUT_DESK.replacen(from, to, 1)).expect_err("the error is found");
+    let problems =
+        parse_checked(&PAYOUT_DESK.replacen(from, to, 1)).expect_err("the error is found");
     let lines: Vec<_> = problems.iter().map(ToString::to_string).collect();
     insta::assert_snapshot!(name, lines.join("\n"));
 }
