--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -1,9 +1,10 @@
-//! The entry's side of one call: send it, and prove `not_run` when its sidecar falls silent.
+//! The entry's side of one call: sends it, and proves `not_run` when its sidecar stops responding.
 //!
-//! The proof is a write. An attempt hands over only if its sidecar wins the write of the record at
-//! the attempt's base revision (see [`crate::handover`]). The entry writes a void record at the
-//! same base: if it wins, the sidecar's write must fail, whenever it comes. If it loses, what
-//! stands there tells whether the call ran, or that nobody can say.
+//! The proof is a conditional write. A sidecar hands the call over only if its write of the record
+//! applies at the attempt's base revision (see [`crate::handover`]). The entry writes a void record
+//! at the same base. If that write applies, the sidecar's write must fail, however late it
+//! arrives. If it conflicts, the stored record tells whether the call ran or that its outcome is
+//! unknown.
 
 use std::time::Duration;
 
@@ -24,125 +25,124 @@
     },
     store::{
         Read,
-        Standing,
+        Stored,
         Write, //
     },
 };
 
-/// What may be done with a call.
+/// Delivery class of a call: whether it may be sent more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Class {
-    /// It may be repeated: the service's contract says so.
+    /// May be repeated, as stated by the service's contract.
     Repeatable,
-    /// It runs at most once and has a key, so a record is kept.
-    Kept,
-    /// It runs at most once and has no key: sent once, and never again after a byte may have left.
+    /// Runs at most once and has a key, so its progress is recorded in the store.
+    Recorded,
+    /// Runs at most once and has no key: never sent again once a byte may have left the entry.
     Once,
 }
 
 impl Class {
-    /// The class of a call, from its service's contract and whether it has a key.
+    /// Returns the class of a call, given its service's contract and whether the call has a key.
     ///
-    /// A service that drops repeats by key itself gets the key with the call, so that a call with
-    /// a key may be repeated there and needs no record.
+    /// A service that deduplicates calls by key receives the key with the call, so a call with a
+    /// key may be repeated there and needs no record.
     pub fn of(repeatable: bool, drops_repeats: bool, keyed: bool) -> Self {
         match (repeatable || drops_repeats && keyed, keyed) {
             (true, _) => Self::Repeatable,
-            (false, true) => Self::Kept,
+            (false, true) => Self::Recorded,
             (false, false) => Self::Once,
         }
     }
 }
 
-/// What the entry must know of a call.
+/// Parameters of one call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Call {
-    /// What may be done with it.
+    /// Delivery class.
     pub class: Class,
     /// Digest of the request, see [`crate::record::digest`].
     pub digest: String,
-    /// Path where the caller can ask about the call.
-    pub ask: String,
-    /// Number of the void record that this entry may write, freshly drawn.
+    /// Path at which the caller can query the call's status.
+    pub status_path: String,
+    /// Random nonce of the void record that this entry may write.
     pub nonce: Nonce,
 }
 
-/// Bounds of an attempt.
+/// Limits of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Most sends of one call, the first one included.
-    pub sends: u32,
-    /// Most tries to void the record.
-    pub voids: u32,
-    /// When callers may come back after a refusal.
+    /// Maximum number of sends of one call, including the first.
+    pub max_sends: u32,
+    /// Maximum number of attempts to void the record.
+    pub max_voids: u32,
+    /// Retry delay that callers receive with a refusal.
     pub retry_after: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            sends: 3,
-            voids: 2,
+            max_sends: 3,
+            max_voids: 2,
             retry_after: Duration::from_secs(2),
         }
     }
 }
 
-/// What happens to an attempt.
+/// Input to the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The caller's request came; `store` tells whether the store answers at present.
+    /// The caller's request arrived.
     Start {
-        /// The store answers.
-        store: bool,
+        /// Whether the store is responding at present.
+        store_available: bool,
     },
-    /// The call could not be sent: no byte left.
+    /// The call could not be sent; no byte left the entry.
     Unsent,
-    /// The sidecar answered.
+    /// The sidecar replied.
     Replied(Reply),
-    /// The sidecar fell silent or the time is over, after bytes may have left. `budget` tells
-    /// whether the retry budget gave a retry.
-    Silent {
-        /// A retry may be made.
-        budget: bool,
+    /// The sidecar did not reply in time, or its connection broke, after bytes may have left.
+    TimedOut {
+        /// Whether the retry budget permits another send.
+        retry_allowed: bool,
     },
-    /// Answer to [`Action::Void`].
+    /// Result of [`Action::Void`].
     Voided(Write),
-    /// Answer to [`Action::ReadBack`].
+    /// Result of [`Action::ReadBack`].
     Read(Read),
 }
 
-/// What the entry has to do.
+/// Output of the state machine, to be carried out by the entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Send the call to a sidecar that was not tried yet, with this base revision.
+    /// Send the call with this base revision to a sidecar that was not tried yet.
     Send {
         /// Revision for [`crate::handover::Call::base`].
         base: Revision,
     },
     /// Write the void record if the record's revision is still `expect`.
     Void {
-        /// Revision that must stand.
+        /// Expected revision of the record.
         expect: Revision,
-        /// The record.
+        /// The void record.
         record: Record,
     },
     /// Read the record.
     ReadBack,
-    /// Answer the caller. Given once.
+    /// Send the outcome to the caller. Emitted once.
     Reply(Outcome),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
-    Fresh,
+    Initial,
     Sent,
     Voiding,
     ReadingBack,
     Done,
 }
 
-/// State of one call at its entry.
+/// State machine of one call in its entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
     call: Call,
@@ -154,39 +154,40 @@
 }
 
 impl Attempt {
-    /// Prepares a call.
+    /// Creates the state machine of a call that has not been sent.
     pub fn new(call: Call, settings: Settings) -> Self {
         Self {
             call,
             settings,
-            stage: Stage::Fresh,
+            stage: Stage::Initial,
             base: 0,
             sends: 0,
             voids: 0,
         }
     }
 
-    /// Tells whether the caller has its outcome.
+    /// Returns whether the outcome has been emitted.
     pub fn done(&self) -> bool {
         self.stage == Stage::Done
     }
 
-    /// Takes an event; events that don't fit the stage are ignored.
+    /// Handles an event. Events that don't apply to the current stage are ignored.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         match (&self.stage, event) {
-            (Stage::Fresh, Event::Start { store }) => self.start(store),
+            (Stage::Initial, Event::Start { store_available }) => self.start(store_available),
             (Stage::Sent, Event::Unsent) => self.unsent(),
             (Stage::Sent, Event::Replied(reply)) => self.replied(reply),
-            (Stage::Sent, Event::Silent { budget }) => self.silent(budget),
+            (Stage::Sent, Event::TimedOut { retry_allowed }) => self.timed_out(retry_allowed),
             (Stage::Voiding, Event::Voided(write)) => self.voided(write),
             (Stage::ReadingBack, Event::Read(read)) => self.read(read),
             _ => Vec::new(),
         }
     }
 
-    /// Refuses at once while the store is out: a kept call could only wait for its deadline.
-    fn start(&mut self, store: bool) -> Vec<Action> {
-        if self.call.class == Class::Kept && !store {
+    /// Refuses a recorded call at once while the store is unavailable: it could only wait for its
+    /// deadline.
+    fn start(&mut self, store_available: bool) -> Vec<Action> {
+        if self.call.class == Class::Recorded && !store_available {
             return self.refuse(Reason::StoreOut);
         }
         self.send()
@@ -199,49 +200,52 @@
     }
 
     fn unsent(&mut self) -> Vec<Action> {
-        if self.sends < self.settings.sends {
+        if self.sends < self.settings.max_sends {
             return self.send();
         }
         self.refuse(Reason::NoServer)
     }
 
     fn replied(&mut self, reply: Reply) -> Vec<Action> {
-        let standing = match reply {
-            // A leaving sidecar refuses before it writes anything, so another one may be asked.
+        let stored = match reply {
+            // A sidecar that is leaving refuses before it writes anything, so another one may be
+            // tried.
             Reply::Outcome(Outcome::NotRun {
                 reason: Reason::Leaving,
                 ..
-            }) if self.sends < self.settings.sends => return self.send(),
-            Reply::Outcome(outcome) => return self.end(outcome),
-            Reply::Lost(standing) => standing,
+            }) if self.sends < self.settings.max_sends => return self.send(),
+            Reply::Outcome(outcome) => return self.finish(outcome),
+            Reply::Conflict(stored) => stored,
         };
-        let Some(standing) = standing else {
-            // The record lapsed between two attempts; a new one starts from nothing.
-            return self.again(0);
+        let Some(stored) = stored else {
+            // The record expired between two attempts; the next one expects no record.
+            return self.retry(0);
         };
-        if let Some(outcome) = standing.record.settled(&self.call.digest) {
-            return self.end(outcome);
+        if let Some(outcome) = stored.record.outcome_for(&self.call.digest) {
+            return self.finish(outcome);
         }
-        match standing.record.state {
-            State::Void { .. } => self.again(standing.revision),
+        match stored.record.state {
+            State::Void { .. } => self.retry(stored.revision),
             State::Handed { .. } | State::Answered { .. } => self.unknown(),
         }
     }
 
-    /// Starts the next attempt. The last one has lost its only write and can't hand over any more.
-    fn again(&mut self, base: Revision) -> Vec<Action> {
-        if self.sends >= self.settings.sends {
+    /// Starts the next attempt. The previous one lost its only write and can no longer hand over.
+    fn retry(&mut self, base: Revision) -> Vec<Action> {
+        if self.sends >= self.settings.max_sends {
             return self.refuse(Reason::NoServer);
         }
         self.base = base;
         self.send()
     }
 
-    fn silent(&mut self, budget: bool) -> Vec<Action> {
+    fn timed_out(&mut self, retry_allowed: bool) -> Vec<Action> {
         match self.call.class {
-            Class::Repeatable if budget && self.sends < self.settings.sends => self.send(),
+            Class::Repeatable if retry_allowed && self.sends < self.settings.max_sends => {
+                self.send()
+            }
             Class::Repeatable | Class::Once => self.unknown(),
-            Class::Kept => self.void(),
+            Class::Recorded => self.void(),
         }
     }
 
@@ -262,9 +266,9 @@
 
     fn voided(&mut self, write: Write) -> Vec<Action> {
         match write {
-            Write::Won(_) => self.refuse(Reason::Silent),
-            Write::Lost(Some(standing)) => self.judge(standing),
-            Write::Lost(None) | Write::Refused => self.unknown(),
+            Write::Applied(_) => self.refuse(Reason::Silent),
+            Write::Conflict(Some(stored)) => self.resolve(stored),
+            Write::Conflict(None) | Write::Refused => self.unknown(),
             Write::Unanswered => {
                 self.stage = Stage::ReadingBack;
                 vec![Action::ReadBack]
@@ -274,38 +278,40 @@
 
     fn read(&mut self, read: Read) -> Vec<Action> {
         match read {
-            Read::Found(standing) if standing.revision > self.base => self.judge(standing),
-            // The void is not there yet. It may be lost or late; a second one does no harm.
-            Read::Found(_) | Read::Absent if self.voids < self.settings.voids => self.void(),
+            Read::Found(stored) if stored.revision > self.base => self.resolve(stored),
+            // The void record isn't stored yet. Its write may be lost or delayed; a second write is
+            // harmless.
+            Read::Found(_) | Read::Absent if self.voids < self.settings.max_voids => self.void(),
             Read::Found(_) | Read::Absent | Read::Failed => self.unknown(),
         }
     }
 
-    /// The record moved on from the base, so this attempt's write has won already or never will.
-    fn judge(&mut self, standing: Standing) -> Vec<Action> {
-        if let Some(outcome) = standing.record.settled(&self.call.digest) {
-            return self.end(outcome);
+    /// Derives the outcome from a record past the base revision. This attempt's own write has
+    /// applied already or never will.
+    fn resolve(&mut self, stored: Stored) -> Vec<Action> {
+        if let Some(outcome) = stored.record.outcome_for(&self.call.digest) {
+            return self.finish(outcome);
         }
-        match standing.record.state {
-            // Whoever voided it, the attempt never hands over: its own hand-over would have left a
-            // record that only an answer replaces, or a void by the sidecar that gave it up.
+        match stored.record.state {
+            // Regardless of who voided it, the attempt never hands over: a hand-over leaves a
+            // record that only an answer replaces, or a void by the sidecar that abandoned it.
             State::Void { .. } => self.refuse(Reason::Silent),
             State::Handed { .. } | State::Answered { .. } => self.unknown(),
         }
     }
 
     fn refuse(&mut self, reason: Reason) -> Vec<Action> {
-        self.end(Outcome::not_run(reason, self.settings.retry_after))
+        self.finish(Outcome::not_run(reason, self.settings.retry_after))
     }
 
     fn unknown(&mut self) -> Vec<Action> {
-        let keyed = self.call.class == Class::Kept;
-        self.end(Outcome::Unknown {
-            ask: keyed.then(|| self.call.ask.clone()),
+        let keyed = self.call.class == Class::Recorded;
+        self.finish(Outcome::Unknown {
+            status_path: keyed.then(|| self.call.status_path.clone()),
         })
     }
 
-    fn end(&mut self, outcome: Outcome) -> Vec<Action> {
+    fn finish(&mut self, outcome: Outcome) -> Vec<Action> {
         self.stage = Stage::Done;
         vec![Action::Reply(outcome)]
     }
--- a/components/daemon/src/records.rs
+++ b/components/daemon/src/records.rs
@@ -6,7 +6,7 @@
     Record,
     store::{
         Read,
-        Standing,
+        Stored,
         Write, //
     }, //
 };
@@ -60,10 +60,10 @@
                 return Write::Refused;
             };
             return match self.client.put(key, &value, expect, Some(lease)).await {
-                Ok(Put::Done { revision }) => Write::Won(revision),
-                Ok(Put::Conflict { entry: None }) => Write::Lost(None),
+                Ok(Put::Done { revision }) => Write::Applied(revision),
+                Ok(Put::Conflict { entry: None }) => Write::Conflict(None),
                 Ok(Put::Conflict { entry: Some(entry) }) => match standing(&entry) {
-                    Some(standing) => Write::Lost(Some(standing)),
+                    Some(standing) => Write::Conflict(Some(standing)),
                     None => Write::Refused,
                 },
                 Err(Error::Unanswered | Error::Malformed(_)) => Write::Unanswered,
@@ -96,7 +96,7 @@
             return Ok(lease);
         }
         let since = Instant::now();
-        let lease = self.client.lease(RETENTION + SHARED).await?;
+        let lease = self.client.grant_lease(RETENTION + SHARED).await?;
         *held = Some((lease, since));
         Ok(lease)
     }
@@ -109,8 +109,8 @@
     }
 }
 
-fn standing(entry: &Entry) -> Option<Standing> {
-    Some(Standing {
+fn standing(entry: &Entry) -> Option<Stored> {
+    Some(Stored {
         record: Record::decode(&entry.value)?,
         revision: entry.revision,
     })
--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -11,11 +11,11 @@
 
 use contract::poison::{
     Death,
+    Detector,
     Facts,
     Fingerprint,
     Flight,
-    Ledger,
-    Place,
+    Placement,
     Settings,
     Verdict, //
 };
@@ -33,19 +33,19 @@
 
 /// The ledger of one process, and its facts for the links.
 pub struct Suspects {
-    ledger: Mutex<Ledger>,
+    ledger: Mutex<Detector>,
     facts: watch::Sender<Facts>,
 }
 
 impl Default for Suspects {
     fn default() -> Self {
         let settings = Settings {
-            most: MOST,
-            flights: FLIGHTS,
+            max_facts: MOST,
+            max_flights: FLIGHTS,
             ..Settings::default()
         };
         Self {
-            ledger: Mutex::new(Ledger::new(settings)),
+            ledger: Mutex::new(Detector::new(settings)),
             facts: watch::Sender::default(),
         }
     }
@@ -58,8 +58,8 @@
     }
 
     /// Tells whether a request may start beside what runs on a server.
-    pub fn place(&self, fingerprint: Fingerprint, running: &[Flight]) -> Place {
-        self.lock().place(fingerprint, running, wall())
+    pub fn place(&self, fingerprint: Fingerprint, running: &[Flight]) -> Placement {
+        self.lock().placement(fingerprint, running, wall())
     }
 
     /// All facts; to be sent along with a request that is under suspicion.
@@ -83,7 +83,7 @@
             at: wall(),
             flights,
         };
-        ledger.died(rand::random(), death, wall());
+        ledger.record_death(rand::random(), death, wall());
         self.facts.send_replace(ledger.facts().clone());
     }
 
@@ -93,7 +93,7 @@
         if ledger.verdict(fingerprint, wall()) == Verdict::Clear {
             return;
         }
-        ledger.ended(fingerprint, wall());
+        ledger.record_completion(fingerprint, wall());
         self.facts.send_replace(ledger.facts().clone());
     }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Ledger> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Detector> {
         self.ledger.lock().expect("no panic while held")
     }
 }
--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -111,7 +111,7 @@
 impl Query {
     /// Returns the fingerprint by which requests that crash servers are recognized.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
-        poison::of_generation(&self.team, &self.target.service, &self.model, &self.prompt)
+        poison::generation_fingerprint(&self.team, &self.target.service, &self.model, &self.prompt)
     }
 }
 
--- a/components/entry/src/answers/epochs.rs
+++ b/components/entry/src/answers/epochs.rs
@@ -37,18 +37,18 @@
     /// Starts an epoch on a replica; returns the event that follows if it can't be started.
     pub(super) fn start(&mut self, epoch: Epoch, avoid: &[Server], cause: Cause) -> Option<Event> {
         match self.state.suspects.verdict(self.query.fingerprint()) {
-            Verdict::Refused { left } => {
+            Verdict::Refused { remaining } => {
                 return Some(Event::NoPlace {
                     epoch,
-                    retry_after: left,
+                    retry_after: remaining,
                 });
             }
             // A suspect request may be waiting for a place. Started on a second engine as well, it
             // could crash both at once.
-            Verdict::Suspect | Verdict::Solitary if cause == Cause::Suspicion => {
+            Verdict::Suspect | Verdict::Isolated if cause == Cause::Suspicion => {
                 return Some(Event::Denied { epoch });
             }
-            Verdict::Clear | Verdict::Suspect | Verdict::Solitary => {}
+            Verdict::Clear | Verdict::Suspect | Verdict::Isolated => {}
         }
         match cause {
             Cause::First => {}
--- a/components/entry/src/callers/completions.rs
+++ b/components/entry/src/callers/completions.rs
@@ -157,8 +157,8 @@
             prefix: prefix(&body.prompt),
             prompt: body.prompt,
         };
-        if let Verdict::Refused { left } = state.suspects.verdict(query.fingerprint()) {
-            return Err(calls::refusal(Reason::Poisonous, Some(left)));
+        if let Verdict::Refused { remaining } = state.suspects.verdict(query.fingerprint()) {
+            return Err(calls::refusal(Reason::Poisonous, Some(remaining)));
         }
         let request = gates::Request {
             service: &query.target.service,
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -86,8 +86,8 @@
         .find(|release| release.name == version)
         .ok_or_else(|| Problem::new(Code::Unavailable, "the route has no such version"))?;
     let mut driver = Driver::new(state, provision, release, call);
-    if let Verdict::Refused { left } = driver.verdict() {
-        return Err(refusal(Reason::Poisonous, Some(left)));
+    if let Verdict::Refused { remaining } = driver.verdict() {
+        return Err(refusal(Reason::Poisonous, Some(remaining)));
     }
     let outcome = driver.run().await;
     if matches!(outcome, Outcome::Unknown { .. }) {
@@ -162,7 +162,7 @@
         let decisions = contract::attempt::Call {
             class,
             digest: digest.clone(),
-            ask: status_path.clone(),
+            status_path: status_path.clone(),
             nonce: rand::random(),
         };
         Self {
@@ -181,14 +181,14 @@
     /// Returns whether the call is suspected to crash backend servers.
     fn verdict(&self) -> Verdict {
         let call = &self.call;
-        let fingerprint = poison::of_call(&call.team, &call.service, &self.digest);
+        let fingerprint = poison::call_fingerprint(&call.team, &call.service, &self.digest);
         self.state.suspects.verdict(fingerprint)
     }
 
     /// Runs the call until its outcome is known.
     async fn run(&mut self) -> Outcome {
-        let store = self.state.outage.is_over();
-        let mut event = Event::Start { store };
+        let store_available = self.state.outage.is_over();
+        let mut event = Event::Start { store_available };
         loop {
             let mut actions = self.attempt.handle(event).into_iter();
             event = match actions.next() {
@@ -196,7 +196,7 @@
                 Some(Action::Void { expect, record }) => {
                     let key = self.key();
                     let write = self.state.records.write(&key, expect, &record).await;
-                    if matches!(write, Write::Won(_)) {
+                    if matches!(write, Write::Applied(_)) {
                         events::emit!(calls::VOIDED, "key={key}");
                     }
                     Event::Voided(write)
@@ -240,7 +240,7 @@
             return Event::Unsent;
         };
         self.avoid.push(replica.server.clone());
-        self.call.kept = (self.class == Class::Kept).then(|| Kept {
+        self.call.kept = (self.class == Class::Recorded).then(|| Kept {
             send: rand::random(),
             base,
             digest: self.digest.clone(),
@@ -269,8 +269,8 @@
             Health::Failed => replica.dispatch.finish(routing::Outcome::Failed),
             Health::Unknown => {}
         }
-        event.unwrap_or_else(|| Event::Silent {
-            budget: self.class == Class::Repeatable && self.state.gates.retry(),
+        event.unwrap_or_else(|| Event::TimedOut {
+            retry_allowed: self.class == Class::Repeatable && self.state.gates.retry(),
         })
     }
 }
@@ -343,10 +343,10 @@
             reason,
             retry_after,
         } => Err(refusal(reason, retry_after)),
-        Outcome::Unknown { ask } => {
+        Outcome::Unknown { status_path } => {
             let message = "the call may have run, but its answer was lost";
             let mut problem = Problem::new(Code::Unknown, message).run(Run::Unknown);
-            problem.ask = ask;
+            problem.ask = status_path;
             Err(problem)
         }
     }
--- a/components/entry/src/documents/edit.rs
+++ b/components/entry/src/documents/edit.rs
@@ -94,7 +94,7 @@
         Ok(Write::Done { revision }) => Answer::Written(revision),
         Ok(Write::Conflict { entry }) => Answer::Conflict(entry.as_ref().map(decode)),
         Err(Error::TooLarge) => Answer::TooLarge,
-        Err(Error::Outage | Error::Busy { .. }) => Answer::Refused,
+        Err(Error::Unavailable | Error::RateLimited { .. }) => Answer::Refused,
         // After any other error, the write may have taken effect.
         Err(_) => Answer::Unanswered,
     }
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -117,7 +117,7 @@
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let applied = async {
             let environment = environment_name(req);
-            let bytes = payload(req, environment::MAX_BYTES as u64).await?;
+            let bytes = payload(req, environment::MAX_DOCUMENT_BYTES as u64).await?;
             let text = String::from_utf8(bytes)
                 .map_err(|error| Problem::invalid("body", format!("not UTF-8: {error}")))?;
             validate(&text, &environment)?;
@@ -146,7 +146,7 @@
             let text = trial.map_or_else(String::new, |stored| stored.envelope.text);
             // The edit is refused if the trial differs from the pin, except for a repeated edit:
             // that is accepted even if the trial has changed since.
-            let text = environment::rename(&text, &environment).unwrap_or_default();
+            let text = environment::replace_environment(&text, &environment).unwrap_or_default();
             let draft = draft(&self.state, req, text, Some(pin)).await?;
             apply(&self.state, draft).await
         };
@@ -182,7 +182,7 @@
 
 /// Checks that a text is a valid document of an environment.
 fn validate(text: &str, environment: &str) -> Result<(), Problem> {
-    let document = environment::read(text).map_err(|problems| {
+    let document = environment::parse_checked(text).map_err(|problems| {
         let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
         Problem::invalid("body", lines.join("\n"))
     })?;
--- a/components/environment/src/lib.rs
+++ b/components/environment/src/lib.rs
@@ -1,7 +1,7 @@
-//! Operators' documents: one YAML document describes one environment.
+//! Environment documents: one YAML document, written by operators, describes one environment.
 //!
-//! The document says which backend servers and versions serve which traffic, what each service
-//! promises about repeats, which limits the teams have, and which moves of traffic are under way.
+//! The document defines which backend servers and versions serve which traffic, whether calls to
+//! each service may be repeated, the limits of the teams, and the moves of traffic in progress.
 
 pub mod check;
 pub mod difference;
@@ -16,8 +16,8 @@
     check, //
 };
 pub use difference::{
-    Line,
-    difference, //
+    Difference,
+    diff, //
 };
 pub use digest::digest;
 pub use document::{
@@ -27,8 +27,8 @@
 pub use index::Index;
 pub use parse::{
     Error,
-    MAX_BYTES,
+    MAX_DOCUMENT_BYTES,
     parse,
-    read,
-    rename, //
+    parse_checked,
+    replace_environment, //
 };
--- a/components/measure/src/calls/poison.rs
+++ b/components/measure/src/calls/poison.rs
@@ -7,10 +7,10 @@
 
 use contract::poison::{
     Death,
+    Detector,
     Fingerprint,
     Flight,
-    Ledger,
-    Place,
+    Placement,
     Settings,
     Verdict, //
 };
@@ -151,7 +151,7 @@
     case: Case,
     rule: Rule,
     rng: StdRng,
-    ledger: Ledger,
+    ledger: Detector,
     deaths: Vec<Vec<Fingerprint>>,
     now: Duration,
     servers: Vec<Vec<Flight>>,
@@ -172,7 +172,7 @@
             for slot in 0..8 {
                 server.push(Flight {
                     fingerprint: 1000 * (1 + number as u128) + slot,
-                    ran: Duration::from_millis(rng.random_range(0..60_000)),
+                    elapsed: Duration::from_millis(rng.random_range(0..60_000)),
                 });
             }
         }
@@ -181,14 +181,14 @@
             .chain(innocents)
             .map(|fingerprint| Flight {
                 fingerprint,
-                ran: Duration::ZERO,
+                elapsed: Duration::ZERO,
             })
             .collect();
         Self {
             case,
             rule,
             rng,
-            ledger: Ledger::new(Settings::default()),
+            ledger: Detector::new(Settings::default()),
             deaths: Vec::new(),
             now: Duration::from_secs(1_000_000),
             servers,
@@ -259,7 +259,10 @@
             let free = order.iter().find(|server| {
                 let running = &self.servers[**server];
                 self.rule != Rule::Apart
-                    || self.ledger.place(request.fingerprint, running, self.now) == Place::Free
+                    || self
+                        .ledger
+                        .placement(request.fingerprint, running, self.now)
+                        == Placement::Allowed
             });
             let Some(server) = free else {
                 self.waiting.push(request);
@@ -270,7 +273,7 @@
             }
             self.servers[*server].push(Flight {
                 fingerprint: request.fingerprint,
-                ran: Duration::ZERO,
+                elapsed: Duration::ZERO,
             });
         }
     }
@@ -291,18 +294,18 @@
 
     fn advance(&mut self, server: usize) {
         for flight in &mut self.servers[server] {
-            flight.ran += STEP;
+            flight.elapsed += STEP;
         }
         let crash = self.case.crash;
         let mut flights = self.servers[server].iter();
-        if flights.any(|flight| flight.fingerprint < INNOCENT && flight.ran >= crash) {
+        if flights.any(|flight| flight.fingerprint < INNOCENT && flight.elapsed >= crash) {
             self.die(server, true);
             return;
         }
         let length = Duration::from_secs(60);
-        for flight in self.servers[server].extract_if(.., |flight| flight.ran >= length) {
+        for flight in self.servers[server].extract_if(.., |flight| flight.elapsed >= length) {
             if self.rule == Rule::Apart {
-                self.ledger.ended(flight.fingerprint, self.now);
+                self.ledger.record_completion(flight.fingerprint, self.now);
             }
         }
     }
@@ -329,6 +332,6 @@
             flights,
         };
         let number = self.deaths.len() as u64;
-        self.ledger.died(number, death, self.now);
+        self.ledger.record_death(number, death, self.now);
     }
 }
--- a/components/models/src/contract/actors.rs
+++ b/components/models/src/contract/actors.rs
@@ -89,13 +89,13 @@
 impl Request {
     pub(super) fn new(nonce: Nonce) -> Self {
         let call = attempt::Call {
-            class: Class::Kept,
+            class: Class::Recorded,
             digest: String::new(),
-            ask: String::new(),
+            status_path: String::new(),
             nonce,
         };
         let settings = attempt::Settings {
-            sends: 2,
+            max_sends: 2,
             ..attempt::Settings::default()
         };
         Self {
--- a/components/models/src/contract/world.rs
+++ b/components/models/src/contract/world.rs
@@ -12,7 +12,7 @@
         State, //
     },
     seen::Seen,
-    store::Standing, //
+    store::Stored, //
 };
 use names::{
     Clock,
@@ -44,7 +44,7 @@
     pub(super) twin: Twin,
     pub(super) faults: u32,
     pub(super) revision: Revision,
-    pub(super) stored: Option<Standing>,
+    pub(super) stored: Option<Stored>,
     pub(super) late: Vec<Op>,
     pub(super) requests: Vec<Request>,
     pub(super) hands: Vec<Hand>,
@@ -109,7 +109,12 @@
         match step {
             Step::Request(entry) => {
                 self.requests[entry].begun = true;
-                self.entry(entry, attempt::Event::Start { store: true });
+                self.entry(
+                    entry,
+                    attempt::Event::Start {
+                        store_available: true,
+                    },
+                );
             }
             Step::Frame(entry) => self.frame(entry),
             Step::FrameTwice(entry) => {
@@ -152,17 +157,17 @@
                 self.hands[hand].service = Service::Untouched;
                 let event = match self.twin {
                     Twin::BrokenIsRefused => handover::Event::Unreachable,
-                    _ => handover::Event::Died,
+                    _ => handover::Event::ConnectionLost,
                 };
                 self.hand(hand, event, Clock::ZERO);
             }
             Step::Waited(hand) => {
                 self.hands[hand].waits = false;
-                self.hand(hand, handover::Event::Waited, Clock::ZERO);
+                self.hand(hand, handover::Event::TimerFired, Clock::ZERO);
             }
             Step::Gone(hand) => {
                 self.hands[hand].gone = true;
-                self.hand(hand, handover::Event::Gone, Clock::ZERO);
+                self.hand(hand, handover::Event::EntryGone, Clock::ZERO);
             }
             Step::EntryDies(entry) => self.entry_dies(entry),
             Step::SidecarDies(sidecar) => self.sidecar_dies(sidecar),
@@ -181,7 +186,12 @@
                 let base = self.stored.as_ref().map_or(0, |stored| stored.revision);
                 request.frames.push(Frame::new(request.sends, base));
             }
-            _ => self.entry(entry, attempt::Event::Silent { budget: false }),
+            _ => self.entry(
+                entry,
+                attempt::Event::TimedOut {
+                    retry_allowed: false,
+                },
+            ),
         }
     }
 
@@ -231,7 +241,7 @@
             _ => Nonce::from(frame.copies),
         };
         let number = 100 + 10 * entry as Nonce + 3 * Nonce::from(frame.send);
-        let new = self.seen[goes_to(entry, frame.send)].begin(number);
+        let new = self.seen[goes_to(entry, frame.send)].insert(number);
         let begins_copies = matches!(self.twin, Twin::CopyBegins | Twin::NonceFromFrame);
         if !new && !begins_copies {
             return;
@@ -246,11 +256,11 @@
             digest: String::new(),
             server: String::new(),
             nonce,
-            ask: String::new(),
+            status_path: String::new(),
         };
         let settings = handover::Settings {
-            limit: LIMIT,
-            tries: 2,
+            start_timeout: LIMIT,
+            max_write_attempts: 2,
             ..handover::Settings::default()
         };
         self.hands.push(Hand {
@@ -262,7 +272,11 @@
             waits: false,
             gone: false,
         });
-        self.hand(self.hands.len() - 1, handover::Event::Asked, Clock::ZERO);
+        self.hand(
+            self.hands.len() - 1,
+            handover::Event::Requested,
+            Clock::ZERO,
+        );
     }
 
     pub(super) fn entry(&mut self, entry: usize, event: attempt::Event) {
@@ -295,7 +309,7 @@
         let (entry, send) = (self.hands[index].entry, self.hands[index].send);
         if self.twin == Twin::SidecarGoesOn
             && send < 2
-            && let Reply::Lost(Some(standing)) = &reply
+            && let Reply::Conflict(Some(standing)) = &reply
             && matches!(standing.record.state, State::Void { .. })
         {
             let nonce = 200 + entry as Nonce;
--- a/components/models/src/orders.rs
+++ b/components/models/src/orders.rs
@@ -10,13 +10,13 @@
 };
 use orders::{
     Order,
-    keeper::{
+    order::Fenced,
+    sequencer::{
         Action,
         Event,
-        Keeper,
+        Sequencer,
         Settings, //
     },
-    order::Numbered,
 };
 
 use crate::search::{
@@ -85,7 +85,7 @@
     faults: u32,
     newest: Fence,
     on_the_way: Vec<Fence>,
-    keeper: Keeper,
+    sequencer: Sequencer,
     reads: bool,
     settles: bool,
     timers: bool,
@@ -103,7 +103,7 @@
 impl World {
     fn new(twin: Twin, checks: bool, faults: u32) -> Self {
         let settings = Settings {
-            checks,
+            checks_fence: checks,
             ..Settings::default()
         };
         let mut world = Self {
@@ -112,7 +112,7 @@
             faults,
             newest: 0,
             on_the_way: Vec::new(),
-            keeper: Keeper::new(settings),
+            sequencer: Sequencer::new(settings),
             reads: false,
             settles: false,
             timers: false,
@@ -191,7 +191,7 @@
                     Twin::NoRead => 0,
                     _ => self.newest,
                 };
-                self.tell(Event::Newest(newest));
+                self.tell(Event::NewestRead(newest));
             }
             Step::StoreOut => {
                 self.faults -= 1;
@@ -203,21 +203,21 @@
             Step::Close => self.close(),
             Step::Settled => {
                 self.settles = false;
-                self.tell_at(Event::Waited, self.settings.settle);
+                self.tell_at(Event::TimerFired, self.settings.settle_time);
             }
             Step::StaleTimer => {
                 let now = match self.twin {
-                    Twin::StaleCounts => self.settings.settle,
+                    Twin::StaleCounts => self.settings.settle_time,
                     _ => Clock::ZERO,
                 };
-                self.tell_at(Event::Waited, now);
+                self.tell_at(Event::TimerFired, now);
             }
             Step::SidecarRestarts => {
                 self.faults -= 1;
                 for pending in &mut self.pending {
                     pending.connected = false;
                 }
-                self.keeper = Keeper::new(self.settings);
+                self.sequencer = Sequencer::new(self.settings);
                 self.start();
             }
             Step::ServerRestarts => {
@@ -241,7 +241,7 @@
             return;
         };
         let pending = self.pending.remove(at);
-        let checks = self.settings.checks && self.twin != Twin::IgnoresFence;
+        let checks = self.settings.checks_fence && self.twin != Twin::IgnoresFence;
         if checks && fence < self.taken {
             let highest = self.taken;
             return self.answer(&pending, Event::Refused { fence, highest });
@@ -264,7 +264,7 @@
         };
         match self.twin {
             Twin::SlowIsOver => self.tell(Event::Restarted),
-            _ => self.tell(Event::Slow(fence)),
+            _ => self.tell(Event::TimedOut(fence)),
         }
     }
 
@@ -289,7 +289,7 @@
     }
 
     fn tell_at(&mut self, event: Event, now: Clock) {
-        for action in self.keeper.handle(event, now) {
+        for action in self.sequencer.handle(event, now) {
             match action {
                 Action::ReadStore => self.reads = true,
                 Action::Wait(_) => {
@@ -306,8 +306,8 @@
     }
 }
 
-fn numbered(fence: Fence) -> Numbered {
-    Numbered {
+fn numbered(fence: Fence) -> Fenced {
+    Fenced {
         fence,
         order: Order::Role {
             role: String::new(),
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -109,7 +109,7 @@
 
     fn begins(&self, kept: &Kept) -> bool {
         let mut seen = self.seen.lock().expect("no panic while held");
-        seen.begin(kept.send)
+        seen.insert(kept.send)
     }
 
     /// Passes a call on of which no record is kept.
@@ -138,7 +138,7 @@
 
 fn fingerprint(call: &Call) -> Fingerprint {
     let digest = record::digest(&call.method, &call.path, &call.body);
-    poison::of_call(&call.team, &call.service, &digest)
+    poison::call_fingerprint(&call.team, &call.service, &digest)
 }
 
 fn apart(refusal: Refusal) -> Reply {
--- a/components/sidecar/src/flights.rs
+++ b/components/sidecar/src/flights.rs
@@ -13,7 +13,7 @@
     Facts,
     Fingerprint,
     Flight,
-    Place,
+    Placement,
     Verdict, //
 };
 use daemon::suspects::Suspects;
@@ -97,8 +97,8 @@
         let _turn = self.gate.lock().await;
         let begun = Instant::now();
         loop {
-            if let Verdict::Refused { left } = self.suspects.verdict(fingerprint) {
-                return Err(Refusal::Poisonous(left));
+            if let Verdict::Refused { remaining } = self.suspects.verdict(fingerprint) {
+                return Err(Refusal::Poisonous(remaining));
             }
             if let Some(flying) = self.enter(fingerprint) {
                 return Ok(flying);
@@ -112,7 +112,7 @@
 
     fn enter(self: &Arc<Self>, fingerprint: Fingerprint) -> Option<Flying> {
         let mut running = self.running.lock().expect("no panic while held");
-        if self.suspects.place(fingerprint, &running.list()) != Place::Free {
+        if self.suspects.place(fingerprint, &running.list()) != Placement::Allowed {
             return None;
         }
         running.next += 1;
@@ -149,7 +149,7 @@
         let flights = self.flights.values();
         let flights = flights.map(|(fingerprint, since)| Flight {
             fingerprint: *fingerprint,
-            ran: since.elapsed(),
+            elapsed: since.elapsed(),
         });
         flights.collect()
     }
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine beside this sidecar: the driver of [`orders::keeper`].
+//! Orders to the engine beside this sidecar: the driver of [`orders::sequencer`].
 //!
 //! An order is a value of the platform's store; its revision is the fencing token. This sidecar
 //! watches the key of its server and is the only one that passes orders on.
@@ -11,16 +11,15 @@
 use events::orders as order_events;
 use names::Revision;
 use orders::{
-    Order,
-    keeper::{
+    Order, key,
+    order::Fenced,
+    sequencer::{
         Action,
         Answer,
         Event,
-        Keeper,
+        Sequencer,
         Settings, //
     },
-    key,
-    order::Numbered,
 };
 use reqwest::{
     Client,
@@ -43,7 +42,7 @@
 
 use crate::state::State;
 
-/// Events that wait for the keeper.
+/// Events that wait for the sequencer.
 const WAITING: usize = 16;
 
 /// Pause after a failed reading of the store.
@@ -75,11 +74,11 @@
         events,
     };
     let settings = Settings {
-        checks: state.shared.settings.server.checks_fence,
-        settle: times.settle,
+        checks_fence: state.shared.settings.server.checks_fence,
+        settle_time: times.settle,
         ..Settings::default()
     };
-    let mut keeper = Keeper::new(settings);
+    let mut sequencer = Sequencer::new(settings);
     let watching = watch(
         platform,
         key(&state.shared.settings.server.name),
@@ -89,7 +88,7 @@
     let mut event = Some(Event::Started);
     loop {
         if let Some(event) = event.take() {
-            for action in keeper.handle(event, state.shared.now()) {
+            for action in sequencer.handle(event, state.shared.now()) {
                 driver.act(action);
             }
         }
@@ -102,7 +101,7 @@
 }
 
 /// Reads the newest order, tells its number, and follows its changes. While the store is out the
-/// keeper knows no number and lets nothing through.
+/// sequencer knows no number and lets nothing through.
 async fn watch(platform: Platform, key: String, events: &mpsc::Sender<Event>) {
     let mut after = None;
     loop {
@@ -125,7 +124,7 @@
     let listing = platform.list(key).await?;
     let entry = listing.entries.into_iter().find(|entry| entry.key == key);
     let newest = entry.as_ref().map_or(0, |entry| entry.revision);
-    give(events, Event::Newest(newest)).await;
+    give(events, Event::NewestRead(newest)).await;
     if let Some(Entry {
         value, revision, ..
     }) = entry
@@ -155,7 +154,7 @@
 
 async fn order(fence: Revision, value: &str, events: &mpsc::Sender<Event>) {
     match serde_json::from_str::<Order>(value) {
-        Ok(order) => give(events, Event::Order(Numbered { fence, order })).await,
+        Ok(order) => give(events, Event::Order(Fenced { fence, order })).await,
         Err(error) => {
             events::emit!(order_events::UNREADABLE, "fence={fence} reason=\"{error}\"");
         }
@@ -179,7 +178,7 @@
             Action::Wait(time) => {
                 tokio::spawn(async move {
                     sleep(time).await;
-                    give(&events, Event::Waited).await;
+                    give(&events, Event::TimerFired).await;
                 });
             }
             Action::Send(order) => {
@@ -215,7 +214,7 @@
     let answer = match timeout(slow, &mut answer).await {
         Ok(answer) => answer,
         Err(_) => {
-            give(&events, Event::Slow(fence)).await;
+            give(&events, Event::TimedOut(fence)).await;
             answer.await
         }
     };
@@ -235,6 +234,6 @@
 }
 
 async fn give(events: &mpsc::Sender<Event>, event: Event) {
-    // The keeper is gone when the sidecar ends.
+    // The sequencer is gone when the sidecar ends.
     let _ = events.send(event).await;
 }
--- a/src/cmd/env.rs
+++ b/src/cmd/env.rs
@@ -8,7 +8,7 @@
 
 use environment::{
     Document,
-    difference, //
+    diff, //
 };
 use serde_json::{
     Value,
@@ -68,7 +68,7 @@
     let name = path.display();
     let text =
         fs::read_to_string(path).map_err(|error| Failure::Failed(format!("{name}: {error}")))?;
-    let document = environment::read(&text).map_err(|problems| {
+    let document = environment::parse_checked(&text).map_err(|problems| {
         let lines: Vec<String> = problems
             .iter()
             .map(|problem| format!("{name}: {problem}"))
@@ -109,7 +109,7 @@
     let newest = trial["revision"].as_u64().unwrap_or_default();
     let tried = args.revision.unwrap_or(newest);
     let text = trial["text"].as_str().unwrap_or_default();
-    let document = environment::rename(text, &args.to)
+    let document = environment::replace_environment(text, &args.to)
         .and_then(|text| environment::parse(&text).ok())
         .ok_or_else(|| Failure::Failed(format!("`{}` can't be read", args.from)))?;
     let stands = stands(&args.entry, &args.to).await?;
@@ -205,7 +205,7 @@
         return vec!["+ the environment is new".into()];
     };
     match environment::parse(text) {
-        Ok(before) => difference(&before, document)
+        Ok(before) => diff(&before, document)
             .iter()
             .map(ToString::to_string)
             .collect(),
