--- a/components/daemon/src/greeting.rs
+++ b/components/daemon/src/handshake.rs
@@ -27,7 +27,7 @@
 };
 
 /// Greets a peer that we have dialled.
-pub async fn dialled(link: &Link, own: &Hello, limit: Duration) -> Result<(Stream, Hello), Error> {
+pub async fn initiate(link: &Link, own: &Hello, limit: Duration) -> Result<(Stream, Hello), Error> {
     let greet = async {
         let mut stream = link.open().await?;
         stream.send(&Frame::Hello(own.clone())).await?;
@@ -38,7 +38,7 @@
 }
 
 /// Greets a peer that has dialled us.
-pub async fn answered(link: &Link, own: &Hello, limit: Duration) -> Result<(Stream, Hello), Error> {
+pub async fn respond(link: &Link, own: &Hello, limit: Duration) -> Result<(Stream, Hello), Error> {
     let greet = async {
         let mut stream = link.accept().await?;
         let hello = expect(link, &mut stream).await?;
@@ -49,15 +49,15 @@
 }
 
 /// Heartbeats of a link at rest that may be missed before it is lost.
-pub const RESTS: u32 = 3;
+pub const MAX_MISSED_HEARTBEATS: u32 = 3;
 
 /// Paces of heartbeats on one link.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Intervals {
     /// While there is work on the link, so that silence is noticed soon.
     pub busy: Duration,
     /// While there is none.
-    pub rest: Duration,
+    pub idle: Duration,
 }
 
 /// Sends heartbeats, and at once when what they say changes or work begins; between them the
@@ -65,12 +65,12 @@
 ///
 /// `heard` tells whether anything came on the link since it was asked last: then a link with work on
 /// it needs no heartbeat to show that it lives, but for one at the pace of rest.
-pub async fn beat(
+pub async fn send_heartbeats(
     mut sender: Sender,
     mut state: watch::Receiver<Heartbeat>,
     mut others: mpsc::Receiver<Frame>,
     mut work: watch::Receiver<u32>,
-    pace: Pace,
+    pace: Intervals,
     mut heard: impl FnMut() -> bool,
 ) {
     let mut due = Instant::now();
@@ -91,8 +91,8 @@
             None => {
                 let busy = *work.borrow() > 0;
                 let now = Instant::now();
-                due = now + if busy { pace.busy } else { pace.rest };
-                if heard() && !changed && now < last + pace.rest {
+                due = now + if busy { pace.busy } else { pace.idle };
+                if heard() && !changed && now < last + pace.idle {
                     continue;
                 }
                 last = now;
--- a/components/daemon/src/lib.rs
+++ b/components/daemon/src/lib.rs
@@ -1,7 +1,7 @@
 //! What both daemons share: HTTP listeners, metrics, and a link's greeting and heartbeats.
 
 pub mod drain;
-pub mod greeting;
+pub mod handshake;
 pub mod http;
 pub mod lateness;
 pub mod probe;
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -8,7 +8,7 @@
 use daemon::{
     Error,
     drain,
-    greeting::RESTS,
+    handshake::MAX_MISSED_HEARTBEATS,
     http,
     probe::{
         self,
@@ -84,7 +84,11 @@
         keys: &Keys,
         stop: CancellationToken,
     ) -> Result<Self, Error> {
-        let node = Node::bind(settings.links, keys, settings.times.rest * RESTS)?;
+        let node = Node::bind(
+            settings.links,
+            keys,
+            settings.times.rest * MAX_MISSED_HEARTBEATS,
+        )?;
         let links = node.address().map_err(|source| wire::Error::Bind {
             address: settings.links,
             source,
--- a/components/entry/src/links.rs
+++ b/components/entry/src/links.rs
@@ -6,9 +6,9 @@
     time::Duration, //
 };
 
-use daemon::greeting::{
+use daemon::handshake::{
     self,
-    Pace, //
+    Intervals, //
 };
 use events::links;
 use tokio::{
@@ -84,7 +84,7 @@
     // From a socket of its own: a new link must pass where the last one went silent.
     let link = state.node.dial_apart(address, host).await?;
     let silence = state.settings.times.silence;
-    let (stream, hello) = greeting::dialled(&link, &state.hello, silence).await?;
+    let (stream, hello) = handshake::initiate(&link, &state.hello, silence).await?;
     Ok((link, stream, hello))
 }
 
@@ -107,7 +107,7 @@
     let silence = state.settings.times.silence;
     let greet = async {
         let link = incoming.answer().await?;
-        let (stream, hello) = greeting::answered(&link, &state.hello, silence).await?;
+        let (stream, hello) = handshake::respond(&link, &state.hello, silence).await?;
         Ok((link, stream, hello))
     };
     match greet.await {
@@ -132,9 +132,9 @@
     let (frames, waiting) = mpsc::channel(WAITING);
     let beats = state.heartbeat.subscribe();
     let times = &state.settings.times;
-    let pace = Pace {
+    let pace = Intervals {
         busy: times.heartbeat,
-        rest: times.rest,
+        idle: times.rest,
     };
     let heard = {
         let link = link.clone();
@@ -146,7 +146,7 @@
             heard
         }
     };
-    tokio::spawn(greeting::beat(
+    tokio::spawn(handshake::send_heartbeats(
         stream.sender,
         beats,
         waiting,
--- a/components/measure/src/links.rs
+++ b/components/measure/src/links.rs
@@ -7,9 +7,9 @@
 };
 
 use argh::FromArgs;
-use daemon::greeting::{
+use daemon::handshake::{
     self,
-    Pace, //
+    Intervals, //
 };
 use fakes::platform::{
     self,
@@ -144,16 +144,16 @@
         let Ok(link) = incoming.answer().await else {
             continue;
         };
-        let Ok((stream, _)) = greeting::answered(&link, &hello, REST).await else {
+        let Ok((stream, _)) = handshake::respond(&link, &hello, REST).await else {
             continue;
         };
         let (_others, nothing) = mpsc::channel(1);
         let (_work, rest) = watch::channel(0);
-        let pace = Pace {
+        let pace = Intervals {
             busy: REST,
-            rest: REST,
+            idle: REST,
         };
-        tokio::spawn(greeting::beat(
+        tokio::spawn(handshake::send_heartbeats(
             stream.sender,
             state.subscribe(),
             nothing,
--- a/components/sidecar/src/daemon.rs
+++ b/components/sidecar/src/daemon.rs
@@ -13,7 +13,7 @@
 use daemon::{
     Error,
     drain,
-    greeting::RESTS,
+    handshake::MAX_MISSED_HEARTBEATS,
     http,
     probe::{
         self,
@@ -75,7 +75,11 @@
         keys: &Keys,
         stop: CancellationToken,
     ) -> Result<Self, Error> {
-        let node = Node::bind(settings.links, keys, settings.times.rest * RESTS)?;
+        let node = Node::bind(
+            settings.links,
+            keys,
+            settings.times.rest * MAX_MISSED_HEARTBEATS,
+        )?;
         let links = node.address().map_err(|source| wire::Error::Bind {
             address: settings.links,
             source,
--- a/components/sidecar/src/links.rs
+++ b/components/sidecar/src/links.rs
@@ -5,9 +5,9 @@
     sync::Arc, //
 };
 
-use daemon::greeting::{
+use daemon::handshake::{
     self,
-    Pace, //
+    Intervals, //
 };
 use events::links;
 use tokio::sync::mpsc;
@@ -43,7 +43,7 @@
         Err(error) => return refuse(address, &error),
     };
     let silence = state.shared.settings.times.silence;
-    let (first, hello) = match greeting::answered(&link, &state.hello, silence).await {
+    let (first, hello) = match handshake::respond(&link, &state.hello, silence).await {
         Ok(greeted) => greeted,
         Err(error) => return refuse(address, &error),
     };
@@ -52,12 +52,12 @@
     let (others, waiting) = mpsc::channel(1);
     // Watching for silence is left to the entries; but they admit and route by the load that the
     // heartbeats carry, so it must not be old while there is some.
-    let pace = Pace {
+    let pace = Intervals {
         busy: state.shared.settings.times.heartbeat,
-        rest: state.shared.settings.times.rest,
+        idle: state.shared.settings.times.rest,
     };
     let work = state.work.changes();
-    tokio::spawn(greeting::beat(
+    tokio::spawn(handshake::send_heartbeats(
         first.sender,
         beats,
         waiting,
