--- a/components/events/src/lib.rs
+++ b/components/events/src/lib.rs
@@ -5,10 +5,10 @@
 //! crate.
 
 pub mod answers;
-pub mod brief;
 pub mod calls;
-pub mod direct;
 pub mod documents;
+pub mod fast_moves;
+pub mod forwarding;
 pub mod limits;
 pub mod links;
 pub mod moves;
@@ -50,8 +50,8 @@
         links::ALL,
         answers::ALL,
         calls::ALL,
-        brief::ALL,
-        direct::ALL,
+        fast_moves::ALL,
+        forwarding::ALL,
         documents::ALL,
         moves::ALL,
         limits::ALL,
@@ -88,7 +88,7 @@
 }
 
 /// Logs an event with named fields, for structured lines:
-/// `note!(direct::SENT, id = id, server = server)`.
+/// `note!(forwarding::SENT, id = id, server = server)`.
 #[macro_export]
 macro_rules! note {
     ($event:expr, $($fields:tt)*) => {{
--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -19,7 +19,7 @@
 
 use bytes::Bytes;
 use events::{
-    direct,
+    forwarding,
     note, //
 };
 use futures_util::{
@@ -243,7 +243,7 @@
         return;
     }
     note!(
-        direct::REGISTERING,
+        forwarding::REGISTERING,
         id = call.request.metadata.id.as_str(),
         found = found(),
         waited_ms = began.elapsed().as_millis() as u64
@@ -308,7 +308,7 @@
         let answers = stream::iter(calls).buffer_unordered(MAX_CONCURRENT_LOOKUPS);
         let cached: Vec<Read> = answers.concat().await;
         note!(
-            direct::SURVEYED,
+            forwarding::SURVEYED,
             service = service.as_str(),
             engines = count,
             prompts = cached.len(),
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -12,7 +12,7 @@
 };
 
 use events::{
-    direct,
+    forwarding,
     note,
     process, //
 };
@@ -184,7 +184,7 @@
             Update::Document(snapshot) => {
                 let version = snapshot.version;
                 if self.context.document_cache.borrow_mut().update(snapshot) {
-                    note!(direct::DOCUMENT, version = version);
+                    note!(forwarding::DOCUMENT, version = version);
                 }
             }
             Update::Server {
@@ -199,7 +199,7 @@
                     .register(registration, since)
                 {
                     note!(
-                        direct::SERVER,
+                        forwarding::SERVER,
                         server = registered.server.as_str(),
                         service = registered.facts.service.as_str(),
                         version = registered.facts.version.as_str(),
@@ -221,7 +221,7 @@
                 state,
             } => self.context.rollouts.apply_state(&service, at, &to, state),
             Update::Deregistered(server) => {
-                note!(direct::GONE, server = server.as_str());
+                note!(forwarding::GONE, server = server.as_str());
                 let address = self.context.fleet.borrow_mut().remove(&server);
                 if let Some(address) = address {
                     self.context.sender.disconnect(address);
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -18,7 +18,7 @@
 };
 use environment::document::Repeats;
 use events::{
-    direct,
+    forwarding,
     note, //
 };
 use futures_util::future::{
@@ -253,7 +253,7 @@
     // Dropping the attempt at the caller's deadline counts as a failure of the server.
     in_flight.set_outcome(Outcome::Failed);
     note!(
-        direct::SENT,
+        forwarding::SENT,
         id = call.request.metadata.id.as_str(),
         server = target.server.as_str(),
         load = round_load(target.why.load),
@@ -316,7 +316,7 @@
                 .suspect(&target.server, suspicion_for(&error));
             let reason = error.to_string();
             note!(
-                direct::DECLINED,
+                forwarding::DECLINED,
                 id = id,
                 server = server,
                 reason = reason.as_str()
@@ -337,7 +337,7 @@
     if reply.not_run {
         // The server's statement in the head holds even when the body is cut off.
         note!(
-            direct::DECLINED,
+            forwarding::DECLINED,
             id = id,
             server = server,
             status = status.as_u16()
@@ -374,8 +374,8 @@
         false => Ending::Answered,
     };
     let event = match ending {
-        Ending::Failed => direct::FAILED,
-        _ => direct::ANSWERED,
+        Ending::Failed => forwarding::FAILED,
+        _ => forwarding::ANSWERED,
     };
     note!(
         event,
@@ -415,7 +415,7 @@
 }
 
 fn lost_attempt(id: &str, server: &str, reason: &str) -> Attempt {
-    note!(direct::LOST, id = id, server = server, reason = reason);
+    note!(forwarding::LOST, id = id, server = server, reason = reason);
     Attempt::without_answer(Ending::Lost)
 }
 
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -27,7 +27,7 @@
     }, //
 };
 use events::{
-    direct,
+    forwarding,
     note, //
 };
 use gates::{
@@ -326,7 +326,7 @@
         return;
     }
     note!(
-        direct::ADMITTED,
+        forwarding::ADMITTED,
         id = call.request.metadata.id.as_str(),
         in_time = in_time,
         waited_ms = waited.as_millis() as u64
--- a/components/gateway/src/refuse.rs
+++ b/components/gateway/src/refuse.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use events::{
-    direct,
+    forwarding,
     note, //
 };
 use gates::Refused;
@@ -116,7 +116,7 @@
         meter::refused(self.reason());
         meter::outcome("refused", arrived.elapsed());
         note!(
-            direct::REFUSED,
+            forwarding::REFUSED,
             id = id,
             reason = self.reason(),
             status = self.status().as_u16(),
--- a/components/gateway/src/retry_budget.rs
+++ b/components/gateway/src/retry_budget.rs
@@ -13,7 +13,7 @@
     Totals, //
 };
 use events::{
-    direct,
+    forwarding,
     note, //
 };
 use names::Service;
@@ -53,7 +53,7 @@
         if !granted {
             let others = retries.others(known);
             note!(
-                direct::SPENT,
+                forwarding::SPENT,
                 service = service.as_str(),
                 requests = own.requests,
                 retries = own.retries,
--- a/components/gateway/src/rollout.rs
+++ b/components/gateway/src/rollout.rs
@@ -10,7 +10,7 @@
 };
 
 use events::{
-    brief as event,
+    fast_moves as event,
     note, //
 };
 use moves::{
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use environment::document::Repeats;
 use events::{
-    direct,
+    forwarding,
     note, //
 };
 use futures_util::Stream;
@@ -296,7 +296,7 @@
             self.guard.done = true;
             meter::outcome("cut", self.call.arrived.elapsed());
             note!(
-                direct::CUT,
+                forwarding::CUT,
                 id = self.call.request.metadata.id.as_str(),
                 reason = reason,
                 attempts = self.ran_at.len(),
@@ -330,7 +330,7 @@
 
     fn finish(&self, run: Run) {
         note!(
-            direct::ANSWERED,
+            forwarding::ANSWERED,
             id = self.call.request.metadata.id.as_str(),
             server = run.target.server.as_str(),
             attempts = self.ran_at.len() + 1,
@@ -383,7 +383,7 @@
                     };
                     meter::resumed(from, self.last_event.elapsed());
                     note!(
-                        direct::RESUMED,
+                        forwarding::RESUMED,
                         id = self.call.request.metadata.id.as_str(),
                         server = target.server.as_str(),
                         last = self.sequence.last(),
@@ -458,7 +458,7 @@
         }
         meter::outcome("abandoned", self.arrived.elapsed());
         note!(
-            direct::ABANDONED,
+            forwarding::ABANDONED,
             id = self.id.as_str(),
             ms = self.arrived.elapsed().as_millis() as u64
         );
--- a/components/gateway/src/stream/backup.rs
+++ b/components/gateway/src/stream/backup.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use events::{
-    direct,
+    forwarding,
     note, //
 };
 use http::Method;
@@ -178,7 +178,7 @@
         let name =
             answer.and_then(|(head, body): (_, Bytes)| sender.protocol().parse_copy(&head, &body));
         note!(
-            direct::COPIED,
+            forwarding::COPIED,
             id = self.id.as_str(),
             server = self.source.server.as_str(),
             holder = self.holder.server.as_str(),
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -17,7 +17,7 @@
     BytesMut, //
 };
 use events::{
-    direct,
+    forwarding,
     note, //
 };
 use http::{
@@ -364,7 +364,7 @@
         // like a lost run.
         self.context.sender.disconnect(run.target.address);
         note!(
-            direct::LOST,
+            forwarding::LOST,
             id = self.call.request.metadata.id.as_str(),
             server = server.as_str(),
             data_centre = run.target.data_centre.as_str(),
@@ -408,7 +408,7 @@
             copy,
         };
         note!(
-            direct::SENT,
+            forwarding::SENT,
             id = self.call.request.metadata.id.as_str(),
             server = target.server.as_str(),
             data_centre = target.data_centre.as_str(),
@@ -438,7 +438,7 @@
                     .borrow_mut()
                     .suspect(&target.server, suspicion);
                 note!(
-                    direct::DECLINED,
+                    forwarding::DECLINED,
                     id = self.call.request.metadata.id.as_str(),
                     server = target.server.as_str(),
                     reason = error.to_string().as_str()
@@ -496,7 +496,7 @@
                 retry_after: reply.retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
             });
             note!(
-                direct::DECLINED,
+                forwarding::DECLINED,
                 id = id,
                 server = server.as_str(),
                 status = status
@@ -541,7 +541,7 @@
         meter::send("failed");
         run.in_flight.set_outcome(Outcome::Failed);
         note!(
-            direct::FAILED,
+            forwarding::FAILED,
             id = id,
             server = server.as_str(),
             status = status,
