--- a/components/daemon/src/http.rs
+++ b/components/daemon/src/http.rs
@@ -25,22 +25,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// A request's header must be there within this time.
-    pub header: Duration,
+    pub header_timeout: Duration,
     /// A connection without traffic is closed after this time.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Open connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time that a shutdown waits for requests in progress.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            header: Duration::from_secs(10),
-            idle: Duration::from_secs(75),
-            connections: 1024,
-            drain: Duration::from_secs(5),
+            header_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(75),
+            max_connections: 1024,
+            drain_timeout: Duration::from_secs(5),
         }
     }
 }
@@ -73,14 +73,14 @@
 
 async fn run(acceptor: TcpAcceptor, router: Router, limits: Limits, stop: CancellationToken) {
     let fuse = FuseConfig::strict()
-        .with_http1_header_timeout(limits.header)
-        .with_connection_idle_timeout(limits.idle)
+        .with_http1_header_timeout(limits.header_timeout)
+        .with_connection_idle_timeout(limits.idle_timeout)
         .with_write_stall_timeout(None);
     let server = Server::new(acceptor)
         .fuse_config(fuse)
-        .max_connections(limits.connections);
+        .max_connections(limits.max_connections);
     let handle = server.handle();
-    let drain = limits.drain;
+    let drain = limits.drain_timeout;
     tokio::spawn(async move {
         stop.cancelled().await;
         handle.stop_graceful(drain);
--- a/components/daemon/src/lateness.rs
+++ b/components/daemon/src/lateness.rs
@@ -50,7 +50,7 @@
 
 impl Lateness {
     /// Notes that the timer ticked at `now`.
-    pub fn tick(&self, now: Clock) {
+    pub fn record_tick(&self, now: Clock) {
         let mut ticks = self.0.lock().expect("no panic while held");
         let late = ticks.behind(now);
         if !late.is_zero() {
@@ -60,7 +60,7 @@
     }
 
     /// Notes at `now` that a task that was ready waited for its turn. Such waits are seen once a tick.
-    pub fn turn(&self, now: Clock, waited: Duration) {
+    pub fn record_wait(&self, now: Clock, waited: Duration) {
         let late = waited.saturating_sub(USUAL_TURN);
         if late.is_zero() {
             return;
@@ -71,7 +71,7 @@
 
     /// Part of the time from `begun` to `now` by which the process ran late, from 0 to 1. Of a
     /// short time it is taken over the last 20 ms.
-    pub fn part(&self, begun: Clock, now: Clock) -> f64 {
+    pub fn fraction(&self, begun: Clock, now: Clock) -> f64 {
         let ticks = self.0.lock().expect("no panic while held");
         let begun = begun.min(now.saturating_sub(SHORTEST));
         let recent = ticks.late.iter().rev().take_while(|(at, _)| *at >= begun);
@@ -82,7 +82,7 @@
     }
 
     /// Lets the timer tick until the process ends. `clock` is the process's steady clock.
-    pub async fn follow(&self, clock: impl Fn() -> Clock, ended: &CancellationToken) {
+    pub async fn monitor(&self, clock: impl Fn() -> Clock, ended: &CancellationToken) {
         let mut ticks = interval(PACE);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -91,10 +91,10 @@
                 _ = ticks.tick() => {}
             }
             let ticked = clock();
-            self.tick(ticked);
+            self.record_tick(ticked);
             yield_now().await;
             let now = clock();
-            self.turn(now, now.saturating_sub(ticked));
+            self.record_wait(now, now.saturating_sub(ticked));
         }
     }
 }
--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -98,7 +98,7 @@
     }
 
     /// Sends the facts over a link, all that are known and then each change, until the link ends.
-    pub async fn tell(&self, frames: mpsc::Sender<Frame>) {
+    pub async fn send_changes(&self, frames: mpsc::Sender<Frame>) {
         let mut facts = self.facts.subscribe();
         facts.mark_changed();
         loop {
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -150,10 +150,10 @@
 
 fn limits(settings: &settings::Entry) -> http::Limits {
     http::Limits {
-        header: settings.times.header,
-        idle: settings.times.idle,
-        connections: settings.limits.connections,
-        drain: settings.times.drain,
+        header_timeout: settings.times.header,
+        idle_timeout: settings.times.idle,
+        max_connections: settings.limits.connections,
+        drain_timeout: settings.times.drain,
     }
 }
 
@@ -203,7 +203,7 @@
 /// Watches how late this process runs, until it ends.
 async fn lateness(state: Arc<State>) {
     let clock = || state.now();
-    state.lateness.follow(clock, &state.ended).await;
+    state.lateness.monitor(clock, &state.ended).await;
 }
 
 /// Is ready with a document while it can be no older than what this host served by before; stops
--- a/components/entry/src/links.rs
+++ b/components/entry/src/links.rs
@@ -155,7 +155,7 @@
         heard,
     ));
     let (told, others) = (state.clone(), frames.clone());
-    tokio::spawn(async move { told.suspects.tell(others).await });
+    tokio::spawn(async move { told.suspects.send_changes(others).await });
     let joined = Joined {
         link: link.clone(),
         hello,
--- a/components/entry/src/moves/witness.rs
+++ b/components/entry/src/moves/witness.rs
@@ -153,5 +153,5 @@
     let now = state.now();
     state
         .lateness
-        .part(now.saturating_sub(begun.elapsed()), now)
+        .fraction(now.saturating_sub(begun.elapsed()), now)
 }
--- a/components/sidecar/src/links.rs
+++ b/components/sidecar/src/links.rs
@@ -67,7 +67,7 @@
     ));
     tokio::spawn(listen(state.clone(), first.receiver));
     let told = state.clone();
-    tokio::spawn(async move { told.shared.suspects.tell(others).await });
+    tokio::spawn(async move { told.shared.suspects.send_changes(others).await });
     loop {
         let stream = tokio::select! {
             () = ended.cancelled() => return,
