--- a/components/entry/src/documents.rs
+++ b/components/entry/src/documents.rs
@@ -163,7 +163,10 @@
                 message,
             }),
             Err(error) => {
-                events::emit!(documents::MESSAGE, "host={from} reason=\"{error}\"");
+                events::emit!(
+                    documents::MESSAGE_UNREADABLE,
+                    "host={from} reason=\"{error}\""
+                );
             }
         }
     }
--- a/components/entry/src/hosts/keeper.rs
+++ b/components/entry/src/hosts/keeper.rs
@@ -81,7 +81,7 @@
             }
             Err(error) => {
                 if !out {
-                    events::emit!(catalogue::HOSTS, "reason=\"{error}\"");
+                    events::emit!(catalogue::HOSTS_UNREADABLE, "reason=\"{error}\"");
                 }
                 out = true;
             }
--- a/components/entry/src/moves/log.rs
+++ b/components/entry/src/moves/log.rs
@@ -20,7 +20,7 @@
                 finding.of_old
             );
         }
-        Notice::Late => events::emit!(logged::LATE, "move={name}"),
+        Notice::Late => events::emit!(logged::OVERDUE, "move={name}"),
         Notice::Reported(outcome) => {
             events::emit!(logged::REPORTED, "move={name} end={:?}", outcome.end);
         }
--- a/components/events/src/documents.rs
+++ b/components/events/src/documents.rs
@@ -11,5 +11,5 @@
     /// knows.
     PAUSED = 503, Warn, "Process stood still";
     /// Another process sent what this version can't read.
-    MESSAGE = 504, Warn, "Message on documents can't be read";
+    MESSAGE_UNREADABLE = 504, Warn, "Message on documents can't be read";
 }
--- a/components/events/src/fast_moves.rs
+++ b/components/events/src/fast_moves.rs
@@ -8,7 +8,7 @@
     /// The new version is bad by what the entries counted; it gets no more requests.
     FOUND_BAD = 622, Error, "New version found bad by samples";
     /// A state of the move stands in the store.
-    STANDS = 623, Info, "State of a move stands in the store";
+    STATE_STORED = 623, Info, "State of a move stands in the store";
     /// A state of the move could not be written; it is tried again.
-    UNWRITTEN = 624, Warn, "State of a move not written";
+    STATE_NOT_STORED = 624, Warn, "State of a move not written";
 }
--- a/components/events/src/forwarding.rs
+++ b/components/events/src/forwarding.rs
@@ -21,28 +21,28 @@
     /// The caller went away before its answer was complete.
     ABANDONED = 1008, Info, "Caller went away";
     /// A run's memory was copied to another server, or couldn't be.
-    COPIED = 1010, Info, "Memory of a run copied on request";
+    MEMORY_COPIED = 1010, Info, "Memory of a run copied on request";
     /// Engines were asked for the prompts that they hold.
-    SURVEYED = 1011, Info, "Engines told what their caches hold";
+    CACHES_QUERIED = 1011, Info, "Engines told what their caches hold";
     /// A request waited until an engine had room.
     ADMITTED = 1012, Debug, "Request waited for an engine with room";
     /// A request waited for the first call to the store of a process that had just started.
-    OPENED = 1013, Info, "Request waited for the first document";
+    AWAITED_DOCUMENT = 1013, Info, "Request waited for the first document";
     /// A caller came back while servers that may hold its prompt were missing from the register.
-    REGISTERING = 1014, Info, "Request waited for servers that register again";
+    AWAITED_REGISTRATIONS = 1014, Info, "Request waited for servers that register again";
     /// A retry would exceed the bound over all processes.
-    SPENT = 1009, Info, "No retry is left for the service";
+    RETRY_BUDGET_SPENT = 1009, Info, "No retry is left for the service";
 
     /// A document is in force here.
-    DOCUMENT = 1100, Info, "Document is in force";
+    DOCUMENT_IN_FORCE = 1100, Info, "Document is in force";
     /// A document can't be read; the one before stays in force.
     UNREADABLE = 1101, Error, "Document can't be read";
     /// A backend server is new, or its registration changed.
-    SERVER = 1102, Info, "Backend server registered";
+    SERVER_REGISTERED = 1102, Info, "Backend server registered";
     /// A backend server is gone.
-    GONE = 1103, Info, "Backend server is gone";
+    SERVER_GONE = 1103, Info, "Backend server is gone";
     /// An entry of the register can't be read.
-    FOREIGN = 1104, Warn, "Entry of the register can't be read";
+    REGISTRATION_UNREADABLE = 1104, Warn, "Entry of the register can't be read";
     /// A call to the store came to nothing.
     STORE_LOST = 1105, Warn, "Store does not answer";
     /// The store answers again.
@@ -52,7 +52,7 @@
     /// The document is known to be current again.
     CURRENT = 1108, Info, "Document is current again";
     /// Settings were read again.
-    SETTINGS = 1109, Info, "Settings changed";
+    SETTINGS_CHANGED = 1109, Info, "Settings changed";
     /// Settings can't be read; those before stay.
-    BAD_SETTINGS = 1110, Error, "Settings can't be read";
+    SETTINGS_UNREADABLE = 1110, Error, "Settings can't be read";
 }
--- a/components/events/src/links.rs
+++ b/components/events/src/links.rs
@@ -14,7 +14,7 @@
     /// A backend server is leaving.
     LEAVING = 205, Info, "Backend server is leaving";
     /// The platform's host list can't be read; the last one stays in use.
-    HOSTS = 206, Warn, "Host list can't be read";
+    HOSTS_UNREADABLE = 206, Warn, "Host list can't be read";
     /// Nothing came from a peer for several of its beacons; its work no longer counts.
     SILENT = 207, Info, "Peer fell silent";
     /// A peer is new, or is heard again.
--- a/components/events/src/moves.rs
+++ b/components/events/src/moves.rs
@@ -4,7 +4,7 @@
     /// This entry found a move's new version bad and sends it no more requests.
     TRIPPED = 600, Error, "New version found bad";
     /// The operator's time has passed and the traffic hasn't moved whole.
-    LATE = 601, Warn, "Move is late";
+    OVERDUE = 601, Warn, "Move is late";
     /// A move has ended, and this entry wrote its outcome.
     REPORTED = 602, Info, "Move ended";
     /// A move has ended, as another entry wrote.
--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -243,7 +243,7 @@
         return;
     }
     note!(
-        forwarding::REGISTERING,
+        forwarding::AWAITED_REGISTRATIONS,
         id = call.request.metadata.id.as_str(),
         found = found(),
         waited_ms = began.elapsed().as_millis() as u64
@@ -308,7 +308,7 @@
         let answers = stream::iter(calls).buffer_unordered(MAX_CONCURRENT_LOOKUPS);
         let cached: Vec<Read> = answers.concat().await;
         note!(
-            forwarding::SURVEYED,
+            forwarding::CACHES_QUERIED,
             service = service.as_str(),
             engines = count,
             prompts = cached.len(),
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -184,7 +184,7 @@
             Update::Document(snapshot) => {
                 let version = snapshot.version;
                 if self.context.document_cache.borrow_mut().update(snapshot) {
-                    note!(forwarding::DOCUMENT, version = version);
+                    note!(forwarding::DOCUMENT_IN_FORCE, version = version);
                 }
             }
             Update::Server {
@@ -199,7 +199,7 @@
                     .register(registration, since)
                 {
                     note!(
-                        forwarding::SERVER,
+                        forwarding::SERVER_REGISTERED,
                         server = registered.server.as_str(),
                         service = registered.facts.service.as_str(),
                         version = registered.facts.version.as_str(),
@@ -221,7 +221,7 @@
                 state,
             } => self.context.rollouts.apply_state(&service, at, &to, state),
             Update::Deregistered(server) => {
-                note!(forwarding::GONE, server = server.as_str());
+                note!(forwarding::SERVER_GONE, server = server.as_str());
                 let address = self.context.fleet.borrow_mut().remove(&server);
                 if let Some(address) = address {
                     self.context.sender.disconnect(address);
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -225,7 +225,7 @@
         let began = Instant::now();
         self.initial_sync.wait(metadata.deadline).await;
         note!(
-            forwarding::OPENED,
+            forwarding::AWAITED_DOCUMENT,
             id = metadata.id.as_str(),
             document = self.document_info().version,
             waited_ms = began.elapsed().as_millis() as u64
--- a/components/gateway/src/retry_budget.rs
+++ b/components/gateway/src/retry_budget.rs
@@ -53,7 +53,7 @@
         if !granted {
             let others = retries.others(known);
             note!(
-                forwarding::SPENT,
+                forwarding::RETRY_BUDGET_SPENT,
                 service = service.as_str(),
                 requests = own.requests,
                 retries = own.retries,
--- a/components/gateway/src/rollout.rs
+++ b/components/gateway/src/rollout.rs
@@ -130,7 +130,7 @@
             return;
         }
         note!(
-            event::STANDS,
+            event::STATE_STORED,
             service = service.as_str(),
             version = to.as_str(),
             state = state_name(state),
