--- a/components/daemon/src/handshake.rs
+++ b/components/daemon/src/handshake.rs
@@ -115,7 +115,7 @@
             hello.protocol
         )));
     }
-    link.confirm(&hello.host)?;
+    link.verify_host(&hello.host)?;
     Ok(hello)
 }
 
--- a/components/entry/src/links.rs
+++ b/components/entry/src/links.rs
@@ -82,7 +82,7 @@
     address: SocketAddr,
 ) -> Result<(Link, Stream, Hello), Error> {
     // From a socket of its own: a new link must pass where the last one went silent.
-    let link = state.node.dial_apart(address, host).await?;
+    let link = state.node.dial_from_new_socket(address, host).await?;
     let silence = state.settings.times.silence;
     let (stream, hello) = handshake::initiate(&link, &state.hello, silence).await?;
     Ok((link, stream, hello))
@@ -106,7 +106,7 @@
     let address = incoming.address();
     let silence = state.settings.times.silence;
     let greet = async {
-        let link = incoming.answer().await?;
+        let link = incoming.accept().await?;
         let (stream, hello) = handshake::respond(&link, &state.hello, silence).await?;
         Ok((link, stream, hello))
     };
--- a/components/measure/src/links.rs
+++ b/components/measure/src/links.rs
@@ -141,7 +141,7 @@
     };
     let (state, _) = watch::channel(heartbeat);
     while let Some(incoming) = node.accept().await {
-        let Ok(link) = incoming.answer().await else {
+        let Ok(link) = incoming.accept().await else {
             continue;
         };
         let Ok((stream, _)) = handshake::respond(&link, &hello, REST).await else {
--- a/components/sidecar/src/links.rs
+++ b/components/sidecar/src/links.rs
@@ -38,7 +38,7 @@
 
 async fn answer(state: Arc<State>, incoming: Incoming, ended: CancellationToken) {
     let address = incoming.address();
-    let link = match incoming.answer().await {
+    let link = match incoming.accept().await {
         Ok(link) => link,
         Err(error) => return refuse(address, &error),
     };
--- a/components/wire/src/link.rs
+++ b/components/wire/src/link.rs
@@ -85,7 +85,11 @@
     ///
     /// Something between the two ends can lose track of a pair of addresses: then every link on it
     /// is silent for good, a new one from the same socket too, and only another port passes.
-    pub async fn dial_apart(&self, address: SocketAddr, host: &str) -> Result<Link, Error> {
+    pub async fn dial_from_new_socket(
+        &self,
+        address: SocketAddr,
+        host: &str,
+    ) -> Result<Link, Error> {
         let any = match address {
             SocketAddr::V4(_) => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
             SocketAddr::V6(_) => SocketAddr::from((Ipv6Addr::UNSPECIFIED, 0)),
@@ -121,7 +125,7 @@
     }
 
     /// Does the handshake; fails when the peer's certificate is not of our authority.
-    pub async fn answer(self) -> Result<Link, Error> {
+    pub async fn accept(self) -> Result<Link, Error> {
         let connection = self.0.await.map_err(sort)?;
         Ok(Link { connection })
     }
@@ -150,7 +154,7 @@
     ///
     /// Without this check any process with a certificate of ours could speak for another host:
     /// announce it as leaving, or take its traffic.
-    pub fn confirm(&self, claimed: &Host) -> Result<(), Error> {
+    pub fn verify_host(&self, claimed: &Host) -> Result<(), Error> {
         let foreign = || Error::Foreign(format!("the peer is not {claimed}"));
         let identity = self.connection.peer_identity().ok_or_else(foreign)?;
         let chain = identity
--- a/components/wire/tests/links.rs
+++ b/components/wire/tests/links.rs
@@ -37,7 +37,7 @@
     let address = answering.address().expect("bound");
     let (dialled, answered) = tokio::join!(dialling.dial(address, host), async {
         let incoming = timeout(LIMIT, answering.accept()).await.ok()??;
-        incoming.answer().await.ok()
+        incoming.accept().await.ok()
     });
     (dialled, answered)
 }
@@ -51,11 +51,16 @@
     let answered = answered.expect("a link");
     dialled
         .expect("a link")
-        .confirm(&"draft-a".into())
+        .verify_host(&"draft-a".into())
+        .expect("its own name");
+    answered
+        .verify_host(&"entry-a".into())
         .expect("its own name");
-    answered.confirm(&"entry-a".into()).expect("its own name");
     // A process that claims another host's name could announce that host as leaving.
-    assert_matches!(answered.confirm(&"entry-b".into()), Err(Error::Foreign(_)));
+    assert_matches!(
+        answered.verify_host(&"entry-b".into()),
+        Err(Error::Foreign(_))
+    );
 }
 
 /// A process with a certificate of another system's authority dials, or is dialled by mistake.
