--- a/components/entry/src/callers/service.rs
+++ b/components/entry/src/callers/service.rs
@@ -86,7 +86,7 @@
             content_type: header(req, "content-type"),
             accept: header(req, "accept"),
             body,
-            kept: None,
+            recording: None,
         };
         let team = call.team.clone();
         let request = gates::Request {
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -41,7 +41,7 @@
     Frame,
     frame::{
         Call,
-        Kept,
+        Recording,
         Reply, //
     },
 };
@@ -230,11 +230,11 @@
             return Event::Unsent;
         };
         self.avoid.push(replica.server.clone());
-        self.call.kept = (self.class == Class::Kept).then(|| Kept {
-            send: rand::random(),
-            base,
+        self.call.recording = (self.class == Class::Kept).then(|| Recording {
+            send_id: rand::random(),
+            base_revision: base,
             digest: self.digest.clone(),
-            ask: self.ask.clone(),
+            status_path: self.ask.clone(),
         });
         self.exchange(&replica).await
     }
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -25,8 +25,8 @@
     Stream,
     frame::{
         Call,
-        Kept,
         Reason,
+        Recording,
         Refused,
         Reply, //
     }, //
@@ -73,7 +73,7 @@
 
     /// Hands a call over and sends what became of it.
     pub(crate) async fn call(&self, shared: &Shared, call: Call, mut stream: Stream) {
-        let reply = match (self.admit(shared, &call), &call.kept) {
+        let reply = match (self.admit(shared, &call), &call.recording) {
             (Err(reply), _) => reply,
             (Ok(_piece), kept) => match (shared.flights.admit(fingerprint(&call)).await, kept) {
                 (Err(refusal), _) => apart(refusal),
@@ -107,9 +107,9 @@
             .ok_or_else(|| not_run(Reason::Full))
     }
 
-    fn begins(&self, kept: &Kept) -> bool {
+    fn begins(&self, kept: &Recording) -> bool {
         let mut seen = self.seen.lock().expect("no panic while held");
-        seen.begin(kept.send)
+        seen.begin(kept.send_id)
     }
 
     /// Passes a call on of which no record is kept.
--- a/components/sidecar/src/kept.rs
+++ b/components/sidecar/src/kept.rs
@@ -26,7 +26,7 @@
     Stream,
     frame::{
         self,
-        Kept,
+        Recording,
         Reply, //
     }, //
 };
@@ -47,7 +47,7 @@
     shared: &Shared,
     service: &Service,
     call: &frame::Call,
-    kept: &Kept,
+    kept: &Recording,
     flying: &Flying,
     stream: Stream,
 ) {
@@ -62,11 +62,11 @@
         ),
         machine: Handover::new(
             Call {
-                base: kept.base,
+                base: kept.base_revision,
                 digest: kept.digest.clone(),
                 server: shared.settings.server.name.clone(),
                 nonce: rand::random(),
-                ask: kept.ask.clone(),
+                ask: kept.status_path.clone(),
             },
             Settings::default(),
         ),
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -255,20 +255,20 @@
     /// The call may run more than once.
     pub repeatable: bool,
     /// What the record of a call needs; none for calls of which no record is kept.
-    pub kept: Option<Kept>,
+    pub recording: Option<Recording>,
 }
 
 /// What the record of a kept call needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct Recording {
     /// Number of this send, freshly drawn; the sidecar begins each send once.
-    pub send: Nonce,
+    pub send_id: Nonce,
     /// Revision that the record must still have when the sidecar writes it.
-    pub base: Revision,
+    pub base_revision: Revision,
     /// Digest of the request.
     pub digest: String,
     /// Path where the caller can ask about the call.
-    pub ask: String,
+    pub status_path: String,
 }
 
 /// What became of a call.
