--- a/components/sidecar/src/backend.rs
+++ b/components/sidecar/src/backend.rs
@@ -1,4 +1,4 @@
-//! Follows the backend server's health and load, for the heartbeats.
+//! Polls the backend server's health and load for the heartbeats.
 
 use std::{
     sync::Arc,
@@ -21,10 +21,10 @@
 
 use crate::state::State;
 
-/// Runs that a plain service may have at once, when nothing is known of it.
+/// Capacity assumed of a plain service, which reports none.
 const PLAIN_CAPACITY: u32 = 64;
 
-/// An engine's own report of its load.
+/// Load as the engine reports it at `GET /load`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Report {
@@ -35,12 +35,12 @@
     age_ms: u64,
 }
 
-pub(crate) async fn follow(
+pub(crate) async fn poll(
     state: Arc<State>,
     ready: watch::Sender<Readiness>,
     ended: CancellationToken,
 ) {
-    let times = &state.shared.settings.times;
+    let times = &state.context.settings.times;
     let Ok(client) = reqwest::Client::builder().timeout(times.silence).build() else {
         return;
     };
@@ -51,9 +51,9 @@
             () = ended.cancelled() => return,
             _ = ticks.tick() => {}
         }
-        let healthy = health(&client, &state.shared.settings.server.address).await;
+        let healthy = health(&client, &state.context.settings.server.address).await;
         let load = load(&client, &state).await;
-        note(&state, &ready, healthy, load);
+        update(&state, &ready, healthy, load);
     }
 }
 
@@ -64,14 +64,14 @@
 
 async fn load(client: &reqwest::Client, state: &State) -> Load {
     let own = Load {
-        running: state.work.count(),
+        running: state.concurrency.count(),
         capacity: PLAIN_CAPACITY,
         ..Load::default()
     };
-    if state.shared.settings.server.kind == Kind::Plain {
+    if state.context.settings.server.kind == Kind::Plain {
         return own;
     }
-    let address = &state.shared.settings.server.address;
+    let address = &state.context.settings.server.address;
     let Ok(answer) = client.get(format!("{address}/load")).send().await else {
         return own;
     };
@@ -87,9 +87,9 @@
     }
 }
 
-fn note(state: &State, ready: &watch::Sender<Readiness>, healthy: bool, load: Load) {
+fn update(state: &State, ready: &watch::Sender<Readiness>, healthy: bool, load: Load) {
     let before = state.heartbeat.borrow().healthy;
-    // Only a change wakes the heartbeats; the load alone waits for the next one.
+    // Only a change of health triggers a heartbeat; the load alone waits for the next regular one.
     state.heartbeat.send_if_modified(|heartbeat| {
         heartbeat.load = Some(load);
         let changed = heartbeat.healthy != healthy;
@@ -99,7 +99,7 @@
     if before == healthy {
         return;
     }
-    let server = &state.shared.settings.server.name;
+    let server = &state.context.settings.server.name;
     if healthy {
         events::emit!(answers::ENGINE_UP, "server={server}");
         ready.send_replace(Readiness::Ready);
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the plain service beside this sidecar.
+//! Calls to the plain service behind this sidecar.
 
 use std::{
     sync::Mutex,
@@ -33,58 +33,61 @@
 };
 
 use crate::{
-    flights::{
-        Flying,
+    concurrency::{
+        Counter,
+        Permit, //
+    },
+    context::Context,
+    inflight::{
+        Guard,
         Refusal, //
     },
-    kept,
+    recorded,
     service::{
-        Handed,
+        Outcome,
         Service, //
-    },
-    shared::Shared,
-    work::{
-        Piece,
-        Work, //
     }, //
 };
 
-/// Time to come back after a refusal.
-const RETRY: Duration = Duration::from_secs(1);
+/// Delay before a retry that a refusal asks for.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Sends of kept calls that are remembered, so that each begins once.
-const SENDS: usize = 4096;
+/// Send ids of recorded calls that are remembered, so that each send begins only once.
+const MAX_REMEMBERED_SENDS: usize = 4096;
 
-/// Hands calls to the plain service.
+/// Forwards calls to the plain service.
 pub struct Calls {
     service: Service,
-    work: Work,
+    concurrency: Counter,
     seen: Mutex<Seen>,
 }
 
 impl Calls {
-    pub(crate) fn new(settings: &Sidecar, work: Work) -> Self {
+    pub(crate) fn new(settings: &Sidecar, concurrency: Counter) -> Self {
         Self {
             service: Service::new(settings),
-            work,
-            seen: Mutex::new(Seen::new(SENDS)),
+            concurrency,
+            seen: Mutex::new(Seen::new(MAX_REMEMBERED_SENDS)),
         }
     }
 
-    /// Hands a call over and sends what became of it.
-    pub(crate) async fn call(&self, shared: &Shared, call: Call, mut stream: Stream) {
-        let reply = match (self.admit(shared, &call), &call.recording) {
+    /// Forwards a call and sends its outcome on the stream.
+    pub(crate) async fn handle(&self, context: &Context, call: Call, mut stream: Stream) {
+        let reply = match (self.admit(context, &call), &call.recording) {
             (Err(reply), _) => reply,
-            (Ok(_piece), kept) => match (shared.flights.admit(fingerprint(&call)).await, kept) {
-                (Err(refusal), _) => apart(refusal),
-                (Ok(flying), Some(kept)) => {
-                    if self.begins(kept) {
-                        kept::run(shared, &self.service, &call, kept, &flying, stream).await;
+            (Ok(_permit), record) => {
+                match (context.inflight.admit(fingerprint(&call)).await, record) {
+                    (Err(refusal), _) => refusal_reply(refusal),
+                    (Ok(guard), Some(record)) => {
+                        if self.is_first_send(record) {
+                            recorded::run(context, &self.service, &call, record, &guard, stream)
+                                .await;
+                        }
+                        return;
                     }
-                    return;
+                    (Ok(guard), None) => self.forward(context, &call, &guard).await,
                 }
-                (Ok(flying), None) => self.pass(shared, &call, &flying).await,
-            }, //
+            } //
         };
         if stream.send(&Frame::Reply(reply)).await.is_ok() {
             stream.sender.finish();
@@ -92,35 +95,35 @@
         }
     }
 
-    /// Refuses a call before anything was done about it.
-    fn admit(&self, shared: &Shared, call: &Call) -> Result<Piece, Reply> {
-        if shared.leaving.is_cancelled() {
+    /// Admits a call, or refuses it before it has any effect.
+    fn admit(&self, context: &Context, call: &Call) -> Result<Permit, Reply> {
+        if context.leaving.is_cancelled() {
             return Err(not_run(Reason::Leaving));
         }
-        if shared.settings.server.kind != Kind::Plain
+        if context.settings.server.kind != Kind::Plain
             || Method::from_bytes(call.method.as_bytes()).is_err()
         {
             return Err(not_run(Reason::Invalid));
         }
-        self.work
-            .begin(shared.settings.limits.runs)
+        self.concurrency
+            .acquire(context.settings.limits.runs)
             .ok_or_else(|| not_run(Reason::Full))
     }
 
-    fn begins(&self, kept: &Recording) -> bool {
+    fn is_first_send(&self, recording: &Recording) -> bool {
         let mut seen = self.seen.lock().expect("no panic while held");
-        seen.begin(kept.send_id)
+        seen.begin(recording.send_id)
     }
 
-    /// Passes a call on of which no record is kept.
-    async fn pass(&self, shared: &Shared, call: &Call, flying: &Flying) -> Reply {
+    /// Forwards a call of which no record is kept.
+    async fn forward(&self, context: &Context, call: &Call, guard: &Guard) -> Reply {
         match timeout(
-            shared.settings.times.call,
-            self.service.hand_over(call, flying),
+            context.settings.times.call,
+            self.service.forward(call, guard),
         )
         .await
         {
-            Ok(Handed::Answered {
+            Ok(Outcome::Answered {
                 status,
                 content_type,
                 body,
@@ -130,8 +133,8 @@
                 body,
                 replayed: false,
             },
-            Ok(Handed::NotSent) => not_run(Reason::Down),
-            Ok(Handed::Lost) | Err(_) => Reply::Unknown,
+            Ok(Outcome::NotSent) => not_run(Reason::Down),
+            Ok(Outcome::Lost) | Err(_) => Reply::Unknown,
         }
     }
 }
@@ -141,7 +144,7 @@
     poison::of_call(&call.team, &call.service, &digest)
 }
 
-fn apart(refusal: Refusal) -> Reply {
+fn refusal_reply(refusal: Refusal) -> Reply {
     match refusal {
         Refusal::Poisonous(left) => Reply::NotRun(Refused {
             reason: Reason::Poisonous,
@@ -154,6 +157,6 @@
 fn not_run(reason: Reason) -> Reply {
     Reply::NotRun(Refused {
         reason,
-        retry_after: RETRY,
+        retry_after: RETRY_AFTER,
     })
 }
--- a/components/sidecar/src/daemon.rs
+++ b/components/sidecar/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Start and stop of a sidecar.
+//! Startup and shutdown of a sidecar.
 
 use std::{
     net::SocketAddr,
@@ -46,30 +46,36 @@
 use crate::{
     backend,
     calls::Calls,
-    flights::Flights,
+    concurrency::Counter,
+    context::Context,
     generations::Generations,
+    inflight::Tracker,
     links,
     orders,
-    shared::Shared,
-    state::State,
-    work::Work, //
+    state::State, //
 };
 
-/// Time for which a sidecar that leaves still refuses work that was on its way.
-const LINGER: Duration = Duration::from_millis(500);
+/// Time for which a leaving sidecar keeps its links open to refuse calls that were sent before
+/// their entry received the leaving heartbeat.
+const LEAVING_GRACE: Duration = Duration::from_millis(500);
 
-/// A sidecar that runs.
+/// A running sidecar.
 pub struct Sidecar {
-    /// Address of its links.
+    /// Address that it listens on for links (QUIC over UDP).
     pub links: SocketAddr,
-    /// Address of its probes and metrics.
+    /// Address that it listens on for health checks and metrics (HTTP over TCP).
     pub operators: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl Sidecar {
-    /// Starts a sidecar. Once `stop` is cancelled it takes no new work, finishes what is in
-    /// progress within the drain time, and ends.
+    /// Starts a sidecar. Once `stop` is cancelled, the sidecar refuses new work, finishes work in
+    /// progress within the drain time, and stops.
+    ///
+    /// # Errors
+    ///
+    /// [`Error`] when an address can't be bound, the keys are unusable or the platform's client
+    /// can't be built.
     pub async fn start(
         settings: settings::Sidecar,
         keys: &Keys,
@@ -86,22 +92,23 @@
         })?;
         let ended = CancellationToken::new();
         let state = Arc::new(state(settings, stop.clone())?);
-        let (ready, readiness) = watch::channel(Readiness::Waiting("backend server unseen".into()));
+        let (ready, readiness) =
+            watch::channel(Readiness::Waiting("backend server not checked yet".into()));
         let served = http::serve(
-            state.shared.settings.operators,
+            state.context.settings.operators,
             probe::router(metering::install(), readiness),
             http::Limits::default(),
             ended.clone(),
         )
         .await?;
-        tokio::spawn(backend::follow(state.clone(), ready, ended.clone()));
+        tokio::spawn(backend::poll(state.clone(), ready, ended.clone()));
         tokio::spawn(orders::follow(state.clone(), ended.clone()));
         tokio::spawn(links::accept(state.clone(), node.clone(), ended.clone()));
         events::emit!(
             process::STARTED,
             "role=sidecar host={} server={} links={links} operators={}",
-            state.shared.settings.name,
-            state.shared.settings.server.name,
+            state.context.settings.name,
+            state.context.settings.server.name,
             served.address
         );
         let operators = served.address;
@@ -111,7 +118,7 @@
             ended.cancel();
             node.close().await;
             let _ = served.task.await;
-            events::emit!(process::STOPPED, "host={}", state.shared.settings.name);
+            events::emit!(process::STOPPED, "host={}", state.context.settings.name);
         });
         Ok(Self {
             links,
@@ -125,7 +132,8 @@
         let _ = self.task.await;
     }
 
-    /// Ends the sidecar at once, as a killed process would. For tests.
+    /// Aborts the shutdown task, so that the sidecar doesn't drain, as when its process is killed.
+    /// For tests.
     pub fn kill(self) {
         self.task.abort();
     }
@@ -134,7 +142,7 @@
 fn state(settings: settings::Sidecar, leaving: CancellationToken) -> Result<State, Error> {
     let platform = store::Client::new(&settings.platform, settings.times.platform)
         .map_err(|error| wire::Error::Keys(error.to_string()))?;
-    let work = Work::default();
+    let concurrency = Counter::default();
     let hello = Hello {
         protocol: PROTOCOL,
         host: settings.name.clone(),
@@ -151,12 +159,12 @@
     Ok(State {
         hello,
         heartbeat,
-        generations: Generations::new(&settings, work.clone()),
-        calls: Calls::new(&settings, work.clone()),
+        generations: Generations::new(&settings, concurrency.clone()),
+        calls: Calls::new(&settings, concurrency.clone()),
         pointers: Mutex::new(pointer::Table::new(pointer::Settings::default())),
-        work,
-        shared: Shared {
-            flights: Flights::new(&settings, suspects.clone()),
+        concurrency,
+        context: Context {
+            inflight: Tracker::new(&settings, suspects.clone()),
             suspects,
             records: Records::new(platform),
             origin: Instant::now(),
@@ -166,22 +174,23 @@
     })
 }
 
-/// Says that this host leaves, and waits until nothing is in progress.
+/// Announces that this host is leaving, and waits until no work is in progress.
 async fn drain(state: &State) {
     events::emit!(
         process::STOPPING,
         "host={} in_progress={}",
-        state.shared.settings.name,
-        state.work.count()
+        state.context.settings.name,
+        state.concurrency.count()
     );
     state
         .heartbeat
         .send_modify(|heartbeat| heartbeat.leaving = true);
-    // A call that was sent before its entry saw the sign must be refused, not cut with the links.
-    sleep(LINGER).await;
+    // A call sent before its entry received the leaving heartbeat must be refused; closing the
+    // links now would break it off.
+    sleep(LEAVING_GRACE).await;
     drain::drain(
-        || state.work.count() as usize,
-        state.shared.settings.times.drain,
+        || state.concurrency.count() as usize,
+        state.context.settings.times.drain,
     )
     .await;
 }
--- a/components/sidecar/src/engine.rs
+++ b/components/sidecar/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP interface: generations and their lines.
+//! HTTP client of the engine: starts generations and reads their answer lines.
 
 use std::time::Duration;
 
@@ -26,13 +26,13 @@
 
 use crate::line::Line;
 
-/// Longest line of an engine's answer, in bytes.
-const LINE: usize = 1 << 20;
+/// Longest accepted line of an engine's answer, in bytes.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Time to come back after an engine that gave none.
-const RETRY: Duration = Duration::from_secs(1);
+/// Delay before a retry when the engine's answer has no `Retry-After`.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A client of one engine.
+/// HTTP client of one engine.
 #[derive(Clone)]
 pub struct Engine {
     client: Client,
@@ -40,20 +40,20 @@
     stall: Duration,
 }
 
-/// Lines of one run.
+/// Reader of the lines of one run.
 pub struct Lines {
     reader: FramedRead<Box<dyn tokio::io::AsyncRead + Send + Unpin>, LinesCodec>,
     stall: Duration,
 }
 
-/// What came of waiting for a line.
+/// Result of waiting for a line.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Next {
-    /// A line.
+pub enum Read {
+    /// The next line.
     Line(Line),
-    /// The run's response closed, or sent what isn't a line.
+    /// The response ended, or it sent a line that can't be parsed.
     Broken,
-    /// Nothing came for the stall time.
+    /// No line arrived within the stall time.
     Stalled,
 }
 
@@ -72,7 +72,8 @@
 }
 
 impl Engine {
-    /// A client of the engine at an address; `stall` is the longest silence within a run.
+    /// Creates a client of the engine at an address; `stall` is the longest time without a line
+    /// within a run.
     pub fn new(address: &str, stall: Duration) -> Self {
         let client = Client::builder()
             .connect_timeout(stall)
@@ -87,7 +88,11 @@
         }
     }
 
-    /// Begins a run.
+    /// Starts a run.
+    ///
+    /// # Errors
+    ///
+    /// [`Refused`] with the reason when the engine refuses the run or can't be reached.
     pub async fn generate(&self, start: &Start) -> Result<Lines, Refused> {
         let body = Generate {
             id: format!("{}/{}/{}", start.request, start.epoch, start.nonce),
@@ -106,42 +111,42 @@
             .json(&body);
         let answer = match timeout(self.stall, request.send()).await {
             Ok(Ok(answer)) => answer,
-            Ok(Err(_)) | Err(_) => return Err(refused(Reason::Down, RETRY)),
+            Ok(Err(_)) | Err(_) => return Err(refused(Reason::Down, DEFAULT_RETRY_AFTER)),
         };
         if answer.status() != StatusCode::OK {
-            return Err(sort(&answer, start));
+            return Err(refusal(&answer, start));
         }
         let bytes = answer.bytes_stream().map_err(std::io::Error::other);
         let reader: Box<dyn tokio::io::AsyncRead + Send + Unpin> =
             Box::new(StreamReader::new(bytes));
         Ok(Lines {
-            reader: FramedRead::new(reader, LinesCodec::new_with_max_length(LINE)),
+            reader: FramedRead::new(reader, LinesCodec::new_with_max_length(MAX_LINE_BYTES)),
             stall: self.stall,
         })
     }
 }
 
 impl Lines {
-    /// Waits for the next line.
-    pub async fn next(&mut self) -> Next {
+    /// Waits for the next line, for at most the stall time.
+    pub async fn next(&mut self) -> Read {
         match timeout(self.stall, self.reader.try_next()).await {
-            Err(_) => Next::Stalled,
+            Err(_) => Read::Stalled,
             Ok(Ok(Some(text))) => match serde_json::from_str(&text) {
-                Ok(line) => Next::Line(line),
-                Err(_) => Next::Broken,
+                Ok(line) => Read::Line(line),
+                Err(_) => Read::Broken,
             },
-            Ok(Ok(None) | Err(_)) => Next::Broken,
+            Ok(Ok(None) | Err(_)) => Read::Broken,
         }
     }
 }
 
-fn sort(answer: &Response, start: &Start) -> Refused {
+fn refusal(answer: &Response, start: &Start) -> Refused {
     let retry = answer
         .headers()
         .get(RETRY_AFTER)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok())
-        .map_or(RETRY, Duration::from_secs);
+        .map_or(DEFAULT_RETRY_AFTER, Duration::from_secs);
     match answer.status() {
         StatusCode::CONFLICT => refused(Reason::Version, retry),
         StatusCode::TOO_MANY_REQUESTS => refused(Reason::Full, retry),
--- a/components/sidecar/src/generation.rs
+++ b/components/sidecar/src/generation.rs
@@ -1,4 +1,4 @@
-//! One generation: its token log, and the task that fills it from the engine.
+//! One generation: its token log, and the loop that fills the log from the engine's answer.
 
 use std::{
     collections::HashMap,
@@ -35,114 +35,121 @@
 use crate::{
     engine::{
         Lines,
-        Next, //
+        Read, //
     },
-    flights::Flying,
+    inflight::Guard,
     line::Line,
 };
 
-/// What names a generation.
+/// Identifies a generation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Key {
-    /// The request that it answers.
+    /// Request that the generation answers.
     pub request: Request,
-    /// Its epoch.
+    /// Epoch within the request.
     pub epoch: Epoch,
-    /// Its nonce.
+    /// Random number that distinguishes generations of one epoch.
     pub nonce: Nonce,
 }
 
-/// One generation that this sidecar holds.
+/// A generation that this sidecar runs, or ran and still holds.
 pub struct Generation {
     log: watch::Sender<Log>,
     usage: Mutex<Usage>,
-    /// Facts about the death that ended the generation.
+    /// Facts about the server's death that ended the generation.
     suspects: Mutex<Option<Facts>>,
     cancel: CancellationToken,
-    /// How far each stream that listens has been sent.
-    sent: Mutex<HashMap<u64, Index>>,
+    /// The next index to send, by the id of the listening stream.
+    positions: Mutex<HashMap<u64, Index>>,
 }
 
-/// Pace at which a generation looks whether somebody still listens.
-const LISTENERS_PACE: Duration = Duration::from_millis(250);
+/// Interval between two checks whether a generation still has a listener.
+const LISTENER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Generation {
-    /// A generation that begins after the tokens that its caller has already.
+    /// Creates a generation whose log starts with the tokens that the caller has already; `bound`
+    /// is the log's size limit in bytes.
+    ///
+    /// # Errors
+    ///
+    /// [`Fault`] when the delivered tokens exceed the limit.
     pub fn new(delivered: &[String], bound: usize) -> Result<Self, Fault> {
         Ok(Self {
             log: watch::Sender::new(Log::with_prefix(delivered, bound)?),
             usage: Mutex::new(Usage::default()),
             suspects: Mutex::default(),
             cancel: CancellationToken::new(),
-            sent: Mutex::default(),
+            positions: Mutex::default(),
         })
     }
 
-    /// The log, to listen to.
+    /// Subscribes to the token log. A generation without subscribers is cancelled after the grace
+    /// time.
     pub fn listen(&self) -> watch::Receiver<Log> {
         self.log.subscribe()
     }
 
-    /// What the generation cost so far as the engine said it.
+    /// Token counts reported by the engine; zero until the generation ends.
     pub fn usage(&self) -> Usage {
         *self.usage.lock().expect("no panic while held")
     }
 
-    /// Facts to be told ahead of the end.
+    /// Facts about the server's death, to be sent before the end frame.
     pub fn suspects(&self) -> Option<Facts> {
         self.suspects.lock().expect("no panic while held").clone()
     }
 
-    /// Bytes of the log.
+    /// Size of the token log in bytes.
     pub fn bytes(&self) -> usize {
         self.log.borrow().bytes()
     }
 
-    /// Notes how far a stream has been sent.
-    pub fn note_sent(&self, stream: u64, next: Index) {
-        let mut sent = self.sent.lock().expect("no panic while held");
-        sent.insert(stream, next);
+    /// Records the next index that a stream will be sent.
+    pub fn record_position(&self, stream: u64, next: Index) {
+        let mut positions = self.positions.lock().expect("no panic while held");
+        positions.insert(stream, next);
     }
 
-    /// Drops a stream that ended.
-    pub fn leave(&self, stream: u64) {
-        let mut sent = self.sent.lock().expect("no panic while held");
-        sent.remove(&stream);
+    /// Removes a stream that has ended.
+    pub fn remove_stream(&self, stream: u64) {
+        let mut positions = self.positions.lock().expect("no panic while held");
+        positions.remove(&stream);
     }
 
-    /// An entry doesn't want the generation any more: its answer goes on elsewhere. Another entry
-    /// may be listening, for the same caller's retry; so only the last one ends the generation.
+    /// Cancels the generation for one stream, whose entry continues the answer elsewhere. Another
+    /// entry may still read it for a retry of the same caller, so only the last stream's
+    /// cancellation stops the generation.
     pub fn cancel(&self, stream: u64) {
-        let mut sent = self.sent.lock().expect("no panic while held");
-        sent.remove(&stream);
-        if sent.is_empty() {
+        let mut positions = self.positions.lock().expect("no panic while held");
+        positions.remove(&stream);
+        if positions.is_empty() {
             self.cancel.cancel();
         }
     }
 
-    /// Whether it was ended before its text was.
+    /// Returns whether the generation was cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.cancel.is_cancelled()
     }
 
-    /// The lowest index that some stream still waits for; none when nobody listens.
-    fn lowest_sent(&self) -> Option<Index> {
-        let sent = self.sent.lock().expect("no panic while held");
-        sent.values().min().copied()
+    /// Lowest next index of all listening streams; none without a listener.
+    fn lowest_position(&self) -> Option<Index> {
+        let positions = self.positions.lock().expect("no panic while held");
+        positions.values().min().copied()
     }
 
-    /// Fills the log until the generation ends; gives up after `grace` without a listener.
-    pub(crate) async fn fill(&self, mut lines: Lines, grace: Duration, flying: &Flying) -> Finish {
-        let mut alone = Alone::new(grace);
+    /// Fills the log until the generation ends; cancels it after `grace` without a listener.
+    pub(crate) async fn fill(&self, mut lines: Lines, grace: Duration, guard: &Guard) -> Finish {
+        let mut idle = IdleDetector::new(grace);
         loop {
             let next = tokio::select! {
                 () = self.cancel.cancelled() => return self.end(Finish::Broken(Breakage::Cancelled)),
-                () = alone.wait(&self.log) => return self.end(Finish::Broken(Breakage::Cancelled)),
+                () = idle.wait(&self.log) => return self.end(Finish::Broken(Breakage::Cancelled)),
                 next = lines.next() => next,
             };
             let finish = match next {
-                Next::Line(Line::Token { index, token }) => self.append(index, token),
-                Next::Line(Line::End { end, usage }) => {
+                Read::Line(Line::Token { index, token }) => self.append(index, token),
+                Read::Line(Line::End { end, usage }) => {
                     *self.usage.lock().expect("no panic while held") = usage;
                     Some(if end == "length" {
                         Finish::Length
@@ -150,12 +157,12 @@
                         Finish::Stop
                     })
                 }
-                Next::Broken => {
-                    let facts = flying.broke().await;
+                Read::Broken => {
+                    let facts = guard.record_failure().await;
                     *self.suspects.lock().expect("no panic while held") = facts;
                     Some(Finish::Broken(Breakage::EngineDied))
                 }
-                Next::Stalled => Some(Finish::Broken(Breakage::EngineStalled)),
+                Read::Stalled => Some(Finish::Broken(Breakage::EngineStalled)),
             };
             if let Some(finish) = finish {
                 return self.end(finish);
@@ -163,19 +170,20 @@
         }
     }
 
-    /// Waits until nobody has listened for `grace`.
-    pub async fn forgotten(&self, grace: Duration) {
-        Alone::new(grace).wait(&self.log).await;
+    /// Waits until the log has had no listener for `grace`.
+    pub async fn wait_unused(&self, grace: Duration) {
+        IdleDetector::new(grace).wait(&self.log).await;
     }
 
-    /// Appends a token; gives the end when the engine broke the order or the log is full.
+    /// Appends a token; returns the finish when the token is out of order or the log is full.
     fn append(&self, index: Index, token: String) -> Option<Finish> {
         let mut result = Ok(());
-        let lowest = self.lowest_sent();
+        let lowest = self.lowest_position();
         self.log.send_modify(|log| {
             result = log.append(index, token.clone());
-            // A log at its bound lets go of what everybody who listens has: a long answer goes on,
-            // and only an entry that comes later has to begin it again.
+            // A full log drops the tokens that every listener has been sent, so that long answers
+            // can continue. An entry that attaches later can't read the dropped part and has to
+            // restart the generation.
             if let (Err(Fault::Full), Some(lowest)) = (result, lowest) {
                 log.trim(lowest);
                 result = log.append(index, token);
@@ -192,7 +200,7 @@
     }
 
     fn end(&self, finish: Finish) -> Finish {
-        // A log that has ended already keeps its first end.
+        // A log that has ended already keeps its first finish.
         self.log.send_modify(|log| {
             let _ = log.end(finish);
         });
@@ -200,19 +208,19 @@
     }
 }
 
-/// Tells when a log has had no listener for a while.
-struct Alone {
+/// Detects that a log has had no listener for the grace time.
+struct IdleDetector {
     grace: Duration,
     since: Option<Instant>,
 }
 
-impl Alone {
+impl IdleDetector {
     fn new(grace: Duration) -> Self {
         Self { grace, since: None }
     }
 
     async fn wait(&mut self, log: &watch::Sender<Log>) {
-        let mut ticks = interval(LISTENERS_PACE);
+        let mut ticks = interval(LISTENER_CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             if log.receiver_count() > 0 {
--- a/components/sidecar/src/generations.rs
+++ b/components/sidecar/src/generations.rs
@@ -1,4 +1,4 @@
-//! The generations that a sidecar holds, and the streams that listen to them.
+//! The generations that a sidecar holds, and the streams that read them.
 
 use std::{
     collections::HashMap,
@@ -39,48 +39,49 @@
 };
 
 use crate::{
+    concurrency::Counter,
+    context::Context,
     engine::Engine,
-    flights::Refusal,
     generation::{
         Generation,
         Key, //
     },
-    shared::Shared,
-    work::Work, //
+    inflight::Refusal, //
 };
 
-/// Tokens that one frame carries at most.
-const BATCH: usize = 256;
+/// Maximum number of tokens in one frame.
+const MAX_BATCH_TOKENS: usize = 256;
 
-/// Time to come back to a sidecar that is full.
+/// Retry delay of every refusal for which no other delay applies, such as that of a full sidecar.
 const FULL_RETRY: Duration = Duration::from_secs(1);
 
-/// Time to come back after a sidecar that leaves: another one can be asked at once.
+/// Retry delay of requests refused because the sidecar is leaving: another sidecar can be tried at
+/// once.
 const LEAVING_RETRY: Duration = Duration::from_millis(50);
 
 /// The generations that a sidecar holds.
 pub struct Generations {
     engine: Engine,
     held: Arc<Mutex<HashMap<Key, Arc<Generation>>>>,
-    work: Work,
+    concurrency: Counter,
 }
 
 impl Generations {
-    pub(crate) fn new(settings: &Sidecar, work: Work) -> Self {
+    pub(crate) fn new(settings: &Sidecar, concurrency: Counter) -> Self {
         Self {
             engine: Engine::new(&settings.server.address, settings.times.stall),
             held: Arc::default(),
-            work,
+            concurrency,
         }
     }
 
-    /// Begins a generation and sends its tokens, or says why not.
-    pub(crate) async fn start(&self, shared: &Shared, start: Start, mut stream: Stream) {
-        match self.begin(shared, start).await {
+    /// Starts a generation and streams its tokens, or refuses it.
+    pub(crate) async fn start(&self, context: &Context, start: Start, mut stream: Stream) {
+        match self.begin(context, start).await {
             Ok(generation) => {
                 if stream.send(&Frame::Started).await.is_ok() {
                     let from = generation.listen().borrow().next();
-                    send(generation, from, stream).await;
+                    stream_tokens(generation, from, stream).await;
                 }
             }
             Err(refused) => {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Sends the tokens of a generation that is there.
+    /// Streams the tokens of a generation that this sidecar holds.
     pub(crate) async fn attach(&self, attach: Attach, mut stream: Stream) {
         let key = Key {
             request: attach.request,
@@ -112,19 +113,19 @@
             return;
         };
         if stream.send(&Frame::Started).await.is_ok() {
-            send(generation, attach.from, stream).await;
+            stream_tokens(generation, attach.from, stream).await;
         }
     }
 
-    async fn begin(&self, shared: &Shared, start: Start) -> Result<Arc<Generation>, Refused> {
-        let limits = &shared.settings.limits;
-        if shared.leaving.is_cancelled() {
+    async fn begin(&self, context: &Context, start: Start) -> Result<Arc<Generation>, Refused> {
+        let limits = &context.settings.limits;
+        if context.leaving.is_cancelled() {
             return Err(refused(Reason::Leaving, LEAVING_RETRY));
         }
-        if shared.settings.server.kind != Kind::Engine {
+        if context.settings.server.kind != Kind::Engine {
             return Err(refused(Reason::Invalid, FULL_RETRY));
         }
-        let Some(piece) = self.work.begin(limits.runs) else {
+        let Some(permit) = self.concurrency.acquire(limits.runs) else {
             return Err(refused(Reason::Full, FULL_RETRY));
         };
         if self.bytes() >= limits.logs as usize {
@@ -133,11 +134,15 @@
         let generation = Generation::new(&start.delivered, limits.log as usize)
             .map_err(|_| refused(Reason::Invalid, FULL_RETRY))?;
         if let Some(facts) = &start.suspects {
-            shared.suspects.merge(facts);
+            context.suspects.merge(facts);
         }
         let fingerprint =
             poison::of_generation(&start.team, &start.service, &start.model, &start.prompt);
-        let flying = shared.flights.admit(fingerprint).await.map_err(apart)?;
+        let guard = context
+            .inflight
+            .admit(fingerprint)
+            .await
+            .map_err(admission_refusal)?;
         let lines = self.engine.generate(&start).await?;
         let generation = Arc::new(generation);
         let key = Key {
@@ -147,18 +152,18 @@
         };
         self.hold(key.clone(), generation.clone());
         let held = self.held.clone();
-        let grace = shared.settings.times.grace;
+        let grace = context.settings.times.grace;
         let filled = generation.clone();
         tokio::spawn(async move {
-            let finish = filled.fill(lines, grace, &flying).await;
+            let finish = filled.fill(lines, grace, &guard).await;
             if matches!(finish, Finish::Stop | Finish::Length) {
-                flying.ended();
+                guard.record_completion();
             }
-            drop(flying);
-            drop(piece);
-            note(&key, &finish);
-            // An entry that lost its link may still come back for the rest.
-            filled.forgotten(grace).await;
+            drop(guard);
+            drop(permit);
+            report_breakage(&key, &finish);
+            // An entry that lost its link may reconnect and read the rest.
+            filled.wait_unused(grace).await;
             held.lock().expect("no panic while held").remove(&key);
         });
         Ok(generation)
@@ -171,7 +176,7 @@
             .insert(key, generation);
     }
 
-    /// Bytes of all logs.
+    /// Total size of all token logs in bytes.
     pub fn bytes(&self) -> usize {
         let held = self.held.lock().expect("no panic while held");
         held.values().map(|generation| generation.bytes()).sum()
@@ -179,27 +184,27 @@
 }
 
 /// Sends tokens from an index on until the generation ends or the entry is gone.
-async fn send(generation: Arc<Generation>, from: Index, stream: Stream) {
+async fn stream_tokens(generation: Arc<Generation>, from: Index, stream: Stream) {
     let Stream { sender, receiver } = stream;
-    let number = rand::random();
+    let stream_id = rand::random();
     let log = generation.listen();
-    generation.note_sent(number, from);
-    let commands = tokio::spawn(obey(generation.clone(), number, receiver));
-    pump(&generation, log, (number, from), sender).await;
+    generation.record_position(stream_id, from);
+    let commands = tokio::spawn(read_cancellations(generation.clone(), stream_id, receiver));
+    send_tokens(&generation, log, (stream_id, from), sender).await;
     commands.abort();
-    generation.leave(number);
+    generation.remove_stream(stream_id);
 }
 
-async fn pump(
+async fn send_tokens(
     generation: &Generation,
     mut log: watch::Receiver<Log>,
-    (number, mut next): (u64, Index),
+    (stream_id, mut next): (u64, Index),
     mut sender: Sender,
 ) {
     loop {
         let (tokens, end) = {
             let log = log.borrow_and_update();
-            let Some(tokens) = log.read(next, BATCH).map(<[String]>::to_vec) else {
+            let Some(tokens) = log.read(next, MAX_BATCH_TOKENS).map(<[String]>::to_vec) else {
                 break;
             };
             let rest = log.next().saturating_sub(next + tokens.len() as Index);
@@ -220,7 +225,7 @@
                 return;
             }
             next += count as Index;
-            generation.note_sent(number, next);
+            generation.record_position(stream_id, next);
         }
         if let Some((total, finish)) = end {
             if let Some(facts) = generation.suspects()
@@ -243,7 +248,7 @@
             }
             return;
         }
-        if count == BATCH {
+        if count == MAX_BATCH_TOKENS {
             continue;
         }
         let gone = tokio::select! {
@@ -254,23 +259,23 @@
             return;
         }
     }
-    // The beginning of the log had to make room.
+    // The requested tokens were dropped from the log to make room.
     if sender.send(&Frame::Missing).await.is_ok() {
         sender.finish();
         sender.stopped().await;
     }
 }
 
-/// Takes the entry's word that nobody wants the generation any more.
-async fn obey(generation: Arc<Generation>, number: u64, mut receiver: Receiver) {
+/// Cancels the generation for this stream when the entry asks for it.
+async fn read_cancellations(generation: Arc<Generation>, stream_id: u64, mut receiver: Receiver) {
     while let Ok(Some(frame)) = receiver.receive().await {
         if frame == Frame::Cancel {
-            generation.cancel(number);
+            generation.cancel(stream_id);
         }
     }
 }
 
-fn note(key: &Key, finish: &Finish) {
+fn report_breakage(key: &Key, finish: &Finish) {
     let Finish::Broken(breakage) = finish else {
         return;
     };
@@ -282,7 +287,7 @@
     );
 }
 
-fn apart(refusal: Refusal) -> Refused {
+fn admission_refusal(refusal: Refusal) -> Refused {
     match refusal {
         Refusal::Poisonous(left) => refused(Reason::Poisonous, left),
         Refusal::Apart => refused(Reason::Apart, FULL_RETRY),
--- a/components/sidecar/src/lib.rs
+++ b/components/sidecar/src/lib.rs
@@ -1,22 +1,23 @@
-//! The sidecar daemon's library: the only door to one backend server.
+//! The sidecar daemon's library: all requests to one backend server pass through its sidecar.
 //!
-//! Entries dial the sidecar. For an engine it keeps the token log of each generation, so that an
-//! entry, or another one, can come back for what it missed; for a plain service it hands calls over.
+//! Entries dial the sidecar. For an engine it keeps the token log of each generation, so that the
+//! same or another entry can fetch the tokens that it missed; for a plain service it forwards
+//! calls.
 
 pub mod backend;
 pub mod calls;
+mod concurrency;
+mod context;
 mod daemon;
 pub mod engine;
-pub mod flights;
 pub mod generation;
 pub mod generations;
-pub mod kept;
+pub mod inflight;
 mod line;
 mod links;
 mod orders;
+pub mod recorded;
 mod service;
-mod shared;
 mod state;
-mod work;
 
 pub use self::daemon::Sidecar;
--- a/components/sidecar/src/line.rs
+++ b/components/sidecar/src/line.rs
@@ -1,4 +1,5 @@
-//! One line of an engine's answer, read by a visitor by hand: it is the hot path of a sidecar.
+//! One line of an engine's answer. The visitor is written by hand because parsing these lines is a
+//! sidecar's hot path.
 
 use std::fmt;
 
@@ -18,18 +19,18 @@
 /// One line of an engine's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Line {
-    /// A token and its position.
+    /// A generated token.
     Token {
-        /// Position in the answer.
+        /// Position in the answer, from 0.
         index: Index,
-        /// The token.
+        /// Text of the token.
         token: String,
     },
-    /// The end.
+    /// The end of the answer.
     End {
-        /// Why it ended, as the engine says it: `stop` or `length`.
+        /// Why the answer ended, as the engine reports it: `stop` or `length`.
         end: String,
-        /// What it cost.
+        /// Token counts.
         usage: Usage,
     },
 }
@@ -39,13 +40,13 @@
     where
         D: Deserializer<'de>,
     {
-        deserializer.deserialize_map(Fields)
+        deserializer.deserialize_map(LineVisitor)
     }
 }
 
-struct Fields;
+struct LineVisitor;
 
-impl<'de> Visitor<'de> for Fields {
+impl<'de> Visitor<'de> for LineVisitor {
     type Value = Line;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/components/sidecar/src/links.rs
+++ b/components/sidecar/src/links.rs
@@ -32,49 +32,49 @@
         let Some(incoming) = incoming else {
             return;
         };
-        tokio::spawn(answer(state.clone(), incoming, ended.clone()));
+        tokio::spawn(serve_link(state.clone(), incoming, ended.clone()));
     }
 }
 
-async fn answer(state: Arc<State>, incoming: Incoming, ended: CancellationToken) {
+async fn serve_link(state: Arc<State>, incoming: Incoming, ended: CancellationToken) {
     let address = incoming.address();
     let link = match incoming.accept().await {
         Ok(link) => link,
-        Err(error) => return refuse(address, &error),
+        Err(error) => return report_failure(address, &error),
     };
-    let silence = state.shared.settings.times.silence;
-    let (first, hello) = match handshake::respond(&link, &state.hello, silence).await {
-        Ok(greeted) => greeted,
-        Err(error) => return refuse(address, &error),
+    let silence = state.context.settings.times.silence;
+    let (control, hello) = match handshake::respond(&link, &state.hello, silence).await {
+        Ok(accepted) => accepted,
+        Err(error) => return report_failure(address, &error),
     };
     events::emit!(links::UP, "host={} address={address}", hello.host);
-    let beats = state.heartbeat.subscribe();
-    let (others, waiting) = mpsc::channel(1);
-    // Watching for silence is left to the entries; but they admit and route by the load that the
-    // heartbeats carry, so it must not be old while there is some.
-    let pace = Intervals {
-        busy: state.shared.settings.times.heartbeat,
-        idle: state.shared.settings.times.rest,
+    let heartbeats = state.heartbeat.subscribe();
+    let (extra_frames, pending_frames) = mpsc::channel(1);
+    // The entries detect silence, so this side only needs heartbeats to report its load. Entries
+    // admit and route by that load, so it is sent often while there is work.
+    let intervals = Intervals {
+        busy: state.context.settings.times.heartbeat,
+        idle: state.context.settings.times.rest,
     };
-    let work = state.work.changes();
+    let concurrency = state.concurrency.subscribe();
     tokio::spawn(handshake::send_heartbeats(
-        first.sender,
-        beats,
-        waiting,
-        work,
-        pace,
+        control.sender,
+        heartbeats,
+        pending_frames,
+        concurrency,
+        intervals,
         || false,
     ));
-    tokio::spawn(listen(state.clone(), first.receiver));
-    let told = state.clone();
-    tokio::spawn(async move { told.shared.suspects.send_changes(others).await });
+    tokio::spawn(read_control_stream(state.clone(), control.receiver));
+    let task_state = state.clone();
+    tokio::spawn(async move { task_state.context.suspects.send_changes(extra_frames).await });
     loop {
         let stream = tokio::select! {
             () = ended.cancelled() => return,
             stream = link.accept() => stream,
         };
         match stream {
-            Ok(stream) => tokio::spawn(serve(state.clone(), stream)),
+            Ok(stream) => tokio::spawn(serve_stream(state.clone(), stream)),
             Err(error) => {
                 events::emit!(links::LOST, "host={} reason=\"{error}\"", hello.host);
                 return;
@@ -83,26 +83,29 @@
     }
 }
 
-/// Reads a link's first stream. What heartbeats say is of no use to a sidecar; that they are read
-/// keeps the stream's window open.
-async fn listen(state: Arc<State>, mut receiver: Receiver) {
+/// Reads a link's first stream. The sidecar ignores heartbeats, but reading them keeps the stream's
+/// flow-control window open.
+async fn read_control_stream(state: Arc<State>, mut receiver: Receiver) {
     while let Ok(Some(frame)) = receiver.receive().await {
         if let Frame::Suspects(facts) = frame {
-            state.shared.suspects.merge(&facts);
+            state.context.suspects.merge(&facts);
         }
     }
 }
 
-async fn serve(state: Arc<State>, mut stream: Stream) {
+async fn serve_stream(state: Arc<State>, mut stream: Stream) {
     match stream.receive().await {
         Ok(Some(Frame::Start(start))) => {
-            state.generations.start(&state.shared, *start, stream).await
+            state
+                .generations
+                .start(&state.context, *start, stream)
+                .await
         }
         Ok(Some(Frame::Attach(attach))) => state.generations.attach(attach, stream).await,
-        Ok(Some(Frame::Call(call))) => state.calls.call(&state.shared, *call, stream).await,
-        Ok(Some(Frame::Point(point))) => state.point(point),
+        Ok(Some(Frame::Call(handle))) => state.calls.handle(&state.context, *handle, stream).await,
+        Ok(Some(Frame::Point(put_pointer))) => state.put_pointer(put_pointer),
         Ok(Some(Frame::Find(request))) => {
-            let found = Frame::Found(state.find(&request));
+            let found = Frame::Found(state.get_pointer(&request));
             // An entry that is gone needs no answer.
             let _ = stream.send(&found).await;
             stream.sender.finish();
@@ -115,7 +118,7 @@
     }
 }
 
-fn refuse(address: SocketAddr, error: &Error) {
+fn report_failure(address: SocketAddr, error: &Error) {
     match error {
         Error::Foreign(reason) => {
             events::emit!(links::FOREIGN, "address={address} reason=\"{reason}\"");
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to the engine beside this sidecar: the driver of [`orders::keeper`].
+//! Orders to the engine behind this sidecar: the driver of [`orders::keeper`].
 //!
-//! An order is a value of the platform's store; its revision is the fencing token. This sidecar
-//! watches the key of its server and is the only one that passes orders on.
+//! An order is a value in the platform's store; its revision is the fencing token. This sidecar
+//! watches the key of its server and is the only process that forwards orders to it.
 
 use std::{
     sync::Arc,
@@ -43,53 +43,54 @@
 
 use crate::state::State;
 
-/// Events that wait for the keeper.
-const WAITING: usize = 16;
+/// Capacity of the channel of events to the state machine.
+const EVENT_CAPACITY: usize = 16;
 
-/// Pause after a failed reading of the store.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Delay before the next read after a failed call to the store.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Longest wait of a watch at the store. One waiting watch a sidecar counts as one read each time.
-const WATCH: Duration = Duration::from_secs(20);
+/// Longest wait of one watch call. The store counts each watch call of a sidecar as one read.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An engine that refuses an order for its number says the highest one it took.
+/// Body of an engine's answer that refuses an order because of its fencing token; reports the
+/// highest token that it has accepted.
 #[derive(Deserialize)]
 struct Conflict {
     highest: u64,
 }
 
-/// Passes orders on until the sidecar ends.
+/// Forwards orders until the sidecar ends.
 pub(crate) async fn follow(state: Arc<State>, ended: CancellationToken) {
-    if state.shared.settings.server.kind != Kind::Engine {
+    if state.context.settings.server.kind != Kind::Engine {
         return;
     }
-    let times = &state.shared.settings.times;
-    let Ok(platform) = Platform::new(&state.shared.settings.platform, times.platform) else {
+    let times = &state.context.settings.times;
+    let Ok(platform) = Platform::new(&state.context.settings.platform, times.platform) else {
         return;
     };
-    let (events, mut incoming) = mpsc::channel(WAITING);
+    let (events, mut incoming) = mpsc::channel(EVENT_CAPACITY);
     let driver = Driver {
         client: Client::new(),
-        slow: times.platform,
+        slow_after: times.platform,
         state: state.clone(),
         events,
     };
     let settings = Settings {
-        checks: state.shared.settings.server.checks_fence,
+        checks: state.context.settings.server.checks_fence,
         settle: times.settle,
         ..Settings::default()
     };
     let mut keeper = Keeper::new(settings);
     let watching = watch(
         platform,
-        key(&state.shared.settings.server.name),
+        key(&state.context.settings.server.name),
         &driver.events,
     );
     tokio::pin!(watching);
     let mut event = Some(Event::Started);
     loop {
         if let Some(event) = event.take() {
-            for action in keeper.handle(event, state.shared.now()) {
+            for action in keeper.handle(event, state.context.now()) {
                 driver.act(action);
             }
         }
@@ -101,23 +102,23 @@
     }
 }
 
-/// Reads the newest order, tells its number, and follows its changes. While the store is out the
-/// keeper knows no number and lets nothing through.
+/// Reads the newest order, reports its revision, and watches for changes. While the store is
+/// unavailable, the state machine knows no newest revision and forwards nothing.
 async fn watch(platform: Platform, key: String, events: &mpsc::Sender<Event>) {
     let mut after = None;
     loop {
         let step = match after {
-            None => read(&platform, &key, events).await,
-            Some(after) => change(&platform, &key, after, events).await,
+            None => read_newest(&platform, &key, events).await,
+            Some(after) => wait_for_change(&platform, &key, after, events).await,
         };
         after = step.ok();
         if after.is_none() {
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
-async fn read(
+async fn read_newest(
     platform: &Platform,
     key: &str,
     events: &mpsc::Sender<Event>,
@@ -125,37 +126,37 @@
     let listing = platform.list(key).await?;
     let entry = listing.entries.into_iter().find(|entry| entry.key == key);
     let newest = entry.as_ref().map_or(0, |entry| entry.revision);
-    give(events, Event::Newest(newest)).await;
+    notify(events, Event::Newest(newest)).await;
     if let Some(Entry {
         value, revision, ..
     }) = entry
     {
-        order(revision, &value, events).await;
+        notify_order(revision, &value, events).await;
     }
     Ok(listing.revision)
 }
 
-async fn change(
+async fn wait_for_change(
     platform: &Platform,
     key: &str,
     after: Revision,
     events: &mpsc::Sender<Event>,
 ) -> Result<Revision, store::Error> {
-    let change = platform.watch(key, after, WATCH).await?;
+    let change = platform.watch(key, after, WATCH_TIMEOUT).await?;
     for event in change.events {
         if event.key != key {
             continue;
         }
         if let Some(value) = event.value {
-            order(event.revision, &value, events).await;
+            notify_order(event.revision, &value, events).await;
         }
     }
     Ok(change.revision)
 }
 
-async fn order(fence: Revision, value: &str, events: &mpsc::Sender<Event>) {
+async fn notify_order(fence: Revision, value: &str, events: &mpsc::Sender<Event>) {
     match serde_json::from_str::<Order>(value) {
-        Ok(order) => give(events, Event::Order(Numbered { fence, order })).await,
+        Ok(order) => notify(events, Event::Order(Numbered { fence, order })).await,
         Err(error) => {
             events::emit!(order_events::UNREADABLE, "fence={fence} reason=\"{error}\"");
         }
@@ -164,8 +165,8 @@
 
 struct Driver {
     client: Client,
-    /// An order that takes longer is reported as slow.
-    slow: Duration,
+    /// Time after which an unanswered order is reported as slow.
+    slow_after: Duration,
     state: Arc<State>,
     events: mpsc::Sender<Event>,
 }
@@ -174,25 +175,25 @@
     fn act(&self, action: Action) {
         let events = self.events.clone();
         match action {
-            // The watch reads the store until it succeeds.
+            // The watch loop retries the read until it succeeds.
             Action::ReadStore => {}
             Action::Wait(time) => {
                 tokio::spawn(async move {
                     sleep(time).await;
-                    give(&events, Event::Waited).await;
+                    notify(&events, Event::Waited).await;
                 });
             }
             Action::Send(order) => {
-                let address = &self.state.shared.settings.server.address;
+                let address = &self.state.context.settings.server.address;
                 let request = self.client.post(format!("{address}/orders")).json(&order);
-                tokio::spawn(send(request, order.fence, self.slow, events));
+                tokio::spawn(send(request, order.fence, self.slow_after, events));
             }
             Action::Answer { fence, answer } => self.report(fence, answer),
         }
     }
 
     fn report(&self, fence: Revision, answer: Answer) {
-        let server = &self.state.shared.settings.server.name;
+        let server = &self.state.context.settings.server.name;
         let event = match answer {
             Answer::Applied => order_events::APPLIED,
             Answer::Unknown => order_events::UNKNOWN,
@@ -202,20 +203,20 @@
     }
 }
 
-/// Sends an order. Its connection stays open until the server answers or closes it: a time-out
-/// would prove nothing about the order's effect.
+/// Sends an order. The connection stays open until the server answers or closes it: a timeout would
+/// not show whether the order took effect.
 async fn send(
     request: reqwest::RequestBuilder,
     fence: Revision,
-    slow: Duration,
+    slow_after: Duration,
     events: mpsc::Sender<Event>,
 ) {
     let answer = request.send();
     tokio::pin!(answer);
-    let answer = match timeout(slow, &mut answer).await {
+    let answer = match timeout(slow_after, &mut answer).await {
         Ok(answer) => answer,
         Err(_) => {
-            give(&events, Event::Slow(fence)).await;
+            notify(&events, Event::Slow(fence)).await;
             answer.await
         }
     };
@@ -231,10 +232,10 @@
         Ok(_) => Event::Refused { fence, highest: 0 },
         Err(_) => Event::Closed(fence),
     };
-    give(&events, event).await;
+    notify(&events, event).await;
 }
 
-async fn give(events: &mpsc::Sender<Event>, event: Event) {
-    // The keeper is gone when the sidecar ends.
+async fn notify(events: &mpsc::Sender<Event>, event: Event) {
+    // The receiver is dropped when the sidecar stops.
     let _ = events.send(event).await;
 }
--- a/components/sidecar/src/kept.rs
+++ b/components/sidecar/src/recorded.rs
@@ -1,4 +1,4 @@
-//! Kept calls: the driver of the decisions in [`contract::handover`].
+//! Recorded calls: the driver of the state machine in [`contract::handover`].
 
 use std::{
     pin::Pin,
@@ -32,27 +32,28 @@
 };
 
 use crate::{
-    flights::Flying,
+    context::Context,
+    inflight::Guard,
     service::{
-        Handed,
+        Outcome,
         Service, //
     },
-    shared::Shared,
 };
 
-type Next<'a> = Pin<Box<dyn Future<Output = Event> + Send + 'a>>;
+type NextEvent<'a> = Pin<Box<dyn Future<Output = Event> + Send + 'a>>;
 
-/// Runs a kept call to its end: record, hand-over, outcome. It goes on when the entry is gone.
+/// Runs a recorded call to its end: creates the record, forwards the call and records the outcome.
+/// Continues when the entry is gone.
 pub(crate) async fn run(
-    shared: &Shared,
+    context: &Context,
     service: &Service,
     call: &frame::Call,
-    kept: &Recording,
-    flying: &Flying,
+    recording: &Recording,
+    guard: &Guard,
     stream: Stream,
 ) {
     let mut driver = Driver {
-        shared,
+        context,
         service,
         call,
         key: record::key(
@@ -62,81 +63,82 @@
         ),
         machine: Handover::new(
             Call {
-                base: kept.base_revision,
-                digest: kept.digest.clone(),
-                server: shared.settings.server.name.clone(),
+                base: recording.base_revision,
+                digest: recording.digest.clone(),
+                server: context.settings.server.name.clone(),
                 nonce: rand::random(),
-                ask: kept.status_path.clone(),
+                ask: recording.status_path.clone(),
             },
             Settings::default(),
         ),
-        flying,
+        guard,
         stream,
-        gone: false,
+        entry_gone: false,
     };
     let mut next = driver.handle(Event::Asked).await;
     while let Some(mut event) = next.take() {
-        let silence = sleep(shared.settings.times.call);
-        tokio::pin!(silence);
-        let mut silent = false;
-        let came = loop {
+        let silence_timeout = sleep(context.settings.times.call);
+        tokio::pin!(silence_timeout);
+        let mut silence_reported = false;
+        let completed = loop {
             tokio::select! {
-                came = &mut event => break came,
-                () = driver.stream.sender.stopped(), if !driver.gone => {
-                    driver.gone = true;
+                completed = &mut event => break completed,
+                () = driver.stream.sender.stopped(), if !driver.entry_gone => {
+                    driver.entry_gone = true;
                     driver.handle(Event::Gone).await;
                 }
-                () = &mut silence, if driver.machine.running() && !silent => {
-                    silent = true;
+                () = &mut silence_timeout, if driver.machine.running() && !silence_reported => {
+                    silence_reported = true;
                     driver.handle(Event::Silent).await;
                 }
             }
         };
         drop(event);
-        next = driver.handle(came).await;
+        next = driver.handle(completed).await;
     }
 }
 
 struct Driver<'a> {
-    shared: &'a Shared,
+    context: &'a Context,
     service: &'a Service,
     call: &'a frame::Call,
-    flying: &'a Flying,
+    guard: &'a Guard,
     key: String,
     machine: Handover,
     stream: Stream,
-    gone: bool,
+    entry_gone: bool,
 }
 
 impl<'a> Driver<'a> {
-    /// Lets the decisions take an event; gives what brings the next one.
-    async fn handle(&mut self, event: Event) -> Option<Next<'a>> {
+    /// Passes an event to the state machine and carries out its actions; returns the future that
+    /// yields the next event.
+    async fn handle(&mut self, event: Event) -> Option<NextEvent<'a>> {
         let mut next = None;
-        let actions = self.machine.handle(event, self.shared.now());
+        let actions = self.machine.handle(event, self.context.now());
         for action in actions {
-            let (shared, service, call, flying) =
-                (self.shared, self.service, self.call, self.flying);
+            let (context, service, call, guard) =
+                (self.context, self.service, self.call, self.guard);
             let key = self.key.clone();
             next = match action {
                 Action::Reply(reply) => {
                     self.reply(reply).await;
                     continue;
                 }
-                Action::Create { expect, record } => future(async move {
-                    Event::Created(shared.records.write(&key, expect, &record).await)
+                Action::Create { expect, record } => boxed(async move {
+                    Event::Created(context.records.write(&key, expect, &record).await)
                 }),
-                Action::Write { expect, record } => future(async move {
-                    let write = shared.records.write(&key, expect, &record).await;
-                    note(&key, &write);
+                Action::Write { expect, record } => boxed(async move {
+                    let write = context.records.write(&key, expect, &record).await;
+                    report_unrecorded(&key, &write);
                     Event::Written(write)
                 }),
                 Action::ReadBack => {
-                    future(async move { Event::Read(shared.records.read(&key).await) })
+                    boxed(async move { Event::Read(context.records.read(&key).await) })
                 }
                 Action::HandOver => {
-                    future(async move { came(service.hand_over(call, flying).await) })
+                    boxed(async move { outcome_event(service.forward(call, guard).await) })
                 }
-                Action::Wait(time) => future(wait(time)),
+                Action::Wait(time) => boxed(wait(time)),
             };
         }
         next
@@ -147,12 +149,12 @@
         if self.stream.send(&frame).await.is_ok() {
             self.stream.sender.finish();
         }
-        // What is left to do doesn't depend on the entry any more.
-        self.gone = true;
+        // The remaining actions don't need the entry.
+        self.entry_gone = true;
     }
 }
 
-fn future<'a>(future: impl Future<Output = Event> + Send + 'a) -> Option<Next<'a>> {
+fn boxed<'a>(future: impl Future<Output = Event> + Send + 'a) -> Option<NextEvent<'a>> {
     Some(Box::pin(future))
 }
 
@@ -161,9 +163,9 @@
     Event::Waited
 }
 
-fn came(handed: Handed) -> Event {
-    match handed {
-        Handed::Answered {
+fn outcome_event(outcome: Outcome) -> Event {
+    match outcome {
+        Outcome::Answered {
             status,
             content_type,
             body,
@@ -172,13 +174,14 @@
             content_type: content_type.unwrap_or_default(),
             body,
         }),
-        Handed::NotSent => Event::Unreachable,
-        Handed::Lost => Event::Died,
+        Outcome::NotSent => Event::Unreachable,
+        Outcome::Lost => Event::Died,
     }
 }
 
-/// An outcome that can't be recorded makes a later request with the key `unknown`.
-fn note(key: &str, write: &Write) {
+/// Reports an outcome that could not be recorded; a later request with the same key then gets
+/// `unknown`.
+fn report_unrecorded(key: &str, write: &Write) {
     if matches!(write, Write::Refused | Write::Unanswered) {
         events::emit!(calls::UNRECORDED, "key={key}");
     }
--- a/components/sidecar/src/service.rs
+++ b/components/sidecar/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service beside this sidecar.
+//! HTTP client of the plain service behind this sidecar.
 
 use reqwest::{
     Client,
@@ -11,45 +11,45 @@
 use settings::Sidecar;
 use wire::frame::Call;
 
-use crate::flights::Flying;
+use crate::inflight::Guard;
 
-/// Header with the caller's key.
-const KEY: &str = "idempotency-key";
+/// Header that carries the caller's idempotency key.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Header with the caller's team.
-const TEAM: &str = "x-medlarhatch-team";
+/// Header that carries the caller's team.
+const TEAM_HEADER: &str = "x-medlarhatch-team";
 
-/// A service that answers after the time limit of a call may still do so for this many times it,
-/// so that the outcome gets recorded.
-const LATE: u32 = 5;
+/// Multiple of a call's time limit after which the HTTP request is given up. A service that answers
+/// after the limit may do so until then, so that the outcome is still recorded.
+const TIMEOUT_FACTOR: u32 = 5;
 
-/// What came of a hand-over.
-pub(crate) enum Handed {
-    /// The service answered.
+/// Outcome of forwarding a call.
+pub(crate) enum Outcome {
+    /// The service answered within the size limit.
     Answered {
         status: u16,
         content_type: Option<String>,
         body: Vec<u8>,
     },
-    /// No connection, so no byte of the call left this process.
+    /// The connection failed, so no byte of the call left this process.
     NotSent,
-    /// The service had the call, and its answer was lost.
+    /// The call was sent, but no complete answer arrived.
     Lost,
 }
 
-/// Hands calls to the plain service.
+/// HTTP client that forwards calls.
 pub(crate) struct Service {
     client: Client,
     address: String,
-    most: u64,
+    max_body_bytes: u64,
 }
 
 impl Service {
     pub(crate) fn new(settings: &Sidecar) -> Self {
-        // Each call gets a connection of its own: on one that was used before, a service that died
-        // in between looks like one that died with the call. Nothing is sent again unseen.
+        // Each call gets a new connection: on a reused one, a service that died before the call
+        // can't be told from one that died during it. The client never retries by itself.
         let client = Client::builder()
-            .timeout(settings.times.call * LATE)
+            .timeout(settings.times.call * TIMEOUT_FACTOR)
             .connect_timeout(settings.times.silence)
             .pool_max_idle_per_host(0)
             .retry(reqwest::retry::never())
@@ -59,34 +59,34 @@
         Self {
             client,
             address: settings.server.address.clone(),
-            most: settings.limits.answer,
+            max_body_bytes: settings.limits.answer,
         }
     }
 
-    /// Hands a call over, once.
-    pub(crate) async fn hand_over(&self, call: &Call, flying: &Flying) -> Handed {
-        let handed = self.request(call).await;
-        match handed {
-            Handed::Answered { .. } => flying.ended(),
-            Handed::Lost => {
-                flying.broke().await;
+    /// Forwards a call, once.
+    pub(crate) async fn forward(&self, call: &Call, guard: &Guard) -> Outcome {
+        let outcome = self.request(call).await;
+        match outcome {
+            Outcome::Answered { .. } => guard.record_completion(),
+            Outcome::Lost => {
+                guard.record_failure().await;
             }
-            Handed::NotSent => {}
+            Outcome::NotSent => {}
         }
-        handed
+        outcome
     }
 
-    async fn request(&self, call: &Call) -> Handed {
+    async fn request(&self, call: &Call) -> Outcome {
         let Ok(method) = Method::from_bytes(call.method.as_bytes()) else {
-            return Handed::NotSent;
+            return Outcome::NotSent;
         };
         let mut request = self
             .client
             .request(method, format!("{}{}", self.address, call.path))
-            .header(TEAM, &call.team)
+            .header(TEAM_HEADER, &call.team)
             .body(call.body.clone());
         if let Some(key) = &call.key {
-            request = request.header(KEY, key);
+            request = request.header(IDEMPOTENCY_KEY_HEADER, key);
         }
         if let Some(value) = &call.content_type {
             request = request.header(CONTENT_TYPE, value);
@@ -95,14 +95,14 @@
             request = request.header(ACCEPT, value);
         }
         match request.send().await {
-            Ok(answer) => read(answer, self.most).await,
-            Err(error) if error.is_connect() || error.is_builder() => Handed::NotSent,
-            Err(_) => Handed::Lost,
+            Ok(answer) => read(answer, self.max_body_bytes).await,
+            Err(error) if error.is_connect() || error.is_builder() => Outcome::NotSent,
+            Err(_) => Outcome::Lost,
         }
     }
 }
 
-async fn read(mut answer: reqwest::Response, most: u64) -> Handed {
+async fn read(mut answer: reqwest::Response, max_body_bytes: u64) -> Outcome {
     let status = answer.status().as_u16();
     let content_type = answer
         .headers()
@@ -112,15 +112,15 @@
     let mut body = Vec::new();
     loop {
         match answer.chunk().await {
-            Ok(Some(chunk)) if (body.len() + chunk.len()) as u64 <= most => {
+            Ok(Some(chunk)) if (body.len() + chunk.len()) as u64 <= max_body_bytes => {
                 body.extend_from_slice(&chunk);
             }
             Ok(None) => break,
-            // The service ran the call; what it said can't be told whole.
-            Ok(Some(_)) | Err(_) => return Handed::Lost,
+            // The service ran the call, but its answer can't be passed on completely.
+            Ok(Some(_)) | Err(_) => return Outcome::Lost,
         }
     }
-    Handed::Answered {
+    Outcome::Answered {
         status,
         content_type,
         body,
--- a/components/sidecar/src/state.rs
+++ b/components/sidecar/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a sidecar share.
+//! State shared by the tasks of a sidecar.
 
 use std::sync::Mutex;
 
@@ -15,35 +15,35 @@
 
 use crate::{
     calls::Calls,
-    generations::Generations,
-    shared::Shared,
-    work::Work, //
+    concurrency::Counter,
+    context::Context,
+    generations::Generations, //
 };
 
-/// Shared by the tasks of one sidecar.
+/// State shared by the tasks of one sidecar.
 pub(crate) struct State {
-    /// What runs and calls need of it.
-    pub(crate) shared: Shared,
+    /// The part that runs and calls use.
+    pub(crate) context: Context,
     pub(crate) hello: Hello,
-    /// What the next heartbeat says.
+    /// Content of the next heartbeat.
     pub(crate) heartbeat: watch::Sender<Heartbeat>,
     pub(crate) generations: Generations,
     pub(crate) calls: Calls,
-    /// Pointers that this sidecar holds for entries.
+    /// Pointers that this sidecar stores on behalf of entries.
     pub(crate) pointers: Mutex<pointer::Table>,
-    pub(crate) work: Work,
+    pub(crate) concurrency: Counter,
 }
 
 impl State {
-    /// Holds a pointer for other entries.
-    pub(crate) fn point(&self, point: Point) {
+    /// Stores the pointer of a request.
+    pub(crate) fn put_pointer(&self, point: Point) {
         let mut pointers = self.pointers.lock().expect("no panic while held");
-        pointers.put(self.shared.now(), point.request, point.pointer);
+        pointers.put(self.context.now(), point.request, point.pointer);
     }
 
-    /// The pointer of a request, if this sidecar holds it.
-    pub(crate) fn find(&self, request: &str) -> Option<Pointer> {
+    /// Returns the pointer of a request, if this sidecar stores it.
+    pub(crate) fn get_pointer(&self, request: &str) -> Option<Pointer> {
         let mut pointers = self.pointers.lock().expect("no panic while held");
-        pointers.get(self.shared.now(), request).cloned()
+        pointers.get(self.context.now(), request).cloned()
     }
 }
--- a/components/sidecar/tests/generation.rs
+++ b/components/sidecar/tests/generation.rs
@@ -1,20 +1,20 @@
-//! One generation and the streams that listen to it.
+//! Cancellation of a generation that several streams read.
 
 use rstest::rstest;
 use sidecar::generation::Generation;
 
-/// One entry gives an epoch up while another one reads it for the same caller's retry. If the first
-/// one's cancel ended the run, the caller would wait for a second one.
+/// One entry cancels an epoch while another reads it for a retry of the same caller. If the first
+/// cancellation stopped the run, the caller would wait for a second run.
 #[rstest]
-#[case::the_only_stream(&[1], true)]
-#[case::another_stream_listens(&[1, 2], false)]
-fn only_the_last_stream_ends_a_generation(#[case] streams: &[u64], #[case] ends: bool) {
+#[case::only_stream(&[1], true)]
+#[case::another_stream_reads(&[1, 2], false)]
+fn only_the_last_stream_cancels_a_generation(#[case] streams: &[u64], #[case] cancels: bool) {
     let generation = Generation::new(&[], 1024).expect("an empty log fits");
     for stream in streams {
-        generation.note_sent(*stream, 0);
+        generation.record_position(*stream, 0);
     }
     generation.cancel(1);
-    assert_eq!(generation.is_cancelled(), ends);
+    assert_eq!(generation.is_cancelled(), cancels);
     generation.cancel(2);
     assert!(generation.is_cancelled());
 }
