--- a/components/daemon/src/drain.rs
+++ b/components/daemon/src/drain.rs
@@ -1,4 +1,4 @@
-//! The wait of a process that stops for what is in progress.
+//! Waiting for work in progress at shutdown.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
     sleep, //
 };
 
-/// Pace at which it is looked whether something is still in progress.
-const PACE: Duration = Duration::from_millis(20);
+/// Interval between two checks of the work in progress.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until nothing is in progress, or the limit has passed, which is logged.
+/// Waits until no work is in progress or `limit` has passed; logs work that is cut off.
 pub async fn drain(in_progress: impl Fn() -> usize, limit: Duration) {
     let end = Instant::now() + limit;
     while in_progress() > 0 {
@@ -19,6 +19,6 @@
             events::emit!(process::CUT, "in_progress={}", in_progress());
             return;
         }
-        sleep(PACE).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
--- a/components/daemon/src/handshake.rs
+++ b/components/daemon/src/handshake.rs
@@ -1,4 +1,5 @@
-//! The first stream of a link: who is there, then heartbeats both ways.
+//! The first stream of a link: a handshake in which both sides identify themselves, then heartbeats
+//! in both directions.
 
 use std::time::Duration;
 
@@ -26,55 +27,67 @@
     stream::Sender, //
 };
 
-/// Greets a peer that we have dialled.
+/// Performs the handshake on a link that this process dialled, within `limit`.
+///
+/// # Errors
+///
+/// [`Error::Malformed`] for another protocol version or another frame than a hello,
+/// [`Error::Foreign`] when the peer's certificate isn't for the host that it claims to be,
+/// [`Error::Lost`] after the time limit or when the link is lost.
 pub async fn initiate(link: &Link, own: &Hello, limit: Duration) -> Result<(Stream, Hello), Error> {
-    let greet = async {
+    let handshake = async {
         let mut stream = link.open().await?;
         stream.send(&Frame::Hello(own.clone())).await?;
-        let hello = expect(link, &mut stream).await?;
+        let hello = receive_hello(link, &mut stream).await?;
         Ok((stream, hello))
     };
-    timeout(limit, greet).await.unwrap_or_else(|_| Err(late()))
+    timeout(limit, handshake)
+        .await
+        .unwrap_or_else(|_| Err(timed_out()))
 }
 
-/// Greets a peer that has dialled us.
+/// Performs the handshake on a link that the peer dialled, within `limit`. Fails as [`initiate`]
+/// does.
 pub async fn respond(link: &Link, own: &Hello, limit: Duration) -> Result<(Stream, Hello), Error> {
-    let greet = async {
+    let handshake = async {
         let mut stream = link.accept().await?;
-        let hello = expect(link, &mut stream).await?;
+        let hello = receive_hello(link, &mut stream).await?;
         stream.send(&Frame::Hello(own.clone())).await?;
         Ok((stream, hello))
     };
-    timeout(limit, greet).await.unwrap_or_else(|_| Err(late()))
+    timeout(limit, handshake)
+        .await
+        .unwrap_or_else(|_| Err(timed_out()))
 }
 
-/// Heartbeats of a link at rest that may be missed before it is lost.
+/// Heartbeat intervals of an idle link after which a silent link counts as lost.
 pub const MAX_MISSED_HEARTBEATS: u32 = 3;
 
-/// Paces of heartbeats on one link.
+/// Intervals between heartbeats on one link.
 #[derive(Clone, Copy, Debug)]
 pub struct Intervals {
-    /// While there is work on the link, so that silence is noticed soon.
+    /// Interval while there is work on the link; short, so that silence is detected early.
     pub busy: Duration,
-    /// While there is none.
+    /// Interval while there is none.
     pub idle: Duration,
 }
 
-/// Sends heartbeats, and at once when what they say changes or work begins; between them the
-/// frames of `others`. Ends with the link. `work` is the number of pieces of work on the link.
+/// Sends heartbeats, in between the frames of `frames`, until the link ends. A heartbeat is sent at
+/// once when its content changes or work begins. `work` is the number of runs and calls on the
+/// link.
 ///
-/// `heard` tells whether anything came on the link since it was asked last: then a link with work on
-/// it needs no heartbeat to show that it lives, but for one at the pace of rest.
+/// `received_since` returns whether anything was received on the link since its last call. If so, a
+/// link with work needs no heartbeat to show that it is alive, except one per idle interval.
 pub async fn send_heartbeats(
     mut sender: Sender,
     mut state: watch::Receiver<Heartbeat>,
-    mut others: mpsc::Receiver<Frame>,
+    mut frames: mpsc::Receiver<Frame>,
     mut work: watch::Receiver<u32>,
-    pace: Intervals,
-    mut heard: impl FnMut() -> bool,
+    intervals: Intervals,
+    mut received_since: impl FnMut() -> bool,
 ) {
     let mut due = Instant::now();
-    let mut last = due;
+    let mut last_sent = due;
     loop {
         let mut changed = false;
         let frame = tokio::select! {
@@ -83,19 +96,20 @@
                 changed = true;
                 None
             }
-            Ok(_) = work.wait_for(|work| *work > 0), if due - Instant::now() > pace.busy => None,
-            Some(frame) = others.recv() => Some(frame),
+            Ok(_) = work.wait_for(|work| *work > 0),
+                if due - Instant::now() > intervals.busy => None,
+            Some(frame) = frames.recv() => Some(frame),
         };
         let frame = match frame {
             Some(frame) => frame,
             None => {
                 let busy = *work.borrow() > 0;
                 let now = Instant::now();
-                due = now + if busy { pace.busy } else { pace.idle };
-                if heard() && !changed && now < last + pace.idle {
+                due = now + if busy { intervals.busy } else { intervals.idle };
+                if received_since() && !changed && now < last_sent + intervals.idle {
                     continue;
                 }
-                last = now;
+                last_sent = now;
                 Frame::Heartbeat(state.borrow_and_update().clone())
             }
         };
@@ -105,13 +119,13 @@
     }
 }
 
-async fn expect(link: &Link, stream: &mut Stream) -> Result<Hello, Error> {
+async fn receive_hello(link: &Link, stream: &mut Stream) -> Result<Hello, Error> {
     let Some(Frame::Hello(hello)) = stream.receive().await? else {
-        return Err(Error::Malformed("a greeting was expected".into()));
+        return Err(Error::Malformed("expected a hello frame".into()));
     };
     if hello.protocol != PROTOCOL {
         return Err(Error::Malformed(format!(
-            "protocol {} instead of {PROTOCOL}",
+            "protocol version {}, expected {PROTOCOL}",
             hello.protocol
         )));
     }
@@ -119,6 +133,6 @@
     Ok(hello)
 }
 
-fn late() -> Error {
-    Error::Lost("no greeting in time".into())
+fn timed_out() -> Error {
+    Error::Lost("no hello frame within the time limit".into())
 }
--- a/components/daemon/src/http.rs
+++ b/components/daemon/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP listeners with limits of time and number.
+//! HTTP listeners with limits on times and connections.
 
 use std::{
     net::SocketAddr,
@@ -24,13 +24,13 @@
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A request's header must be there within this time.
+    /// Time within which a request's header must arrive.
     pub header_timeout: Duration,
-    /// A connection without traffic is closed after this time.
+    /// Time after which a connection without traffic is closed.
     pub idle_timeout: Duration,
-    /// Open connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Time that a shutdown waits for requests in progress.
+    /// Time for which a shutdown waits for requests in progress.
     pub drain_timeout: Duration,
 }
 
@@ -45,30 +45,37 @@
     }
 }
 
-/// A listener that serves.
-pub struct Served {
-    /// The address that it got.
+/// A running listener.
+pub struct Handle {
+    /// The address that it is bound to.
     pub address: SocketAddr,
-    /// Ends when the listener has stopped.
+    /// Completes when the listener has stopped.
     pub task: JoinHandle<()>,
 }
 
-/// Serves until `stop`, then finishes what is in progress within the limit.
+/// Serves until `stop` is cancelled, then finishes requests in progress within the drain timeout.
+///
+/// # Errors
+///
+/// [`Error::Listen`] when the address can't be bound.
 pub async fn serve(
     address: SocketAddr,
     router: Router,
     limits: Limits,
     stop: CancellationToken,
-) -> Result<Served, Error> {
+) -> Result<Handle, Error> {
     let acceptor = TcpListener::new(address)
         .try_bind()
         .await
-        .map_err(|error| refused(address, error))?;
-    let got = acceptor
+        .map_err(|error| listen_error(address, error))?;
+    let bound_address = acceptor
         .local_addr()
-        .map_err(|error| refused(address, error))?;
+        .map_err(|error| listen_error(address, error))?;
     let task = tokio::spawn(run(acceptor, router, limits, stop));
-    Ok(Served { address: got, task })
+    Ok(Handle {
+        address: bound_address,
+        task,
+    })
 }
 
 async fn run(acceptor: TcpAcceptor, router: Router, limits: Limits, stop: CancellationToken) {
@@ -85,11 +92,11 @@
         stop.cancelled().await;
         handle.stop_graceful(drain);
     });
-    // An accept error ends only that connection; the server itself ends by `stop`.
+    // A failed accept ends only that connection; the server itself stops through `stop`.
     let _ = server.try_serve(Service::new(router)).await;
 }
 
-fn refused(address: SocketAddr, error: impl std::fmt::Display) -> Error {
+fn listen_error(address: SocketAddr, error: impl std::fmt::Display) -> Error {
     Error::Listen {
         address,
         message: error.to_string(),
--- a/components/daemon/src/lateness.rs
+++ b/components/daemon/src/lateness.rs
@@ -1,7 +1,8 @@
-//! How late this process runs.
+//! Measures how late this process runs.
 //!
-//! A process whose processor is taken away by its neighbours sees every answer come slowly. It can
-//! tell: a timer of its own comes late as well, and a task that is ready waits long for its turn.
+//! A process that is starved of processor time by its neighbours sees every answer come slowly. It
+//! can detect this: its own timer fires late as well, and tasks that are ready wait long to be
+//! scheduled.
 
 use std::{
     collections::VecDeque,
@@ -19,71 +20,74 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Time between two ticks of the timer. Stalls that fall between two ticks stay unseen, and each
-/// tick wakes the process up.
-const PACE: Duration = Duration::from_millis(5);
+/// Interval of the timer. Stalls between two ticks go unnoticed, and each tick wakes the process
+/// up.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Part of a tick's lateness that is usual: the runtime's timers count in whole milliseconds.
-const USUAL: Duration = Duration::from_micros(1500);
+/// Lateness of a tick that counts as normal: the runtime's timers have a resolution of one
+/// millisecond.
+const NORMAL_TICK_DELAY: Duration = Duration::from_micros(1500);
 
-/// Time that a task that is ready usually waits for its turn. What an answer passes through waits
-/// several times, so that waits far below a timer's lateness add up.
-const USUAL_TURN: Duration = Duration::from_micros(250);
+/// Scheduling delay of a ready task that counts as normal. An answer passes through several such
+/// delays, so delays far below a timer's lateness add up.
+const NORMAL_SCHEDULING_DELAY: Duration = Duration::from_micros(250);
 
-/// Shortest time over which lateness is told: a shorter one may have no tick.
-const SHORTEST: Duration = Duration::from_millis(20);
+/// Shortest period over which lateness is computed: a shorter one may contain no tick.
+const MIN_PERIOD: Duration = Duration::from_millis(20);
 
-/// Late ticks and turns that are remembered: those of ten seconds in which all are late.
-const REMEMBERED: usize = 4_000;
+/// Maximum number of late ticks and scheduling delays that are remembered: enough for ten seconds
+/// in which all are late.
+const MAX_REMEMBERED: usize = 4_000;
 
-/// Ticks and turns that came late.
+/// Late ticks and long scheduling delays of this process.
 #[derive(Debug, Default)]
 pub struct Lateness(Mutex<Ticks>);
 
 #[derive(Debug, Default)]
 struct Ticks {
-    /// When the next one is due; none before the first.
+    /// When the next tick is due; none before the first tick.
     due: Option<Clock>,
-    /// When a late tick or turn came, and by how much it was late.
+    /// Time of each late tick or scheduling delay, and by how much it was late.
     late: VecDeque<(Clock, Duration)>,
 }
 
 impl Lateness {
-    /// Notes that the timer ticked at `now`.
+    /// Records a tick of the timer at `now`.
     pub fn record_tick(&self, now: Clock) {
         let mut ticks = self.0.lock().expect("no panic while held");
-        let late = ticks.behind(now);
+        let late = ticks.overdue(now);
         if !late.is_zero() {
-            ticks.note(now, late);
+            ticks.push(now, late);
         }
-        ticks.due = Some(now + PACE);
+        ticks.due = Some(now + TICK_INTERVAL);
     }
 
-    /// Notes at `now` that a task that was ready waited for its turn. Such waits are seen once a tick.
+    /// Records at `now` how long a ready task waited to be scheduled. Such delays are sampled once
+    /// per tick.
     pub fn record_wait(&self, now: Clock, waited: Duration) {
-        let late = waited.saturating_sub(USUAL_TURN);
+        let late = waited.saturating_sub(NORMAL_SCHEDULING_DELAY);
         if late.is_zero() {
             return;
         }
         let mut ticks = self.0.lock().expect("no panic while held");
-        ticks.note(now, late);
+        ticks.push(now, late);
     }
 
-    /// Part of the time from `begun` to `now` by which the process ran late, from 0 to 1. Of a
-    /// short time it is taken over the last 20 ms.
+    /// Returns the fraction, from 0 to 1, of the time from `begun` to `now` by which the process
+    /// ran late. For shorter times, the last 20 ms are used.
     pub fn fraction(&self, begun: Clock, now: Clock) -> f64 {
         let ticks = self.0.lock().expect("no panic while held");
-        let begun = begun.min(now.saturating_sub(SHORTEST));
+        let begun = begun.min(now.saturating_sub(MIN_PERIOD));
         let recent = ticks.late.iter().rev().take_while(|(at, _)| *at >= begun);
-        // After a stall the timer and those who ask wake up together, in any order.
-        let late = recent.map(|(_, late)| *late).sum::<Duration>() + ticks.behind(now);
+        // After a stall, the timer and the callers of this function wake up in any order.
+        let late = recent.map(|(_, late)| *late).sum::<Duration>() + ticks.overdue(now);
         let time = now.saturating_sub(begun).as_secs_f64();
         (late.as_secs_f64() / time.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
-    /// Lets the timer tick until the process ends. `clock` is the process's steady clock.
+    /// Runs the timer until the process ends. `clock` is the process's monotonic clock.
     pub async fn monitor(&self, clock: impl Fn() -> Clock, ended: &CancellationToken) {
-        let mut ticks = interval(PACE);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -100,15 +104,15 @@
 }
 
 impl Ticks {
-    fn note(&mut self, now: Clock, late: Duration) {
+    fn push(&mut self, now: Clock, late: Duration) {
         self.late.push_back((now, late));
-        if self.late.len() > REMEMBERED {
+        if self.late.len() > MAX_REMEMBERED {
             self.late.pop_front();
         }
     }
 
-    fn behind(&self, now: Clock) -> Duration {
+    fn overdue(&self, now: Clock) -> Duration {
         let due = self.due.unwrap_or(now);
-        now.saturating_sub(due).saturating_sub(USUAL)
+        now.saturating_sub(due).saturating_sub(NORMAL_TICK_DELAY)
     }
 }
--- a/components/daemon/src/lib.rs
+++ b/components/daemon/src/lib.rs
@@ -1,4 +1,5 @@
-//! What both daemons share: HTTP listeners, metrics, and a link's greeting and heartbeats.
+//! Code shared by the entry and the sidecar: HTTP listeners, probes, and the handshake and
+//! heartbeats of links.
 
 pub mod drain;
 pub mod handshake;
@@ -11,12 +12,12 @@
 /// Why a daemon can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An HTTP address can't be bound.
+    /// An HTTP listener can't be bound.
     #[error("can't listen on {address}: {message}")]
     Listen {
-        /// The address asked for.
+        /// The requested address.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         message: String,
     },
     /// The links can't be set up.
--- a/components/daemon/src/probe.rs
+++ b/components/daemon/src/probe.rs
@@ -1,6 +1,6 @@
-//! What platforms and operators probe: `/healthz`, `/readyz` and `/metrics`.
+//! The probe endpoints `/healthz`, `/readyz` and `/metrics`.
 //!
-//! Health says that the process runs; readiness says that it may get traffic. They are apart
+//! Health means that the process runs, readiness that it may receive traffic. They are separate
 //! because a process that waits for its first document must not be restarted for that.
 
 use metrics_exporter_prometheus::PrometheusHandle;
@@ -13,16 +13,16 @@
 };
 use tokio::sync::watch;
 
-/// Whether the process may get traffic.
+/// Whether the process may receive traffic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It may.
+    /// The process may receive traffic.
     Ready,
-    /// It may not, for this reason.
+    /// The process may not receive traffic yet, for this reason.
     Waiting(String),
 }
 
-/// Routes of the probes.
+/// Returns the router of the probe endpoints.
 pub fn router(handle: PrometheusHandle, readiness: watch::Receiver<Readiness>) -> Router {
     Router::new()
         .push(Router::with_path("healthz").get(health))
--- a/components/daemon/src/records.rs
+++ b/components/daemon/src/records.rs
@@ -1,4 +1,4 @@
-//! Records of kept calls in the platform's store, for both daemons.
+//! Records of calls in the platform's store, used by the entry and the sidecar.
 
 use std::time::Duration;
 
@@ -26,20 +26,21 @@
     time::Instant, //
 };
 
-/// How long a record is kept at least. A key that comes again later is a new call.
+/// Minimum time for which a record is kept. A key that is used again later starts a new call.
 pub const RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// Records written within this time share one lease, so that leases cost next to no calls.
-pub const SHARED: Duration = Duration::from_secs(3600);
+/// Period in which all written records share one lease, so that leases cost next to no store calls.
+pub const LEASE_SHARING_PERIOD: Duration = Duration::from_secs(3600);
 
-/// Reads and writes records; one attempt a call, since the decisions in `contract` do the rest.
+/// Reads and writes records, with one attempt per call; the state machines in `contract` decide on
+/// retries.
 pub struct Records {
     client: Client,
     lease: Mutex<Option<(Lease, Instant)>>,
 }
 
 impl Records {
-    /// Makes records over a client.
+    /// Creates a reader and writer of records over a client of the store.
     pub fn new(client: Client) -> Self {
         Self {
             client,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Writes a record if its revision is still `expect`; 0 is "absent".
+    /// Writes a record if its current revision is `expect`; 0 means that it must not exist.
     pub async fn write(&self, key: &str, expect: Revision, record: &Record) -> Write {
         let expect = match expect {
             0 => Expect::Absent,
@@ -67,10 +68,11 @@
                     None => Write::Refused,
                 },
                 Err(Error::Unanswered | Error::Malformed(_)) => Write::Unanswered,
-                // The store forgot the lease, after a restart or a long pause of ours.
+                // The store no longer knows the lease, after its restart or a long pause of this
+                // process.
                 Err(Error::UnknownLease) if !renewed => {
                     renewed = true;
-                    self.forget(lease).await;
+                    self.forget_lease(lease).await;
                     continue;
                 }
                 Err(_) => Write::Refused,
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Reads a record.
+    /// Reads a record; [`Read::Failed`] also when it can't be decoded.
     pub async fn read(&self, key: &str) -> Read {
         match self.client.get(key).await {
             Ok(None) => Read::Absent,
@@ -87,24 +89,24 @@
         }
     }
 
-    /// The lease of this hour.
+    /// Returns the shared lease, after replacing one older than [`LEASE_SHARING_PERIOD`].
     async fn lease(&self) -> Result<Lease, Error> {
-        let mut held = self.lease.lock().await;
-        if let Some((lease, since)) = *held
-            && since.elapsed() < SHARED
+        let mut current = self.lease.lock().await;
+        if let Some((lease, granted_at)) = *current
+            && granted_at.elapsed() < LEASE_SHARING_PERIOD
         {
             return Ok(lease);
         }
-        let since = Instant::now();
-        let lease = self.client.lease(RETENTION + SHARED).await?;
-        *held = Some((lease, since));
+        let granted_at = Instant::now();
+        let lease = self.client.lease(RETENTION + LEASE_SHARING_PERIOD).await?;
+        *current = Some((lease, granted_at));
         Ok(lease)
     }
 
-    async fn forget(&self, lapsed: Lease) {
-        let mut held = self.lease.lock().await;
-        if held.is_some_and(|(lease, _)| lease == lapsed) {
-            *held = None;
+    async fn forget_lease(&self, expired: Lease) {
+        let mut current = self.lease.lock().await;
+        if current.is_some_and(|(lease, _)| lease == expired) {
+            *current = None;
         }
     }
 }
--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -1,4 +1,5 @@
-//! What a process knows of poisonous requests, and how it tells the others.
+//! Facts about poisonous requests (requests that crash servers) known to this process, and their
+//! exchange with other processes.
 
 use std::{
     sync::Mutex,
@@ -25,13 +26,14 @@
 };
 use wire::Frame;
 
-/// Most deaths, refusals and passes, each, that a process keeps and tells at once.
-const MOST: usize = 32;
+/// Maximum number of deaths, of refusals and of passes that a process keeps and sends in one
+/// message.
+const MAX_FACTS: usize = 32;
 
-/// Most requests of one death that are kept.
-const FLIGHTS: usize = 128;
+/// Maximum number of requests that are kept for one death.
+const MAX_FLIGHTS_PER_DEATH: usize = 128;
 
-/// The ledger of one process, and its facts for the links.
+/// The ledger of suspects of one process, and its facts for the links.
 pub struct Suspects {
     ledger: Mutex<Ledger>,
     facts: watch::Sender<Facts>,
@@ -40,8 +42,8 @@
 impl Default for Suspects {
     fn default() -> Self {
         let settings = Settings {
-            most: MOST,
-            flights: FLIGHTS,
+            most: MAX_FACTS,
+            flights: MAX_FLIGHTS_PER_DEATH,
             ..Settings::default()
         };
         Self {
@@ -52,52 +54,53 @@
 }
 
 impl Suspects {
-    /// What is held of a fingerprint.
+    /// Returns whether a request is clear, suspected or refused.
     pub fn verdict(&self, fingerprint: Fingerprint) -> Verdict {
-        self.lock().verdict(fingerprint, wall())
+        self.lock().verdict(fingerprint, wall_clock())
     }
 
-    /// Tells whether a request may start beside what runs on a server.
+    /// Returns whether a request may start beside those that run on a server.
     pub fn place(&self, fingerprint: Fingerprint, running: &[Flight]) -> Place {
-        self.lock().place(fingerprint, running, wall())
+        self.lock().place(fingerprint, running, wall_clock())
     }
 
-    /// All facts; to be sent along with a request that is under suspicion.
+    /// Returns all facts, to be sent along with a suspected request.
     pub fn facts(&self) -> Facts {
         self.facts.borrow().clone()
     }
 
-    /// Takes the facts of another process.
+    /// Merges the facts that another process sent.
     pub fn merge(&self, facts: &Facts) {
         let mut ledger = self.lock();
-        if ledger.merge(facts, wall()) {
+        if ledger.merge(facts, wall_clock()) {
             self.facts.send_replace(ledger.facts().clone());
         }
     }
 
-    /// Notes that the server beside this process died.
-    pub fn died(&self, server: &str, flights: Vec<Flight>) {
+    /// Records that the server behind this sidecar died, and which requests were in flight.
+    pub fn record_death(&self, server: &str, flights: Vec<Flight>) {
         let mut ledger = self.lock();
         let death = Death {
             server: server.to_string(),
-            at: wall(),
+            at: wall_clock(),
             flights,
         };
-        ledger.died(rand::random(), death, wall());
+        ledger.died(rand::random(), death, wall_clock());
         self.facts.send_replace(ledger.facts().clone());
     }
 
-    /// Notes that a request ran to its end.
-    pub fn ended(&self, fingerprint: Fingerprint) {
+    /// Records that a request ran to its end.
+    pub fn record_completion(&self, fingerprint: Fingerprint) {
         let mut ledger = self.lock();
-        if ledger.verdict(fingerprint, wall()) == Verdict::Clear {
+        if ledger.verdict(fingerprint, wall_clock()) == Verdict::Clear {
             return;
         }
-        ledger.ended(fingerprint, wall());
+        ledger.ended(fingerprint, wall_clock());
         self.facts.send_replace(ledger.facts().clone());
     }
 
-    /// Sends the facts over a link, all that are known and then each change, until the link ends.
+    /// Sends the facts over a link, first all that are known and then after each change, until the
+    /// link ends.
     pub async fn send_changes(&self, frames: mpsc::Sender<Frame>) {
         let mut facts = self.facts.subscribe();
         facts.mark_changed();
@@ -108,11 +111,15 @@
                     return;
                 },
             }
-            let now = facts.borrow_and_update().clone();
-            if now == Facts::default() {
+            let current = facts.borrow_and_update().clone();
+            if current == Facts::default() {
                 continue;
             }
-            if frames.send(Frame::Suspects(Box::new(now))).await.is_err() {
+            if frames
+                .send(Frame::Suspects(Box::new(current)))
+                .await
+                .is_err()
+            {
                 return;
             }
         }
@@ -123,8 +130,9 @@
     }
 }
 
-/// Wall-clock time. Only expiry rests on it, and hosts differ by seconds at most.
-fn wall() -> Duration {
+/// Returns the wall-clock time. Only expiry depends on it, and the clocks of hosts differ by
+/// seconds at most.
+fn wall_clock() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
