--- a/components/wire/src/codec.rs
+++ b/components/wire/src/codec.rs
@@ -1,48 +1,64 @@
-//! Frames as bytes: a length of four bytes, most significant first, then the frame by `postcard`.
+//! Encoding of frames: a four-byte big-endian length, then the frame in `postcard` format.
 
 use crate::{
     Error,
     Frame, //
 };
 
-/// Bytes of the length before each frame.
-pub const LENGTH: usize = 4;
+/// Size in bytes of the length prefix of each frame.
+pub const PREFIX_BYTES: usize = 4;
 
-/// Largest frame in bytes. A larger one is a broken or hostile peer, or a body that the bounds in
-/// the settings should have stopped; without this bound a single length could ask for 4 GiB.
-pub const MOST: usize = 64 << 20;
+/// Maximum size of a frame in bytes. A larger one comes from a broken or hostile peer, or from a
+/// body that the limits in the settings should have stopped. Without this limit, a single length
+/// prefix could request 4 GiB.
+pub const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// Writes a frame with its length.
+/// Encodes a frame with its length prefix.
+///
+/// # Errors
+///
+/// [`Error::TooLarge`] over [`MAX_FRAME_BYTES`], [`Error::Malformed`] when it can't be serialized.
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, Error> {
-    let start = vec![0; LENGTH];
-    let mut bytes = postcard::to_extend(frame, start)
-        .map_err(|error| Error::Malformed(format!("can't be written: {error}")))?;
-    let size = bytes.len() - LENGTH;
-    check(size)?;
-    bytes[..LENGTH].copy_from_slice(&(size as u32).to_be_bytes());
+    let prefix = vec![0; PREFIX_BYTES];
+    let mut bytes = postcard::to_extend(frame, prefix)
+        .map_err(|error| Error::Malformed(format!("can't be encoded: {error}")))?;
+    let size = bytes.len() - PREFIX_BYTES;
+    check_size(size)?;
+    bytes[..PREFIX_BYTES].copy_from_slice(&(size as u32).to_be_bytes());
     Ok(bytes)
 }
 
-/// Reads the length before a frame.
-pub fn size(length: [u8; LENGTH]) -> Result<usize, Error> {
+/// Decodes a length prefix.
+///
+/// # Errors
+///
+/// [`Error::TooLarge`] over [`MAX_FRAME_BYTES`].
+pub fn size(length: [u8; PREFIX_BYTES]) -> Result<usize, Error> {
     let size = u32::from_be_bytes(length) as usize;
-    check(size)?;
+    check_size(size)?;
     Ok(size)
 }
 
-/// Reads a frame without its length.
+/// Decodes a frame without its length prefix.
+///
+/// # Errors
+///
+/// [`Error::Malformed`] unless the bytes are exactly one frame.
 pub fn decode(bytes: &[u8]) -> Result<Frame, Error> {
     let (frame, rest) = postcard::take_from_bytes(bytes)
-        .map_err(|error| Error::Malformed(format!("can't be read: {error}")))?;
+        .map_err(|error| Error::Malformed(format!("can't be decoded: {error}")))?;
     if !rest.is_empty() {
-        return Err(Error::Malformed(format!("{} bytes too many", rest.len())));
+        return Err(Error::Malformed(format!("{} trailing bytes", rest.len())));
     }
     Ok(frame)
 }
 
-fn check(size: usize) -> Result<(), Error> {
-    if size > MOST {
-        return Err(Error::Large { size, most: MOST });
+fn check_size(size: usize) -> Result<(), Error> {
+    if size > MAX_FRAME_BYTES {
+        return Err(Error::TooLarge {
+            size,
+            limit: MAX_FRAME_BYTES,
+        });
     }
     Ok(())
 }
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -1,4 +1,6 @@
-//! The frames that our own processes exchange.
+//! The frames that processes exchange.
+//!
+//! `postcard` encodes fields and variants by position, so their order is part of the protocol.
 
 use std::time::Duration;
 
@@ -30,134 +32,134 @@
 
 use crate::Tokens;
 
-/// Version of the protocol; processes of other versions are refused at [`Hello`].
+/// Version of the protocol; a peer with another version is refused at [`Hello`].
 pub const PROTOCOL: u16 = 1;
 
-/// One message between two of our processes.
+/// One message between two processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// First frame of a link's first stream, each way.
+    /// First frame of a link's first stream, in both directions.
     Hello(Hello),
-    /// Sent on a link's first stream at a fixed pace, each way.
+    /// Sent repeatedly on a link's first stream, in both directions.
     Heartbeat(Heartbeat),
-    /// Documents and facts; the bytes are the `spread` crate's message.
+    /// Documents and facts: an encoded message of the `spread` crate.
     Spread(Vec<u8>),
-    /// Facts about requests that bring servers down; on a link's first stream, each way.
+    /// Facts about requests that crash servers; on a link's first stream, in both directions.
     Suspects(Box<poison::Facts>),
-    /// Asks a sidecar to begin a generation; opens a stream.
+    /// Asks a sidecar to start a generation; the first frame of a stream.
     Start(Box<Start>),
-    /// Asks a sidecar for the tokens of a generation that it has; opens a stream.
+    /// Asks a sidecar for the tokens of a generation that it holds; the first frame of a stream.
     Attach(Attach),
-    /// Ends a generation that nobody wants any more.
+    /// Cancels the generation for this stream.
     Cancel,
-    /// The generation is there; tokens follow.
+    /// The generation has started or was found; its tokens follow.
     Started,
-    /// The sidecar doesn't know the generation.
+    /// The sidecar doesn't hold the generation or the requested tokens.
     Missing,
-    /// Nothing was begun.
+    /// The generation was not started.
     Refused(Refused),
     /// Tokens of the generation.
     Tokens(Tokens),
-    /// The generation's end; nothing follows.
+    /// End of the generation; the last frame of a stream.
     End(End),
-    /// A call to a plain service; opens a stream.
+    /// A call to a plain service; the first frame of a stream.
     Call(Box<Call>),
-    /// What became of the call.
+    /// The outcome of the call.
     Reply(Reply),
-    /// Asks a sidecar to hold a pointer; opens a stream, nothing is answered.
+    /// Asks a sidecar to store a pointer; the only frame of a stream, without a reply.
     Point(Point),
-    /// Asks a sidecar for the pointer that it holds for a request; opens a stream.
+    /// Asks a sidecar for the pointer that it stores for a request; the first frame of a stream.
     Find(Request),
-    /// The pointer, if the sidecar holds one.
+    /// The pointer, if the sidecar stores one.
     Found(Option<Pointer>),
 }
 
-/// Who speaks.
+/// Identity of a process, sent in the handshake of a link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// [`PROTOCOL`] of the sender.
+    /// Protocol version of the sender, [`PROTOCOL`].
     pub protocol: u16,
-    /// The sender's host name; it must be the name in its certificate.
+    /// The sender's host name; its certificate must be valid for it.
     pub host: Host,
-    /// The sender's data centre.
+    /// Data centre of the sender.
     pub data_centre: DataCentre,
-    /// Random number of this run of the process: a restart has another.
+    /// Random number of this run of the process; it changes with every restart.
     pub incarnation: Nonce,
-    /// The backend server behind a sidecar; none for an entry.
+    /// The backend server behind a sidecar; none from an entry.
     pub backend: Option<Backend>,
 }
 
 /// The backend server behind a sidecar.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Its name in operators' documents.
+    /// Name of the server in the operators' documents.
     pub server: Server,
-    /// The service that it belongs to.
+    /// Service that the server belongs to.
     pub service: Service,
-    /// The version that it runs.
+    /// Version of the service that the server runs.
     pub version: Version,
 }
 
-/// A sign of life, and what changes often.
+/// A sign of life, with the state that changes often.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender is leaving: no new work, please.
+    /// The sender is leaving and takes no new work.
     pub leaving: bool,
-    /// The backend server answers its health check.
+    /// Whether the backend server answers its health check.
     pub healthy: bool,
     /// Load of the backend server; none from an entry.
     pub load: Option<Load>,
 }
 
-/// Load of a backend server as it reported it.
+/// Load that a backend server reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Runs and calls in progress.
+    /// Number of runs and calls in progress.
     pub running: u32,
-    /// Runs that wait inside the engine.
+    /// Number of runs that wait inside the engine.
     pub queued: u32,
-    /// Runs that fit at once.
+    /// Number of runs that the server can process at once.
     pub capacity: u32,
-    /// Share of the cache memory in use, in thousandths.
+    /// Fraction of the cache memory in use, in thousandths.
     pub cache: u16,
-    /// Age of the reading.
+    /// Age of the report.
     pub age: Duration,
 }
 
-/// A generation to begin.
+/// Parameters of a generation to start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Start {
     /// The request that it answers.
     pub request: Request,
-    /// Its epoch within the request.
+    /// Epoch of the generation within the request.
     pub epoch: Epoch,
-    /// Random number of this generation.
+    /// Random number that distinguishes generations of one epoch.
     pub nonce: Nonce,
     /// The team that asked.
     pub team: Team,
-    /// The service that serves.
+    /// Service that the generation is for.
     pub service: Service,
-    /// The version that must serve.
+    /// Version of the service that must run it.
     pub version: Version,
-    /// Model name.
+    /// Name of the model.
     pub model: String,
-    /// The whole prompt.
+    /// The complete prompt.
     pub prompt: String,
-    /// Upper bound of the answer's length in tokens.
+    /// Maximum length of the answer in tokens.
     pub max_tokens: u64,
     /// Sampling seed.
     pub seed: u64,
     /// Sampling temperature in thousandths.
     pub temperature: u32,
-    /// Priority; higher goes first.
+    /// Priority; a higher value is scheduled first.
     pub priority: u8,
-    /// Tokens that the caller has already.
+    /// Tokens that the caller has received already; the generation continues after them.
     pub delivered: Vec<String>,
-    /// Facts about the request when it is under suspicion.
+    /// Facts about the request, when it is under suspicion.
     pub suspects: Option<Box<poison::Facts>>,
 }
 
-/// A generation to listen to.
+/// Identifies a generation to read, and where to start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attach {
     /// The request that it answers.
@@ -166,7 +168,7 @@
     pub epoch: Epoch,
     /// Its nonce.
     pub nonce: Nonce,
-    /// The first token wanted.
+    /// Position of the first requested token.
     pub from: Index,
 }
 
@@ -175,39 +177,39 @@
 pub struct Point {
     /// The request.
     pub request: Request,
-    /// The place.
+    /// The location of the generation.
     pub pointer: Pointer,
 }
 
-/// Why nothing was begun, and when to come back.
+/// Why a request was refused, and when to retry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
     /// The reason.
     pub reason: Reason,
-    /// Time after which another try makes sense.
+    /// Time after which a retry makes sense.
     pub retry_after: Duration,
 }
 
-/// Reasons of a sidecar for not beginning something.
+/// Reasons for which a sidecar refuses a generation or call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
-    /// The backend server or the sidecar is full.
+    /// The backend server or the sidecar is at capacity.
     Full,
     /// The host is leaving.
     Leaving,
     /// The backend server doesn't answer.
     Down,
-    /// The backend server doesn't run that version.
+    /// The backend server doesn't run the requested version.
     Version,
-    /// The backend server can't continue from given tokens.
+    /// The backend server can't continue from the delivered tokens.
     Continuation,
-    /// The backend server calls the request wrong.
+    /// The request is malformed, or the wrong kind for the backend server.
     Invalid,
-    /// The request brought servers down and is refused everywhere.
+    /// The request crashed servers and is refused everywhere.
     Poisonous,
-    /// The request must be kept apart from what runs here.
+    /// The request must not run at the same time as those in flight here.
     Apart,
-    /// The platform's store, without which the call may not run, doesn't answer.
+    /// The platform's store doesn't answer; the call may not run without a record.
     Store,
 }
 
@@ -216,20 +218,20 @@
 pub struct End {
     /// Length of the answer in tokens.
     pub total: Index,
-    /// How it ended.
+    /// How the generation ended.
     pub finish: Finish,
-    /// What it cost.
+    /// Token counts of the generation.
     pub usage: Usage,
 }
 
-/// What a generation cost.
+/// Token counts of a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt: u64,
-    /// Tokens of the prompt that were cached.
+    /// Number of tokens of the prompt that were cached.
     pub cached: u64,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion: u64,
 }
 
@@ -240,7 +242,7 @@
     pub service: Service,
     /// The team that asked.
     pub team: Team,
-    /// The caller's key; none when it gave none.
+    /// The caller's idempotency key; none when it sent none.
     pub key: Option<String>,
     /// HTTP method.
     pub method: String,
@@ -248,26 +250,27 @@
     pub path: String,
     /// `Content-Type` of the body.
     pub content_type: Option<String>,
-    /// The caller's `Accept`.
+    /// The caller's `Accept` header.
     pub accept: Option<String>,
     /// The body.
     pub body: Vec<u8>,
-    /// The call may run more than once.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// What the record of a call needs; none for calls of which no record is kept.
+    /// Data for the call's record; none for calls without one.
     pub recording: Option<Recording>,
 }
 
-/// What the record of a kept call needs.
+/// Data for the record of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Recording {
-    /// Number of this send, freshly drawn; the sidecar begins each send once.
+    /// Random number of this send; the sidecar starts each send only once.
     pub send_id: Nonce,
-    /// Revision that the record must still have when the sidecar writes it.
+    /// Revision that the record must still have when the sidecar writes it; 0 when there must be
+    /// none.
     pub base_revision: Revision,
     /// Digest of the request.
     pub digest: String,
-    /// Path where the caller can ask about the call.
+    /// Path where the caller can query the call's status.
     pub status_path: String,
 }
 
@@ -276,19 +279,19 @@
 pub enum Reply {
     /// The service answered.
     Ran {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
         /// `Content-Type` of the body.
         content_type: Option<String>,
         /// The body.
         body: Vec<u8>,
-        /// The answer is that of an earlier call with the same key.
+        /// Whether the answer is that of an earlier call with the same key.
         replayed: bool,
     },
-    /// The call didn't run, and this try of it never will.
+    /// The call didn't run, and this attempt never will.
     NotRun(Refused),
-    /// The service had it, and its answer was lost.
+    /// The call was sent, but no complete answer arrived.
     Unknown,
-    /// What became of a kept call.
+    /// Outcome of a recorded call.
     Kept(Box<handover::Reply>),
 }
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Frames between our own processes, their codec, and links over QUIC with mutual TLS.
+//! Frames exchanged by entries and sidecars, their codec, and links over QUIC with mutual TLS.
 //!
-//! A [`Link`] joins two processes. Its first stream, opened by the side that dialled, carries
-//! [`frame::Hello`] and heartbeats both ways; every generation and every call has a stream of its
-//! own, so that a slow reader of one holds up no other.
+//! A [`Link`] connects two processes. Its first stream, opened by the dialling side, carries
+//! [`frame::Hello`] and heartbeats in both directions; every generation and every call has its own
+//! stream, so that a slow reader of one doesn't block the others.
 
 pub mod codec;
 pub mod frame;
@@ -17,35 +17,36 @@
 pub use stream::Stream;
 pub use tokens::Tokens;
 
-/// Why something on a link failed.
+/// Why an operation on a link failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The socket can't be bound.
+    /// The UDP socket can't be bound.
     #[error("can't listen on {address}: {source}")]
     Bind {
-        /// The address asked for.
+        /// The requested address.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// Keys or certificates are unusable.
+    /// Keys or certificates can't be used, or the idle timeout is out of QUIC's range.
     #[error("keys: {0}")]
     Keys(String),
-    /// The peer's certificate isn't signed by our authority, or isn't for the name it claims.
+    /// The peer's certificate isn't signed by the configured authority, or isn't for the host name
+    /// that the peer claims.
     #[error("foreign certificate: {0}")]
     Foreign(String),
-    /// The link is closed, lost or silent.
+    /// The link is closed or lost, or nothing was received within the idle timeout.
     #[error("link lost: {0}")]
     Lost(String),
-    /// A frame that can't be read, or that came where it doesn't belong.
+    /// A frame can't be encoded or decoded, or isn't allowed at this point of the stream.
     #[error("malformed frame: {0}")]
     Malformed(String),
-    /// A frame over the bound.
-    #[error("frame of {size} bytes is over the bound of {most}")]
-    Large {
-        /// Its size.
+    /// A frame exceeds the size limit.
+    #[error("frame of {size} bytes exceeds the limit of {limit} bytes")]
+    TooLarge {
+        /// Size of the frame in bytes.
         size: usize,
-        /// The bound.
-        most: usize,
+        /// The limit in bytes.
+        limit: usize,
     },
 }
--- a/components/wire/src/stream.rs
+++ b/components/wire/src/stream.rs
@@ -1,4 +1,4 @@
-//! One stream of frames on a link.
+//! A bidirectional stream of frames on a link.
 
 use quinn::{
     ReadExactError,
@@ -15,9 +15,9 @@
 
 /// Both halves of a stream.
 pub struct Stream {
-    /// What we send.
+    /// The half that this process sends on.
     pub sender: Sender,
-    /// What we receive.
+    /// The half that this process receives on.
     pub receiver: Receiver,
 }
 
@@ -27,8 +27,8 @@
 /// The receiving half of a stream.
 pub struct Receiver(RecvStream);
 
-/// Code of a stream that one side gives up.
-const GIVEN_UP: u32 = 1;
+/// QUIC error code of a stream that is aborted.
+const ABORTED: u32 = 1;
 
 impl Stream {
     pub(crate) fn new(halves: (SendStream, RecvStream)) -> Self {
@@ -38,27 +38,27 @@
         }
     }
 
-    /// Sends a frame.
+    /// Sends a frame, as [`Sender::send`] does.
     pub async fn send(&mut self, frame: &Frame) -> Result<(), Error> {
         self.sender.send(frame).await
     }
 
-    /// Receives a frame; none when the peer has ended the stream.
+    /// Receives a frame, as [`Receiver::receive`] does.
     pub async fn receive(&mut self) -> Result<Option<Frame>, Error> {
         self.receiver.receive().await
     }
 }
 
 impl Sender {
-    /// Sends a frame. An error tells nothing about whether the peer got it.
+    /// Sends a frame. After an error, the peer may or may not have received it.
     pub async fn send(&mut self, frame: &Frame) -> Result<(), Error> {
         let bytes = codec::encode(frame)?;
         self.0.write_all(&bytes).await.map_err(lost)
     }
 
-    /// Ends our half; what was sent still arrives.
+    /// Ends the sending half; frames sent before still arrive.
     pub fn finish(&mut self) {
-        // The stream may be closed already, which is what is wanted.
+        // The stream may be closed already, which is fine.
         let _ = self.0.finish();
     }
 
@@ -67,18 +67,23 @@
         let _ = self.0.stopped().await;
     }
 
-    /// Gives our half up: the peer gets an error, not an end.
+    /// Resets the sending half: the peer gets an error instead of the end of the stream.
     pub fn abort(&mut self) {
-        let _ = self.0.reset(VarInt::from_u32(GIVEN_UP));
+        let _ = self.0.reset(VarInt::from_u32(ABORTED));
     }
 }
 
 impl Receiver {
     /// Receives a frame; none when the peer has ended the stream between two frames.
     ///
-    /// Not safe to cancel: a part of a frame that was read is lost.
+    /// Not cancel-safe: a partly read frame is lost.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Lost`] when the link is lost or the stream ends within a frame, [`Error::TooLarge`]
+    /// or [`Error::Malformed`] when the frame can't be decoded.
     pub async fn receive(&mut self) -> Result<Option<Frame>, Error> {
-        let mut length = [0; codec::LENGTH];
+        let mut length = [0; codec::PREFIX_BYTES];
         match self.0.read_exact(&mut length).await {
             Ok(()) => {}
             Err(ReadExactError::FinishedEarly(0)) => return Ok(None),
--- a/components/wire/src/tls.rs
+++ b/components/wire/src/tls.rs
@@ -1,4 +1,5 @@
-//! Mutual TLS for links: each side shows a certificate of our authority, made for its host's name.
+//! Mutual TLS for links: each side presents a certificate that the configured authority signed for
+//! its host name.
 
 use std::sync::Arc;
 
@@ -23,41 +24,41 @@
 
 use crate::Error;
 
-/// Name of our protocol in the TLS handshake; others don't get past it.
-const PROTOCOL: &[u8] = b"medlarhatch";
+/// ALPN protocol name; a handshake that offers another one fails.
+const ALPN_PROTOCOL: &[u8] = b"medlarhatch";
 
-/// Settings of the side that answers.
+/// Returns the TLS configuration of the accepting side.
 pub fn server(keys: &Keys) -> Result<QuicServerConfig, Error> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier =
-        WebPkiClientVerifier::builder_with_provider(Arc::new(authority(keys)?), provider.clone())
+        WebPkiClientVerifier::builder_with_provider(Arc::new(root_store(keys)?), provider.clone())
             .build()
             .map_err(unusable)?;
     let mut config = ServerConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
         .map_err(unusable)?
         .with_client_cert_verifier(verifier)
-        .with_single_cert(chain(keys)?, key(keys)?)
+        .with_single_cert(certificate_chain(keys)?, private_key(keys)?)
         .map_err(unusable)?;
-    config.alpn_protocols = vec![PROTOCOL.to_vec()];
+    config.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
     QuicServerConfig::try_from(config).map_err(unusable)
 }
 
-/// Settings of the side that dials.
+/// Returns the TLS configuration of the dialling side.
 pub fn client(keys: &Keys) -> Result<QuicClientConfig, Error> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let mut config = ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
         .map_err(unusable)?
-        .with_root_certificates(authority(keys)?)
-        .with_client_auth_cert(chain(keys)?, key(keys)?)
+        .with_root_certificates(root_store(keys)?)
+        .with_client_auth_cert(certificate_chain(keys)?, private_key(keys)?)
         .map_err(unusable)?;
-    config.alpn_protocols = vec![PROTOCOL.to_vec()];
+    config.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
     QuicClientConfig::try_from(config).map_err(unusable)
 }
 
-/// Checks that a certificate was made for a name.
-pub fn is_for(certificate: &CertificateDer<'_>, name: &str) -> bool {
+/// Returns whether a certificate is valid for a host name.
+pub fn is_valid_for(certificate: &CertificateDer<'_>, name: &str) -> bool {
     let Ok(server) = ServerName::try_from(name) else {
         return false;
     };
@@ -65,7 +66,7 @@
         .is_ok_and(|entity| entity.verify_is_valid_for_subject_name(&server).is_ok())
 }
 
-fn authority(keys: &Keys) -> Result<RootCertStore, Error> {
+fn root_store(keys: &Keys) -> Result<RootCertStore, Error> {
     let mut store = RootCertStore::empty();
     for certificate in CertificateDer::pem_slice_iter(keys.authority.as_bytes()) {
         store
@@ -75,13 +76,13 @@
     Ok(store)
 }
 
-fn chain(keys: &Keys) -> Result<Vec<CertificateDer<'static>>, Error> {
+fn certificate_chain(keys: &Keys) -> Result<Vec<CertificateDer<'static>>, Error> {
     CertificateDer::pem_slice_iter(keys.certificate.as_bytes())
         .collect::<Result<Vec<_>, _>>()
         .map_err(unusable)
 }
 
-fn key(keys: &Keys) -> Result<PrivateKeyDer<'static>, Error> {
+fn private_key(keys: &Keys) -> Result<PrivateKeyDer<'static>, Error> {
     PrivateKeyDer::from_pem_slice(keys.key.as_bytes()).map_err(unusable)
 }
 
--- a/components/wire/src/tokens.rs
+++ b/components/wire/src/tokens.rs
@@ -1,7 +1,7 @@
-//! A run of tokens, the one frame that is sent for nearly every token.
+//! Consecutive tokens, the frame that is sent for nearly every generated token.
 //!
-//! It is serialised by hand as three fields (index, lengths, one text) instead of a sequence of
-//! strings: decoding then allocates one text and checks UTF-8 once.
+//! It is serialized by hand as three fields (index, lengths, concatenated text) instead of a
+//! sequence of strings, so that decoding reads one text and validates UTF-8 once.
 
 use std::fmt;
 
@@ -22,14 +22,14 @@
 /// Consecutive tokens of a generation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tokens {
-    /// Position of the first token.
+    /// Position of the first token in the answer.
     pub index: Index,
-    /// The tokens.
+    /// Texts of the tokens.
     pub tokens: Vec<String>,
 }
 
-/// Number of fields on the wire.
-const FIELDS: usize = 3;
+/// Number of serialized fields.
+const FIELD_COUNT: usize = 3;
 
 impl Serialize for Tokens {
     fn serialize<S>(&self, serializer: S) -> Result<S::Ok, S::Error>
@@ -37,7 +37,7 @@
         S: Serializer,
     {
         let lengths: Vec<usize> = self.tokens.iter().map(String::len).collect();
-        let mut tuple = serializer.serialize_tuple(FIELDS)?;
+        let mut tuple = serializer.serialize_tuple(FIELD_COUNT)?;
         tuple.serialize_element(&self.index)?;
         tuple.serialize_element(&lengths)?;
         tuple.serialize_element(&self.tokens.concat())?;
@@ -50,17 +50,19 @@
     where
         D: Deserializer<'de>,
     {
-        deserializer.deserialize_tuple(FIELDS, Fields)
+        deserializer.deserialize_tuple(FIELD_COUNT, TokensVisitor)
     }
 }
 
-struct Fields;
+struct TokensVisitor;
 
-impl<'de> Visitor<'de> for Fields {
+impl<'de> Visitor<'de> for TokensVisitor {
     type Value = Tokens;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("an index, the tokens' lengths and their text")
+        formatter.write_str(
+            "the index of the first token, the tokens' lengths and their concatenated text",
+        )
     }
 
     fn visit_seq<A>(self, mut fields: A) -> Result<Tokens, A::Error>
@@ -77,19 +79,19 @@
             .next_element()?
             .ok_or_else(|| A::Error::invalid_length(2, &self))?;
         let tokens = split(text, &lengths)
-            .ok_or_else(|| A::Error::custom("the tokens' lengths don't fit their text"))?;
+            .ok_or_else(|| A::Error::custom("the tokens' lengths don't match their text"))?;
         Ok(Tokens { index, tokens })
     }
 }
 
-/// Cuts a text into tokens; none when the lengths don't add up to whole characters of the text.
+/// Splits a text into tokens; none when the lengths don't add up to the text or split a character.
 fn split(text: &str, lengths: &[usize]) -> Option<Vec<String>> {
     let mut rest = text;
     let mut tokens = Vec::with_capacity(lengths.len());
     for length in lengths {
-        let (token, after) = rest.split_at_checked(*length)?;
+        let (token, remainder) = rest.split_at_checked(*length)?;
         tokens.push(token.to_string());
-        rest = after;
+        rest = remainder;
     }
     rest.is_empty().then_some(tokens)
 }
--- a/components/wire/tests/links.rs
+++ b/components/wire/tests/links.rs
@@ -1,4 +1,5 @@
-//! Links between processes: greeting names are proved, foreign certificates refused, silence seen.
+//! Links between processes: host names are verified, foreign certificates refused, silence
+//! detected.
 
 use std::{
     net::SocketAddr,
@@ -17,92 +18,100 @@
     frame::Heartbeat, //
 };
 
-const SILENCE: Duration = Duration::from_millis(400);
-const LIMIT: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
+const TIME_LIMIT: Duration = Duration::from_secs(10);
 
 fn node(keys: &Keys) -> Node {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    Node::bind(any, keys, SILENCE).expect("a free port")
+    let local = SocketAddr::from(([127, 0, 0, 1], 0));
+    Node::bind(local, keys, IDLE_TIMEOUT).expect("binds to a free port")
 }
 
 fn keys(authority: &Authority, host: &str) -> Keys {
-    authority.issue(host).expect("keys can be made")
+    authority.issue(host).expect("issues keys")
 }
 
-async fn join(
-    dialling: &Node,
-    answering: &Node,
+async fn connect(
+    dialer: &Node,
+    acceptor: &Node,
     host: &str,
 ) -> (Result<Link, Error>, Option<Link>) {
-    let address = answering.address().expect("bound");
-    let (dialled, answered) = tokio::join!(dialling.dial(address, host), async {
-        let incoming = timeout(LIMIT, answering.accept()).await.ok()??;
+    let address = acceptor.address().expect("the socket is bound");
+    let (dialled, accepted) = tokio::join!(dialer.dial(address, host), async {
+        let incoming = timeout(TIME_LIMIT, acceptor.accept()).await.ok()??;
         incoming.accept().await.ok()
     });
-    (dialled, answered)
+    (dialled, accepted)
 }
 
 #[tokio::test]
-async fn both_ends_know_each_other_by_certificate() {
-    let authority = Authority::new().expect("an authority");
+async fn both_sides_verify_each_other_by_certificate() {
+    let authority = Authority::new().expect("creates an authority");
     let a = node(&keys(&authority, "entry-a"));
     let b = node(&keys(&authority, "draft-a"));
-    let (dialled, answered) = join(&a, &b, "draft-a").await;
-    let answered = answered.expect("a link");
+    let (dialled, accepted) = connect(&a, &b, "draft-a").await;
+    let accepted = accepted.expect("a link");
     dialled
         .expect("a link")
         .verify_host(&"draft-a".into())
-        .expect("its own name");
-    answered
+        .expect("valid for the peer's name");
+    accepted
         .verify_host(&"entry-a".into())
-        .expect("its own name");
-    // A process that claims another host's name could announce that host as leaving.
+        .expect("valid for the peer's name");
+    // A process that could claim another host's name could announce that host as leaving.
     assert_matches!(
-        answered.verify_host(&"entry-b".into()),
+        accepted.verify_host(&"entry-b".into()),
         Err(Error::Foreign(_))
     );
 }
 
-/// A process with a certificate of another system's authority dials, or is dialled by mistake.
-/// Without the check it could take this system's prompts; the operator sees MH0202.
+/// A process whose certificate another system's authority signed dials this system, or is dialled,
+/// by mistake. Without the check it could receive this system's prompts; operators see MH0202.
 #[tokio::test]
 async fn a_foreign_certificate_is_refused_by_both_sides() {
-    let ours = node(&keys(&Authority::new().expect("an authority"), "draft-a"));
-    let foreign = node(&keys(&Authority::new().expect("an authority"), "entry-a"));
-    let (dialled, answered) = join(&foreign, &ours, "draft-a").await;
+    let ours = node(&keys(
+        &Authority::new().expect("creates an authority"),
+        "draft-a",
+    ));
+    let foreign = node(&keys(
+        &Authority::new().expect("creates an authority"),
+        "entry-a",
+    ));
+    let (dialled, accepted) = connect(&foreign, &ours, "draft-a").await;
     assert_matches!(dialled, Err(Error::Foreign(_)));
-    assert!(answered.is_none());
+    assert!(accepted.is_none());
 }
 
 #[tokio::test]
-async fn a_certificate_for_another_name_is_refused_by_the_side_that_dials() {
-    let authority = Authority::new().expect("an authority");
+async fn a_certificate_for_another_name_is_refused_by_the_dialling_side() {
+    let authority = Authority::new().expect("creates an authority");
     let a = node(&keys(&authority, "entry-a"));
     let b = node(&keys(&authority, "draft-b"));
-    let (dialled, _) = join(&a, &b, "draft-a").await;
+    let (dialled, _) = connect(&a, &b, "draft-a").await;
     assert_matches!(dialled, Err(Error::Foreign(_)));
 }
 
-/// A peer is stopped, or something between the two ends forgets the connection: nothing comes any
-/// more and nothing says so. Without a limit the caller's answer would hang for ever.
+/// The peer is stopped, or a middlebox forgets the connection: nothing arrives any more and no
+/// error is reported. Without a time limit, the caller's answer would hang forever.
 #[tokio::test]
-async fn a_link_without_heartbeats_is_lost_after_the_silence() {
-    let authority = Authority::new().expect("an authority");
+async fn a_link_without_heartbeats_is_lost_after_the_idle_timeout() {
+    let authority = Authority::new().expect("creates an authority");
     let a = node(&keys(&authority, "entry-a"));
     let b = node(&keys(&authority, "draft-a"));
-    let (dialled, _answered) = join(&a, &b, "draft-a").await;
+    let (dialled, _accepted) = connect(&a, &b, "draft-a").await;
     let link = dialled.expect("a link");
-    timeout(LIMIT, link.closed()).await.expect("lost in time");
+    timeout(TIME_LIMIT, link.closed())
+        .await
+        .expect("the link is lost in time");
     assert!(link.is_closed());
 }
 
 #[tokio::test]
-async fn frames_arrive_in_order_on_a_stream_and_its_end_is_seen() {
-    let authority = Authority::new().expect("an authority");
+async fn frames_and_the_end_of_a_stream_arrive_in_order() {
+    let authority = Authority::new().expect("creates an authority");
     let a = node(&keys(&authority, "entry-a"));
     let b = node(&keys(&authority, "draft-a"));
-    let (dialled, answered) = join(&a, &b, "draft-a").await;
-    let (link, peer) = (dialled.expect("a link"), answered.expect("a link"));
+    let (dialled, accepted) = connect(&a, &b, "draft-a").await;
+    let (link, peer) = (dialled.expect("a link"), accepted.expect("a link"));
     let mut stream = link.open().await.expect("a stream");
     for leaving in [false, true, false] {
         let heartbeat = Heartbeat {
