--- a/components/settings/src/entry.rs
+++ b/components/settings/src/entry.rs
@@ -18,79 +18,79 @@
 
 use crate::size;
 
-/// Shortest and longest time that a setting may ask for, in milliseconds.
-const SHORTEST_MS: u128 = 1;
-const LONGEST_MS: u128 = 24 * 3600 * 1000;
+/// Range of accepted durations, in milliseconds.
+const MIN_DURATION_MS: u128 = 1;
+const MAX_DURATION_MS: u128 = 24 * 3600 * 1000;
 
 /// Settings of an entry.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// The host's name, as the host list and the certificate give it.
+    /// Name of the host, as in the host list and in its certificate.
     #[garde(length(min = 1, max = 128))]
     pub name: Host,
-    /// The host's data centre.
+    /// Data centre of the host.
     #[garde(length(min = 1, max = 128))]
     pub data_centre: DataCentre,
     /// Environment whose documents this entry serves.
     #[garde(length(min = 1, max = 128))]
     pub environment: Environment,
-    /// Address for callers, HTTP.
+    /// Address that the entry listens on for callers (HTTP).
     #[garde(skip)]
     pub callers: SocketAddr,
-    /// Address for operators, HTTP: health, metrics, documents, reports.
+    /// Address that the entry listens on for operators (HTTP): health, metrics, documents, reports.
     #[garde(skip)]
     pub operators: SocketAddr,
-    /// Address for links from our other processes, QUIC.
+    /// Address that the entry listens on for links from other processes (QUIC).
     #[garde(skip)]
     pub links: SocketAddr,
-    /// Base address of the platform's service.
+    /// Base URL of the platform's service.
     #[garde(prefix("http"))]
     pub platform: String,
-    /// Sizes and counts.
+    /// Limits of sizes and counts.
     #[serde(default)]
     #[garde(dive)]
     pub limits: Limits,
-    /// Times.
+    /// Intervals and time limits.
     #[serde(default)]
     #[garde(dive)]
     pub times: Times,
 }
 
-/// Sizes and counts that bound what an entry holds.
+/// Limits of what an entry holds.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Largest body of a caller's request.
+    /// Maximum size of the body of a caller's request, in bytes.
     #[serde(with = "size")]
     #[garde(range(min = 1024, max = 1 << 30))]
     pub body: u64,
-    /// Largest body of a plain service's answer.
+    /// Maximum size of the body of a plain service's answer, in bytes.
     #[serde(with = "size")]
     #[garde(range(min = 1024, max = 1 << 30))]
     pub answer: u64,
-    /// Open connections of callers.
+    /// Maximum number of open connections of callers.
     #[garde(range(min = 1, max = 1_000_000))]
     pub connections: usize,
-    /// Requests in progress.
+    /// Maximum number of requests in progress.
     #[garde(range(min = 1, max = 1_000_000))]
     pub requests: usize,
-    /// Sidecars that a link is kept to; others are dialled when they are needed.
+    /// Maximum number of sidecars to which a link is kept open; others are dialled when needed.
     #[garde(range(min = 1, max = 10_000))]
     pub links: usize,
-    /// Entries that a link is kept to.
+    /// Maximum number of other entries to which a link is kept open.
     #[garde(range(min = 1, max = 10_000))]
     pub peers: usize,
-    /// Tokens that an answer may have when the caller doesn't say.
+    /// Maximum length of an answer in tokens when the caller gives none.
     #[garde(range(min = 1, max = 1_000_000))]
     pub tokens: u64,
-    /// Runs that one answer may take, the first included.
+    /// Maximum number of runs of one answer, including the first.
     #[garde(range(min = 1, max = 64))]
     pub epochs: u32,
 }
 
 impl Entry {
-    /// Settings of an entry of the walk in the README: any that are fine.
+    /// Returns valid settings: those of an entry in the README's walkthrough.
     pub fn sample() -> Entry {
         let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
         Entry {
@@ -122,63 +122,63 @@
     }
 }
 
-/// Times that an entry keeps.
+/// Intervals and time limits of an entry.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Times {
-    /// A caller's header must be there within this time.
+    /// Time within which the header of a caller's request must arrive.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub header: Duration,
-    /// A caller's connection without a request is closed after this time.
+    /// Time after which a caller's connection without a request is closed.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub idle: Duration,
     /// Time between heartbeats on a link with work on it.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub heartbeat: Duration,
-    /// Time between heartbeats on a link at rest; it is lost after three of them.
+    /// Time between heartbeats on an idle link, which counts as lost after three of them.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub rest: Duration,
-    /// A link with work on it on which nothing came for this time is given up, and a new one is
+    /// Time after which a link with work on it that received nothing is given up, and a new one is
     /// dialled.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded), custom(above(&self.heartbeat)))]
+    #[garde(custom(check_range), custom(longer_than_two(&self.heartbeat)))]
     pub silence: Duration,
-    /// Time between readings of the platform's host list.
+    /// Time between two reads of the platform's host list.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub hosts: Duration,
-    /// Longest wait of a watch at the platform's store.
+    /// Longest wait of one watch call at the platform's store.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub watch: Duration,
     /// Time limit of one call to the platform.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub platform: Duration,
-    /// Longest time that an answer may take as a whole.
+    /// Time limit of a complete answer.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub answer: Duration,
-    /// Longest time that a call to a plain service may take.
+    /// Time limit of a call to a plain service.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub call: Duration,
-    /// A first token that is not there after this time raises suspicion.
+    /// Time without a first token after which a run is suspected of being stuck.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub first: Duration,
-    /// Longest time that a request waits for its turn; what is left until the service level's first
-    /// token has to suffice for the engine.
+    /// Longest time that a request waits in the queue; the time that then remains until the service
+    /// level's first token must suffice for the engine.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub queue: Duration,
-    /// Time that a shutdown waits for requests in progress.
+    /// Time for which a shutdown waits for requests in progress.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub drain: Duration,
 }
 
@@ -202,21 +202,24 @@
     }
 }
 
-/// Refuses a time of zero, which would make a loop spin, and times so long that they never end.
-pub(crate) fn bounded(value: &Duration, _: &()) -> garde::Result {
-    if (SHORTEST_MS..=LONGEST_MS).contains(&value.as_millis()) {
+/// Refuses a duration of zero, which would make a loop spin, and durations so long that they never
+/// end.
+pub(crate) fn check_range(value: &Duration, _: &()) -> garde::Result {
+    if (MIN_DURATION_MS..=MAX_DURATION_MS).contains(&value.as_millis()) {
         return Ok(());
     }
-    Err(garde::Error::new("accepted are 1ms to 24h"))
+    Err(garde::Error::new("must be from 1ms to 24h"))
 }
 
-/// Refuses a silence within which fewer than two heartbeats come: one lost packet would then cost
-/// the link.
-pub(crate) fn above(heartbeat: &Duration) -> impl FnOnce(&Duration, &()) -> garde::Result + '_ {
+/// Refuses a silence of at most two heartbeats: the link would then be lost after a single lost
+/// packet.
+pub(crate) fn longer_than_two(
+    heartbeat: &Duration,
+) -> impl FnOnce(&Duration, &()) -> garde::Result + '_ {
     move |silence, &()| {
         if *silence > *heartbeat * 2 {
             return Ok(());
         }
-        Err(garde::Error::new("accepted is more than two heartbeats"))
+        Err(garde::Error::new("must be longer than two heartbeats"))
     }
 }
--- a/components/settings/src/keys.rs
+++ b/components/settings/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys and certificates of one process, as PEM text.
+//! Keys and certificates of one process, in PEM format.
 
 use garde::Validate;
 use serde::{
@@ -6,23 +6,23 @@
     Serialize, //
 };
 
-/// What a process proves its name with, and whom it trusts.
+/// Keys with which a process authenticates, and the authority that it trusts.
 #[derive(Clone, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Keys {
-    /// Certificate of the authority that signs our processes' certificates.
+    /// Certificate of the authority that signs the certificates of hosts.
     #[garde(contains("BEGIN CERTIFICATE"))]
     pub authority: String,
-    /// The process's certificate; its subject alternative name is the host's name.
+    /// Certificate of the process; its subject alternative name is the host's name.
     #[garde(contains("BEGIN CERTIFICATE"))]
     pub certificate: String,
-    /// The private key of that certificate.
+    /// Private key of the certificate.
     #[garde(contains("PRIVATE KEY"))]
     pub key: String,
 }
 
 impl Keys {
-    /// Keys of the right form, which open nothing.
+    /// Returns keys that pass validation but can't be used.
     pub fn sample() -> Keys {
         Keys {
             authority: "-----BEGIN CERTIFICATE-----".into(),
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings of our processes: YAML, strict, validated.
+//! Settings of entries and sidecars, read from YAML and strictly validated.
 //!
-//! Every duration carries a unit (`500ms`, `3s`), every size is in bytes or has a unit (`4MiB`).
-//! Unknown fields are refused. Keys and certificates stand in a file of their own ([`Keys`]), so
-//! that the rest can be shown and shared.
+//! Every duration has a unit (`500ms`, `3s`); every size is a number of bytes or has a unit
+//! (`4MiB`). Unknown fields are refused. Keys and certificates are in a separate file ([`Keys`]),
+//! so that the settings themselves can be shown and shared.
 
 pub mod entry;
 pub mod keys;
--- a/components/settings/src/load.rs
+++ b/components/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of a settings file.
+//! Reading and validation of settings files.
 
 use std::{
     fs,
@@ -17,7 +17,7 @@
     Lines, //
 };
 
-/// Why settings were refused.
+/// Why a settings file was refused.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file can't be read.
@@ -25,21 +25,21 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What the system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// Fields are missing, unknown, of the wrong kind or out of bounds.
-    #[error("{}", lines(path, faults))]
+    /// Fields are missing, unknown, of the wrong type or out of range.
+    #[error("{}", format_faults(path, faults))]
     Faulty {
         /// The file.
         path: String,
-        /// All that is wrong with it, by line.
+        /// All faults of the file, ordered by line.
         faults: Vec<Fault>,
     },
 }
 
-/// A line for each fault: file, line, field, and what is accepted.
-fn lines(path: &str, faults: &[Fault]) -> String {
+/// Formats each fault as a line: file, line number, field, and what is wrong.
+fn format_faults(path: &str, faults: &[Fault]) -> String {
     let lines: Vec<_> = faults
         .iter()
         .map(|fault| format!("{path}:{fault}"))
@@ -47,11 +47,11 @@
     lines.join("\n")
 }
 
-/// Reads the text of a file; gives its name too, as it stands in messages.
+/// Reads the text of a file; returns its name for messages too.
 ///
 /// # Errors
 ///
-/// [`Error::Unreadable`].
+/// [`Error::Unreadable`] when the file can't be read.
 pub fn text(path: &Path) -> Result<(String, String), Error> {
     let name = path.display().to_string();
     match fs::read_to_string(path) {
@@ -60,11 +60,11 @@
     }
 }
 
-/// Reads settings from a file and checks them. `sample` is any settings that are fine.
+/// Reads settings from a file and validates them. `sample` is any valid settings.
 ///
 /// # Errors
 ///
-/// [`Error`], with everything that is wrong.
+/// [`Error`], with all faults of the file.
 pub fn read<T>(path: &Path, sample: &T) -> Result<T, Error>
 where
     T: DeserializeOwned + Serialize + Validate<Context = ()>,
@@ -73,16 +73,17 @@
     parse(&name, &text, sample)
 }
 
-/// Reads settings from a text; `name` stands for it in messages.
+/// Parses and validates settings; `name` is the file name in messages. `sample` is any valid
+/// settings.
 ///
 /// # Errors
 ///
-/// As [`read`].
+/// [`Error::Faulty`], with all faults of the text.
 pub fn parse<T>(name: &str, text: &str, sample: &T) -> Result<T, Error>
 where
     T: DeserializeOwned + Serialize + Validate<Context = ()>,
 {
-    let sample = serde_norway::to_value(sample).expect("settings can be written");
+    let sample = serde_norway::to_value(sample).expect("settings can be serialized");
     let (settings, mut faults) = shape::read::<T>(text, &sample);
     if let Some(settings) = &settings
         && let Err(report) = settings.validate()
@@ -100,11 +101,11 @@
     finish(name, settings, faults)
 }
 
-/// What was read, or everything that is wrong with it, by line.
+/// Returns the settings, or all faults, ordered by line.
 ///
 /// # Errors
 ///
-/// [`Error::Faulty`] when there is a fault.
+/// [`Error::Faulty`] when there is a fault or no settings.
 pub fn finish<T>(name: &str, read: Option<T>, mut faults: Vec<Fault>) -> Result<T, Error> {
     match read {
         Some(read) if faults.is_empty() => Ok(read),
--- a/components/settings/src/shape.rs
+++ b/components/settings/src/shape.rs
@@ -1,7 +1,7 @@
-//! Everything that is wrong with the shape of a settings file, each with its line.
+//! Finds all fields of a settings file that can't be deserialized, each with its line.
 //!
-//! A deserializer stops at the first fault. Here the value at fault is replaced by that of a sample
-//! that is fine, so that the next fault shows, until none is left.
+//! A deserializer stops at the first fault. Here the faulty value is replaced by that of a valid
+//! sample, and the file is deserialized again, until no fault is left.
 
 use std::{
     collections::HashMap,
@@ -17,28 +17,28 @@
 use serde_norway::Value;
 use serde_path_to_error::Segment;
 
-/// Most faults that are told; what follows is hardly a settings file.
-const MOST: usize = 50;
+/// Maximum number of reported faults; a file with more is hardly a settings file.
+const MAX_FAULTS: usize = 50;
 
-/// How the library for durations says what it wanted.
-const DURATION: &str = "expected a duration";
+/// Start of the `humantime_serde` library's message for a value that isn't a duration.
+const DURATION_MESSAGE: &str = "expected a duration";
 
-/// How the library for messages begins where a field is missing, and where it is unknown.
-const MISSING: &str = "missing field `";
-const UNKNOWN: &str = "unknown field `";
+/// Starts of `serde`'s messages for a missing field and for an unknown one.
+const MISSING_PREFIX: &str = "missing field `";
+const UNKNOWN_PREFIX: &str = "unknown field `";
 
-/// One thing that is wrong with a settings file.
+/// One fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Line of the field, from 1; that of what it belongs to when the field is missing.
+    /// Line of the field, from 1; that of the enclosing field when the field is missing.
     pub line: Option<usize>,
-    /// The field, such as `times.idle` or `seeds[1]`; empty for the file as a whole.
+    /// Path of the field, such as `times.idle` or `seeds[1]`; empty for the file as a whole.
     pub field: String,
-    /// What is wrong, and what is accepted.
+    /// What is wrong, and what is accepted instead.
     pub message: String,
 }
 
-/// What follows a file's name and a colon.
+/// Formats the part that follows the file's name and a colon.
 impl fmt::Display for Fault {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
@@ -52,21 +52,21 @@
     }
 }
 
-/// Lines of a file's fields.
+/// Line numbers of a file's fields.
 pub struct Lines(HashMap<String, usize>);
 
 impl Lines {
-    /// Finds the fields of a text; none in one that isn't YAML.
+    /// Indexes the fields of a text; empty when it isn't YAML.
     pub fn new(text: &str) -> Lines {
         let mut lines = HashMap::new();
         let documents = MarkedYaml::load_from_str(text).unwrap_or_default();
         if let Some(document) = documents.first() {
-            note(document, String::new(), &mut lines);
+            index_lines(document, String::new(), &mut lines);
         }
         Lines(lines)
     }
 
-    /// Line of a field, or of the nearest one that it belongs to.
+    /// Returns the line of a field, or of the nearest enclosing field.
     pub fn of(&self, field: &str) -> Option<usize> {
         let mut field = field;
         loop {
@@ -78,7 +78,7 @@
     }
 }
 
-fn note(node: &MarkedYaml<'_>, field: String, lines: &mut HashMap<String, usize>) {
+fn index_lines(node: &MarkedYaml<'_>, field: String, lines: &mut HashMap<String, usize>) {
     match &node.data {
         YamlData::Mapping(map) => {
             for (key, value) in map {
@@ -87,22 +87,23 @@
                 };
                 let inner = join(&field, name);
                 lines.insert(inner.clone(), key.span.start.line());
-                note(value, inner, lines);
+                index_lines(value, inner, lines);
             }
         }
         YamlData::Sequence(items) => {
             for (index, item) in items.iter().enumerate() {
                 let inner = format!("{field}[{index}]");
                 lines.insert(inner.clone(), item.span.start.line());
-                note(item, inner, lines);
+                index_lines(item, inner, lines);
             }
         }
         _ => {}
     }
 }
 
-/// Reads a text. Gives what it says, with the sample's values in place of those at fault, and the
-/// faults; nothing when it isn't YAML, or when the sample doesn't help.
+/// Deserializes a text. Returns the value, in which the sample's values replace faulty ones, and
+/// the faults. Returns no value when the text isn't YAML, or when the sample's values don't resolve
+/// the faults.
 pub fn read<T>(text: &str, sample: &Value) -> (Option<T>, Vec<Fault>)
 where
     T: DeserializeOwned,
@@ -120,34 +121,34 @@
     };
     let mut lines = None;
     let mut faults = Vec::new();
-    while faults.len() < MOST {
+    while faults.len() < MAX_FAULTS {
         let error = match serde_path_to_error::deserialize::<_, T>(value.clone()) {
             Ok(read) => return (Some(read), faults),
             Err(error) => error,
         };
         let message = error.inner().to_string();
         let mut path: Vec<Segment> = error.path().iter().cloned().collect();
-        let named = |prefix| message.strip_prefix(prefix)?.split('`').next();
-        if let Some(name) = named(MISSING).or_else(|| named(UNKNOWN))
+        let field_after = |prefix| message.strip_prefix(prefix)?.split('`').next();
+        if let Some(name) = field_after(MISSING_PREFIX).or_else(|| field_after(UNKNOWN_PREFIX))
             && !matches!(path.last(), Some(Segment::Map { key }) if key == name)
         {
             path.push(Segment::Map { key: name.into() });
         }
-        let field = path.iter().fold(String::new(), extend);
+        let field = path.iter().fold(String::new(), append);
         faults.push(Fault {
             line: lines.get_or_insert_with(|| Lines::new(text)).of(&field),
             field,
-            message: explain(&message),
+            message: add_example(&message),
         });
-        let known = named(UNKNOWN).is_none();
-        if !mend(&mut value, &path, Some(sample).filter(|_| known)) {
+        let known = field_after(UNKNOWN_PREFIX).is_none();
+        if !replace_with_sample(&mut value, &path, Some(sample).filter(|_| known)) {
             break;
         }
     }
     (None, faults)
 }
 
-fn extend(field: String, segment: &Segment) -> String {
+fn append(field: String, segment: &Segment) -> String {
     match segment {
         Segment::Seq { index } => format!("{field}[{index}]"),
         Segment::Map { key } => join(&field, key),
@@ -163,9 +164,9 @@
     }
 }
 
-/// Puts the sample's value in place of the one at a path, or takes that away where the sample has
-/// none; tells whether that changed anything.
-fn mend(value: &mut Value, path: &[Segment], sample: Option<&Value>) -> bool {
+/// Replaces the value at a path with the sample's, or removes it where the sample has none; returns
+/// whether that changed the value.
+fn replace_with_sample(value: &mut Value, path: &[Segment], sample: Option<&Value>) -> bool {
     let Some((first, rest)) = path.split_first() else {
         let Some(sample) = sample.filter(|sample| **sample != *value) else {
             return false;
@@ -177,7 +178,7 @@
         (Segment::Map { key }, Value::Mapping(map)) => {
             let inner = sample.and_then(|sample| sample.get(key));
             if let (Some(value), false) = (map.get_mut(key), rest.is_empty()) {
-                return mend(value, rest, inner);
+                return replace_with_sample(value, rest, inner);
             }
             match inner {
                 Some(inner) => {
@@ -189,7 +190,7 @@
         (Segment::Seq { index }, Value::Sequence(items)) if *index < items.len() => {
             if !rest.is_empty() {
                 let inner = sample.and_then(|sample| sample.get(0));
-                return mend(&mut items[*index], rest, inner);
+                return replace_with_sample(&mut items[*index], rest, inner);
             }
             items.remove(*index);
             true
@@ -198,10 +199,10 @@
     }
 }
 
-/// Adds what is accepted where the libraries' messages leave it out.
-fn explain(message: &str) -> String {
+/// Adds an example of accepted values where the library's message gives none.
+fn add_example(message: &str) -> String {
     message.replacen(
-        DURATION,
+        DURATION_MESSAGE,
         "expected a duration with its unit, such as `500ms` or `3s`",
         1,
     )
--- a/components/settings/src/sidecar.rs
+++ b/components/settings/src/sidecar.rs
@@ -19,7 +19,7 @@
 };
 
 use crate::{
-    entry::bounded,
+    entry::check_range,
     size, //
 };
 
@@ -27,96 +27,96 @@
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Sidecar {
-    /// The host's name, as the host list and the certificate give it.
+    /// Name of the host, as in the host list and in its certificate.
     #[garde(length(min = 1, max = 128))]
     pub name: Host,
-    /// The host's data centre.
+    /// Data centre of the host.
     #[garde(length(min = 1, max = 128))]
     pub data_centre: DataCentre,
-    /// Address for links from our other processes, QUIC.
+    /// Address that the sidecar listens on for links from other processes (QUIC).
     #[garde(skip)]
     pub links: SocketAddr,
-    /// Address for operators, HTTP: health, metrics.
+    /// Address that the sidecar listens on for operators (HTTP): health, metrics.
     #[garde(skip)]
     pub operators: SocketAddr,
-    /// Base address of the platform's service.
+    /// Base URL of the platform's service.
     #[garde(prefix("http"))]
     pub platform: String,
-    /// The backend server beside this sidecar.
+    /// The backend server behind this sidecar.
     #[garde(dive)]
     pub server: Backend,
-    /// Sizes and counts.
+    /// Limits of sizes and counts.
     #[serde(default)]
     #[garde(dive)]
     pub limits: Limits,
-    /// Times.
+    /// Intervals and time limits.
     #[serde(default)]
     #[garde(dive)]
     pub times: Times,
 }
 
-/// The backend server beside a sidecar.
+/// The backend server behind a sidecar.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Backend {
-    /// Its name in operators' documents.
+    /// Name of the server in the operators' documents.
     #[garde(length(min = 1, max = 128))]
     pub name: Server,
-    /// Base address of its HTTP interface.
+    /// Base URL of the server's HTTP interface.
     #[garde(prefix("http"))]
     pub address: String,
-    /// Engine or plain service.
+    /// Kind of the server.
     #[garde(skip)]
     pub kind: Kind,
-    /// The service that it belongs to.
+    /// Service that the server belongs to.
     #[garde(length(min = 1, max = 128))]
     pub service: Service,
-    /// The version that it runs when the sidecar starts.
+    /// Version of the service that the server runs when the sidecar starts.
     #[garde(length(min = 1, max = 128))]
     pub version: Version,
-    /// Model that an engine serves.
+    /// Name of the model that an engine serves.
     #[serde(default)]
     #[garde(skip)]
     pub model: String,
-    /// It refuses orders that carry an old fencing token.
+    /// Whether the server refuses orders that carry an outdated fencing token.
     #[serde(default)]
     #[garde(skip)]
     pub checks_fence: bool,
 }
 
-/// What stands beside the sidecar.
+/// Kind of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A model engine.
+    /// An engine that generates tokens.
     Engine,
-    /// A plain service.
+    /// A plain HTTP service.
     Plain,
 }
 
-/// Sizes and counts that bound what a sidecar holds.
+/// Limits of what a sidecar holds.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Bytes of one generation's token log.
+    /// Maximum size of one generation's token log, in bytes.
     #[serde(with = "size")]
     #[garde(range(min = 1024, max = 1 << 30))]
     pub log: u64,
-    /// Bytes of all token logs together.
+    /// Maximum size of all token logs together, in bytes.
     #[serde(with = "size")]
     #[garde(range(min = 1024, max = 1 << 36))]
     pub logs: u64,
-    /// Runs and calls in progress.
+    /// Maximum number of runs and calls in progress.
     #[garde(range(min = 1, max = 100_000))]
     pub runs: usize,
-    /// Largest body of a plain service's answer.
+    /// Maximum size of the body of a plain service's answer, in bytes.
     #[serde(with = "size")]
     #[garde(range(min = 1024, max = 1 << 30))]
     pub answer: u64,
 }
 
 impl Sidecar {
-    /// Settings of a sidecar of the walk in the README: any that are fine.
+    /// Returns valid settings: those of a sidecar in the README's walkthrough.
     pub fn sample() -> Sidecar {
         let local = |port| SocketAddr::from(([127, 0, 0, 1], port));
         Sidecar {
@@ -151,50 +151,51 @@
     }
 }
 
-/// Times that a sidecar keeps.
+/// Intervals and time limits of a sidecar.
 #[derive(Clone, Debug, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Times {
-    /// Time between heartbeats on a link while there is work here: they carry the load.
+    /// Time between heartbeats on a link while work is in progress: they carry the load.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub heartbeat: Duration,
-    /// Time between heartbeats on a link at rest; it is lost after three of them.
+    /// Time between heartbeats on an idle link, which counts as lost after three of them.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub rest: Duration,
-    /// Time limit of a greeting, of a health check, and of connecting to the backend server.
+    /// Time limit of a link's handshake, of a health check, and of connecting to the backend
+    /// server.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub silence: Duration,
-    /// A generation runs on for this time after nobody listens to it any more.
+    /// Time for which a generation runs on, and its log is held, without a reader.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub grace: Duration,
-    /// Time between readings of the backend server's load.
+    /// Time between two reads of the backend server's load.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub load: Duration,
     /// Time limit of one call to the platform.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub platform: Duration,
-    /// An engine that sends nothing for this time is given up.
+    /// Time after which a run whose engine sent nothing is given up.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub stall: Duration,
-    /// Longest time for which an engine that doesn't check fencing tokens may still carry out an
+    /// Longest time for which an engine that doesn't check fencing tokens may still execute an
     /// order after its connection was closed.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub settle: Duration,
-    /// Longest time that a call to a plain service may take.
+    /// Time limit of a call to a plain service.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub call: Duration,
-    /// Time that a shutdown waits for what is in progress.
+    /// Time for which a shutdown waits for work in progress.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(bounded))]
+    #[garde(custom(check_range))]
     pub drain: Duration,
 }
 
--- a/components/settings/src/size.rs
+++ b/components/settings/src/size.rs
@@ -1,4 +1,4 @@
-//! Sizes in bytes, written as a number or with a unit: `65536`, `64KiB`, `4MiB`, `1GiB`.
+//! Sizes in bytes, given as a number or with a unit: `65536`, `64KiB`, `4MiB`, `1GiB`.
 
 use serde::{
     Deserialize,
@@ -8,7 +8,7 @@
     de::Error, //
 };
 
-/// Units and their sizes in bytes, the largest first.
+/// Units and their sizes in bytes, largest first, because every name ends with the last one.
 const UNITS: [(&str, u64); 4] = [
     ("GiB", 1 << 30),
     ("MiB", 1 << 20),
@@ -16,28 +16,32 @@
     ("B", 1),
 ];
 
-/// Reads a size.
+/// Deserializes a size in bytes.
+///
+/// # Errors
+///
+/// When the value is neither a number nor a number with a unit.
 pub fn deserialize<'de, D>(deserializer: D) -> Result<u64, D::Error>
 where
     D: Deserializer<'de>,
 {
     #[derive(Deserialize)]
     #[serde(untagged)]
-    enum Form {
+    enum Repr {
         Number(u64),
         Text(String),
     }
-    match Form::deserialize(deserializer)? {
-        Form::Number(bytes) => Ok(bytes),
-        Form::Text(text) => parse(&text).ok_or_else(|| {
+    match Repr::deserialize(deserializer)? {
+        Repr::Number(bytes) => Ok(bytes),
+        Repr::Text(text) => parse(&text).ok_or_else(|| {
             D::Error::custom(format!(
-                "`{text}` is not a size; accepted are bytes or a number with B, KiB, MiB or GiB"
+                "`{text}` is not a size; expected a number of bytes or a number with B, KiB, MiB or GiB"
             ))
         }),
     }
 }
 
-/// Writes a size in bytes.
+/// Serializes a size as a number of bytes.
 pub fn serialize<S>(bytes: &u64, serializer: S) -> Result<S::Ok, S::Error>
 where
     S: Serializer,
--- a/components/settings/tests/settings.rs
+++ b/components/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: the examples are fine, and each mistake is named.
+//! Validation of settings files: the examples are valid, and each mistake is reported.
 
 use std::{
     fs,
@@ -24,9 +24,9 @@
 #[rstest]
 #[case("entry-a")]
 #[case("entry-b")]
-fn the_entries_examples_are_fine(#[case] name: &str) {
+fn entry_examples_are_valid(#[case] name: &str) {
     let path = examples().join(format!("{name}.yaml"));
-    let entry: Entry = settings::read(&path, &Entry::sample()).expect("fine");
+    let entry: Entry = settings::read(&path, &Entry::sample()).expect("valid settings");
     assert_eq!(entry.name, name);
 }
 
@@ -34,19 +34,20 @@
 #[case("draft-a")]
 #[case("draft-b")]
 #[case("ledger-a")]
-fn the_sidecars_examples_are_fine(#[case] name: &str) {
+fn sidecar_examples_are_valid(#[case] name: &str) {
     let path = examples().join(format!("{name}.yaml"));
-    let sidecar: Sidecar = settings::read(&path, &Sidecar::sample()).expect("fine");
+    let sidecar: Sidecar = settings::read(&path, &Sidecar::sample()).expect("valid settings");
     assert_eq!(sidecar.name, name);
 }
 
-/// The example of an entry with one line changed or added.
-fn spoiled(from: &str, to: &str) -> String {
-    let text = fs::read_to_string(examples().join("entry-a.yaml")).expect("it is there");
+/// Parses the example of an entry with one text replaced, and returns the error.
+fn parse_with_mistake(from: &str, to: &str) -> String {
+    let text =
+        fs::read_to_string(examples().join("entry-a.yaml")).expect("the example is readable");
     assert!(text.contains(from), "{from}");
-    let spoiled = text.replace(from, to);
-    match settings::parse("entry.yaml", &spoiled, &Entry::sample()) {
-        Ok(_) => "fine".to_string(),
+    let changed = text.replace(from, to);
+    match settings::parse("entry.yaml", &changed, &Entry::sample()) {
+        Ok(_) => "valid".to_string(),
         Err(error) => error.to_string(),
     }
 }
@@ -64,14 +65,14 @@
 #[case::no_size("no_size", "times:", "limits: {body: 4 megs}\ntimes:")]
 #[case::size_too_small("size_too_small", "times:", "limits: {body: 1KB}\ntimes:")]
 #[case::size_of_nothing("size_of_nothing", "times:", "limits: {body: 0}\ntimes:")]
-fn each_mistake_is_named(#[case] case: &str, #[case] from: &str, #[case] to: &str) {
-    insta::assert_snapshot!(format!("mistake_{case}"), spoiled(from, to));
+fn each_mistake_is_reported(#[case] case: &str, #[case] from: &str, #[case] to: &str) {
+    insta::assert_snapshot!(format!("mistake_{case}"), parse_with_mistake(from, to));
 }
 
-/// A file with many faults at once: each has its line, also one behind an unknown field or a missing
-/// one, and one that is out of bounds.
+/// A file with many faults: each is reported with its line, including one after an unknown or
+/// missing field and one that is out of range.
 #[test]
-fn all_mistakes_are_named_at_once() {
+fn all_mistakes_are_reported_at_once() {
     const TEXT: &str = "\
 nam: entry-a
 data_centre: dc1
@@ -89,26 +90,27 @@
   hartbeat: 1s
 ";
     let read = settings::parse("entry.yaml", TEXT, &Entry::sample());
-    insta::assert_snapshot!(read.expect_err("faults"));
+    insta::assert_snapshot!(read.expect_err("the file has faults"));
 }
 
 #[rstest]
 #[case::no_yaml("name: [a")]
 #[case::no_map("- a")]
 #[case::nothing("")]
-fn a_file_of_another_kind_is_refused(#[case] text: &str) {
-    let error = settings::parse("entry.yaml", text, &Entry::sample()).expect_err("a fault");
+fn files_without_settings_are_refused(#[case] text: &str) {
+    let error =
+        settings::parse("entry.yaml", text, &Entry::sample()).expect_err("the file has faults");
     assert_matches!(error, Error::Faulty { faults, .. } => assert!(!faults.is_empty()));
 }
 
-/// What a keys file holds must not be shown, whatever is wrong with it.
+/// Messages about faults must not contain the values of a keys file.
 #[test]
-fn keys_are_not_shown() {
+fn messages_do_not_contain_keys() {
     let text = "authority: secret-1\ncertificate: secret-2\nkey: [secret-3]\n";
     let read = settings::parse("keys.yaml", text, &Keys::sample());
-    let told = read.map(drop).expect_err("faults").to_string();
-    assert!(!told.contains("secret"), "{told}");
-    assert_eq!(told.lines().count(), 3, "{told}");
+    let message = read.map(drop).expect_err("the file has faults").to_string();
+    assert!(!message.contains("secret"), "{message}");
+    assert_eq!(message.lines().count(), 3, "{message}");
 }
 
 #[rstest]
@@ -116,9 +118,11 @@
 #[case("64KiB", 64 << 10)]
 #[case("4 MiB", 4 << 20)]
 #[case("1GiB", 1 << 30)]
-fn sizes_have_units(#[case] text: &str, #[case] bytes: u64) {
-    let example = fs::read_to_string(examples().join("entry-a.yaml")).expect("it is there");
+fn sizes_accept_units(#[case] text: &str, #[case] bytes: u64) {
+    let example =
+        fs::read_to_string(examples().join("entry-a.yaml")).expect("the example is readable");
     let text = format!("{example}limits: {{body: {text}}}\n");
-    let entry: Entry = settings::parse("entry.yaml", &text, &Entry::sample()).expect("fine");
+    let entry: Entry =
+        settings::parse("entry.yaml", &text, &Entry::sample()).expect("valid settings");
     assert_eq!(entry.limits.body, bytes);
 }
