--- a/components/events/src/forwarding.rs
+++ b/components/events/src/forwarding.rs
@@ -21,7 +21,7 @@
     /// The caller went away before its answer was complete.
     ABANDONED = 1008, Info, "Caller went away";
     /// A run's memory was copied to another server, or couldn't be.
-    MEMORY_COPIED = 1010, Info, "Memory of a run copied on request";
+    KV_COPY_REQUESTED = 1010, Info, "Memory of a run copied on request";
     /// Engines were asked for the prompts that they hold.
     CACHES_QUERIED = 1011, Info, "Engines told what their caches hold";
     /// A request waited until an engine had room.
--- a/components/gateway/src/stream/backup.rs
+++ b/components/gateway/src/stream/backup.rs
@@ -178,7 +178,7 @@
         let name =
             answer.and_then(|(head, body): (_, Bytes)| sender.protocol().parse_copy(&head, &body));
         note!(
-            forwarding::MEMORY_COPIED,
+            forwarding::KV_COPY_REQUESTED,
             id = self.id.as_str(),
             server = self.source.server.as_str(),
             holder = self.holder.server.as_str(),
