--- a/components/logs/src/lib.rs
+++ b/components/logs/src/lib.rs
@@ -1,9 +1,9 @@
 //! Structured log lines on standard output.
 //!
-//! A line is a JSON object: the time, the event's number and meaning, and the inputs and outcome
-//! of the decision that it tells of. Lines wait in a bounded [`Queue`] and are written by a thread
-//! of their own, so that a reader that stops reading delays nobody; what doesn't fit is dropped by
-//! class, calm successes first, and counted.
+//! A line is a JSON object: the time, the event's number and meaning, and the inputs and outcome of
+//! the decision that it reports. Lines wait in a bounded [`Queue`] and are written by a separate
+//! thread, so that a reader that stops reading delays no request. Lines that don't fit are dropped
+//! by class, routine decisions first, and counted.
 
 mod line;
 mod queue;
--- a/components/logs/src/line.rs
+++ b/components/logs/src/line.rs
@@ -1,4 +1,4 @@
-//! One record as a line of JSON.
+//! Formats a log record as a line of JSON.
 
 use std::time::{
     Duration,
@@ -17,20 +17,20 @@
     },
 };
 
-/// Which process a line is from, and when it was written.
+/// The process that writes a line, and when.
 #[derive(Clone, Copy, Debug)]
 pub struct Origin<'a> {
     /// Name of the process's host.
     pub process: &'a str,
-    /// Number of the process's run, as a restart begins its steady clock anew.
+    /// Random number of the process's run, because a restart resets its monotonic clock.
     pub run: u32,
-    /// Time of day, which may be wrong by seconds and may jump.
+    /// Wall-clock time, which may be off by seconds and may jump.
     pub at: SystemTime,
-    /// Steady clock of the host: lines of different processes are put in order by it.
+    /// Monotonic clock of the host, by which lines of different processes are ordered.
     pub up: Duration,
 }
 
-/// Writes a record as a JSON object with a line end.
+/// Formats a record as a JSON object with a trailing newline.
 pub fn line(record: &Record<'_>, origin: &Origin<'_>) -> String {
     let millis = origin
         .at
@@ -40,49 +40,49 @@
     let mut line = String::with_capacity(256);
     line.push_str("{\"at\":");
     line.push_str(&millis.to_string());
-    field(&mut line, "up");
+    push_field_name(&mut line, "up");
     line.push_str(&origin.up.as_millis().to_string());
-    field(&mut line, "process");
-    text(&mut line, origin.process);
-    field(&mut line, "run");
+    push_field_name(&mut line, "process");
+    push_text(&mut line, origin.process);
+    push_field_name(&mut line, "run");
     line.push_str(&origin.run.to_string());
-    field(&mut line, "level");
-    text(&mut line, &record.level().as_str().to_ascii_lowercase());
-    field(&mut line, "message");
+    push_field_name(&mut line, "level");
+    push_text(&mut line, &record.level().as_str().to_ascii_lowercase());
+    push_field_name(&mut line, "message");
     match record.args().as_str() {
-        Some(message) => text(&mut line, message),
-        None => text(&mut line, &record.args().to_string()),
+        Some(message) => push_text(&mut line, message),
+        None => push_text(&mut line, &record.args().to_string()),
     }
-    // Writing to a string doesn't fail.
-    let _ = record.key_values().visit(&mut Fields(&mut line));
+    // Writing to a string can't fail.
+    let _ = record.key_values().visit(&mut FieldVisitor(&mut line));
     line.push_str("}\n");
     line
 }
 
-fn field(line: &mut String, name: &str) {
+fn push_field_name(line: &mut String, name: &str) {
     line.push(',');
-    text(line, name);
+    push_text(line, name);
     line.push(':');
 }
 
-fn text(line: &mut String, text: &str) {
+fn push_text(line: &mut String, text: &str) {
     line.push_str(&serde_json::Value::from(text).to_string());
 }
 
-struct Fields<'a>(&'a mut String);
+struct FieldVisitor<'a>(&'a mut String);
 
-impl<'kvs> VisitSource<'kvs> for Fields<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldVisitor<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        field(self.0, key.as_str());
-        value.visit(Plain(self.0))
+        push_field_name(self.0, key.as_str());
+        value.visit(ValueVisitor(self.0))
     }
 }
 
-struct Plain<'a>(&'a mut String);
+struct ValueVisitor<'a>(&'a mut String);
 
-impl<'v> VisitValue<'v> for Plain<'_> {
+impl<'v> VisitValue<'v> for ValueVisitor<'_> {
     fn visit_any(&mut self, value: Value<'_>) -> Result<(), Error> {
-        text(self.0, &value.to_string());
+        push_text(self.0, &value.to_string());
         Ok(())
     }
 
@@ -112,7 +112,7 @@
     }
 
     fn visit_str(&mut self, value: &str) -> Result<(), Error> {
-        text(self.0, value);
+        push_text(self.0, value);
         Ok(())
     }
 }
--- a/components/logs/src/writer.rs
+++ b/components/logs/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes.
+//! The logger, and the thread that writes its lines.
 
 use std::{
     io::Write,
@@ -30,20 +30,21 @@
     line, //
 };
 
-/// Batches that may be under way to the thread. While it is stuck in a write, lines wait in the
-/// queue, which is bounded.
-const BATCHES: usize = 1;
+/// Capacity of the channel of batches to the writer thread. While the thread is blocked in a write,
+/// lines wait in the bounded queue.
+const BATCH_CAPACITY: usize = 1;
 
-/// Hands lines to the thread that writes them.
+/// Hands lines to the writer thread.
 #[derive(Clone)]
 pub struct Writer {
     queue: Arc<Mutex<Queue>>,
     batches: SyncSender<Vec<u8>>,
-    done: Arc<Mutex<u64>>,
-    sent: Arc<Mutex<u64>>,
+    written_bytes: Arc<Mutex<u64>>,
+    sent_bytes: Arc<Mutex<u64>>,
 }
 
-/// Installs the process's logger. `clock` is the host's steady clock. Lines are written to `out` by [`Writer::flush`].
+/// Installs the process's logger, whose lines [`Writer::flush`] writes to `out`. `clock` is the
+/// host's monotonic clock.
 ///
 /// # Errors
 ///
@@ -54,15 +55,15 @@
     level: LevelFilter,
     out: impl Write + Send + 'static,
 ) -> Result<Writer, log::SetLoggerError> {
-    let (batches, received) = sync_channel(BATCHES);
+    let (batches, received) = sync_channel(BATCH_CAPACITY);
     let writer = Writer {
         queue: Arc::default(),
         batches,
-        done: Arc::default(),
-        sent: Arc::default(),
+        written_bytes: Arc::default(),
+        sent_bytes: Arc::default(),
     };
-    let done = writer.done.clone();
-    thread::spawn(move || write(&received, out, &done));
+    let written_bytes = writer.written_bytes.clone();
+    thread::spawn(move || write(&received, out, &written_bytes));
     let queue = writer.queue.clone();
     let run = rand::random();
     let output = fern::Output::call(move |record| {
@@ -80,15 +81,15 @@
 }
 
 impl Writer {
-    /// Hands over what waits, if the thread is free. Never blocks. To be called at a steady pace:
-    /// a batch costs one wake-up, whatever the number of its lines.
+    /// Hands the waiting lines to the writer thread if it is free; never blocks. Must be called at
+    /// regular intervals: each batch costs one wake-up, whatever its number of lines.
     pub fn flush(&self) {
         let dropped = {
             let mut queue = lock(&self.queue);
             if queue.is_empty() {
                 return;
             }
-            queue.dropped()
+            queue.take_dropped()
         };
         if let Some([calm, changes, failures]) = dropped {
             for (class, count) in [("calm", calm), ("change", changes), ("failure", failures)] {
@@ -99,22 +100,23 @@
         }
         let mut queue = lock(&self.queue);
         let batch = queue.take();
-        let number = batch.len() as u64;
+        let size = batch.len() as u64;
         if let Err(error) = self.batches.try_send(batch) {
             let (std::sync::mpsc::TrySendError::Full(batch)
             | std::sync::mpsc::TrySendError::Disconnected(batch)) = error;
             queue.put_back(batch);
             return;
         }
-        *lock(&self.sent) += number;
+        *lock(&self.sent_bytes) += size;
     }
 
-    /// Writes what waits at the end of the process, for at most `within`.
-    pub fn finish(&self, within: Duration) {
-        let end = Instant::now() + within;
+    /// Writes the waiting lines when the process stops, for at most `timeout`.
+    pub fn finish(&self, timeout: Duration) {
+        let end = Instant::now() + timeout;
         while Instant::now() < end {
             self.flush();
-            let waiting = !lock(&self.queue).is_empty() || *lock(&self.done) < *lock(&self.sent);
+            let waiting = !lock(&self.queue).is_empty()
+                || *lock(&self.written_bytes) < *lock(&self.sent_bytes);
             if !waiting {
                 return;
             }
@@ -123,12 +125,12 @@
     }
 }
 
-fn write(batches: &Receiver<Vec<u8>>, mut out: impl Write, done: &Mutex<u64>) {
+fn write(batches: &Receiver<Vec<u8>>, mut out: impl Write, written_bytes: &Mutex<u64>) {
     for batch in batches {
-        // Nobody reads any more; there is nowhere to say so.
+        // The reader is gone, and there is nowhere else to report it.
         let _ = out.write_all(&batch);
         let _ = out.flush();
-        *lock(done) += batch.len() as u64;
+        *lock(written_bytes) += batch.len() as u64;
     }
 }
 
--- a/components/logs/tests/blocked.rs
+++ b/components/logs/tests/blocked.rs
@@ -1,4 +1,4 @@
-//! A reader that stops reading.
+//! A log reader that stops reading.
 
 use std::{
     io,
@@ -15,11 +15,11 @@
 
 use log::LevelFilter;
 
-struct Stuck(Receiver<()>);
+struct BlockedWriter(Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Until the test ends, as a full pipe does.
+        // Blocks until the test ends, as a full pipe does.
         let _ = self.0.recv();
         Ok(bytes.len())
     }
@@ -29,19 +29,19 @@
     }
 }
 
-/// Whatever collects the logs hangs, and the pipe to it is full. A process that waits for it would
-/// answer no more requests; callers would see time-outs whose cause stands in no log.
+/// The log collector hangs, and the pipe to it is full. A process that waited for it would answer
+/// no more requests, and callers would see timeouts whose cause appears in no log.
 #[test]
-fn a_reader_that_stops_reading_delays_nobody() {
-    let (keep, stuck) = channel();
+fn a_reader_that_stops_reading_blocks_no_logging() {
+    let (unblock, blocked) = channel();
     let writer = logs::start(
         "p".into(),
         || Duration::ZERO,
         LevelFilter::Debug,
-        Stuck(stuck),
+        BlockedWriter(blocked),
     )
     .expect("first logger");
-    let began = Instant::now();
+    let started = Instant::now();
     for number in 0..50_000 {
         log::info!(number; "a line");
         if number % 100 == 0 {
@@ -50,9 +50,9 @@
     }
     writer.finish(Duration::from_millis(100));
     assert!(
-        began.elapsed() < Duration::from_secs(5),
+        started.elapsed() < Duration::from_secs(5),
         "{:?}",
-        began.elapsed()
+        started.elapsed()
     );
-    drop(keep);
+    drop(unblock);
 }
