--- a/components/events/src/answers.rs
+++ b/components/events/src/answers.rs
@@ -2,13 +2,13 @@
 
 crate::declare! {
     /// A generation failed at its engine.
-    BROKEN = 300, Warn, "Generation broke";
-    /// An answer goes on with another epoch.
+    BROKEN = 300, Warn, "Generation failed";
+    /// An answer continues with another epoch.
     RESUMED = 301, Info, "Answer resumed";
-    /// An answer could not be finished.
+    /// An answer could not be completed.
     INTERRUPTED = 302, Error, "Answer interrupted";
-    /// Nobody listened to a generation for the grace time.
-    ABANDONED = 303, Info, "Generation cancelled: nobody listens";
+    /// A generation had no listener for the grace time.
+    ABANDONED = 303, Info, "Generation cancelled: no listener";
     /// The engine doesn't answer its health check.
     ENGINE_DOWN = 304, Warn, "Backend server doesn't answer its health check";
     /// The engine answers its health check again.
--- a/components/events/src/fast_moves.rs
+++ b/components/events/src/fast_moves.rs
@@ -1,14 +1,14 @@
-//! Events of moves that are over within seconds: 620 to 639.
+//! Events of moves that complete within seconds: 620 to 639.
 
 crate::declare! {
-    /// An operator ordered that a service's traffic moves to another version.
+    /// An operator ordered the move of a service's traffic to another version.
     ORDERED = 620, Info, "Move ordered";
     /// An operator withdrew an order.
     WITHDRAWN = 621, Info, "Move withdrawn";
-    /// The new version is bad by what the entries counted; it gets no more requests.
+    /// The entries' counts show that the new version is bad; it gets no more requests.
     FOUND_BAD = 622, Error, "New version found bad by samples";
-    /// A state of the move stands in the store.
-    STATE_STORED = 623, Info, "State of a move stands in the store";
-    /// A state of the move could not be written; it is tried again.
-    STATE_NOT_STORED = 624, Warn, "State of a move not written";
+    /// The state of a move was stored.
+    STATE_STORED = 623, Info, "State of a move stored";
+    /// The state of a move could not be stored; the write is retried.
+    STATE_NOT_STORED = 624, Warn, "State of a move could not be stored";
 }
--- a/components/events/src/lib.rs
+++ b/components/events/src/lib.rs
@@ -1,8 +1,8 @@
 //! Numbered log events.
 //!
-//! Each line that our processes log is one of these events, so that an operator can look its number
-//! up in docs/EVENTS.md and a program can count it. A test keeps the catalogue in step with this
-//! crate.
+//! Every line that the system's processes log is one of these events, so that operators can look up
+//! its number in docs/EVENTS.md and programs can count it. A test keeps that catalogue in step with
+//! this crate.
 
 pub mod answers;
 pub mod calls;
@@ -19,14 +19,14 @@
 
 use log::Level;
 
-/// One kind of event.
+/// A kind of log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Number, unique and never used again for something else.
+    /// Unique number, never reused for another event.
     pub number: u16,
-    /// Level that it is logged at.
+    /// Log level.
     pub level: Level,
-    /// What it means, as the catalogue says it.
+    /// Meaning, as in the catalogue.
     pub meaning: &'static str,
 }
 
@@ -43,9 +43,9 @@
     }
 }
 
-/// Every event, ordered by number.
+/// Returns all events, ordered by number.
 pub fn all() -> Vec<Event> {
-    let parts = [
+    let modules = [
         process::ALL,
         links::ALL,
         answers::ALL,
@@ -57,12 +57,12 @@
         limits::ALL,
         orders::ALL,
     ];
-    let mut events = parts.concat();
+    let mut events = modules.concat();
     events.sort_by_key(|event| event.number);
     events
 }
 
-/// Declares the events of one part, and the list of them.
+/// Declares the events of a module, and their list.
 #[macro_export]
 macro_rules! declare {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $level:ident, $meaning:literal;)*) => {
@@ -74,7 +74,7 @@
                 meaning: $meaning,
             };
         )*
-        /// Every event of this part.
+        /// All events of this module.
         pub const ALL: &[$crate::Event] = &[$($name),*];
     };
 }
--- a/components/events/src/moves.rs
+++ b/components/events/src/moves.rs
@@ -1,14 +1,14 @@
 //! Events of moves between versions: 600 to 699.
 
 crate::declare! {
-    /// This entry found a move's new version bad and sends it no more requests.
+    /// This entry found that the new version of a move is bad; it sends it no more requests.
     TRIPPED = 600, Error, "New version found bad";
-    /// The operator's time has passed and the traffic hasn't moved whole.
-    OVERDUE = 601, Warn, "Move is late";
-    /// A move has ended, and this entry wrote its outcome.
+    /// The time that the operator gave has passed, and the traffic hasn't moved completely.
+    OVERDUE = 601, Warn, "Move is overdue";
+    /// A move ended, and this entry stored its outcome.
     REPORTED = 602, Info, "Move ended";
-    /// A move has ended, as another entry wrote.
+    /// A move ended; another entry stored its outcome.
     LEARNED = 603, Info, "Outcome of a move learned";
-    /// A move that is recorded as done was found bad afterwards.
-    OVERRULED = 604, Error, "Bad version found after its move was done";
+    /// A move's version was found bad after its outcome was stored as done.
+    OVERRULED = 604, Error, "Version found bad after its move was done";
 }
--- a/components/events/src/process.rs
+++ b/components/events/src/process.rs
@@ -1,14 +1,14 @@
-//! Events of a process's life: 100 to 199.
+//! Events of a process's lifecycle: 100 to 199.
 
 crate::declare! {
-    /// The process serves.
+    /// The process has started.
     STARTED = 100, Info, "Process started";
-    /// The process was told to stop; it finishes what is in progress.
+    /// The process was asked to stop; it finishes work in progress.
     STOPPING = 101, Info, "Process is stopping";
     /// The process has stopped.
     STOPPED = 102, Info, "Process stopped";
-    /// Work was still in progress when the time to drain was over.
-    CUT = 103, Error, "Work in progress was cut at the end of the drain time";
-    /// The process became ready.
+    /// Work was still in progress when the drain time was over.
+    CUT = 103, Error, "Work in progress aborted at the end of the drain time";
+    /// The process became ready for traffic.
     READY = 104, Info, "Process is ready";
 }
