--- a/components/settings/src/size.rs
+++ b/components/settings/src/size.rs
@@ -35,7 +35,7 @@
         Repr::Number(bytes) => Ok(bytes),
         Repr::Text(text) => parse(&text).ok_or_else(|| {
             D::Error::custom(format!(
-                "`{text}` is not a size; expected a number of bytes or a number with B, KiB, MiB or GiB"
+                "`{text}` is not a size; expected bytes or a number with B, KiB, MiB or GiB"
             ))
         }),
     }
