--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -6,17 +6,17 @@
 
 pub mod entry;
 pub mod keys;
+pub mod lenient;
 mod load;
-pub mod shape;
 pub mod sidecar;
 pub mod size;
 
 pub use entry::Entry;
 pub use keys::Keys;
+pub use lenient::Fault;
 pub use load::Error;
-pub use load::finish;
+pub use load::into_result;
 pub use load::parse;
 pub use load::read;
-pub use load::text;
-pub use shape::Fault;
+pub use load::read_text;
 pub use sidecar::Sidecar;
--- a/components/settings/src/load.rs
+++ b/components/settings/src/load.rs
@@ -11,7 +11,7 @@
     de::DeserializeOwned, //
 };
 
-use crate::shape::{
+use crate::lenient::{
     self,
     Fault,
     Lines, //
@@ -52,7 +52,7 @@
 /// # Errors
 ///
 /// [`Error::Unreadable`] when the file can't be read.
-pub fn text(path: &Path) -> Result<(String, String), Error> {
+pub fn read_text(path: &Path) -> Result<(String, String), Error> {
     let name = path.display().to_string();
     match fs::read_to_string(path) {
         Ok(text) => Ok((name, text)),
@@ -69,7 +69,7 @@
 where
     T: DeserializeOwned + Serialize + Validate<Context = ()>,
 {
-    let (name, text) = text(path)?;
+    let (name, text) = read_text(path)?;
     parse(&name, &text, sample)
 }
 
@@ -84,7 +84,7 @@
     T: DeserializeOwned + Serialize + Validate<Context = ()>,
 {
     let sample = serde_norway::to_value(sample).expect("settings can be serialized");
-    let (settings, mut faults) = shape::read::<T>(text, &sample);
+    let (settings, mut faults) = lenient::read::<T>(text, &sample);
     if let Some(settings) = &settings
         && let Err(report) = settings.validate()
     {
@@ -98,7 +98,7 @@
             });
         }
     }
-    finish(name, settings, faults)
+    into_result(name, settings, faults)
 }
 
 /// Returns the settings, or all faults, ordered by line.
@@ -106,7 +106,7 @@
 /// # Errors
 ///
 /// [`Error::Faulty`] when there is a fault or no settings.
-pub fn finish<T>(name: &str, read: Option<T>, mut faults: Vec<Fault>) -> Result<T, Error> {
+pub fn into_result<T>(name: &str, read: Option<T>, mut faults: Vec<Fault>) -> Result<T, Error> {
     match read {
         Some(read) if faults.is_empty() => Ok(read),
         _ => {
--- a/src/cmd/settings.rs
+++ b/src/cmd/settings.rs
@@ -35,7 +35,7 @@
 }
 
 fn check(path: &Path) -> Result<(), Error> {
-    let (name, text) = settings::text(path)?;
+    let (name, text) = settings::read_text(path)?;
     // A text that isn't YAML is a fault of any kind of settings.
     let value: Value = serde_norway::from_str(&text).unwrap_or_default();
     if value.get("server").is_some() {
