--- a/components/sidecar/src/service.rs
+++ b/components/sidecar/src/service.rs
@@ -19,7 +19,7 @@
 /// Header that carries the caller's team.
 const TEAM_HEADER: &str = "x-medlarhatch-team";
 
-/// Multiple of a call's time limit after which the HTTP request is given up. A service that answers
+/// Multiple of a call's time limit after which the HTTP request is aborted. A service that answers
 /// after the limit may do so until then, so that the outcome is still recorded.
 const TIMEOUT_FACTOR: u32 = 5;
 
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -44,7 +44,8 @@
     Heartbeat(Heartbeat),
     /// Documents and facts: an encoded message of the `spread` crate.
     Spread(Vec<u8>),
-    /// Facts about requests that crash servers; on a link's first stream, in both directions.
+    /// Facts about requests that crash servers; on a link's first stream in both directions, and on
+    /// a generation's stream before an end that a server's death caused.
     Suspects(Box<poison::Facts>),
     /// Asks a sidecar to start a generation; the first frame of a stream.
     Start(Box<Start>),
@@ -135,7 +136,7 @@
     pub epoch: Epoch,
     /// Random number that distinguishes generations of one epoch.
     pub nonce: Nonce,
-    /// The team that asked.
+    /// Team of the caller.
     pub team: Team,
     /// Service that the generation is for.
     pub service: Service,
@@ -240,7 +241,7 @@
 pub struct Call {
     /// The service.
     pub service: Service,
-    /// The team that asked.
+    /// Team of the caller.
     pub team: Team,
     /// The caller's idempotency key; none when it sent none.
     pub key: Option<String>,
