--- a/components/daemon/src/http.rs
+++ b/components/daemon/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP listeners with limits of time and number.
+//! HTTP listeners with limits on times and connections.
 
 use std::{
     net::SocketAddr,
@@ -24,72 +24,79 @@
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A request's header must be there within this time.
-    pub header: Duration,
-    /// A connection without traffic is closed after this time.
-    pub idle: Duration,
-    /// Open connections.
-    pub connections: usize,
-    /// Time that a shutdown waits for requests in progress.
-    pub drain: Duration,
+    /// Time within which a request's header must arrive.
+    pub header_timeout: Duration,
+    /// Time after which a connection without traffic is closed.
+    pub idle_timeout: Duration,
+    /// Maximum number of open connections.
+    pub max_connections: usize,
+    /// Time for which a shutdown waits for requests in progress.
+    pub drain_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            header: Duration::from_secs(10),
-            idle: Duration::from_secs(75),
-            connections: 1024,
-            drain: Duration::from_secs(5),
+            header_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(75),
+            max_connections: 1024,
+            drain_timeout: Duration::from_secs(5),
         }
     }
 }
 
-/// A listener that serves.
-pub struct Served {
-    /// The address that it got.
+/// A running listener.
+pub struct Handle {
+    /// The address that it is bound to.
     pub address: SocketAddr,
-    /// Ends when the listener has stopped.
+    /// Completes when the listener has stopped.
     pub task: JoinHandle<()>,
 }
 
-/// Serves until `stop`, then finishes what is in progress within the limit.
+/// Serves until `stop` is cancelled, then finishes requests in progress within the drain timeout.
+///
+/// # Errors
+///
+/// [`Error::Listen`] when the address can't be bound.
 pub async fn serve(
     address: SocketAddr,
     router: Router,
     limits: Limits,
     stop: CancellationToken,
-) -> Result<Served, Error> {
+) -> Result<Handle, Error> {
     let acceptor = TcpListener::new(address)
         .try_bind()
         .await
-        .map_err(|error| refused(address, error))?;
-    let got = acceptor
+        .map_err(|error| listen_error(address, error))?;
+    let bound_address = acceptor
         .local_addr()
-        .map_err(|error| refused(address, error))?;
+        .map_err(|error| listen_error(address, error))?;
     let task = tokio::spawn(run(acceptor, router, limits, stop));
-    Ok(Served { address: got, task })
+    Ok(Handle {
+        address: bound_address,
+        task,
+    })
 }
 
 async fn run(acceptor: TcpAcceptor, router: Router, limits: Limits, stop: CancellationToken) {
     let fuse = FuseConfig::strict()
-        .with_http1_header_timeout(limits.header)
-        .with_connection_idle_timeout(limits.idle)
+        .with_http1_header_timeout(limits.header_timeout)
+        .with_connection_idle_timeout(limits.idle_timeout)
         .with_write_stall_timeout(None);
     let server = Server::new(acceptor)
         .fuse_config(fuse)
-        .max_connections(limits.connections);
+        .max_connections(limits.max_connections);
     let handle = server.handle();
-    let drain = limits.drain;
+    let drain = limits.drain_timeout;
     tokio::spawn(async move {
         stop.cancelled().await;
         handle.stop_graceful(drain);
     });
-    // An accept error ends only that connection; the server itself ends by `stop`.
+    // A failed accept ends only that connection; the server itself stops through `stop`.
     let _ = server.try_serve(Service::new(router)).await;
 }
 
-fn refused(address: SocketAddr, error: impl std::fmt::Display) -> Error {
+fn listen_error(address: SocketAddr, error: impl std::fmt::Display) -> Error {
     Error::Listen {
         address,
         message: error.to_string(),
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -41,7 +41,7 @@
     Frame,
     frame::{
         Call,
-        Kept,
+        Recording,
         Reply, //
     },
 };
@@ -240,11 +240,11 @@
             return Event::Unsent;
         };
         self.avoid.push(replica.server.clone());
-        self.call.kept = (self.class == Class::Recorded).then(|| Kept {
-            send: rand::random(),
-            base,
+        self.call.recording = (self.class == Class::Recorded).then(|| Recording {
+            send_id: rand::random(),
+            base_revision: base,
             digest: self.digest.clone(),
-            ask: self.status_path.clone(),
+            status_path: self.status_path.clone(),
         });
         self.exchange(&replica).await
     }
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -8,7 +8,7 @@
 use daemon::{
     Error,
     drain,
-    greeting::RESTS,
+    handshake::MAX_MISSED_HEARTBEATS,
     http,
     probe::{
         self,
@@ -89,7 +89,11 @@
         keys: &Keys,
         stop: CancellationToken,
     ) -> Result<Self, Error> {
-        let node = Node::bind(settings.links, keys, settings.times.rest * RESTS)?;
+        let node = Node::bind(
+            settings.links,
+            keys,
+            settings.times.rest * MAX_MISSED_HEARTBEATS,
+        )?;
         let links = node.address().map_err(|source| wire::Error::Bind {
             address: settings.links,
             source,
@@ -152,10 +156,10 @@
 /// Returns the limits of the HTTP server for callers.
 fn limits(settings: &settings::Entry) -> http::Limits {
     http::Limits {
-        header: settings.times.header,
-        idle: settings.times.idle,
-        connections: settings.limits.connections,
-        drain: settings.times.drain,
+        header_timeout: settings.times.header,
+        idle_timeout: settings.times.idle,
+        max_connections: settings.limits.connections,
+        drain_timeout: settings.times.drain,
     }
 }
 
@@ -206,7 +210,7 @@
 /// Measures the scheduling delay of this process until the entry has stopped.
 async fn lateness(state: Arc<State>) {
     let clock = || state.now();
-    state.lateness.follow(clock, &state.stopped).await;
+    state.lateness.monitor(clock, &state.stopped).await;
 }
 
 /// Sets the readiness of the entry: ready while it has a document that can't be older than the one
--- a/components/entry/src/moves/log.rs
+++ b/components/entry/src/moves/log.rs
@@ -20,7 +20,7 @@
                 finding.of_old
             );
         }
-        Notice::Late => events::emit!(messages::LATE, "move={name}"),
+        Notice::Late => events::emit!(messages::OVERDUE, "move={name}"),
         Notice::Reported(outcome) => {
             events::emit!(messages::REPORTED, "move={name} end={:?}", outcome.end);
         }
