--- a/components/entry/src/callers/body.rs
+++ b/components/entry/src/callers/body.rs
@@ -58,7 +58,7 @@
     if fields.messages.is_some() {
         return Err(Problem::invalid(
             "messages",
-            "`messages` is a field of chat completions",
+            "`messages` belongs to chat completions",
         ));
     }
     let prompt = fields.prompt.take().unwrap_or_default();
@@ -74,7 +74,7 @@
     if fields.prompt.is_some() {
         return Err(Problem::invalid(
             "prompt",
-            "`prompt` is a field of completions",
+            "`prompt` belongs to completions",
         ));
     }
     let messages = fields.messages.take().unwrap_or_default();
--- a/components/entry/src/callers/completions.rs
+++ b/components/entry/src/callers/completions.rs
@@ -199,7 +199,7 @@
                 let events = events(self.kind, id, model, first, chunks, admission);
                 sse::stream(res, events);
             }
-            None => Problem::new(Code::Unavailable, "the answer was aborted").write(res),
+            None => Problem::new(Code::Unavailable, "the answer was dropped").write(res),
         }
     }
 
@@ -234,7 +234,7 @@
                 }
             }
         }
-        Problem::new(Code::Unavailable, "the answer was aborted").write(res);
+        Problem::new(Code::Unavailable, "the answer was dropped").write(res);
     }
 }
 
--- a/components/entry/src/callers/request.rs
+++ b/components/entry/src/callers/request.rs
@@ -45,10 +45,9 @@
 
 /// Returns the document in force.
 pub(crate) fn document(state: &State) -> Result<Arc<Snapshot>, Problem> {
-    state
-        .documents
-        .current()
-        .ok_or_else(|| Problem::new(Code::Unavailable, "no document in force").retry(RETRY_AFTER))
+    state.documents.current().ok_or_else(|| {
+        Problem::new(Code::Unavailable, "no document is in force yet").retry(RETRY_AFTER)
+    })
 }
 
 /// Returns a header as text; none if it is missing or isn't visible ASCII.
@@ -68,11 +67,11 @@
         Ok(bytes) => Ok(bytes.to_vec()),
         Err(ParseError::PayloadTooLarge) => Err(Problem::new(
             Code::TooLarge,
-            format!("the body exceeds the limit of {limit} bytes"),
+            format!("the body is over the bound of {limit} bytes"),
         )),
         Err(error) => Err(Problem::new(
             Code::Invalid,
-            format!("the body can't be received: {error}"),
+            format!("the body didn't arrive whole: {error}"),
         )),
     }
 }
--- a/components/entry/src/callers/router.rs
+++ b/components/entry/src/callers/router.rs
@@ -49,6 +49,6 @@
 /// Responds to paths that match no route.
 #[handler]
 async fn unknown(req: &mut Request, res: &mut Response, _: &mut Depot, _: &mut FlowCtrl) {
-    let message = format!("no route for path `{}`", req.uri().path());
+    let message = format!("nothing is at `{}`", req.uri().path());
     Problem::new(Code::NotFound, message).write(res);
 }
--- a/components/entry/src/callers/shape.rs
+++ b/components/entry/src/callers/shape.rs
@@ -86,11 +86,11 @@
 /// reached the caller.
 pub(crate) fn interrupted(reason: Interruption, delivered: bool) -> Problem {
     let message = match reason {
-        Interruption::NoReplica => "no replica of the version is available",
-        Interruption::Refused => "all replicas refused the request",
-        Interruption::NotContinuable => "the engine was lost, and no other can continue the text",
-        Interruption::TooManyEpochs => "the engine was lost too many times",
-        Interruption::Deadline => "the answer exceeded the time limit `times.answer`",
+        Interruption::NoReplica => "no replica of the version is to be had",
+        Interruption::Refused => "every replica that was asked refused",
+        Interruption::NotContinuable => "the engine was lost, and its kind can't continue a text",
+        Interruption::TooManyEpochs => "the answer was lost too many times",
+        Interruption::Deadline => "the answer took longer than `times.answer` allows",
     };
     let started = delivered || reason != Interruption::NoReplica && reason != Interruption::Refused;
     if started {
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -116,7 +116,7 @@
         Read::Absent => Ok(None),
         Read::Failed => {
             state.outage.record();
-            let message = "the store with the record of the call is unavailable";
+            let message = "the store that holds the call's record doesn't answer";
             Err(Problem::new(Code::Unavailable, message)
                 .run(Run::Unknown)
                 .retry(COOLDOWN * 2))
@@ -344,7 +344,7 @@
             retry_after,
         } => Err(refusal(reason, retry_after)),
         Outcome::Unknown { ask } => {
-            let message = "the call may have run, but its answer was lost";
+            let message = "the call may have run, and its answer was lost";
             let mut problem = Problem::new(Code::Unknown, message).run(Run::Unknown);
             problem.ask = ask;
             Err(problem)
@@ -355,29 +355,20 @@
 /// Creates the problem for a call or request that was not run.
 pub(crate) fn refusal(reason: Reason, retry_after: Option<Duration>) -> Problem {
     let (code, message) = match reason {
-        Reason::StoreOut => (
-            Code::Unavailable,
-            "the call can't be recorded at the moment",
-        ),
-        Reason::Silent => (
-            Code::Unavailable,
-            "the replica stopped responding before the call",
-        ),
+        Reason::StoreOut => (Code::Unavailable, "the call can't be recorded now"),
+        Reason::Silent => (Code::Unavailable, "the replica fell silent before the call"),
         Reason::NoServer => (
             Code::Unavailable,
-            "no replica of the service accepts the call",
+            "no replica of the service takes the call",
         ),
         Reason::Unreachable => (Code::Unavailable, "the service refuses connections"),
-        Reason::Leaving => (Code::Unavailable, "the replica is shutting down"),
+        Reason::Leaving => (Code::Unavailable, "the replica is leaving"),
         Reason::Late => (Code::Unavailable, "the store was too slow for the call"),
-        Reason::CallerGone => (Code::Unavailable, "the caller disconnected before the call"),
-        Reason::KeyReused => (
-            Code::KeyReused,
-            "the key was used with another request before",
-        ),
+        Reason::CallerGone => (Code::Unavailable, "the caller was gone before the call"),
+        Reason::KeyReused => (Code::KeyReused, "the key came with another request before"),
         Reason::Poisonous => (
             Code::Refused,
-            "the request is known to crash backend servers",
+            "the request is known to bring backend servers down",
         ),
     };
     let problem = Problem::new(code, message);
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -223,7 +223,7 @@
         }
         ready.send_replace(match serving {
             true => Readiness::Ready,
-            false => Readiness::Waiting("no document that is known to be current".into()),
+            false => Readiness::Waiting("no document that is known to be the newest".into()),
         });
         tokio::select! {
             () = state.stopping.cancelled() => break,
--- a/components/entry/src/gates.rs
+++ b/components/entry/src/gates.rs
@@ -92,10 +92,10 @@
 /// Returns the problem for a refused request.
 fn refusal(refused: Rejection) -> Problem {
     let message = match refused.reason {
-        Reason::InFlight => "the team has reached its limit of requests in progress",
-        Reason::Rate => "the team exceeds its limit of requests per second",
-        Reason::Full => "too many requests are queued to be served in time",
-        Reason::Late => "the request could not be started in time",
+        Reason::InFlight => "the team has as many requests in progress as it may",
+        Reason::Rate => "the team sends more requests a second than it may",
+        Reason::Full => "there are more requests than can be served in time",
+        Reason::Late => "the request could not be begun in time",
     };
     Problem::new(Code::Busy, message).retry(refused.retry_after)
 }
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -171,12 +171,12 @@
     Ok(Pin {
         environment: req
             .query("from")
-            .ok_or_else(|| invalid("from", "the environment of the trial is required"))?,
+            .ok_or_else(|| invalid("from", "the environment of the trial is needed"))?,
         revision: req
             .query("revision")
-            .ok_or_else(|| invalid("revision", "the revision that was tried is required"))?,
+            .ok_or_else(|| invalid("revision", "the revision that was tried is needed"))?,
         digest: digest
-            .ok_or_else(|| invalid("digest", "the digest that was tried is required, in hex"))?,
+            .ok_or_else(|| invalid("digest", "the digest that was tried is needed, in hex"))?,
     })
 }
 
@@ -246,14 +246,14 @@
             Err(Problem::new(Code::Conflict, message))
         }
         Outcome::Large => {
-            let message = "the document exceeds the size limit of the store; nothing was written";
+            let message = "the document is larger than the store takes; nothing was written";
             Err(Problem::new(Code::TooLarge, message))
         }
-        Outcome::Unavailable => Err(unavailable("the store is unavailable")),
+        Outcome::Unavailable => Err(unavailable("the store is out")),
         Outcome::Unknown => {
             let message = format!(
-                "the store is unavailable, and the document may have been written; \
-                 the edit may be repeated with edit id {id} and takes effect once"
+                "the store is out, and whether the document was written isn't known; \
+                 the same with edit id {id} may be repeated and takes effect once"
             );
             let problem = Problem::new(Code::Unknown, message).run(Run::Unknown);
             Err(problem.retry(OUTAGE_RETRY_AFTER))
@@ -277,7 +277,7 @@
     match other {
         Some(record) if record.id.is_empty() => "written by other means".into(),
         Some(record) => format!("edit {} of {}", record.id, record.operator),
-        None => "the document no longer exists".into(),
+        None => "there is no such document any more".into(),
     }
 }
 
