--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -256,8 +256,8 @@
     context: &Rc<Context<P>>,
     registration: &Registration,
 ) {
-    let Registration { server, facts, .. } = registration;
-    if context.cache_lookup.recent(&facts.service).is_none() {
+    let Registration { server, spec, .. } = registration;
+    if context.cache_lookup.recent(&spec.service).is_none() {
         return;
     }
     let fleet = context.fleet.borrow();
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -201,9 +201,9 @@
                     note!(
                         direct::SERVER,
                         server = registered.server.as_str(),
-                        service = registered.facts.service.as_str(),
-                        version = registered.facts.version.as_str(),
-                        data_centre = registered.facts.data_centre.as_str(),
+                        service = registered.spec.service.as_str(),
+                        version = registered.spec.version.as_str(),
+                        data_centre = registered.spec.data_centre.as_str(),
                         address = registered.address.to_string().as_str(),
                         leaving = registered.leaving
                     );
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -133,11 +133,11 @@
         let Registration {
             server,
             address,
-            facts,
+            spec,
             leaving,
         } = registration;
         let same = self.addresses.get(&server) == Some(&address)
-            && self.placement.spec(&server) == Some(&facts)
+            && self.placement.spec(&server) == Some(&spec)
             && self.placement.accepts_work(&server) != leaving;
         self.placement.record_heartbeat(since, &server);
         if same {
@@ -148,7 +148,7 @@
         if let Some(before) = before.filter(|before| *before != server) {
             self.mark_replaced(&before);
         }
-        self.placement.upsert(clock::now(), &server, facts, leaving);
+        self.placement.upsert(clock::now(), &server, spec, leaving);
         self.servers_by_number
             .insert(beacon::id(&server), server.clone());
         if let Some(moved) = self.addresses.insert(server.clone(), address) {
@@ -185,8 +185,8 @@
     /// Returns the usable servers of a service.
     pub fn usable_servers(&self, service: &Service) -> Vec<Target> {
         let serves = |server: &&Server| {
-            let facts = self.placement.spec(server);
-            facts.is_some_and(|facts| facts.service == *service)
+            let spec = self.placement.spec(server);
+            spec.is_some_and(|spec| spec.service == *service)
         };
         let servers = self.placement.servers().filter(serves);
         servers
@@ -198,8 +198,8 @@
     pub fn serves(&self, service: &Service) -> bool {
         let mut servers = self.placement.servers();
         servers.any(|server| {
-            let facts = self.placement.spec(server);
-            facts.is_some_and(|facts| facts.service == *service)
+            let spec = self.placement.spec(server);
+            spec.is_some_and(|spec| spec.service == *service)
         })
     }
 
@@ -261,10 +261,10 @@
     fn target(&self, choice: Choice) -> Option<Target> {
         let Choice { server, score: why } = choice;
         let address = *self.addresses.get(&server)?;
-        let facts = self.placement.spec(&server)?;
+        let spec = self.placement.spec(&server)?;
         Some(Target {
-            version: facts.version.clone(),
-            data_centre: facts.data_centre.clone(),
+            version: spec.version.clone(),
+            data_centre: spec.data_centre.clone(),
             server,
             address,
             why,
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -59,7 +59,7 @@
     /// Address on which it listens.
     pub address: SocketAddr,
     /// Service, version, location and capacity.
-    pub facts: Spec,
+    pub spec: Spec,
     /// Whether it is draining and takes no new work.
     pub leaving: bool,
 }
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -606,7 +606,7 @@
         address: SocketAddr,
         slots: u32,
     ) {
-        let facts = Spec {
+        let spec = Spec {
             service: service.into(),
             version: "v1".into(),
             data_centre: data_centre.into(),
@@ -617,7 +617,7 @@
             registration: Registration {
                 server: server.into(),
                 address,
-                facts,
+                spec,
                 leaving: false,
             },
             since: clock::now(),
--- a/components/gateway/tests/unreachable.rs
+++ b/components/gateway/tests/unreachable.rs
@@ -64,7 +64,7 @@
 }
 
 fn register(harness: &Harness, server: &str, version: &str, address: SocketAddr) {
-    let facts = Spec {
+    let spec = Spec {
         service: "draft".into(),
         version: version.into(),
         data_centre: "a".into(),
@@ -75,7 +75,7 @@
         registration: Registration {
             server: server.into(),
             address,
-            facts,
+            spec,
             leaving: false,
         },
         since: Clock::ZERO,
