--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -63,8 +63,8 @@
     initial_sync::InitialSync,
     plain,
     protocol::{
+        Generation, //
         Metadata,
-        Prompt, //
         Protocol,
     },
     queue::Queue,
@@ -159,8 +159,8 @@
     }
 
     /// Returns the size of the generation.
-    pub fn prompt(&self) -> Option<&Prompt> {
-        self.request.metadata.prompt.as_ref()
+    pub fn generation(&self) -> Option<&Generation> {
+        self.request.metadata.generation.as_ref()
     }
 }
 
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -30,14 +30,14 @@
     /// Last event that the caller received, when it resumes a stream.
     pub after: Option<u64>,
     /// Size of the generation; `None` for plain requests.
-    pub prompt: Option<Prompt>,
+    pub generation: Option<Generation>,
 }
 
 /// Size of a generation.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Prompt {
+pub struct Generation {
     /// Tokens of the prompt.
-    pub tokens: u32,
+    pub prompt_tokens: u32,
     /// Maximum number of tokens in the answer.
     pub max_tokens: u32,
     /// Number of tokens that the caller expects in the answer.
--- a/components/gateway/src/stream/selection.rs
+++ b/components/gateway/src/stream/selection.rs
@@ -34,25 +34,27 @@
 
 impl<P: Protocol + 'static> Session<P> {
     pub(super) fn parts(&self) -> &[(u64, u32)] {
-        self.call.prompt().map_or(&[], |prompt| &prompt.parts)
+        self.call
+            .generation()
+            .map_or(&[], |generation| &generation.parts)
     }
 
     /// Returns the work of the rest of the stream.
     pub(super) fn remaining_work(&self) -> Work {
-        let Some(prompt) = self.call.prompt() else {
+        let Some(generation) = self.call.generation() else {
             return Work {
                 requests: 1,
                 ..Work::default()
             };
         };
-        let answer = prompt
+        let answer = generation
             .expected_tokens
-            .unwrap_or(prompt.max_tokens)
-            .min(prompt.max_tokens);
+            .unwrap_or(generation.max_tokens)
+            .min(generation.max_tokens);
         Work {
             requests: 1,
-            tokens: u64::from(prompt.tokens) + u64::from(answer),
-            unread: u64::from(prompt.tokens),
+            tokens: u64::from(generation.prompt_tokens) + u64::from(answer),
+            unread: u64::from(generation.prompt_tokens),
         }
     }
 
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -39,9 +39,9 @@
     protocol::{
         Activity,
         Dispatch, //
+        Generation,
         HeaderError,
         Metadata,
-        Prompt,
         Reply,
     },
     settings::Bounds,
@@ -109,8 +109,8 @@
             deadline: number(headers, "deadline")?.map(Duration::from_millis),
             key: text(headers, "key").map(str::to_string),
             after: number(headers, "after")?,
-            prompt: tokens.map(|tokens| Prompt {
-                tokens: tokens as u32,
+            generation: tokens.map(|tokens| Generation {
+                prompt_tokens: tokens as u32,
                 max_tokens: 100,
                 expected_tokens: None,
                 parts: parse_parts(text(headers, "parts").unwrap_or_default()),
