--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -162,9 +162,9 @@
         self.context.rollouts.pending_reports()
     }
 
-    /// Returns the index of this process among the live gateways.
-    pub fn position(&self) -> usize {
-        self.context.rollouts.position()
+    /// Returns the rank of this process among the live gateways, from 0.
+    pub fn rank(&self) -> usize {
+        self.context.rollouts.rank()
     }
 
     /// Sends changes to peers that were read from the store or received from another peer.
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -198,7 +198,7 @@
         }
         fleet.set_position(self.table.rank());
         self.shared.queue.set_gateways(self.table.rank().1);
-        self.shared.rollouts.set_position(self.table.rank());
+        self.shared.rollouts.set_rank(self.table.rank());
         drop(fleet);
         let settings = self.shared.settings.borrow();
         let near = self.table.local_rank(&settings.data_centre);
--- a/components/gateway/src/rollout.rs
+++ b/components/gateway/src/rollout.rs
@@ -59,8 +59,8 @@
     briefs: RefCell<HashMap<Service, Rollout>>,
     /// Times to the first event, or to a plain response, by route.
     durations: RefCell<HashMap<Route, Histogram>>,
-    /// Index of this gateway among all, and their number.
-    position: Cell<usize>,
+    /// Rank of this gateway among the live ones, from 0, and their number.
+    rank: Cell<usize>,
     gateways: Cell<usize>,
     started: Cell<Option<Clock>>,
 }
@@ -274,18 +274,18 @@
         }
     }
 
-    /// Sets the index of this gateway among those that share the limits, and their number.
-    pub fn set_position(&self, (position, gateways): (usize, usize)) {
+    /// Sets the rank of this gateway among the live ones, which share the limits, and their number.
+    pub fn set_rank(&self, (rank, gateways): (usize, usize)) {
         if self.started.get().is_none() {
             self.started.set(Some(clock::now()));
         }
-        self.position.set(position);
+        self.rank.set(rank);
         self.gateways.set(gateways);
     }
 
-    /// Returns the index of this gateway among all.
-    pub fn position(&self) -> usize {
-        self.position.get()
+    /// Returns the rank of this gateway among the live ones.
+    pub fn rank(&self) -> usize {
+        self.rank.get()
     }
 }
 
