--- a/components/gateway/src/accept.rs
+++ b/components/gateway/src/accept.rs
@@ -48,8 +48,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    handle::Context, //
-    protocol::Protocol,
+    handle::Context,
+    protocol::Protocol, //
 };
 
 /// Idle timeout of a connection while no document is known.
@@ -62,7 +62,8 @@
 /// than 8 KiB.
 const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
 
-/// Accepts connections until `stop` is cancelled.
+/// Accepts connections until `stop` is cancelled. Once `close` is cancelled, each open connection
+/// is closed after the request in progress.
 pub async fn run<P: Protocol + 'static>(
     listener: TcpListener,
     context: Rc<Context<P>>,
@@ -106,7 +107,7 @@
     }
 }
 
-/// Progress of a connection.
+/// State of a connection, by which its timeouts are applied.
 #[derive(Default)]
 struct Progress {
     /// Whether a request is in progress.
@@ -135,6 +136,7 @@
     }
 }
 
+/// Serves the requests of a connection until it is closed.
 async fn serve<P: Protocol + 'static>(
     stream: TcpStream,
     context: Rc<Context<P>>,
@@ -144,7 +146,7 @@
     let _ = stream.set_nodelay(true);
     let progress = Rc::new(Progress::default());
     progress.idle_since.set(Some(Instant::now()));
-    let (idle, header, head) = limits(&context);
+    let (idle_timeout, header_timeout, max_header_bytes) = limits(&context);
     let service = {
         let progress = progress.clone();
         let context = context.clone();
@@ -163,17 +165,17 @@
             }
         })
     };
-    let guard = CallerStream {
+    let caller_stream = CallerStream {
         inner: stream,
         progress: progress.clone(),
     };
     let connection = http1::Builder::new()
-        .max_buf_size(head.max(8192))
-        .serve_connection(guard, service);
+        .max_buf_size(max_header_bytes.max(8192))
+        .serve_connection(caller_stream, service);
     let mut connection = std::pin::pin!(connection);
     let mut closing = false;
     loop {
-        let next = next_check(&progress, idle, header);
+        let next = next_check(&progress, idle_timeout, header_timeout);
         tokio::select! {
             _ = connection.as_mut() => return,
             () = close.cancelled(), if !closing => {
@@ -181,7 +183,9 @@
                 connection.as_mut().graceful_shutdown();
             }
             () = sleep_until(next) => {
-                if progress.running.get() || next_check(&progress, idle, header) > Instant::now() {
+                if progress.running.get()
+                    || next_check(&progress, idle_timeout, header_timeout) > Instant::now()
+                {
                     continue;
                 }
                 if progress.request_began.get().is_some() || closing {
@@ -194,6 +198,7 @@
     }
 }
 
+/// Returns the idle timeout, the header timeout and the maximum size of a request's head.
 fn limits<P>(context: &Context<P>) -> (Duration, Duration, usize) {
     let document_cache = context.document_cache.borrow();
     let snapshot = document_cache.snapshot();
@@ -209,17 +214,17 @@
 }
 
 /// Returns when the timeouts of the connection have to be checked next.
-fn next_check(progress: &Progress, idle: Duration, header: Duration) -> Instant {
+fn next_check(progress: &Progress, idle_timeout: Duration, header_timeout: Duration) -> Instant {
     if progress.running.get() {
-        return Instant::now() + idle;
+        return Instant::now() + idle_timeout;
     }
     if let Some(request_began) = progress.request_began.get() {
-        return request_began + header;
+        return request_began + header_timeout;
     }
-    progress.idle_since.get().unwrap_or_else(Instant::now) + idle
+    progress.idle_since.get().unwrap_or_else(Instant::now) + idle_timeout
 }
 
-/// A caller's connection as hyper reads and writes it, which records when a request begins.
+/// Caller's connection in the form that hyper reads and writes. Records when a request begins.
 pub(crate) struct CallerStream {
     inner: TcpStream,
     progress: Rc<Progress>,
@@ -241,8 +246,8 @@
         mut cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let mut bytes = [0; 8192];
-        let room = cursor.remaining().min(bytes.len());
-        let mut buffer = ReadBuf::new(&mut bytes[..room]);
+        let length = cursor.remaining().min(bytes.len());
+        let mut buffer = ReadBuf::new(&mut bytes[..length]);
         ready!(Pin::new(&mut self.inner).poll_read(waker, &mut buffer))?;
         let read = buffer.filled();
         if !read.is_empty()
--- a/components/gateway/src/admin.rs
+++ b/components/gateway/src/admin.rs
@@ -1,4 +1,4 @@
-//! HTTP endpoints of the process itself: readiness and metrics.
+//! HTTP server for readiness and metrics.
 
 use std::{
     convert::Infallible,
--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -2,10 +2,10 @@
 //!
 //! When all gateways fail at once, their callers reconnect seconds later to resume their streams.
 //! No gateway knows any more where their prompts were processed, so each prompt would be processed
-//! again, which takes a second of an engine and of the little time that the caller has left. The
-//! engines are therefore queried for the contents of their caches, once for all callers that
-//! reconnect together. In a large fleet each gateway queries its partition of the engines and sends
-//! the results to the others, as a hundred gateways that query all engines would slow them down.
+//! again, which takes a second of an engine and of the caller's short remaining time. The engines
+//! are therefore queried for the contents of their caches, once for all callers that reconnect
+//! together. In a large fleet each gateway queries its partition of the engines and sends the
+//! results to the others, as a hundred gateways that query all engines would slow them down.
 
 use std::{
     cell::{
@@ -66,10 +66,10 @@
 };
 
 /// Timeout of the query to one engine.
-const CALL_TIMEOUT: Duration = Duration::from_millis(250);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time after its start in which a gateway learns of the others.
-const SETTLE_TIME: Duration = Duration::from_millis(300);
+/// Time after its start within which a gateway discovers its peers.
+const DISCOVERY_TIME: Duration = Duration::from_millis(300);
 
 /// Longest time that a request waits for the results: a tenth of what processing a prompt takes.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(120);
@@ -82,7 +82,7 @@
 const CACHE_TTL: Duration = Duration::from_secs(10);
 
 /// Maximum number of engines that are queried at the same time.
-const MAX_CONCURRENT_LOOKUPS: usize = 16;
+const MAX_CONCURRENT_QUERIES: usize = 16;
 
 /// Interval at which a waiting request checks whether its prompt was found.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -90,14 +90,14 @@
 /// Recent lookups and their progress.
 pub struct CacheLookup {
     lookups: RefCell<HashMap<Service, Lookup>>,
-    /// When this gateway queried each engine.
+    /// Time at which this gateway last queried each engine.
     queried: RefCell<HashMap<Server, Instant>>,
-    /// Until when servers may be missing from the registry.
+    /// Time until which servers may be missing from the registry.
     registering_until: Cell<Option<Instant>>,
-    peers: UnboundedSender<Outgoing>,
+    outgoing: UnboundedSender<Outgoing>,
 }
 
-/// A lookup at a service's engines.
+/// Lookup at the engines of a service.
 #[derive(Clone)]
 struct Lookup {
     at: Instant,
@@ -109,12 +109,12 @@
 
 impl CacheLookup {
     /// Creates a cache without lookups.
-    pub fn new(peers: UnboundedSender<Outgoing>) -> CacheLookup {
+    pub fn new(outgoing: UnboundedSender<Outgoing>) -> CacheLookup {
         CacheLookup {
             lookups: RefCell::default(),
             queried: RefCell::default(),
             registering_until: Cell::default(),
-            peers,
+            outgoing,
         }
     }
 
@@ -140,21 +140,21 @@
         true
     }
 
-    fn send(&self, outgoing: Outgoing) {
+    fn send(&self, message: Outgoing) {
         // The receiver is gone when the process exits.
-        let _ = self.peers.send(outgoing);
+        let _ = self.outgoing.send(message);
     }
 }
 
 /// Looks up which engines of a service have a prompt part cached. Returns when all were queried, or
-/// when waiting takes too long for a request with `left` time.
+/// when the wait is too long for a request that must be answered within `remaining`.
 pub async fn find_prompt<P: Protocol + 'static>(
     context: &Rc<Context<P>>,
     service: &Service,
     part: (Part, u32),
-    left: Duration,
+    remaining: Duration,
 ) {
-    settle(context, left.mul_f64(MAX_WAIT_SHARE)).await;
+    wait_for_peers(context, remaining.mul_f64(MAX_WAIT_SHARE)).await;
     let partitioned = context.fleet.borrow().is_partitioned();
     let mut lookup = match recent(context, service) {
         Some(lookup) => lookup,
@@ -165,8 +165,8 @@
             start_lookup(context, service)
         }
     };
-    // After a timeout the request goes on with the results that arrived.
-    let until = Instant::now() + LOOKUP_TIMEOUT.min(left.mul_f64(MAX_WAIT_SHARE));
+    // After a timeout the request proceeds with the results that have arrived.
+    let until = Instant::now() + LOOKUP_TIMEOUT.min(remaining.mul_f64(MAX_WAIT_SHARE));
     let _ = timeout_at(until, lookup.done.wait_for(|done| *done)).await;
     // The results of peers arrive in messages of their own.
     let until = until.min(lookup.at + LOOKUP_TIMEOUT);
@@ -177,25 +177,25 @@
 }
 
 /// Waits until a gateway that has just started knows whether its fleet is large. All gateways may
-/// have started together, and each one that knows no peers would query all engines.
-async fn settle<P>(context: &Context<P>, longest: Duration) {
-    let until = context.started + SETTLE_TIME;
-    let until = until.min(Instant::now() + longest);
+/// have started together, and each that knows no peers yet would query all engines.
+async fn wait_for_peers<P>(context: &Context<P>, max_wait: Duration) {
+    let until = context.started + DISCOVERY_TIME;
+    let until = until.min(Instant::now() + max_wait);
     while Instant::now() < until && !context.fleet.borrow().is_partitioned() {
         sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Queries this gateway's partition of the engines when a peer asks for it.
+/// Queries this gateway's partition of the engines when a peer requests it.
 pub async fn serve_peers<P: Protocol + 'static>(
     context: Rc<Context<P>>,
-    mut requested: UnboundedReceiver<Id>,
+    mut lookup_requests: UnboundedReceiver<Id>,
 ) {
-    while let Some(requested) = requested.recv().await {
-        let Some(service) = service_by_number(&context, requested) else {
+    while let Some(service_id) = lookup_requests.recv().await {
+        let Some(service) = service_by_id(&context, service_id) else {
             continue;
         };
-        settle(&context, SETTLE_TIME).await;
+        wait_for_peers(&context, DISCOVERY_TIME).await;
         // A gateway that knows few peers doesn't know its partition.
         if context.fleet.borrow().is_partitioned() && recent(&context, &service).is_none() {
             start_lookup(&context, &service);
@@ -203,11 +203,13 @@
     }
 }
 
-/// Returns the service with a number.
-fn service_by_number<P>(context: &Context<P>, requested: Id) -> Option<Service> {
+/// Returns the service with a numeric id.
+fn service_by_id<P>(context: &Context<P>, service_id: Id) -> Option<Service> {
     let cache = context.document_cache.borrow();
     let services = &cache.snapshot()?.index.document().services;
-    let service = services.iter().find(|one| id(&one.name) == requested)?;
+    let service = services
+        .iter()
+        .find(|service| id(&service.name) == service_id)?;
     Some(service.name.clone())
 }
 
@@ -217,8 +219,8 @@
 fn recent<P>(context: &Context<P>, service: &Service) -> Option<Lookup> {
     let fleet = context.fleet.borrow();
     let lookup = context.cache_lookup.recent(service)?;
-    let same = lookup.position == fleet.position() || !fleet.is_partitioned();
-    same.then_some(lookup)
+    let valid = lookup.position == fleet.position() || !fleet.is_partitioned();
+    valid.then_some(lookup)
 }
 
 /// Lets a request wait for the server that has its prompt cached while servers are missing from the
@@ -228,13 +230,13 @@
     context: &Context<P>,
     call: &Call,
     part: (Part, u32),
-    left: Duration,
+    remaining: Duration,
 ) {
     let Some(until) = context.cache_lookup.registering_until.get() else {
         return;
     };
     let began = Instant::now();
-    let until = until.min(began + left.mul_f64(MAX_WAIT_SHARE));
+    let until = until.min(began + remaining.mul_f64(MAX_WAIT_SHARE));
     let found = || context.fleet.borrow().is_cached(part);
     while Instant::now() < until && !found() {
         sleep(POLL_INTERVAL).await;
@@ -287,6 +289,7 @@
     engines
 }
 
+/// Starts a lookup at this gateway's partition of a service's engines.
 fn start_lookup<P: Protocol + 'static>(context: &Rc<Context<P>>, service: &Service) -> Lookup {
     let (finished, done) = watch::channel(false);
     let lookup = Lookup {
@@ -295,8 +298,8 @@
         done,
     };
     let cache = &context.cache_lookup;
-    let all = &mut *cache.lookups.borrow_mut();
-    all.insert(service.clone(), lookup.clone());
+    let lookups = &mut *cache.lookups.borrow_mut();
+    lookups.insert(service.clone(), lookup.clone());
     let mut engines = partition(context, service);
     engines.retain(|engine| cache.mark_queried(&engine.server));
     let (context, service) = (context.clone(), service.clone());
@@ -305,8 +308,8 @@
         let calls = engines
             .into_iter()
             .map(|engine| query_engine(&context, engine));
-        let answers = stream::iter(calls).buffer_unordered(MAX_CONCURRENT_LOOKUPS);
-        let cached: Vec<Prompt> = answers.concat().await;
+        let responses = stream::iter(calls).buffer_unordered(MAX_CONCURRENT_QUERIES);
+        let cached: Vec<Prompt> = responses.concat().await;
         note!(
             direct::SURVEYED,
             service = service.as_str(),
@@ -315,7 +318,7 @@
             ms = lookup.at.elapsed().as_millis() as u64
         );
         send_cached(&context, cached);
-        // No receiver is left when all requests timed out.
+        // There is no receiver when all requests have timed out.
         let _ = finished.send(true);
     });
     lookup
@@ -331,7 +334,7 @@
         Bytes::new(),
     );
     // An engine that doesn't answer counts as having an empty cache.
-    let Ok(Ok((head, body))) = timeout(CALL_TIMEOUT, call).await else {
+    let Ok(Ok((head, body))) = timeout(QUERY_TIMEOUT, call).await else {
         return Vec::new();
     };
     let parts = protocol.parse_cache(&head, &body).unwrap_or_default();
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -74,7 +74,7 @@
 };
 
 /// Interval at which idle connections to servers are closed.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Maximum number of connections that wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
@@ -106,15 +106,15 @@
 impl<P: Protocol + 'static> Gateway<P> {
     /// Creates a gateway without a document or servers.
     pub fn new(settings: Settings, protocol: P) -> Gateway<P> {
-        let (outgoing, out) = unbounded_channel();
-        let (incoming, changes) = unbounded_channel();
-        let (lookups, lookup_requests) = unbounded_channel();
+        let (outgoing, outgoing_receiver) = unbounded_channel();
+        let (changes_sender, changes) = unbounded_channel();
+        let (lookup_sender, lookup_requests) = unbounded_channel();
         let mut fleet = Fleet::new(rand::random());
-        fleet.set_home(&settings.data_centre);
+        fleet.set_data_centre(&settings.data_centre);
         let context = Context {
             settings: Rc::new(RefCell::new(Rc::new(settings))),
             document_cache: RefCell::default(),
-            fresh: Rc::default(),
+            freshness: Rc::default(),
             fleet: Rc::new(RefCell::new(fleet)),
             sender: Sender::new(Rc::new(protocol)),
             retry_budgets: Rc::default(),
@@ -122,16 +122,16 @@
             queue: Rc::new(Queue::default()),
             rollouts: Rc::default(),
             initial_sync: InitialSync::default(),
-            outlook: RefCell::default(),
+            forecast: RefCell::default(),
             shutdown: Rc::default(),
             started: Instant::now(),
             running: Cell::new(0),
             connections: Cell::new(0),
         };
         let channels = Channels {
-            out,
-            incoming,
-            lookups,
+            outgoing: outgoing_receiver,
+            changes: changes_sender,
+            lookup_requests: lookup_sender,
         };
         Gateway {
             context: Rc::new(context),
@@ -144,7 +144,7 @@
 
     /// Returns how current the document and registry are; the reader of the store updates it.
     pub fn freshness(&self) -> &RefCell<Freshness> {
-        &self.context.fresh
+        &self.context.freshness
     }
 
     /// Records that the initial read of the store has ended, or that a call failed.
@@ -167,10 +167,11 @@
         self.context.rollouts.rank()
     }
 
-    /// Sends changes to peers that were read from the store or received from another peer.
-    pub fn send_changes(&self, changes: Changes, reach: Scope) {
+    /// Sends changes to the peers in `scope`. The changes were read from the store or received from
+    /// another peer.
+    pub fn send_changes(&self, changes: Changes, scope: Scope) {
         // The receiver is gone when the process exits.
-        let _ = self.outgoing.send(Outgoing::Changes(changes, reach));
+        let _ = self.outgoing.send(Outgoing::Changes(changes, scope));
     }
 
     /// Returns the receiver of changes that peers read from the store; `None` after the first call.
@@ -285,7 +286,7 @@
         if let Some(channels) = self.channels.take() {
             let shared = Shared {
                 fleet: context.fleet.clone(),
-                fresh: context.fresh.clone(),
+                freshness: context.freshness.clone(),
                 retry_budgets: context.retry_budgets.clone(),
                 queue: context.queue.clone(),
                 rollouts: context.rollouts.clone(),
@@ -298,7 +299,7 @@
         if let Some(lookup_requests) = self.lookup_requests.take() {
             spawn_local(cache_lookup::serve_peers(context.clone(), lookup_requests));
         }
-        let mut ticks = interval(SWEEP_INTERVAL);
+        let mut ticks = interval(IDLE_SWEEP_INTERVAL);
         loop {
             tokio::select! {
                 () = stop.cancelled() => break,
@@ -308,6 +309,7 @@
         self.drain(&stopped, &close).await;
     }
 
+    /// Begins the shutdown, and waits until all connections are closed or the grace time is over.
     async fn drain(&self, stopped: &CancellationToken, close: &CancellationToken) {
         let context = &self.context;
         context.shutdown.begin();
@@ -317,8 +319,8 @@
             sleep_until(at).await;
         }
         close.cancel();
-        let end = context.shutdown.exit_at(grace).unwrap_or_else(Instant::now);
-        while context.connections.get() > 0 && Instant::now() < end {
+        let exit_at = context.shutdown.exit_at(grace).unwrap_or_else(Instant::now);
+        while context.connections.get() > 0 && Instant::now() < exit_at {
             sleep(DRAIN_POLL_INTERVAL).await;
         }
         if context.running.get() > 0 {
@@ -328,9 +330,10 @@
     }
 }
 
+/// Returns the current values of the gauges.
 fn gauges<P>(context: &Context<P>) -> Gauges {
     let document_cache = context.document_cache.borrow();
-    let confirmed = context.fresh.borrow().confirmed_at();
+    let confirmed = context.freshness.borrow().confirmed_at();
     Gauges {
         connections: context.connections.get(),
         running: context.running.get(),
@@ -341,6 +344,7 @@
     }
 }
 
+/// Returns whether the process should get requests from the balancer.
 fn is_ready<P: Protocol + 'static>(context: &Context<P>) -> bool {
     if context.shutdown.has_begun() {
         return false;
--- a/components/gateway/src/document_cache.rs
+++ b/components/gateway/src/document_cache.rs
@@ -56,9 +56,9 @@
         self.current.as_ref()
     }
 
-    /// Returns whether requests can be decided now. `confirmed` is the time at which the document
-    /// was last known to be the newest, and `revocation` the longest time for which a revoked key
-    /// may still work.
+    /// Returns whether requests can be decided at time `now`. `confirmed` is the time at which the
+    /// document was last known to be the newest, and `revocation` the longest time for which a
+    /// revoked key may still be accepted.
     pub fn state(&self, now: Clock, confirmed: Option<Clock>, revocation: Duration) -> State {
         let Some(snapshot) = self.current.clone() else {
             return State::Unknown;
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -76,17 +76,17 @@
     addresses: HashMap<Server, SocketAddr>,
     /// Reverse index of `addresses`.
     servers_by_address: HashMap<SocketAddr, Server>,
-    /// Servers by their numbers in beacons.
-    servers_by_number: HashMap<Id, Server>,
+    /// Servers by their ids in beacons.
+    servers_by_id: HashMap<Id, Server>,
     /// Whether work changed since the last beacon.
     changed: bool,
     /// Servers whose work of this gateway changed since the last message to peers of the data
     /// centre.
     changed_servers: HashSet<Server>,
-    /// Wakes the task that sends these messages.
+    /// Wakes the task that sends load messages to those peers.
     loads_notify: Rc<Notify>,
     /// Highest sequence number of each peer's load messages.
-    loads_sequences: HashMap<Incarnation, u64>,
+    load_sequences: HashMap<Incarnation, u64>,
     /// Prompts that were processed for this gateway: last part, server and time.
     prompts: VecDeque<(Part, Server, Clock)>,
     /// Servers whose address was taken by another one, oldest first.
@@ -97,16 +97,16 @@
 /// A chosen server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Name.
+    /// Name of the server.
     pub server: Server,
-    /// Address.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Version of its software.
+    /// Version of the service that it runs.
     pub version: Version,
-    /// Data centre.
+    /// Data centre of the server.
     pub data_centre: DataCentre,
-    /// Figures of the choice, for logs.
-    pub why: Score,
+    /// Score by which it was chosen.
+    pub score: Score,
 }
 
 impl Fleet {
@@ -116,11 +116,11 @@
             placement: Placement::default(),
             addresses: HashMap::new(),
             servers_by_address: HashMap::new(),
-            servers_by_number: HashMap::new(),
+            servers_by_id: HashMap::new(),
             changed: false,
             changed_servers: HashSet::new(),
             loads_notify: Rc::default(),
-            loads_sequences: HashMap::new(),
+            load_sequences: HashMap::new(),
             prompts: VecDeque::new(),
             replaced: VecDeque::new(),
             rng: SmallRng::seed_from_u64(seed),
@@ -136,23 +136,23 @@
             spec,
             leaving,
         } = registration;
-        let same = self.addresses.get(&server) == Some(&address)
+        let unchanged = self.addresses.get(&server) == Some(&address)
             && self.placement.spec(&server) == Some(&spec)
             && self.placement.accepts_work(&server) != leaving;
         self.placement.record_heartbeat(since, &server);
-        if same {
+        if unchanged {
             return false;
         }
         // A restarted server has a new name and its previous address.
-        let before = self.servers_by_address.get(&address).cloned();
-        if let Some(before) = before.filter(|before| *before != server) {
-            self.mark_replaced(&before);
+        let previous = self.servers_by_address.get(&address).cloned();
+        if let Some(previous) = previous.filter(|previous| *previous != server) {
+            self.mark_replaced(&previous);
         }
         self.placement.upsert(clock::now(), &server, spec, leaving);
-        self.servers_by_number
+        self.servers_by_id
             .insert(beacon::id(&server), server.clone());
-        if let Some(moved) = self.addresses.insert(server.clone(), address) {
-            self.servers_by_address.remove(&moved);
+        if let Some(old_address) = self.addresses.insert(server.clone(), address) {
+            self.servers_by_address.remove(&old_address);
         }
         self.servers_by_address.insert(address, server);
         true
@@ -176,7 +176,7 @@
     /// Removes a server and returns its address.
     pub fn remove(&mut self, server: &Server) -> Option<SocketAddr> {
         self.placement.remove(server);
-        self.servers_by_number.remove(&beacon::id(server));
+        self.servers_by_id.remove(&beacon::id(server));
         let address = self.addresses.remove(server)?;
         self.servers_by_address.remove(&address);
         Some(address)
@@ -214,8 +214,8 @@
         })
     }
 
-    /// Returns how many more requests of some work the servers of a service can start now with the
-    /// first event within a time.
+    /// Returns how many more requests with the given work the servers of a service can start now so
+    /// that the first event of each arrives within `within`.
     pub fn room(
         &self,
         service: &Service,
@@ -240,11 +240,11 @@
             // The new version of a rollout may have no server yet; any other version can serve the
             // request.
             (None, Versions::Only(version)) => {
-                let others = Request {
+                let fallback = Request {
                     versions: Versions::Not(version),
                     ..request.clone()
                 };
-                self.placement.choose(now, &others, &mut self.rng)
+                self.placement.choose(now, &fallback, &mut self.rng)
             }
             (choice, _) => choice,
         };
@@ -259,7 +259,7 @@
     }
 
     fn target(&self, choice: Choice) -> Option<Target> {
-        let Choice { server, score: why } = choice;
+        let Choice { server, score } = choice;
         let address = *self.addresses.get(&server)?;
         let spec = self.placement.spec(&server)?;
         Some(Target {
@@ -267,24 +267,26 @@
             data_centre: spec.data_centre.clone(),
             server,
             address,
-            why,
+            score,
         })
     }
 
-    /// Returns the average time of a plain request of a service; 0 when there are no samples.
-    pub fn average_time(&self, service: &Service) -> Duration {
+    /// Returns the mean time of a plain request of a service; 0 when there are no samples.
+    pub fn mean_time(&self, service: &Service) -> Duration {
         self.placement.mean_time(service).unwrap_or_default()
     }
 
-    /// Returns the usual time to the first event of work that was just sent; 0 when it is unknown.
+    /// Returns the expected time to the first event of work that was just sent to a server; 0 when
+    /// it is unknown.
     pub fn expected_first_event(&self, target: &Target) -> Duration {
         self.placement
             .queued_read_time(&target.server)
             .unwrap_or_default()
     }
 
-    /// Returns the usual time to the first event at a server of the same service without other
-    /// prompts to process; 0 when it is unknown.
+    /// Returns the expected time to the first event at a server of the same service that has no
+    /// other prompts to process; 0 when it is unknown. `unread` is the number of prompt tokens that
+    /// are not cached.
     pub fn unloaded_first_event(&self, target: &Target, unread: u64) -> Duration {
         self.placement
             .idle_read_time(&target.server, unread)
@@ -324,13 +326,14 @@
         self.placement.record_cached(clock::now(), parts, server);
     }
 
-    /// Records a failure of a server, which gets no new work for a while.
+    /// Records a failure of a server, which receives no new work for a while.
     pub fn suspect(&mut self, server: &Server, suspicion: Suspicion) {
         self.placement.suspend(clock::now(), server, suspicion);
         self.changed = true;
     }
 
-    /// Returns the time since a server or its data centre was last found unreachable.
+    /// Returns the time since a server or its data centre was last found unreachable, or `None`
+    /// if neither was.
     pub fn suspected_for(&self, server: &Server) -> Option<Duration> {
         let now = clock::now();
         let at = self.placement.suspected_since(now, server)?;
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -35,13 +35,13 @@
 const MAX_PROMPT_AGE: Duration = Duration::from_secs(12);
 
 impl Fleet {
-    /// Adds loads, prompts and lost servers to a beacon.
+    /// Adds loads, prompts and failures of servers to a beacon.
     pub fn fill_beacon(&mut self, beacon: &mut Beacon) {
         self.changed = false;
-        let own = self.placement.own_loads();
+        let own_loads = self.placement.own_loads();
         beacon
             .loads
-            .extend(own.map(|(server, work)| load(server, work)));
+            .extend(own_loads.map(|(server, work)| load(server, work)));
         self.fill_prompts(beacon);
         for (server, age, suspicion) in self.placement.recent_losses(clock::now()) {
             beacon.failures.push(Failure {
@@ -66,8 +66,8 @@
     }
 
     /// Sets the data centre of this gateway.
-    pub fn set_home(&mut self, home: &DataCentre) {
-        self.placement.set_data_centre(home);
+    pub fn set_data_centre(&mut self, data_centre: &DataCentre) {
+        self.placement.set_data_centre(data_centre);
     }
 
     /// Returns the handle that is notified when this gateway's work changes.
@@ -75,8 +75,8 @@
         self.loads_notify.clone()
     }
 
-    /// Returns this gateway's work at servers where it changed since the last call, for peers of
-    /// the data centre.
+    /// Returns this gateway's work at the servers where it changed since the last call, for the
+    /// peers of its data centre.
     pub fn take_changed(&mut self) -> Vec<Load> {
         let changed = std::mem::take(&mut self.changed_servers);
         let load = |server: &Server| load(server, self.placement.own_work(server));
@@ -97,13 +97,13 @@
     /// Applies the load message of a peer in the data centre; returns `false` if a newer one was
     /// applied before.
     pub fn apply_loads(&mut self, message: &Loads) -> bool {
-        let newest = self.loads_sequences.entry(message.incarnation).or_default();
+        let newest = self.load_sequences.entry(message.incarnation).or_default();
         if *newest >= message.sequence {
             return false;
         }
         *newest = message.sequence;
         for load in &message.loads {
-            if let Some(server) = self.servers_by_number.get(&load.server) {
+            if let Some(server) = self.servers_by_id.get(&load.server) {
                 self.placement
                     .set_peer_work(message.incarnation, server, work(load));
             }
@@ -111,12 +111,13 @@
         true
     }
 
-    /// Applies prompts that a peer found in the caches of engines.
-    pub fn apply_cached(&mut self, reads: &[Prompt]) {
+    /// Applies prompts that engines have cached according to a peer.
+    pub fn apply_cached(&mut self, prompts: &[Prompt]) {
         let now = clock::now();
-        for read in reads {
-            if let Some(server) = self.servers_by_number.get(&read.server) {
-                self.placement.record_cached(now, &[(read.hash, 0)], server);
+        for prompt in prompts {
+            if let Some(server) = self.servers_by_id.get(&prompt.server) {
+                self.placement
+                    .record_cached(now, &[(prompt.hash, 0)], server);
             }
         }
     }
@@ -125,7 +126,7 @@
     pub fn apply_beacon(&mut self, beacon: &Beacon) {
         let mut loads = HashMap::with_capacity(beacon.loads.len());
         for load in &beacon.loads {
-            let Some(server) = self.servers_by_number.get(&load.server) else {
+            let Some(server) = self.servers_by_id.get(&load.server) else {
                 continue;
             };
             loads.insert(server.clone(), work(load));
@@ -133,28 +134,28 @@
         self.placement.set_peer_loads(beacon.incarnation, loads);
         self.apply_cached(&beacon.prompts);
         let now = clock::now();
-        for loss in &beacon.failures {
-            let Some(server) = self.servers_by_number.get(&loss.server) else {
+        for failure in &beacon.failures {
+            let Some(server) = self.servers_by_id.get(&failure.server) else {
                 continue;
             };
-            let at = now.saturating_sub(Duration::from_millis(u64::from(loss.age_ms)));
+            let at = now.saturating_sub(Duration::from_millis(u64::from(failure.age_ms)));
             self.placement
-                .record_peer_loss(at, server, from_beacon(loss.suspicion));
+                .record_peer_loss(at, server, from_beacon(failure.suspicion));
         }
     }
 
     /// Removes the work of a peer that ended or stopped sending.
     pub fn remove_peer(&mut self, peer: Incarnation) {
-        self.loads_sequences.remove(&peer);
+        self.load_sequences.remove(&peer);
         self.placement.forget_peer(peer);
     }
 
-    /// Sets the index of this gateway among all, and their number.
-    pub fn set_position(&mut self, place: (usize, usize)) {
-        self.placement.set_position(place);
+    /// Sets the rank of this gateway among the live ones, and their number.
+    pub fn set_position(&mut self, position: (usize, usize)) {
+        self.placement.set_position(position);
     }
 
-    /// Returns the index of this gateway among all, and their number.
+    /// Returns the rank of this gateway among the live ones, and their number.
     pub fn position(&self) -> (usize, usize) {
         self.placement.position()
     }
--- a/components/gateway/src/fleet/in_flight.rs
+++ b/components/gateway/src/fleet/in_flight.rs
@@ -1,4 +1,4 @@
-//! Accounting of requests in flight at backend servers.
+//! Counts work in flight at backend servers.
 
 use std::{
     cell::RefCell,
@@ -17,7 +17,7 @@
     fleet::Fleet, //
 };
 
-/// Work at a server that is counted until it is dropped.
+/// Counts work at a server until it is dropped, and reports its outcome then.
 pub struct InFlight {
     fleet: Rc<RefCell<Fleet>>,
     server: Server,
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -53,7 +53,7 @@
 
 use crate::{
     body::Body,
-    cache_lookup::CacheLookup, //
+    cache_lookup::CacheLookup,
     clock,
     document_cache::{
         DocumentCache,
@@ -63,9 +63,9 @@
     initial_sync::InitialSync,
     plain,
     protocol::{
-        Generation, //
+        Generation,
         Metadata,
-        Protocol,
+        Protocol, //
     },
     queue::Queue,
     refuse::{
@@ -80,7 +80,7 @@
     },
     settings::Settings,
     shutdown::Shutdown,
-    stream,
+    stream, //
 };
 
 /// Timeout of a request's body.
@@ -90,10 +90,10 @@
 pub struct Context<P> {
     /// Settings of the process.
     pub settings: Rc<RefCell<Rc<Settings>>>,
-    /// Operator's document.
+    /// Last known version of the operator's document.
     pub document_cache: RefCell<DocumentCache>,
     /// How current the document is.
-    pub fresh: Rc<RefCell<Freshness>>,
+    pub freshness: Rc<RefCell<Freshness>>,
     /// Backend servers.
     pub fleet: Rc<RefCell<Fleet>>,
     /// Client for backend servers.
@@ -109,48 +109,48 @@
     /// Initial read of the store.
     pub initial_sync: InitialSync,
     /// Estimates of how long answers take.
-    pub outlook: RefCell<Forecast>,
+    pub forecast: RefCell<Forecast>,
     /// Graceful shutdown.
     pub shutdown: Rc<Shutdown>,
-    /// When the process started.
+    /// Time at which the process started.
     pub started: Instant,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub running: Cell<usize>,
-    /// Open connections of callers.
+    /// Number of open connections of callers.
     pub connections: Cell<usize>,
 }
 
-/// An admitted request. Clones share the request that is sent.
+/// An admitted request. Clones share the buffered request.
 #[derive(Clone)]
 pub struct Call {
     /// The buffered request.
     pub request: Rc<BufferedRequest>,
-    /// Route that it matched.
+    /// Route that the request matched.
     pub route: Route,
     /// How requests of the route are forwarded.
     pub pass: Pass,
-    /// Service to which it is sent.
+    /// Service to which the request is sent.
     pub service: Service,
     /// The caller's team.
     pub team: Option<Team>,
-    /// Document on which it was admitted.
+    /// Document on which the admission is based.
     pub document: DocumentInfo,
-    /// When it arrived.
+    /// Time at which the request arrived.
     pub arrived: Instant,
-    /// Time by which the caller gets a final response, whatever it is.
+    /// Time by which the caller gets a final response, if only an error.
     pub until: Instant,
     /// Whether the servers replicate the KV caches of runs to one another.
     pub backups: bool,
-    /// How long an unused copy of a KV cache is kept.
+    /// Time for which servers keep an unused copy of a KV cache.
     pub copy_kept: Duration,
 }
 
 impl Call {
-    /// Returns the time until the caller's deadline.
+    /// Returns the time until the caller's deadline, if it set one.
     pub fn time_left(&self) -> Option<Duration> {
         let deadline = self.request.metadata.deadline?;
-        let left = self.arrived + deadline;
-        Some(left.saturating_duration_since(Instant::now()))
+        let expires_at = self.arrived + deadline;
+        Some(expires_at.saturating_duration_since(Instant::now()))
     }
 
     /// Logs a rejection and returns its response.
@@ -158,7 +158,7 @@
         refusal.respond(&self.request.metadata.id, self.arrived, &self.document)
     }
 
-    /// Returns the size of the generation.
+    /// Returns the size of the generation; `None` for a plain request.
     pub fn generation(&self) -> Option<&Generation> {
         self.request.metadata.generation.as_ref()
     }
@@ -172,7 +172,7 @@
         let mut response = match self.admit(request).await {
             Ok(call) if call.pass.stream => stream::run(self, call).await,
             Ok(call) => plain::run(self, call).await,
-            Err(refused) => refused,
+            Err(response) => response,
         };
         response.body_mut().hold(running);
         response
@@ -181,7 +181,7 @@
     /// Returns the document on which decisions are based now, for logs.
     fn document_info(&self) -> DocumentInfo {
         let document_cache = self.document_cache.borrow();
-        let confirmed = self.fresh.borrow().confirmed_at();
+        let confirmed = self.freshness.borrow().confirmed_at();
         DocumentInfo {
             version: document_cache
                 .snapshot()
@@ -192,7 +192,7 @@
 
     /// Returns whether requests can be decided now.
     pub fn state(&self, settings: &Settings) -> State {
-        let confirmed = self.fresh.borrow().confirmed_at();
+        let confirmed = self.freshness.borrow().confirmed_at();
         let revocation = settings.bounds.revocation;
         self.document_cache
             .borrow()
@@ -232,6 +232,7 @@
         );
     }
 
+    /// Parses a request and decides whether it is admitted; an error is the response to the caller.
     async fn admit(&self, request: Request<Incoming>) -> Result<Call, Response<Body>> {
         let arrived = Instant::now();
         let (parts, body) = request.into_parts();
@@ -254,21 +255,21 @@
             }
         };
         let index = &snapshot.index;
-        let (rule, pass, service, team) = match_route(index, &parts, &metadata).map_err(refuse)?;
+        let (route, pass, service, team) = match_route(index, &parts, &metadata).map_err(refuse)?;
         // A large registry is read page by page, and the first pages may contain no server of the
         // service.
         let has_server = || self.fleet.borrow().serves(&service);
         self.wait_for_sync(&metadata, has_server).await;
         let grace = settings.bounds.grace;
-        if !self.shutdown.admits(&rule, pass.objective, grace) {
+        if !self.shutdown.admits(&route, pass.objective, grace) {
             return Err(refuse(Refusal::ShuttingDown(self.shutdown.retry_after())));
         }
         let bounds = index.document().callers.as_ref();
         let body = read_body(&parts, body, bounds, arrived)
             .await
             .map_err(refuse)?;
-        let longest = Duration::from_secs(3600);
-        let limit = pass.timeout.unwrap_or(longest);
+        let default_timeout = Duration::from_secs(3600);
+        let limit = pass.timeout.unwrap_or(default_timeout);
         let limit = metadata
             .deadline
             .map_or(limit, |deadline| deadline.min(limit));
@@ -277,7 +278,7 @@
             backups: engine.is_some_and(|engine| engine.backups),
             copy_kept: engine.map(|engine| engine.copy_kept).unwrap_or_default(),
             document,
-            route: rule,
+            route,
             request: Rc::new(BufferedRequest {
                 parts,
                 metadata,
@@ -292,6 +293,7 @@
     }
 }
 
+/// Counts a request as in progress until it is dropped.
 struct RunningGuard<P: 'static>(Rc<Context<P>>);
 
 impl<P> Drop for RunningGuard<P> {
@@ -300,6 +302,7 @@
     }
 }
 
+/// Finds the route of a request, and authenticates its team.
 fn match_route(
     index: &Index,
     parts: &Parts,
@@ -351,6 +354,7 @@
     hasher.finish()
 }
 
+/// Reads the whole body of a request.
 async fn read_body(
     parts: &Parts,
     mut body: Incoming,
@@ -366,24 +370,24 @@
         return Err(Refusal::BodyTooLong);
     }
     let until = arrived + BODY_TIMEOUT;
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     loop {
         let frame = timeout_at(until, body.frame()).await;
         let frame = match frame {
             Err(_) => return Err(Refusal::BodyTimeout),
-            Ok(None) => return Ok(whole.freeze()),
+            Ok(None) => return Ok(buffer.freeze()),
             Ok(Some(Err(_))) => return Err(Refusal::BodyTimeout),
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > limit {
+        if buffer.len() + data.len() > limit {
             return Err(Refusal::BodyTooLong);
         }
-        if whole.is_empty() && declared == Some(data.len()) {
+        if buffer.is_empty() && declared == Some(data.len()) {
             return Ok(data);
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
 }
--- a/components/gateway/src/initial_sync.rs
+++ b/components/gateway/src/initial_sync.rs
@@ -3,20 +3,20 @@
 //! A restarted process gets connections from the balancer at once, but has no document until its
 //! first call to the store returns, usually after some 20 ms, and in a large fleet it has no server
 //! of some services for longer. When all processes failed together, many callers whose answers were
-//! cut reconnect in that time, and most of them retry only once, so a rejection would lose the
-//! request. Such requests wait for the read to complete.
+//! cut off reconnect in that time, and most of them retry only once, so a rejection would lose
+//! the request. Such requests wait for the read to complete.
 
 use std::time::Duration;
 
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-/// Share of the caller's deadline that a request may wait, as a divisor; seven eighths remain for
-/// its answer.
-const MAX_WAIT_SHARE: u32 = 8;
+/// Divisor of the caller's deadline that gives the longest wait of a request: seven eighths of the
+/// time remain for its answer.
+const MAX_WAIT_DIVISOR: u32 = 8;
 
-/// Longest wait. A call to the store that takes longer is abandoned, and the store counts as
-/// unavailable.
+/// Longest wait of any request. A call to the store that takes longer is abandoned, and the store
+/// counts as unavailable.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// Whether the initial read of the store is still running.
@@ -38,8 +38,10 @@
 
     /// Waits for the end of the initial read, for at most a share of the request's deadline.
     pub async fn wait(&self, deadline: Option<Duration>) {
-        let spare = deadline.map_or(MAX_WAIT, |deadline| MAX_WAIT.min(deadline / MAX_WAIT_SHARE));
+        let max_wait = deadline.map_or(MAX_WAIT, |deadline| {
+            MAX_WAIT.min(deadline / MAX_WAIT_DIVISOR)
+        });
         // The caller checks the document cache afterwards, so a timeout needs no handling here.
-        let _ = timeout(spare, self.ended.cancelled()).await;
+        let _ = timeout(max_wait, self.ended.cancelled()).await;
     }
 }
--- a/components/gateway/src/meter.rs
+++ b/components/gateway/src/meter.rs
@@ -20,7 +20,7 @@
     counter!("medlarhatch_refusals_total", "reason" => reason).increment(1);
 }
 
-/// Counts an attempt at a backend server by its result.
+/// Counts a send to a backend server by its result.
 pub fn send(ending: &'static str) {
     counter!("medlarhatch_sends_total", "ending" => ending).increment(1);
 }
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -49,20 +49,21 @@
     queue::Queue,
     retry_budget::RetryBudgets,
     rollout::Rollouts,
-    settings::Settings, //
-    shutdown::Shutdown,
+    settings::Settings,
+    shutdown::Shutdown, //
 };
 
 /// Bytes of a datagram that are reserved for the echo and the message's kind.
 const ECHO_BYTES: usize = 34;
 
 /// Maximum number of servers in a load message, so that it fits a datagram.
-const MAX_LOADS: usize = 50;
+const MAX_LOADS_PER_MESSAGE: usize = 50;
 
-/// Maximum number of prompts in a cache message, so that it fits a datagram.
-const MAX_READS: usize = 80;
+/// Maximum number of cached prompts in a message, so that it fits a datagram.
+const MAX_PROMPTS_PER_MESSAGE: usize = 80;
 
-/// Interval at which changes for a beacon are polled.
+/// Interval at which this process checks for changes to send in a beacon. It is four times as long
+/// while there are none.
 const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(30);
 
 /// Sends and receives the messages between gateways.
@@ -70,28 +71,29 @@
     socket: UdpSocket,
     table: Table,
     shared: Shared,
+    /// Time of the claim in the last beacon.
     last_claim: Option<Clock>,
     channels: Channels,
     reassembly: Reassembly,
     incarnation: u64,
     sequence: u64,
-    /// Sequence number of load messages.
-    loads_sequence: u64,
+    /// Sequence number of the last load message.
+    load_sequence: u64,
     /// Size of the last beacon in bytes.
-    size: usize,
-    /// Whether addresses were learned that got no beacon yet.
+    beacon_bytes: usize,
+    /// Whether addresses are known that no beacon has been sent to yet.
     new_addresses: bool,
 }
 
 /// State that is exchanged with peers.
 pub struct Shared {
-    /// Load of servers, and lost servers.
+    /// Loads and failures of servers.
     pub fleet: Rc<RefCell<Fleet>>,
     /// How current the document and registry are.
-    pub fresh: Rc<RefCell<Freshness>>,
+    pub freshness: Rc<RefCell<Freshness>>,
     /// Retry budgets.
     pub retry_budgets: Rc<RefCell<RetryBudgets>>,
-    /// Waiting requests.
+    /// Queue of streams that wait for an engine.
     pub queue: Rc<Queue>,
     /// Rollouts of new versions.
     pub rollouts: Rc<Rollouts>,
@@ -104,9 +106,9 @@
 /// Messages of this process to its peers besides beacons.
 #[derive(Clone, Debug)]
 pub enum Outgoing {
-    /// Changes read from the store.
+    /// Changes read from the store or received from a peer, and their recipients.
     Changes(Changes, Scope),
-    /// Request to query the engines of a service, as a caller reconnected whose prompt may be
+    /// Request to query the engines of a service, since the prompt of a reconnected caller may be
     /// cached at any of them.
     Lookup(Id),
     /// Prompt parts that engines reported as cached.
@@ -116,11 +118,11 @@
 /// Channels between the gateway and its peers.
 pub struct Channels {
     /// Messages to the peers.
-    pub out: UnboundedReceiver<Outgoing>,
+    pub outgoing: UnboundedReceiver<Outgoing>,
     /// Changes that peers read from the store.
-    pub incoming: UnboundedSender<Changes>,
-    /// Services whose engines peers ask to query.
-    pub lookups: UnboundedSender<Id>,
+    pub changes: UnboundedSender<Changes>,
+    /// Services whose engines peers request to query.
+    pub lookup_requests: UnboundedSender<Id>,
 }
 
 impl Peers {
@@ -137,8 +139,8 @@
             reassembly: Reassembly::default(),
             incarnation,
             sequence: 0,
-            loads_sequence: 0,
-            size: 0,
+            load_sequence: 0,
+            beacon_bytes: 0,
             new_addresses: true,
         }
     }
@@ -150,20 +152,20 @@
         let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let now = Instant::now();
-            let confirmed = self.shared.fresh.borrow().confirmed_at();
+            let confirmed = self.shared.freshness.borrow().confirmed_at();
             self.new_addresses |= self.table.take_new_candidates();
-            let has_news = self.new_addresses
+            let has_changes = self.new_addresses
                 || self.shared.fleet.borrow().has_changes()
                 || confirmed != self.last_claim;
-            let next_send = sent + self.table.beacon_interval(has_news, self.size);
+            let next_send = sent + self.table.beacon_interval(has_changes, self.beacon_bytes);
             if now >= next_send {
-                self.size = self.send_beacons().await;
+                self.beacon_bytes = self.send_beacons().await;
                 sent = now;
                 self.tick();
                 continue;
             }
             let wake = next_send.min(
-                now + if has_news {
+                now + if has_changes {
                     POLL_INTERVAL
                 } else {
                     POLL_INTERVAL * 4
@@ -173,13 +175,13 @@
                 () = stop.cancelled() => return,
                 () = sleep_until(wake) => {}
                 () = loads_changed.notified() => self.send_loads(),
-                outgoing = self.channels.out.recv() => match outgoing {
+                outgoing = self.channels.outgoing.recv() => match outgoing {
                     None => {}
-                    Some(Outgoing::Changes(changes, reach)) => self.send_changes(changes, reach),
+                    Some(Outgoing::Changes(changes, scope)) => self.send_changes(changes, scope),
                     Some(Outgoing::Lookup(service)) => self.broadcast(&Message::Lookup(service)),
-                    Some(Outgoing::Cached(reads)) => {
-                        for reads in reads.chunks(MAX_READS) {
-                            self.broadcast(&Message::CachedPrompts(reads.to_vec()));
+                    Some(Outgoing::Cached(prompts)) => {
+                        for prompts in prompts.chunks(MAX_PROMPTS_PER_MESSAGE) {
+                            self.broadcast(&Message::CachedPrompts(prompts.to_vec()));
                         }
                     }
                 },
@@ -188,6 +190,7 @@
         }
     }
 
+    /// Updates everything that depends on which peers are live.
     fn tick(&mut self) {
         let mut fleet = self.shared.fleet.borrow_mut();
         for silent in self.table.expire(clock::now()) {
@@ -201,16 +204,17 @@
         self.shared.rollouts.set_rank(self.table.rank());
         drop(fleet);
         let settings = self.shared.settings.borrow();
-        let near = self.table.local_rank(&settings.data_centre);
+        let local_rank = self.table.local_rank(&settings.data_centre);
         self.shared
-            .fresh
+            .freshness
             .borrow_mut()
-            .set_rank(self.table.rank(), near);
+            .set_rank(self.table.rank(), local_rank);
         let neighbours = self.table.local_count(&settings.data_centre);
         self.shared.shutdown.set_neighbours(neighbours);
         self.table.add_seeds(&settings.seeds);
     }
 
+    /// Sends a beacon to all peers, and returns its size in bytes.
     async fn send_beacons(&mut self) -> usize {
         self.sequence += 1;
         self.new_addresses = false;
@@ -231,10 +235,13 @@
         let bound = settings.bounds.retries();
         beacon.sends = self.shared.retry_budgets.borrow_mut().sends(&bound);
         let now = clock::now();
-        let claim = self.shared.fresh.borrow().claim();
+        let claim = self.shared.freshness.borrow().claim();
         self.last_claim = claim.map(|claim| claim.at);
         beacon.timestamp = now.as_millis() as u64;
-        beacon.interval_ms = self.table.beacon_interval(false, self.size).as_millis() as u32;
+        beacon.interval_ms = self
+            .table
+            .beacon_interval(false, self.beacon_bytes)
+            .as_millis() as u32;
         beacon.freshness = claim.map(|claim| Age {
             revision: claim.revision,
             // Rounded up: the claim may look older than it is, never newer.
@@ -253,8 +260,8 @@
         size
     }
 
-    /// Sends a message and returns its size. A send that fails isn't repeated; the next message
-    /// supersedes it.
+    /// Sends a message and returns its size in bytes. A send that fails isn't repeated; the next
+    /// message supersedes it.
     fn send_to(&self, message: &Message, target: SocketAddr) -> usize {
         let Ok(bytes) = postcard::to_stdvec(message) else {
             return 0;
@@ -263,18 +270,18 @@
         bytes.len()
     }
 
-    /// Sends changes to the peers, in as many datagrams as needed.
-    fn send_changes(&self, changes: Changes, reach: Scope) {
-        let home = self.shared.settings.borrow().data_centre.clone();
-        let audience = self.table.recipients(&home, reach);
+    /// Sends changes to the peers in `scope`, in as many datagrams as needed.
+    fn send_changes(&self, changes: Changes, scope: Scope) {
+        let data_centre = self.shared.settings.borrow().data_centre.clone();
+        let recipients = self.table.recipients(&data_centre, scope);
         for message in beacon::split(changes) {
-            for target in &audience {
+            for target in &recipients {
                 self.send_to(&message, *target);
             }
         }
     }
 
-    /// Sends the changed loads and the retries to the other gateways of the data centre.
+    /// Sends the changed loads and the recent sends to the other gateways of the data centre.
     fn send_loads(&mut self) {
         let loads = self.shared.fleet.borrow_mut().take_changed();
         if loads.is_empty() {
@@ -284,11 +291,11 @@
         let bound = settings.bounds.retries();
         let sends = self.shared.retry_budgets.borrow_mut().sends(&bound);
         let targets = self.table.local_peers(&settings.data_centre);
-        for loads in loads.chunks(MAX_LOADS) {
-            self.loads_sequence += 1;
+        for loads in loads.chunks(MAX_LOADS_PER_MESSAGE) {
+            self.load_sequence += 1;
             let message = Message::Loads(Loads {
                 incarnation: self.incarnation,
-                sequence: self.loads_sequence,
+                sequence: self.load_sequence,
                 loads: loads.to_vec(),
                 sends: sends.clone(),
             });
@@ -305,14 +312,15 @@
         }
     }
 
-    /// Forwards changes from a live peer.
+    /// Passes on changes from a peer; those from an unknown address are ignored.
     fn forward_changes(&self, from: SocketAddr, changes: Changes) {
         if self.table.contains(from) {
             // The receiver is gone when the process exits.
-            let _ = self.channels.incoming.send(changes);
+            let _ = self.channels.changes.send(changes);
         }
     }
 
+    /// Handles a datagram.
     fn receive(&mut self, received: io::Result<(usize, SocketAddr)>, bytes: &[u8]) {
         let Ok((length, from)) = received else {
             return;
@@ -339,13 +347,13 @@
             Ok(Message::Lookup(service)) => {
                 if self.table.contains(from) {
                     // The receiver is gone when the process exits.
-                    let _ = self.channels.lookups.send(service);
+                    let _ = self.channels.lookup_requests.send(service);
                 }
                 return;
             }
-            Ok(Message::CachedPrompts(reads)) => {
+            Ok(Message::CachedPrompts(prompts)) => {
                 if self.table.contains(from) {
-                    self.shared.fleet.borrow_mut().apply_cached(&reads);
+                    self.shared.fleet.borrow_mut().apply_cached(&prompts);
                 }
                 return;
             }
@@ -383,11 +391,14 @@
         fleet.apply_beacon(&beacon);
         self.shared.queue.apply_beacon(&beacon);
         self.shared.rollouts.apply_beacon(&beacon);
-        let near = beacon.data_centre == self.shared.settings.borrow().data_centre;
+        let is_local = beacon.data_centre == self.shared.settings.borrow().data_centre;
         let mut retry_budgets = self.shared.retry_budgets.borrow_mut();
-        retry_budgets.apply_sends(beacon.incarnation, &beacon.sends, near);
+        retry_budgets.apply_sends(beacon.incarnation, &beacon.sends, is_local);
         if let Some(claim) = beacon.claim(self.incarnation) {
-            self.shared.fresh.borrow_mut().receive(clock::now(), claim);
+            self.shared
+                .freshness
+                .borrow_mut()
+                .receive(clock::now(), claim);
         }
     }
 }
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -39,10 +39,9 @@
     sleep,
     timeout_at, //
 };
-
 use upstream::{
-    Collected, //
-    Connection,
+    Collected,
+    Connection, //
 };
 
 use crate::{
@@ -62,8 +61,8 @@
     },
     meter,
     protocol::{
-        Dispatch, //
-        Protocol,
+        Dispatch,
+        Protocol, //
     },
     refuse::{
         DEFAULT_RETRY_AFTER,
@@ -74,14 +73,14 @@
 };
 
 /// Maximum size of a response that is buffered before the caller gets it, in bytes.
-const MAX_BUFFERED_RESPONSE: usize = 256 * 1024;
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// Multiple of the average response time after which a repeatable request is hedged with a second
+/// Multiple of the mean response time after which a repeatable request is hedged with a second
 /// server.
 const HEDGE_DELAY_FACTOR: f64 = 3.0;
 
 /// Bounds of the hedge delay as shares of the latency objective: an earlier hedge costs an attempt
-/// for little gain, a later one is too late.
+/// for little gain, and a later one can't meet the objective.
 const HEDGE_DELAY_BOUNDS: (f64, f64) = (0.2, 0.6);
 
 /// Work of a plain request.
@@ -105,7 +104,7 @@
         class,
         tried: Vec::new(),
         unsent: 0,
-        answer: None,
+        response: None,
     };
     plain.run().await
 }
@@ -114,25 +113,26 @@
 struct PlainRequest<'a, P> {
     context: &'a Rc<Context<P>>,
     call: Call,
-    /// Versions that may serve it.
+    /// Versions that may serve the request.
     selection: Selection,
     class: Class,
     sends: Sends,
-    /// Servers to which it was sent.
+    /// Servers to which the request was sent.
     tried: Vec<Server>,
-    /// Counted sends that reached no server; further sends are offset against them.
+    /// Number of counted sends that reached no server; as many further sends are not counted.
     unsent: u32,
     /// Last response of a server.
-    answer: Option<Response<Body>>,
+    response: Option<Response<Body>>,
 }
 
 /// Result of one attempt, and the server's response if there was one.
 struct Attempt {
     ending: Ending,
-    answer: Option<Response<Body>>,
+    response: Option<Response<Body>>,
 }
 
 impl<P: Protocol + 'static> PlainRequest<'_, P> {
+    /// Sends the request until a response is final or no attempt is left.
     async fn run(mut self) -> Response<Body> {
         while let Some(target) = self.next() {
             let until = self.call.until;
@@ -142,7 +142,7 @@
             let mut verdict = Verdict::Send;
             for result in results {
                 self.unsent += u32::from(result.ending == Ending::Unsent);
-                self.answer = result.answer.or(self.answer.take());
+                self.response = result.response.or(self.response.take());
                 verdict = self.sends.ended(result.ending);
             }
             if verdict != Verdict::Send {
@@ -155,10 +155,10 @@
 
     /// Chooses the next server, if there is one and the retry budget allows another send.
     fn next(&mut self) -> Option<Target> {
-        let home = self.context.settings.borrow().data_centre.clone();
+        let data_centre = self.context.settings.borrow().data_centre.clone();
         let request = Request {
             service: &self.call.service,
-            data_centre: &home,
+            data_centre: &data_centre,
             work: PLAIN_WORK,
             parts: &[],
             versions: self.selection.versions(),
@@ -212,30 +212,29 @@
 
     fn hedge_delay(&self) -> Duration {
         let objective = self.call.pass.objective;
-        let average = self.context.fleet.borrow().average_time(&self.call.service);
-        let (shortest, longest) = HEDGE_DELAY_BOUNDS;
-        average
-            .mul_f64(HEDGE_DELAY_FACTOR)
-            .clamp(objective.mul_f64(shortest), objective.mul_f64(longest))
+        let mean = self.context.fleet.borrow().mean_time(&self.call.service);
+        let (min_share, max_share) = HEDGE_DELAY_BOUNDS;
+        mean.mul_f64(HEDGE_DELAY_FACTOR)
+            .clamp(objective.mul_f64(min_share), objective.mul_f64(max_share))
     }
 
     fn timed_out(mut self) -> Response<Body> {
         // An attempt that was in progress at the deadline may have run.
         let verdict = self.sends.ended(Ending::Lost);
-        match (verdict, self.answer.take()) {
-            (Verdict::Answer, Some(answer)) => answer,
+        match (verdict, self.response.take()) {
+            (Verdict::Answer, Some(response)) => response,
             _ => self.call.refuse(&Refusal::DeadlineExceeded),
         }
     }
 
     fn finish(mut self, verdict: Verdict) -> Response<Body> {
-        match (verdict, self.answer.take()) {
-            (Verdict::Answer, Some(answer)) => {
+        match (verdict, self.response.take()) {
+            (Verdict::Answer, Some(response)) => {
                 let shutdown = &self.context.shutdown;
                 let time = self.call.arrived.elapsed();
                 shutdown.record_duration(&self.call.route, time);
                 meter::outcome("answered", time);
-                answer
+                response
             }
             (Verdict::NotRun, _) => self.call.refuse(&Refusal::NoServer),
             _ => self.call.refuse(&Refusal::Lost),
@@ -256,9 +255,9 @@
         direct::SENT,
         id = call.request.metadata.id.as_str(),
         server = target.server.as_str(),
-        load = round_load(target.why.load),
-        against = target.why.penalties,
-        among = target.why.candidates,
+        load = round_load(target.score.load),
+        against = target.score.penalties,
+        among = target.score.candidates,
         document = call.document.version
     );
     let began = Instant::now();
@@ -321,7 +320,7 @@
                 server = server,
                 reason = reason.as_str()
             );
-            return Attempt::without_answer(Ending::Unsent);
+            return Attempt::without_response(Ending::Unsent);
         }
     };
     let (head, reply) = match context
@@ -329,37 +328,38 @@
         .read_reply(&call.request, &mut connection)
         .await
     {
-        Ok(answer) => answer,
+        Ok(reply) => reply,
         Err(error) => return lost_attempt(id, server, &error.to_string()),
     };
-    let whole = connection.read_body(MAX_BUFFERED_RESPONSE).await;
+    let read = connection.read_body(MAX_BUFFERED_RESPONSE_BYTES).await;
     let status = head.status;
     if reply.not_run {
-        // The server's statement in the head holds even when the body is cut off.
+        // The head states that the server didn't run the request, which holds even if the body is
+        // cut off.
         note!(
             direct::DECLINED,
             id = id,
             server = server,
             status = status.as_u16()
         );
-        if whole.is_ok() {
+        if read.is_ok() {
             context.sender.release(connection);
         }
         if !reply.misdirected {
-            return Attempt::without_answer(Ending::Declined);
+            return Attempt::without_response(Ending::Declined);
         }
         context.fleet.borrow_mut().mark_replaced(&target.server);
         context.sender.disconnect(target.address);
-        return Attempt::without_answer(Ending::Misdirected);
+        return Attempt::without_response(Ending::Misdirected);
     }
-    let Ok(whole) = whole else {
+    let Ok(collected) = read else {
         return lost_attempt(id, server, "response cut off");
     };
     if !reply.signed || reply.encoded {
         return lost_attempt(id, server, "response not from the server");
     }
     context.fleet.borrow_mut().mark_alive(&target.server);
-    let body = match whole {
+    let body = match collected {
         Collected::Complete(body) => {
             context.sender.release(connection);
             Body::whole(body)
@@ -386,7 +386,7 @@
     );
     Attempt {
         ending,
-        answer: Some(response),
+        response: Some(response),
     }
 }
 
@@ -416,14 +416,14 @@
 
 fn lost_attempt(id: &str, server: &str, reason: &str) -> Attempt {
     note!(direct::LOST, id = id, server = server, reason = reason);
-    Attempt::without_answer(Ending::Lost)
+    Attempt::without_response(Ending::Lost)
 }
 
 impl Attempt {
-    fn without_answer(ending: Ending) -> Attempt {
+    fn without_response(ending: Ending) -> Attempt {
         Attempt {
             ending,
-            answer: None,
+            response: None,
         }
     }
 }
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -15,15 +15,15 @@
     Team, //
 };
 
-/// Events that a server may have produced before the first one arrives here.
-const FIRST_EVENTS: u64 = 3;
+/// Maximum number of events that a healthy server has produced before the first one arrives here.
+const MAX_EVENTS_IN_TRANSIT: u64 = 3;
 
-/// Data of a caller's request beside its method, path and body.
+/// Data from the headers of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Metadata {
     /// The caller's id of this attempt. Backend servers repeat it in their responses.
     pub id: String,
-    /// How long the caller waits, counted from the arrival of the request.
+    /// Time for which the caller waits, counted from the arrival of the request.
     pub deadline: Option<Duration>,
     /// API key.
     pub key: Option<String>,
@@ -83,27 +83,28 @@
     pub name: String,
 }
 
-/// Data of a response's head.
+/// Data from the head of a server's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// Id of the request that it answers, if it is given.
+    /// Id of the request that the response answers, if it is given.
     pub id: Option<String>,
-    /// Whether a backend server signed it.
+    /// Whether a backend server signed the response.
     pub signed: bool,
     /// Whether the server states that it didn't run the request and never will.
     pub not_run: bool,
     /// Whether the address belongs to another server than the intended one.
     pub misdirected: bool,
-    /// Whether an intermediary encoded the body, so that it differs from what the server sent.
+    /// Whether an intermediary encoded the body, so that it differs from the one that the server
+    /// sent.
     pub encoded: bool,
     /// Time to wait before a retry.
     pub retry_after: Option<Duration>,
 }
 
-/// Load of a server as it reported a moment ago.
+/// Requests in progress at a server, as reported by it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Activity {
-    /// Requests that are queued, or whose prompts are still being processed.
+    /// Number of requests that are queued, or whose prompts are still being processed.
     pub queued: u32,
     /// Requests that produce events: their ids and the number of events produced so far.
     pub runs: Vec<(String, u64)>,
@@ -115,7 +116,7 @@
     pub fn has_lost(&self, id: &str) -> bool {
         match self.runs.iter().find(|(known, _)| known == id) {
             // The first events may still be in transit.
-            Some((_, events)) => *events > FIRST_EVENTS,
+            Some((_, events)) => *events > MAX_EVENTS_IN_TRANSIT,
             None => self.queued == 0,
         }
     }
@@ -162,6 +163,6 @@
     /// tokens.
     fn parse_cache(&self, head: &upstream::Head, body: &[u8]) -> Option<Vec<(u64, u32)>>;
 
-    /// Returns the headers that are passed to the caller.
+    /// Returns the headers of a server's response that are passed to the caller.
     fn response_headers(&self, headers: HeaderMap) -> HeaderMap;
 }
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -1,11 +1,11 @@
 //! Queue of streams that wait until an engine has capacity.
 //!
-//! It keeps the service usable when callers send several times more than the engines can serve. If
-//! all requests were forwarded at once, their prompts would be processed side by side, every first
-//! event would be late, and no caller would be served in time. So a stream waits here, where the
-//! order can still be changed, until an engine can start it soon. Requests that can no longer meet
-//! their objective are served after those that still can, as a late answer is better than none.
-//! Requests that can't be served at all are rejected at once.
+//! The queue keeps a service usable when callers send several times more than its engines can
+//! serve. If all requests were forwarded at once, their prompts would be processed side by side,
+//! every first event would be late, and no caller would be served in time. So a stream waits here,
+//! where the order can still be changed, until an engine can start it soon. Requests that can no
+//! longer meet their objective are served after those that still can, as a late answer is better
+//! than none. Requests that can't be served at all are rejected at once.
 
 use std::{
     cell::{
@@ -33,8 +33,8 @@
 use gates::{
     Gates,
     Permit,
-    Rejection, //
-    Request,
+    Rejection,
+    Request, //
 };
 use names::Service;
 use routing::placement::Work;
@@ -65,15 +65,15 @@
 };
 
 /// Interval at which the engines' capacity is polled. First events take hundreds of milliseconds,
-/// so this delay isn't noticed.
+/// so the delay doesn't matter.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Interval at which a queued request checks whether the process is shutting down. A shorter wait
-/// is one for its turn among the gateways and doesn't count as pressure.
-const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// results from sharing the engines with other gateways, and doesn't count as pressure.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after a wait for which a service counts as under pressure: the length of a run, whose
-/// memory the waiting requests need.
+/// Time after a wait for which a service counts as under pressure: the usual duration of a run,
+/// since the waiting requests need the memory of the current runs.
 const PRESSURE_TTL: Duration = Duration::from_secs(5);
 
 /// Weight of a new request in the average size of a service's requests.
@@ -83,14 +83,15 @@
 pub struct Queue {
     gates: Arc<Gates>,
     sizes: RefCell<HashMap<Service, Size>>,
-    /// When a request last had to wait, by service.
+    /// Time at which a request last had to wait, by service.
     last_waits: RefCell<HashMap<Service, Instant>>,
-    /// Requests that wait here and can still meet their objective, by service.
+    /// Number of requests that wait here and can still meet their objective, by service.
     urgent: RefCell<HashMap<Service, u32>>,
-    /// Such requests at peers.
-    peers: RefCell<HashMap<Incarnation, Vec<(Id, u32)>>>,
-    /// Gateways that share the engines.
+    /// Number of requests that wait at each peer and can still meet their objective, by service.
+    urgent_by_peer: RefCell<HashMap<Incarnation, Vec<(Id, u32)>>>,
+    /// Number of gateways that share the engines.
     gateways: Cell<u32>,
+    /// Whether the task that polls the gates is running.
     polling: Cell<bool>,
 }
 
@@ -101,7 +102,7 @@
             sizes: RefCell::default(),
             last_waits: RefCell::default(),
             urgent: RefCell::default(),
-            peers: RefCell::default(),
+            urgent_by_peer: RefCell::default(),
             gateways: Cell::new(1),
             polling: Cell::new(false),
         }
@@ -113,8 +114,8 @@
 struct Size {
     tokens: f64,
     unread: f64,
-    /// Time in which an engine has to produce the first event.
-    within: Duration,
+    /// Time within which an engine has to produce the first event.
+    engine_time: Duration,
 }
 
 impl Size {
@@ -132,15 +133,16 @@
     }
 }
 
-/// Capacity that was granted to a request; released on drop.
+/// Admission of a request to an engine's capacity, which is released on drop.
 pub struct Admission {
     permit: Permit,
+    /// Whether the first event could still arrive in time.
     in_time: bool,
 }
 
 impl Admission {
-    /// Records that the first event arrived. Where it couldn't arrive in time, it gives no
-    /// information on the engines.
+    /// Records that the first event arrived. The event of a request that was admitted late is
+    /// ignored, as it says nothing about the engines.
     pub fn record_first_event(&self) {
         if self.in_time {
             self.permit.record_first_output();
@@ -152,7 +154,8 @@
 ///
 /// # Errors
 ///
-/// [`Refusal`] when it can't be served, or the process shuts down first. The request hasn't run.
+/// [`Refusal`] when the request can't be served, or the process shuts down first. The request
+/// hasn't run.
 pub async fn admit<P: Protocol + 'static>(
     context: &Rc<Context<P>>,
     call: &Call,
@@ -160,36 +163,39 @@
 ) -> Result<Admission, Refusal> {
     let began = Instant::now();
     context.queue.init_size(call, work);
-    let mut refused = Rejection {
+    let mut last_rejection = Rejection {
         reason: Reason::Late,
         retry_after: POLL_INTERVAL,
     };
     let team = call.team.clone().unwrap_or_default();
-    let ask = Constraints {
+    let constraints = Constraints {
         rank: call.pass.rank,
         objective: call.pass.objective,
         timeout: call.pass.timeout,
         deadline: call.request.metadata.deadline,
         expected: context.shutdown.duration_estimate(&call.route),
     };
-    for turn in ask.waits() {
-        report_capacity(context, turn.in_time.then_some(&call.service));
+    for wait in constraints.waits() {
+        report_capacity(context, wait.in_time.then_some(&call.service));
         let admitted = context.queue.gates.admit(Request {
             service: &call.service,
             team: &team,
-            limit: turn.limit,
+            limit: wait.limit,
             cost: work.tokens,
-            max_wait: turn.max_wait,
+            max_wait: wait.max_wait,
             objective: call.pass.objective,
             min_concurrency_factor: 1.0,
             resume: call.request.metadata.after.is_some(),
         });
-        let _guard = turn
+        let _guard = wait
             .in_time
             .then(|| UrgentGuard::new(context, &call.service));
         pin!(admitted);
         poll_gates(context);
-        let mut ticks = interval_at(Instant::now() + STOP_POLL_INTERVAL, STOP_POLL_INTERVAL);
+        let mut ticks = interval_at(
+            Instant::now() + SHUTDOWN_POLL_INTERVAL,
+            SHUTDOWN_POLL_INTERVAL,
+        );
         let result = loop {
             select! {
                 biased;
@@ -205,17 +211,17 @@
         };
         match result {
             Ok(permit) => {
-                let in_time = turn.in_time;
+                let in_time = wait.in_time;
                 log_wait(call, in_time, began.elapsed());
                 return Ok(Admission { permit, in_time });
             }
-            Err(error) => refused = error,
+            Err(rejection) => last_rejection = rejection,
         }
     }
-    Err(Refusal::Overloaded(refused))
+    Err(Refusal::Overloaded(last_rejection))
 }
 
-/// Counts a waiting request that can still meet its objective, until it is dropped.
+/// Counts a waiting request that can still meet its objective until it is dropped.
 struct UrgentGuard<'a, P> {
     context: &'a Context<P>,
     service: &'a Service,
@@ -240,7 +246,7 @@
 
 // Exchange with peers.
 impl Queue {
-    /// Adds the numbers of waiting requests to a beacon.
+    /// Adds the numbers of requests that wait here and can still meet their objective to a beacon.
     pub fn fill_beacon(&self, beacon: &mut Beacon) {
         let urgent = self.urgent.borrow();
         let waiting = urgent.iter().filter(|(_, count)| **count > 0);
@@ -250,7 +256,7 @@
 
     /// Applies a peer's beacon.
     pub fn apply_beacon(&self, beacon: &Beacon) {
-        let mut peers = self.peers.borrow_mut();
+        let mut peers = self.urgent_by_peer.borrow_mut();
         match beacon.queued.is_empty() {
             true => peers.remove(&beacon.incarnation),
             false => peers.insert(beacon.incarnation, beacon.queued.clone()),
@@ -259,7 +265,7 @@
 
     /// Removes a peer that ended or stopped sending.
     pub fn remove_peer(&self, peer: Incarnation) {
-        self.peers.borrow_mut().remove(&peer);
+        self.urgent_by_peer.borrow_mut().remove(&peer);
     }
 
     /// Sets the number of gateways that share the engines.
@@ -270,6 +276,7 @@
 }
 
 impl Queue {
+    /// Returns whether a request waits here for a service and can still meet its objective.
     fn has_urgent(&self, service: &Service) -> bool {
         self.urgent
             .borrow()
@@ -280,10 +287,11 @@
     /// Returns the number of requests that wait at peers for a service and can still meet their
     /// objective.
     fn urgent_at_peers(&self, service: &Service) -> u32 {
-        let number = beacon::id(service);
-        let peers = self.peers.borrow();
-        let all = peers.values().flatten();
-        all.filter(|(service, _)| *service == number)
+        let service_id = beacon::id(service);
+        let peers = self.urgent_by_peer.borrow();
+        let counts = peers.values().flatten();
+        counts
+            .filter(|(id, _)| *id == service_id)
             .map(|(_, count)| count)
             .sum()
     }
@@ -296,6 +304,7 @@
             .is_some_and(|at| at.elapsed() < PRESSURE_TTL)
     }
 
+    /// Records that a request had to wait for a service.
     fn record_wait(&self, service: &Service) {
         let now = Instant::now();
         self.last_waits.borrow_mut().insert(service.clone(), now);
@@ -307,7 +316,7 @@
         sizes.entry(call.service.clone()).or_insert(Size {
             tokens: work.tokens as f64,
             unread: work.unread as f64,
-            within: wait::engine_time(call.pass.objective),
+            engine_time: wait::engine_time(call.pass.objective),
         });
     }
 
@@ -343,8 +352,8 @@
         let size = sizes.get(service)?;
         let selection = context.rollouts.select_resumed(service);
         let versions = selection.versions();
-        let mut room = fleet.room(service, versions, size.work(), size.within);
-        // Requests that are late here come after those at peers that can still be in time.
+        let mut room = fleet.room(service, versions, size.work(), size.engine_time);
+        // Late requests here come after those at peers that can still be in time.
         if arriving != Some(service) && !queue.has_urgent(service) {
             room = wait::room_behind(room, queue.urgent_at_peers(service));
         }
--- a/components/gateway/src/refuse.rs
+++ b/components/gateway/src/refuse.rs
@@ -1,4 +1,4 @@
-//! Responses that the gateway gives itself.
+//! Responses that the gateway itself generates.
 
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
 
 use crate::{
     body::Body,
-    meter, //
-    protocol::HeaderError,
+    meter,
+    protocol::HeaderError, //
 };
 
 /// Default value of `Retry-After` when no backend server could take a request.
@@ -32,7 +32,7 @@
 pub struct DocumentInfo {
     /// Version of the document; 0 while none is known.
     pub version: u64,
-    /// Time since it was last confirmed.
+    /// Time since the document was last known to be the newest.
     pub age: Option<Duration>,
 }
 
@@ -51,8 +51,8 @@
     BodyTimeout,
     /// No document is known yet, or it may be out of date.
     StaleDocument,
-    /// The process would exit before the request ends; another gateway can be reached after this
-    /// time.
+    /// The process would exit before the request ends; the caller can reach another gateway after
+    /// this time.
     ShuttingDown(Duration),
     /// No backend server can take the request now.
     NoServer,
@@ -60,11 +60,11 @@
     Expired,
     /// The answer can't be complete before the deadline.
     TooLittleTime,
-    /// More requests arrive than can be served in time.
+    /// More requests wait than can be served in time.
     Overloaded(Rejection),
     /// Another attempt is needed, and the retry budget of the service is used up.
     RetriesSpent,
-    /// The request was sent and got no answer; it may have run.
+    /// The request was sent and got no response; it may have run.
     Lost,
     /// The request was sent and its deadline passed; it may have run.
     DeadlineExceeded,
@@ -139,12 +139,12 @@
             Refusal::Lost | Refusal::DeadlineExceeded => "unknown",
             _ => "not_run",
         };
-        let mut text = serde_json::json!({ "outcome": outcome, "reason": self.reason() });
+        let mut body = serde_json::json!({ "outcome": outcome, "reason": self.reason() });
         if let Refusal::InvalidHeader(error) = self {
-            text["field"] = error.field.into();
-            text["message"] = error.message.into();
+            body["field"] = error.field.into();
+            body["message"] = error.message.into();
         }
-        let mut response = Response::new(Body::whole(text.to_string()));
+        let mut response = Response::new(Body::whole(body.to_string()));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -157,13 +157,13 @@
                 | Refusal::Overloaded(_)
                 | Refusal::RetriesSpent
         );
-        let time = match self {
-            Refusal::Overloaded(refused) => refused.retry_after,
-            Refusal::ShuttingDown(time) => *time,
+        let retry_after = match self {
+            Refusal::Overloaded(rejection) => rejection.retry_after,
+            Refusal::ShuttingDown(retry_after) => *retry_after,
             _ => DEFAULT_RETRY_AFTER,
         };
         if retryable {
-            let seconds = format!("{:.2}", time.as_secs_f64());
+            let seconds = format!("{:.2}", retry_after.as_secs_f64());
             if let Ok(value) = HeaderValue::try_from(seconds) {
                 headers.insert(RETRY_AFTER, value);
             }
--- a/components/gateway/src/retry_budget.rs
+++ b/components/gateway/src/retry_budget.rs
@@ -46,27 +46,27 @@
     pub fn take_retry(&mut self, service: &Service, bound: &Bound, purpose: Purpose) -> bool {
         let now = clock::now();
         let live = self.peers.len() + 1;
-        let known = live as f64 / self.max_gateways.max(live) as f64;
+        let known_share = live as f64 / self.max_gateways.max(live) as f64;
         let retries = self.budget(beacon::id(service));
         let own = retries.counts(now, bound).totals;
-        let granted = retries.retry(now, bound, known, purpose);
+        let granted = retries.retry(now, bound, known_share, purpose);
         if !granted {
-            let others = retries.peers(known);
+            let peers = retries.peers(known_share);
             note!(
                 direct::SPENT,
                 service = service.as_str(),
                 requests = own.requests,
                 retries = own.retries,
-                others_requests = others.totals.requests,
-                others_retries = others.totals.retries,
-                others_unheard = others.unreported,
-                known = known
+                others_requests = peers.totals.requests,
+                others_retries = peers.totals.retries,
+                others_unheard = peers.unreported,
+                known = known_share
             );
         }
         granted
     }
 
-    /// Returns the sends of this gateway for its peers.
+    /// Returns the recent sends of this gateway, for its peers.
     pub fn sends(&mut self, bound: &Bound) -> Vec<Sends> {
         let now = clock::now();
         let mut sends = Vec::with_capacity(self.services.len());
@@ -82,8 +82,8 @@
         sends
     }
 
-    /// Applies the sends of a peer; `near` if it is in the same data centre.
-    pub fn apply_sends(&mut self, peer: Incarnation, sends: &[Sends], near: bool) {
+    /// Applies the recent sends of a peer; `is_local` if it is in the same data centre.
+    pub fn apply_sends(&mut self, peer: Incarnation, sends: &[Sends], is_local: bool) {
         let now = clock::now();
         for sent in sends {
             let sent_totals = Counts {
@@ -94,7 +94,7 @@
                 retries: sent.total_retries,
             };
             self.budget(sent.service)
-                .record_peer(now, peer, sent_totals, near);
+                .record_peer(now, peer, sent_totals, is_local);
         }
         self.peers.insert(peer);
         self.max_gateways = self.max_gateways.max(self.peers.len() + 1);
--- a/components/gateway/src/rollout.rs
+++ b/components/gateway/src/rollout.rs
@@ -40,8 +40,8 @@
 use crate::clock;
 
 /// Time after the start before a new version gets traffic: until then the number of gateways that
-/// share the limit is unknown.
-const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// share the exposure limit is unknown.
+const NEW_VERSION_DELAY: Duration = Duration::from_secs(2);
 
 /// Samples of a route that are needed before a request can count as slow.
 const MIN_SAMPLES: u64 = 12;
@@ -53,28 +53,30 @@
 /// times as long, and its share of slow responses is compared with that of the old version.
 const SLOW_FACTOR: f64 = 2.5;
 
-/// Rollouts that are in progress or were.
+/// Rollouts by service, including ended ones, and the data that they share.
 #[derive(Default)]
 pub struct Rollouts {
-    briefs: RefCell<HashMap<Service, Rollout>>,
+    rollouts: RefCell<HashMap<Service, Rollout>>,
     /// Times to the first event, or to a plain response, by route.
     durations: RefCell<HashMap<Route, Histogram>>,
     /// Rank of this gateway among the live ones, from 0, and their number.
     rank: Cell<usize>,
     gateways: Cell<usize>,
+    /// Time at which the rank was first set.
     started: Cell<Option<Clock>>,
 }
 
 /// Versions that may serve a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selection {
-    limit: Option<(Constraint, Version)>,
+    /// Constraint and new version of the service's rollout, if there is one.
+    constraint: Option<(Constraint, Version)>,
 }
 
 impl Selection {
     /// Returns the versions as a filter for placement.
     pub fn versions(&self) -> Versions<'_> {
-        match &self.limit {
+        match &self.constraint {
             None | Some((Constraint::Any, _)) => Versions::Any,
             Some((Constraint::OnlyNew, version)) => Versions::Only(version),
             Some((Constraint::ExcludeNew, version)) => Versions::Not(version),
@@ -87,7 +89,7 @@
 pub struct Report {
     /// The service.
     pub service: Service,
-    /// Order to which it belongs.
+    /// Order to which the state belongs.
     pub order: Order,
     /// The state.
     pub state: State,
@@ -96,13 +98,13 @@
 impl Rollouts {
     /// Sets the order of a service; `None` when it was cancelled.
     pub fn set_order(&self, service: &Service, order: Option<Order>, exposure: Exposure) {
-        let mut briefs = self.briefs.borrow_mut();
-        let known = briefs.get(service).map(|brief| brief.order().clone());
+        let mut rollouts = self.rollouts.borrow_mut();
+        let known = rollouts.get(service).map(|rollout| rollout.order().clone());
         if known == order {
             return;
         }
         let Some(order) = order else {
-            briefs.remove(service);
+            rollouts.remove(service);
             note!(event::WITHDRAWN, service = service.as_str());
             return;
         };
@@ -113,20 +115,20 @@
             revision = order.revision,
             within_ms = order.within.as_millis() as u64
         );
-        briefs.insert(service.clone(), Rollout::new(order, exposure, clock::now()));
+        rollouts.insert(service.clone(), Rollout::new(order, exposure, clock::now()));
     }
 
     /// Applies a state that was written to the store at revision `at`.
     pub fn apply_state(&self, service: &Service, at: Revision, to: &Version, state: State) {
-        let mut briefs = self.briefs.borrow_mut();
-        let Some(brief) = briefs.get_mut(service) else {
+        let mut rollouts = self.rollouts.borrow_mut();
+        let Some(rollout) = rollouts.get_mut(service) else {
             return;
         };
-        // A state that was written before the order belongs to another one.
-        if at < brief.order().revision || brief.order().to != *to {
+        // A state that was written before this order belongs to an earlier one.
+        if at < rollout.order().revision || rollout.order().to != *to {
             return;
         }
-        if !brief.set_stored_state(state) {
+        if !rollout.set_stored_state(state) {
             return;
         }
         note!(
@@ -134,40 +136,42 @@
             service = service.as_str(),
             version = to.as_str(),
             state = state_name(state),
-            against = brief.log_likelihood_ratio(),
-            sampled = brief.samples_sent()
+            against = rollout.log_likelihood_ratio(),
+            sampled = rollout.samples_sent()
         );
     }
 
     /// Selects the versions for a new request, and counts the request.
     pub fn select(&self, service: &Service, route: &Route) -> Selection {
         let now = clock::now();
-        let mut briefs = self.briefs.borrow_mut();
-        let Some(brief) = briefs.get_mut(service) else {
+        let mut rollouts = self.rollouts.borrow_mut();
+        let Some(rollout) = rollouts.get_mut(service) else {
             return Selection::default();
         };
         let started = self.started.get().unwrap_or(now);
-        let limit = match brief.state(now) {
-            State::Running if now.saturating_sub(started) < SETTLE_TIME => Constraint::ExcludeNew,
+        let constraint = match rollout.state(now) {
+            State::Running if now.saturating_sub(started) < NEW_VERSION_DELAY => {
+                Constraint::ExcludeNew
+            }
             _ => {
-                brief.observe_entries(self.gateways.get());
+                rollout.observe_entries(self.gateways.get());
                 let draw = rand::random();
-                brief.pick(now, beacon::id(route), draw)
+                rollout.pick(now, beacon::id(route), draw)
             }
         };
         Selection {
-            limit: Some((limit, brief.order().to.clone())),
+            constraint: Some((constraint, rollout.order().to.clone())),
         }
     }
 
     /// Returns the versions for a request that is resumed after a loss.
     pub fn select_resumed(&self, service: &Service) -> Selection {
-        let briefs = self.briefs.borrow();
-        let limit = briefs.get(service).map(|brief| {
-            let limit = brief.constraint(clock::now());
-            (limit, brief.order().to.clone())
+        let rollouts = self.rollouts.borrow();
+        let constraint = rollouts.get(service).map(|rollout| {
+            let constraint = rollout.constraint(clock::now());
+            (constraint, rollout.order().to.clone())
         });
-        Selection { limit }
+        Selection { constraint }
     }
 
     /// Records the result of a request at a version: the time to its first event or to its
@@ -180,59 +184,61 @@
         time: Option<Duration>,
     ) {
         let slow = time.is_some_and(|time| self.is_slow(route, time));
-        let mut briefs = self.briefs.borrow_mut();
-        let Some(brief) = briefs.get_mut(service) else {
+        let mut rollouts = self.rollouts.borrow_mut();
+        let Some(rollout) = rollouts.get_mut(service) else {
             self.record_duration(route, time);
             return;
         };
-        let side = match *version == brief.order().to {
+        let side = match *version == rollout.order().to {
             true => Side::New,
             false => Side::Old,
         };
         if side == Side::Old {
             self.record_duration(route, time);
         }
-        let before = brief.vetoed();
+        let was_vetoed = rollout.vetoed();
         let bad = slow || time.is_none();
-        brief.record_end(clock::now(), beacon::id(route), side, bad);
-        if brief.vetoed() && !before {
-            log_veto(service, brief);
+        rollout.record_end(clock::now(), beacon::id(route), side, bad);
+        if rollout.vetoed() && !was_vetoed {
+            log_veto(service, rollout);
         }
     }
 
+    /// Returns whether a time is several times the route's median.
     fn is_slow(&self, route: &Route, time: Duration) -> bool {
         let durations = self.durations.borrow();
-        let Some(times) = durations
+        let Some(histogram) = durations
             .get(route)
-            .filter(|times| times.count() >= MIN_SAMPLES)
+            .filter(|histogram| histogram.count() >= MIN_SAMPLES)
         else {
             return false;
         };
-        let median = times.quantile(0.5).unwrap_or(Duration::MAX);
+        let median = histogram.quantile(0.5).unwrap_or(Duration::MAX);
         time.as_secs_f64() > median.as_secs_f64() * SLOW_FACTOR
     }
 
+    /// Adds a time to the route's histogram.
     fn record_duration(&self, route: &Route, time: Option<Duration>) {
         let Some(time) = time else {
             return;
         };
         let mut durations = self.durations.borrow_mut();
-        let times = durations.entry(route.clone()).or_default();
-        if times.count() >= MAX_SAMPLES {
-            *times = Histogram::default();
+        let histogram = durations.entry(route.clone()).or_default();
+        if histogram.count() >= MAX_SAMPLES {
+            *histogram = Histogram::default();
         }
-        times.record(time);
+        histogram.record(time);
     }
 
     /// Returns the states that have to be written to the store.
     pub fn pending_reports(&self) -> Vec<Report> {
         let now = clock::now();
-        let briefs = self.briefs.borrow();
-        let reports = briefs.iter().filter_map(|(service, brief)| {
-            let state = brief.state_to_store(now)?;
+        let rollouts = self.rollouts.borrow();
+        let reports = rollouts.iter().filter_map(|(service, rollout)| {
+            let state = rollout.state_to_store(now)?;
             Some(Report {
                 service: service.clone(),
-                order: brief.order().clone(),
+                order: rollout.order().clone(),
                 state,
             })
         });
@@ -245,13 +251,13 @@
     /// Adds the state of each rollout to a beacon.
     pub fn fill_beacon(&self, beacon: &mut Beacon) {
         let now = clock::now();
-        for (service, brief) in self.briefs.borrow().iter() {
-            if brief.state(now) == State::Running
-                || brief.state_to_store(now).is_some()
-                || brief.vetoed()
+        for (service, rollout) in self.rollouts.borrow().iter() {
+            if rollout.state(now) == State::Running
+                || rollout.state_to_store(now).is_some()
+                || rollout.vetoed()
             {
-                let number = beacon::id(service);
-                beacon.moves.push((number, brief.progress(now)));
+                let service_id = beacon::id(service);
+                beacon.moves.push((service_id, rollout.progress(now)));
             }
         }
     }
@@ -259,17 +265,17 @@
     /// Applies a peer's beacon.
     pub fn apply_beacon(&self, beacon: &Beacon) {
         let now = clock::now();
-        let mut briefs = self.briefs.borrow_mut();
-        for (number, report) in &beacon.moves {
-            let mut found = briefs.iter_mut();
-            let found = found.find(|(service, _)| beacon::id(service) == *number);
-            let Some((service, brief)) = found else {
+        let mut rollouts = self.rollouts.borrow_mut();
+        for (service_id, progress) in &beacon.moves {
+            let mut found = rollouts.iter_mut();
+            let found = found.find(|(service, _)| beacon::id(service) == *service_id);
+            let Some((service, rollout)) = found else {
                 continue;
             };
-            let before = brief.vetoed();
-            brief.merge(now, beacon.incarnation, report.clone());
-            if brief.vetoed() && !before {
-                log_veto(service, brief);
+            let was_vetoed = rollout.vetoed();
+            rollout.merge(now, beacon.incarnation, progress.clone());
+            if rollout.vetoed() && !was_vetoed {
+                log_veto(service, rollout);
             }
         }
     }
@@ -289,13 +295,13 @@
     }
 }
 
-fn log_veto(service: &Service, brief: &Rollout) {
+fn log_veto(service: &Service, rollout: &Rollout) {
     note!(
         event::FOUND_BAD,
         service = service.as_str(),
-        version = brief.order().to.as_str(),
-        against = brief.log_likelihood_ratio(),
-        sampled = brief.samples_sent()
+        version = rollout.order().to.as_str(),
+        against = rollout.log_likelihood_ratio(),
+        sampled = rollout.samples_sent()
     );
 }
 
--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -20,14 +20,14 @@
 };
 
 use crate::{
-    fleet::Target, //
+    fleet::Target,
     protocol::{
         Activity,
-        Dispatch, //
+        Dispatch,
         Metadata,
         Protocol,
-        Reply,
-    },
+        Reply, //
+    }, //
 };
 
 /// Timeout of a new connection. Servers are a few milliseconds away; a lost SYN is retransmitted
@@ -41,8 +41,9 @@
 /// Timeout of a request for a server's current runs.
 const ACTIVITY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Maximum size of a response body to an earlier request that is skipped, in bytes.
-const MAX_SKIPPED_BODY: usize = 64 * 1024;
+/// Maximum size of a response body that is read for the gateway itself: of a response to an earlier
+/// request, or to a call of the gateway.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Client for backend servers, with a pool of connections.
 pub struct Sender<P> {
@@ -112,15 +113,15 @@
         }
     }
 
-    /// Parses a head, or returns `None` if it answers an earlier request on the same connection;
-    /// the expected response follows it then.
+    /// Parses a head. Returns `None` if it answers an earlier request on the same connection, in
+    /// which case the expected response follows.
     pub fn match_reply(&self, request: &BufferedRequest, head: &Head) -> Option<Reply> {
         let reply = self.protocol.parse_reply(head);
-        let matching = reply
+        let matches = reply
             .id
             .as_ref()
             .is_none_or(|id| *id == request.metadata.id);
-        matching.then_some(reply)
+        matches.then_some(reply)
     }
 
     /// Reads the head of the response to a request.
@@ -138,7 +139,7 @@
             if let Some(reply) = self.match_reply(request, &head) {
                 return Ok((head, reply));
             }
-            let body = connection.read_body(MAX_SKIPPED_BODY).await?;
+            let body = connection.read_body(MAX_BODY_BYTES).await?;
             if body.complete().is_none() {
                 return Err(Error::Malformed("response to another request"));
             }
@@ -177,7 +178,7 @@
         let mut connection = self.connect(target).await?;
         connection.write(method, head.into(), body).await?;
         let head = connection.head().await?;
-        let body = connection.read_body(MAX_SKIPPED_BODY).await?;
+        let body = connection.read_body(MAX_BODY_BYTES).await?;
         let body = body
             .complete()
             .ok_or(Error::Malformed("response too long"))?;
--- a/components/gateway/src/settings.rs
+++ b/components/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that the gateway takes at its start and on each reload.
+//! Settings that the gateway reads at its start and on each reload.
 
 use std::{
     net::SocketAddr,
@@ -27,7 +27,7 @@
     pub peers: SocketAddr,
     /// Address of the metrics endpoint.
     pub metrics: Option<SocketAddr>,
-    /// Addresses at which some other gateways may be found; they may be gone.
+    /// Addresses of some other gateways, which may no longer exist.
     pub seeds: Vec<SocketAddr>,
     /// Limits that the operator sets for all gateways together.
     pub bounds: Bounds,
@@ -51,7 +51,7 @@
     pub retry_slack: f64,
     /// Length of the window over which retries are counted.
     pub retry_window: Duration,
-    /// Limit on the requests that a faulty new version of a service may get.
+    /// Limit on the requests that a faulty new version of a service may receive.
     pub exposure: Exposure,
 }
 
--- a/components/gateway/src/shutdown.rs
+++ b/components/gateway/src/shutdown.rs
@@ -2,8 +2,8 @@
 //!
 //! The balancer keeps sending connections for some seconds after the process receives SIGTERM, and
 //! callers keep using their open ones. A stream that would outlast the grace time is rejected at
-//! once, so that its caller gets it whole from another gateway; if it were admitted, it would be
-//! cut.
+//! once, so that its caller gets a complete answer from another gateway. If it were admitted, it
+//! would be cut off.
 
 use std::{
     cell::{
@@ -32,8 +32,8 @@
 /// Mean deviations above the average duration that a request is expected to stay within.
 const MAX_DEVIATIONS: f64 = 3.0;
 
-/// As [`MAX_DEVIATIONS`], for the last gateway of a data centre, whose callers can't reach another
-/// one at once.
+/// Replaces [`MAX_DEVIATIONS`] at the last gateway of a data centre, whose callers can't reach
+/// another one at once.
 const MAX_DEVIATIONS_LAST_GATEWAY: f64 = 1.0;
 
 /// Multiple of the latency objective that a request is expected to take on a route without samples.
@@ -50,18 +50,18 @@
 #[derive(Debug, Default)]
 pub struct Shutdown {
     began: Cell<Option<Instant>>,
-    /// Other gateways of the data centre that accept new work.
+    /// Number of other gateways of the data centre that accept new work.
     neighbours: Cell<usize>,
     averages: RefCell<HashMap<Route, Average>>,
 }
 
 impl Shutdown {
-    /// Records that the process was told to stop.
+    /// Begins the shutdown.
     pub fn begin(&self) {
         self.began.set(Some(Instant::now()));
     }
 
-    /// Returns whether the process was told to stop.
+    /// Returns whether the shutdown has begun.
     pub fn has_begun(&self) -> bool {
         self.began.get().is_some()
     }
@@ -75,11 +75,11 @@
     /// to the caller's data centre while it believes that a gateway runs there, and this one may be
     /// the last.
     pub fn retry_after(&self) -> Duration {
-        let (Some(close), 0) = (self.idle_close_at(), self.neighbours.get()) else {
+        let (Some(close_at), 0) = (self.idle_close_at(), self.neighbours.get()) else {
             return DEFAULT_RETRY_AFTER;
         };
-        let left = close.saturating_duration_since(Instant::now());
-        left.max(DEFAULT_RETRY_AFTER)
+        let remaining = close_at.saturating_duration_since(Instant::now());
+        remaining.max(DEFAULT_RETRY_AFTER)
     }
 
     /// Returns the time at which idle connections are closed.
@@ -119,8 +119,8 @@
         average.deviation += EWMA_WEIGHT * (error - average.deviation);
     }
 
-    /// Returns whether a new request is admitted, which is the case when it is expected to end
-    /// before the process exits. The last gateway of a data centre allows fewer deviations, as its
+    /// Returns whether a new request is admitted: it must be expected to end before the process
+    /// exits. The last gateway of a data centre allows fewer deviations, as its
     /// callers can't reach another one at once. `objective` is used to estimate the duration on a
     /// route without samples.
     pub fn admits(&self, route: &Route, objective: Duration, grace: Duration) -> bool {
@@ -135,6 +135,8 @@
         self.ends_within(route, objective, grace, MAX_DEVIATIONS)
     }
 
+    /// Returns whether a request is expected to end before the process exits, within `deviations`
+    /// of the average duration.
     fn ends_within(
         &self,
         route: &Route,
@@ -142,15 +144,17 @@
         grace: Duration,
         deviations: f64,
     ) -> bool {
-        let Some(end) = self.exit_at(grace) else {
+        let Some(exit_at) = self.exit_at(grace) else {
             return true;
         };
-        let left = end.saturating_duration_since(Instant::now()).as_secs_f64();
+        let remaining = exit_at
+            .saturating_duration_since(Instant::now())
+            .as_secs_f64();
         let routes = self.averages.borrow();
         let time = match routes.get(route) {
             Some(average) => average.mean + deviations * average.deviation,
             None => objective.as_secs_f64() * UNSAMPLED_FACTOR,
         };
-        time < left
+        time < remaining
     }
 }
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -78,7 +78,7 @@
 /// Handles a streaming request.
 pub async fn run<P: Protocol + 'static>(context: &Rc<Context<P>>, call: Call) -> Response<Body> {
     let mut session = Session {
-        guard: AbandonGuard::new(&call),
+        abandon_guard: AbandonGuard::new(&call),
         context: context.clone(),
         sequence: Sequence::after(call.request.metadata.after),
         selection: Selection::default(),
@@ -96,7 +96,7 @@
     let started = match session.start_first().await {
         Ok(started) => started,
         Err(response) => {
-            session.guard.done = true;
+            session.abandon_guard.done = true;
             return response;
         }
     };
@@ -116,25 +116,25 @@
 
 /// One stream from its request to its end.
 struct Session<P> {
-    guard: AbandonGuard,
+    abandon_guard: AbandonGuard,
     context: Rc<Context<P>>,
     call: Call,
-    /// Versions that may serve it.
+    /// Versions that may serve the request.
     selection: Selection,
     sequence: Sequence,
     /// Capacity that the queue granted.
     admission: Option<Admission>,
-    /// Servers to which it was sent.
+    /// Servers to which the request was sent.
     tried: Vec<Server>,
-    /// Servers at which it may have run.
+    /// Servers at which the request may have run.
     ran_at: Vec<Server>,
     /// Server of the last lost run.
     last_lost: Option<Server>,
-    /// Counted sends that reached no server; further sends are offset against them.
+    /// Number of counted sends that reached no server; as many further sends are not counted.
     unsent: u32,
-    /// Unreachable servers in a row.
+    /// Number of unreachable servers in a row.
     unreachable_in_row: u32,
-    /// When the caller was last sent an event, initially when the request arrived.
+    /// Time at which the caller was last sent an event; initially the arrival of the request.
     last_event: Instant,
     /// Time from the request to its first event.
     time_to_first: Option<Duration>,
@@ -145,7 +145,7 @@
 impl<P: Protocol + 'static> Session<P> {
     /// Starts runs until one answers, or no attempt is left.
     async fn start_first(&mut self) -> Result<StartedRun, Response<Body>> {
-        self.cache_lookup().await;
+        self.look_up_prompt().await;
         let work = self.remaining_work();
         match queue::admit(&self.context, &self.call, work).await {
             Ok(admission) => self.admission = Some(admission),
@@ -212,7 +212,7 @@
             if self.timed_out() {
                 break;
             }
-            // The rollout may have ended since, and the versions that it allowed with it.
+            // The rollout may have ended since, which changes the allowed versions.
             self.selection = self.context.rollouts.select_resumed(&self.call.service);
         }
         Err(match failure {
@@ -278,7 +278,7 @@
                         yield Ok(bytes);
                     }
                     Step::End => {
-                        self.guard.done = true;
+                        self.abandon_guard.done = true;
                         self.finish(*run);
                         return;
                     }
@@ -293,7 +293,7 @@
                     }
                 }
             };
-            self.guard.done = true;
+            self.abandon_guard.done = true;
             meter::outcome("cut", self.call.arrived.elapsed());
             note!(
                 direct::CUT,
@@ -328,6 +328,7 @@
         self.last_event = now;
     }
 
+    /// Records the end of a complete answer.
     fn finish(&self, run: Run) {
         note!(
             direct::ANSWERED,
@@ -348,7 +349,7 @@
             let time = self.call.arrived.elapsed().saturating_sub(first);
             let answer = Answer { events, time };
             self.context
-                .outlook
+                .forecast
                 .borrow_mut()
                 .record(&self.call.route, answer);
         }
@@ -359,6 +360,7 @@
         }
     }
 
+    /// Resumes the stream after the loss of a run; returns `None` if no further run can be started.
     async fn resume(&mut self, lost: LostRun) -> Option<Box<Run>> {
         if self.call.pass.repeats != Repeats::Resumes {
             return None;
@@ -420,17 +422,18 @@
             .record_result(service, route, &target.version, time);
     }
 
-    /// Determines the candidates after a loss. A run that was lost before its first event has no
-    /// copy of its own, so the candidates of the previous loss stay valid.
-    fn record_loss(&mut self, slot: &mut Option<Resumption>, lost: LostRun) {
-        self.record_ran(&lost.server);
-        let server = lost.server.server.clone();
-        let same_server = self.last_lost.replace(server) == Some(lost.server.server.clone());
-        if same_server && let Some(resumption) = slot {
+    /// Records a loss and determines the candidates for the next run. After a second loss in a row
+    /// at the same server, the remaining candidates of the first one stay valid: a run that was
+    /// lost before its first event has no copy of its own.
+    fn record_loss(&mut self, resumption: &mut Option<Resumption>, lost: LostRun) {
+        self.record_ran(&lost.target);
+        let server = lost.target.server.clone();
+        let same_server = self.last_lost.replace(server) == Some(lost.target.server.clone());
+        if same_server && let Some(resumption) = resumption {
             resumption.skip_same();
             return;
         }
-        *slot = Some(Resumption::new(lost, same_server));
+        *resumption = Some(Resumption::new(lost, same_server));
     }
 }
 
--- a/components/gateway/src/stream/backup.rs
+++ b/components/gateway/src/stream/backup.rs
@@ -1,8 +1,8 @@
 //! Copies of a run's KV cache at other servers.
 //!
-//! A run's server replicates its KV cache as it grows to the server that the request named. When
-//! that one is lost before the run ends, another copy is made by a call to the run's server and
-//! refreshed until the run ends.
+//! A run's server replicates its KV cache continuously to the server that the request names as the
+//! holder. When the holder is lost before the run ends, a copy at another holder is made by a call
+//! to the run's server, and refreshed until the run ends.
 
 use std::{
     cell::RefCell,
@@ -32,27 +32,28 @@
         InFlight,
         Target, //
     },
-    handle::Context, //
+    handle::Context,
     protocol::{
         KvCopy,
         Protocol, //
     },
 };
 
-/// Timeout of a call that makes a copy: tens of milliseconds of transfer, queued behind others.
+/// Timeout of a call that makes a copy. The transfer takes tens of milliseconds, but may be queued
+/// behind others.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Share of the retention time of an unused copy after which it is refreshed.
 const REFRESH_SHARE: f64 = 0.5;
 
-/// Wait after a failed call.
+/// Delay after a failed call before the next one.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A copy that exists or is being made.
 pub(super) struct Backup {
-    /// Server that holds it.
+    /// Server that holds the copy.
     pub(super) holder: Target,
-    /// Counts the memory at the holder.
+    /// Counts the memory that the copy occupies at the holder.
     _in_flight: InFlight,
     kind: Kind,
 }
@@ -60,7 +61,7 @@
 enum Kind {
     /// The run's server replicates its KV cache continuously.
     Continuous(KvCopy),
-    /// Made by calls to the run's server.
+    /// The copy is made by calls to the run's server.
     OnRequest(Rc<RefCell<Progress>>),
 }
 
@@ -68,6 +69,7 @@
 #[derive(Default)]
 struct Progress {
     copy: Option<KvCopy>,
+    /// Time of the next call.
     next: Option<Instant>,
     call: Option<JoinHandle<()>>,
 }
@@ -111,13 +113,14 @@
         }
     }
 
-    /// Refreshes a copy that is made by calls when it is due.
+    /// Refreshes a copy that is made by calls, if it is due. `retention` is the time for which the
+    /// holder keeps an unused copy.
     pub(super) fn refresh<P: Protocol + 'static>(
         &self,
         context: &Rc<Context<P>>,
         source: &Target,
         id: &str,
-        kept: Duration,
+        retention: Duration,
     ) {
         let Kind::OnRequest(progress) = &self.kind else {
             return;
@@ -132,7 +135,7 @@
             source: source.clone(),
             holder: self.holder.clone(),
             id: id.to_string(),
-            kept,
+            retention,
         };
         let progress = Rc::downgrade(progress);
         inner.call = Some(spawn_local(async move {
@@ -141,11 +144,11 @@
                 return;
             };
             let mut inner = progress.borrow_mut();
-            let wait = match &result {
-                Some(_) => call.kept.mul_f64(REFRESH_SHARE),
+            let delay = match &result {
+                Some(_) => call.retention.mul_f64(REFRESH_SHARE),
                 None => RETRY_DELAY,
             };
-            inner.next = Some(Instant::now() + wait);
+            inner.next = Some(Instant::now() + delay);
             if result.is_some() {
                 inner.copy = result;
             }
@@ -159,7 +162,7 @@
     source: Target,
     holder: Target,
     id: String,
-    kept: Duration,
+    retention: Duration,
 }
 
 impl<P: Protocol> CopyCall<P> {
@@ -169,14 +172,14 @@
         let (head, body) = sender
             .protocol()
             .copy_request(&self.id, self.holder.address);
-        let answer = timeout(
+        let response = timeout(
             CALL_TIMEOUT,
             sender.call(&self.source, &Method::POST, head, body),
         )
         .await;
-        let answer = answer.ok().and_then(Result::ok);
-        let name =
-            answer.and_then(|(head, body): (_, Bytes)| sender.protocol().parse_copy(&head, &body));
+        let response = response.ok().and_then(Result::ok);
+        let name = response
+            .and_then(|(head, body): (_, Bytes)| sender.protocol().parse_copy(&head, &body));
         note!(
             direct::COPIED,
             id = self.id.as_str(),
--- a/components/gateway/src/stream/resumption.rs
+++ b/components/gateway/src/stream/resumption.rs
@@ -9,18 +9,20 @@
 };
 
 use crate::{
-    fleet::Target, //
-    protocol::KvCopy,
+    fleet::Target,
+    protocol::KvCopy, //
 };
 
 /// A lost run, and the copies from which its stream can be resumed.
 pub(super) struct LostRun {
     pub(super) loss: Loss,
-    /// Number of events that the run produced, and its age.
+    /// Number of events that the run produced.
     pub(super) events: u64,
+    /// Age of the run.
     pub(super) age: Duration,
-    pub(super) server: Target,
-    /// Copy from which the run was resumed, if it produced no event: the copy may still exist.
+    /// Server of the run.
+    pub(super) target: Target,
+    /// Copy from which the run was resumed, if the run produced no event. The copy may still exist.
     pub(super) resumed_from: Option<KvCopy>,
     /// Server that holds a copy of the run's KV cache, and the copy.
     pub(super) backup: Option<(Target, KvCopy)>,
@@ -33,22 +35,25 @@
 }
 
 impl Resumption {
-    /// Creates the candidates; `same_server` if the previous run was lost at the same server.
+    /// Determines the candidates; `same_server` if the previous run was lost at the same server.
     pub(super) fn new(lost: LostRun, same_server: bool) -> Resumption {
-        let read = lost.events > 0 || lost.age >= MIN_PREFILL_AGE || lost.resumed_from.is_some();
-        let worth = !same_server && read;
+        let processed =
+            lost.events > 0 || lost.age >= MIN_PREFILL_AGE || lost.resumed_from.is_some();
+        let prompt_cached = !same_server && processed;
         Resumption {
-            candidates: lost.loss.candidates(worth),
+            candidates: lost.loss.candidates(prompt_cached),
             lost,
         }
     }
 
+    /// Drops the candidate that resumes at the server of the lost run, if it comes next.
     pub(super) fn skip_same(&mut self) {
         if let [Candidate::Same, rest @ ..] = self.candidates {
             self.candidates = rest;
         }
     }
 
+    /// Takes the next candidate.
     pub(super) fn take(&mut self) -> Option<Candidate> {
         let (first, rest) = self.candidates.split_first()?;
         self.candidates = rest;
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -48,10 +48,10 @@
     },
     meter,
     protocol::{
-        Dispatch, //
+        Dispatch,
         KvCopy,
         Protocol,
-        Reply,
+        Reply, //
     },
     refuse::DEFAULT_RETRY_AFTER,
     sender::Failure,
@@ -63,12 +63,12 @@
 };
 
 /// Maximum size of an error response that is read, in bytes.
-const MAX_FAILURE_BODY: usize = 64 * 1024;
+const MAX_FAILURE_BODY_BYTES: usize = 64 * 1024;
 
 /// Longest wait for a server's next bytes before its state is checked again.
 const MAX_FILL_WAIT: Duration = Duration::from_millis(400);
 
-/// Interval at which the holder of the copy is checked.
+/// Interval at which the holder of the backup is checked.
 const BACKUP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Timeout of the body of an error response.
@@ -84,20 +84,19 @@
     silence: Detector,
     pub(super) began: Instant,
     last_received: Instant,
-    /// When its server was last known to be alive.
+    /// Time at which the server was last known to be alive.
     last_alive: Instant,
-    /// When the copy was last checked.
-    copy_checked: Instant,
+    /// Time at which the holder of the backup was last checked.
+    backup_checked: Instant,
     events: u64,
     complete: bool,
-    /// Copy from which the run was to resume; a server also declines the request when the copy is
-    /// missing.
+    /// Copy from which the run resumes; its server declines the request if the copy is missing.
     copy: Option<KvCopy>,
 }
 
 /// Result of waiting for a run.
 pub(super) enum Step {
-    /// Whole events, in order.
+    /// Complete events, in order.
     Events(Bytes),
     /// The answer is complete.
     End,
@@ -109,21 +108,21 @@
 
 /// Result of starting a run.
 pub(super) enum Start {
-    /// The server answers with a stream.
+    /// The server responded with a stream.
     Running {
         run: Box<Run>,
         status: StatusCode,
         headers: HeaderMap,
     },
-    /// The server answered with an error.
+    /// The server responded with an error.
     Failed(Response<Body>),
-    /// The server didn't run it.
+    /// The server didn't run the request.
     Declined,
     /// The server is unreachable, and no byte was sent.
     Unreachable,
-    /// The server is gone: another one got the request at its address, and didn't run it.
+    /// The server is gone: another one at its address received the request, and didn't run it.
     Replaced,
-    /// It may have run, or have begun to.
+    /// The server may have run the request, or a part of it.
     Lost(Box<LostRun>),
     /// The deadline of the answer passed.
     TimedOut,
@@ -146,7 +145,7 @@
             loss,
             events: self.events,
             age: self.began.elapsed(),
-            server: self.target.clone(),
+            target: self.target.clone(),
             resumed_from: self.copy.take().filter(|_| self.events == 0),
             backup: self.backup.take().and_then(|backup| {
                 let copy = backup.copy()?;
@@ -155,7 +154,7 @@
         }
     }
 
-    /// Ends the run after its whole answer; returns the connection if it can be reused.
+    /// Ends the run after its complete answer; returns the connection if it can be reused.
     pub(super) fn finish(mut self) -> Option<Connection> {
         self.in_flight.set_outcome(Outcome::Served {
             time: self.began.elapsed(),
@@ -163,7 +162,7 @@
         self.complete.then_some(self.connection)
     }
 
-    /// Takes the next piece from the bytes that were read.
+    /// Takes the next piece from the bytes that were received.
     fn take<P: Protocol>(
         &mut self,
         session: &Session<P>,
@@ -216,7 +215,7 @@
                     }
                 }
                 Advice::Connect => {
-                    let check = self.context.sender.probe(&run.target);
+                    let probe = self.context.sender.probe(&run.target);
                     tokio::select! {
                         biased;
                         filled = run.connection.fill() => {
@@ -224,7 +223,7 @@
                                 return Received::Lost(Loss::Reset);
                             }
                         }
-                        alive = check => {
+                        alive = probe => {
                             if !alive {
                                 return Received::Lost(Loss::Dark);
                             }
@@ -234,7 +233,7 @@
                     }
                 }
                 Advice::QueryServer => {
-                    let inquiry = self.context.sender.read_activity(&run.target);
+                    let query = self.context.sender.read_activity(&run.target);
                     tokio::select! {
                         biased;
                         filled = run.connection.fill() => {
@@ -242,7 +241,7 @@
                                 return Received::Lost(Loss::Reset);
                             }
                         }
-                        activity = inquiry => match activity {
+                        activity = query => match activity {
                             None => return Received::Lost(Loss::Dark),
                             Some(activity) if activity.has_lost(&self.call.request.metadata.id) => {
                                 return Received::Lost(Loss::Mute);
@@ -258,8 +257,8 @@
         }
     }
 
-    /// Shortens the patience with a run when its server was found unreachable after its last sign
-    /// of life.
+    /// Makes the detector suspect a run whose server was found unreachable since the server was
+    /// last known to be alive.
     fn check_suspicion(&self, run: &mut Run) {
         let Some(age) = self
             .context
@@ -274,10 +273,10 @@
         }
     }
 
-    /// Returns the next whole events of a run.
+    /// Returns the next complete events of a run.
     pub(super) async fn step(&mut self, run: &mut Run) -> Step {
         loop {
-            self.maintain_copy(run);
+            self.maintain_backup(run);
             match self.take_events(run) {
                 Ok(out) if !out.is_empty() => return Step::Events(out),
                 Ok(_) => {}
@@ -300,13 +299,14 @@
     }
 
     /// Ensures that another server holds a copy of the run's KV cache.
-    fn maintain_copy(&self, run: &mut Run) {
-        if run.events == 0 || Instant::now() < run.copy_checked + BACKUP_CHECK_INTERVAL {
+    fn maintain_backup(&self, run: &mut Run) {
+        if run.events == 0 || Instant::now() < run.backup_checked + BACKUP_CHECK_INTERVAL {
             return;
         }
-        run.copy_checked = Instant::now();
-        let holds = |backup: &Backup| self.context.fleet.borrow().is_usable(&backup.holder.server);
-        if !run.backup.as_ref().is_some_and(holds) {
+        run.backup_checked = Instant::now();
+        let is_usable =
+            |backup: &Backup| self.context.fleet.borrow().is_usable(&backup.holder.server);
+        if !run.backup.as_ref().is_some_and(is_usable) {
             let backup = self.choose_backup(&run.target);
             run.backup = backup.map(|(holder, in_flight)| Backup::on_request(holder, in_flight));
         }
@@ -316,7 +316,7 @@
         }
     }
 
-    /// Takes the whole events that were read, without those that the caller already has.
+    /// Takes the complete events that were received, without those that the caller already has.
     fn take_events(&mut self, run: &mut Run) -> Result<Bytes, Loss> {
         let mut out = BytesMut::new();
         while let Some(event) = run.splitter.take().map_err(|_| Loss::Malformed)? {
@@ -331,14 +331,14 @@
                 fleet.record_prompt(self.parts(), &run.target.server);
             }
             run.events += 1;
-            let fresh = match event.id {
+            let is_new = match event.id {
                 Some(id) => self.sequence.accept(id),
                 None => Ok(true),
             };
-            match fresh {
+            match is_new {
                 Ok(true) => out.extend_from_slice(&event.bytes),
                 Ok(false) => {}
-                // The events before it are valid; the missing ones come from another run.
+                // The events before the gap are valid; another run provides the missing ones.
                 Err(_) if !out.is_empty() => break,
                 Err(_) => return Err(Loss::Gap),
             }
@@ -346,11 +346,13 @@
         Ok(out.freeze())
     }
 
+    /// Logs a loss, and returns it as the result of a step.
     fn report_loss(&self, run: &Run, loss: Loss) -> Step {
         self.log_loss(run, loss);
         Step::Lost(loss)
     }
 
+    /// Logs a loss, and records it against the server.
     fn log_loss(&self, run: &Run, loss: Loss) {
         meter::loss(loss.name());
         meter::send("lost");
@@ -362,8 +364,8 @@
             fleet.suspect(server, Suspicion::Broke);
         }
         drop(fleet);
-        // If the server crashed, its idle connections are dead too, and a request on one would look
-        // like a lost run.
+        // If the server crashed, its idle connections are dead too, and a request sent on one of
+        // them would look like a lost run.
         self.context.sender.disconnect(run.target.address);
         note!(
             direct::LOST,
@@ -389,7 +391,7 @@
             .fleet
             .borrow()
             .cached_tokens(self.parts(), &target.server);
-        // The copy of a run without events may hold hardly any of the prompt.
+        // The copy of a run without events may contain hardly any of the prompt.
         work.unread = match copy {
             Some(_) if self.sequence.last().is_some() => 0,
             _ => work.unread.saturating_sub(cached),
@@ -414,9 +416,9 @@
             id = self.call.request.metadata.id.as_str(),
             server = target.server.as_str(),
             data_centre = target.data_centre.as_str(),
-            load = round_load(target.why.load),
-            against = target.why.penalties,
-            among = target.why.candidates,
+            load = round_load(target.score.load),
+            against = target.score.penalties,
+            among = target.score.candidates,
             document = self.call.document.version,
             prompt = self.parts().last().map(|(part, _)| *part),
             attempt = self.ran_at.len() + 1,
@@ -450,8 +452,8 @@
             Ok(Ok(connection)) => connection,
         };
         let pass = &self.call.pass;
-        let waited = self.sequence.last().is_some();
-        let expected = (!waited).then(|| Expectation {
+        let resumes = self.sequence.last().is_some();
+        let expected = (!resumes).then(|| Expectation {
             here: self.context.fleet.borrow().expected_first_event(target),
             elsewhere: self
                 .context
@@ -470,7 +472,7 @@
             began,
             last_received: began,
             last_alive: began,
-            copy_checked: began,
+            backup_checked: began,
             events: 0,
             complete: false,
             copy: copy.cloned(),
@@ -488,6 +490,7 @@
         }
     }
 
+    /// Decides by the head of its answer whether a run has started.
     async fn handle_head(&self, mut run: Run, head: Head, reply: Reply) -> Start {
         let id = self.call.request.metadata.id.as_str();
         let server = run.target.server.clone();
@@ -566,8 +569,8 @@
 
     /// Reads the body of an error response.
     async fn read_body(&self, run: &mut Run) -> Option<Bytes> {
-        let whole = run.connection.read_body(MAX_FAILURE_BODY);
-        let whole = timeout_at(Instant::now() + FAILURE_BODY_TIMEOUT, whole).await;
-        whole.ok()?.ok()?.complete()
+        let read = run.connection.read_body(MAX_FAILURE_BODY_BYTES);
+        let read = timeout_at(Instant::now() + FAILURE_BODY_TIMEOUT, read).await;
+        read.ok()?.ok()?.complete()
     }
 }
--- a/components/gateway/src/stream/selection.rs
+++ b/components/gateway/src/stream/selection.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    cache_lookup, //
+    cache_lookup,
     fleet::{
         InFlight,
         Target, //
@@ -25,14 +25,15 @@
     },
 };
 
-/// Lower bound of the time to process a prompt, as a share of the estimate.
-const MIN_READING_SHARE: f64 = 0.75;
+/// Lower bound of the time to process a prompt, as a share of the estimate of that time.
+const MIN_PROMPT_TIME_SHARE: f64 = 0.75;
 
 /// Share of the engines' memory in use above which memory counts as scarce while streams wait. At a
-/// load of several times the capacity callers take all memory beyond it.
+/// load of several times the capacity, callers occupy all memory above this share.
 const SCARCE_MEMORY_SHARE: f64 = 0.5;
 
 impl<P: Protocol + 'static> Session<P> {
+    /// Returns the hashes and tokens of the prompt's parts.
     pub(super) fn parts(&self) -> &[(u64, u32)] {
         self.call
             .generation()
@@ -63,14 +64,14 @@
     /// sent again.
     pub(super) fn choose(
         &mut self,
-        slot: &mut Option<Resumption>,
+        resumption: &mut Option<Resumption>,
     ) -> Option<(Target, Option<KvCopy>)> {
         let fleet = self.context.fleet.clone();
-        if let Some(resumption) = slot {
+        if let Some(resumption) = resumption {
             while let Some(candidate) = resumption.take() {
                 let (target, copy) = match candidate {
                     Candidate::Same => (
-                        resumption.lost.server.clone(),
+                        resumption.lost.target.clone(),
                         resumption.lost.resumed_from.clone(),
                     ),
                     Candidate::Copy => match &resumption.lost.backup {
@@ -79,7 +80,7 @@
                     },
                     Candidate::Any => break,
                 };
-                // The server is tried even though it lost the run, as it may have lost only that
+                // The server is tried even though it lost the run: the loss may affect only that
                 // run.
                 let available = match copy {
                     Some(_) => fleet.borrow().is_usable(&target.server),
@@ -91,10 +92,10 @@
                 }
             }
         }
-        let home = self.context.settings.borrow().data_centre.clone();
+        let data_centre = self.context.settings.borrow().data_centre.clone();
         let target = fleet
             .borrow_mut()
-            .choose(&self.request(&home, self.remaining_work()))?;
+            .choose(&self.request(&data_centre, self.remaining_work()))?;
         if !self.may_send_to(&target.server) {
             return None;
         }
@@ -108,10 +109,10 @@
         }
     }
 
-    fn request<'a>(&'a self, home: &'a str, work: Work) -> Request<'a> {
+    fn request<'a>(&'a self, data_centre: &'a str, work: Work) -> Request<'a> {
         Request {
             service: &self.call.service,
-            data_centre: home,
+            data_centre,
             work,
             parts: self.parts(),
             versions: self.selection.versions(),
@@ -126,14 +127,14 @@
             return None;
         }
         // A copy saves processing the prompt only if the run is lost, while a slot certainly serves
-        // a waiting caller. When the memory suffices for both, a copy takes no caller's place:
-        // callers then wait for a slot, or for an engine that has prompts to process.
+        // a waiting caller. When the memory suffices for both, a copy delays no caller: callers
+        // then wait for a slot, or for an engine that has prompts to process.
         let service = &self.call.service;
         let scarce = || self.context.fleet.borrow().memory_use(service) > SCARCE_MEMORY_SHARE;
         if self.context.queue.is_under_pressure(service) && scarce() {
             return None;
         }
-        let home = self.context.settings.borrow().data_centre.clone();
+        let data_centre = self.context.settings.borrow().data_centre.clone();
         let work = Work {
             requests: 0,
             unread: 0,
@@ -142,45 +143,46 @@
         let request = Request {
             versions: Versions::Only(&target.version),
             avoid_data_centre: Some(&target.data_centre),
-            ..self.request(&home, work)
+            ..self.request(&data_centre, work)
         };
         let backup = self.context.fleet.borrow_mut().choose_backup(&request)?;
         let in_flight = InFlight::new(&self.context.fleet, &backup.server, work);
         Some((backup, in_flight))
     }
 
-    /// Looks up which engine processed the prompt of a reconnecting caller, if no gateway knows.
-    pub(super) async fn cache_lookup(&self) {
-        let left = self.call.until.saturating_duration_since(Instant::now());
-        // Its gateway may have failed before the first event; a gateway that started long ago knows
-        // where the prompt was processed.
+    /// Looks up which engine processed the prompt of a reconnecting caller, unless this gateway
+    /// knows it already.
+    pub(super) async fn look_up_prompt(&self) {
+        let remaining = self.call.until.saturating_duration_since(Instant::now());
+        // The caller's previous gateway may have failed before the first event. A gateway that
+        // started long ago knows where the prompt was processed.
         let timeout = self.call.pass.timeout.unwrap_or_default();
-        let waited = left < timeout / 2 && self.context.started.elapsed() < timeout;
-        let reconnected = self.call.request.metadata.after.is_some() || waited;
+        let has_waited = remaining < timeout / 2 && self.context.started.elapsed() < timeout;
+        let reconnected = self.call.request.metadata.after.is_some() || has_waited;
         let Some(part) = self.parts().last().filter(|_| reconnected) else {
             return;
         };
         if self.context.fleet.borrow().is_cached(*part) {
             return;
         }
-        cache_lookup::find_prompt(&self.context, &self.call.service, *part, left).await;
-        cache_lookup::wait_for_registration(&self.context, &self.call, *part, left).await;
+        cache_lookup::find_prompt(&self.context, &self.call.service, *part, remaining).await;
+        cache_lookup::wait_for_registration(&self.context, &self.call, *part, remaining).await;
     }
 
     /// Returns whether an attempt at a server is worthwhile: it has spare capacity, so that nothing
     /// is taken from others, or the answer is expected to be complete in time.
     pub(super) fn worth_trying(&self, target: &Target) -> bool {
-        if !target.why.is_full() {
+        if !target.score.is_full() {
             return true;
         }
-        let left = self.call.until.saturating_duration_since(Instant::now());
+        let remaining = self.call.until.saturating_duration_since(Instant::now());
         let after = self.sequence.last().unwrap_or(0);
-        let rest = self
+        let answer_time = self
             .context
-            .outlook
+            .forecast
             .borrow()
             .remaining_time(&self.call.route, after);
-        let Some(rest) = rest else {
+        let Some(answer_time) = answer_time else {
             return true;
         };
         let fleet = self.context.fleet.borrow();
@@ -188,9 +190,9 @@
             .remaining_work()
             .unread
             .saturating_sub(fleet.cached_tokens(self.parts(), &target.server));
-        let reading = fleet
+        let prompt_time = fleet
             .unloaded_first_event(target, unread)
-            .mul_f64(MIN_READING_SHARE);
-        reading + rest <= left
+            .mul_f64(MIN_PROMPT_TIME_SHARE);
+        prompt_time + answer_time <= remaining
     }
 }
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -1,4 +1,4 @@
-//! Updates that the platform's side passes to the gateway.
+//! Updates that the adapter to the platform passes to the gateway.
 
 use std::net::SocketAddr;
 
@@ -35,7 +35,7 @@
     Rollout {
         /// The service.
         service: Service,
-        /// The order; `None` when it was cancelled.
+        /// The order; `None` when the rollout was cancelled.
         order: Option<Order>,
     },
     /// A state of a rollout was written to the store.
@@ -54,12 +54,12 @@
 /// A backend server as it registered itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registration {
-    /// Its name, usually a new one with each start.
+    /// Name of the server, usually a new one with each start.
     pub server: Server,
-    /// Address on which it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Service, version, location and capacity.
+    /// Service, version, data centre and capacity of the server.
     pub spec: Spec,
-    /// Whether it is draining and takes no new work.
+    /// Whether the server is draining and accepts no new work.
     pub leaving: bool,
 }
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -38,11 +38,11 @@
     document_cache::Snapshot,
     protocol::{
         Activity,
-        Dispatch, //
+        Dispatch,
         Generation,
         HeaderError,
         Metadata,
-        Reply,
+        Reply, //
     },
     settings::Bounds,
     update::Registration, //
@@ -73,7 +73,7 @@
 /// Host that the document's routes match.
 pub const HOST: &str = "desk.example";
 
-/// Edge that uses unprefixed header names.
+/// Protocol with unprefixed header names.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Plain;
 
@@ -580,10 +580,10 @@
         let index = Rc::new(Index::new(document));
         self.gateway
             .apply(Update::Document(Snapshot { version, index }));
-        let mut fresh = self.gateway.freshness().borrow_mut();
-        fresh.advance(version);
+        let mut freshness = self.gateway.freshness().borrow_mut();
+        freshness.advance(version);
         let at = clock::now();
-        fresh.receive(
+        freshness.receive(
             at,
             Claim {
                 revision: version,
--- a/components/gateway/tests/plain.rs
+++ b/components/gateway/tests/plain.rs
@@ -13,8 +13,8 @@
     Connection,
     Harness,
     Message,
-    document, //
-    response,
+    document,
+    response, //
 };
 use rstest::rstest;
 use tokio::time::{
--- a/components/gateway/tests/prompt_lookup.rs
+++ b/components/gateway/tests/prompt_lookup.rs
@@ -10,8 +10,8 @@
     Harness,
     document,
     response,
-    stream_head, //
-    write_events,
+    stream_head,
+    write_events, //
 };
 use spread::beacon::{
     self,
@@ -72,7 +72,7 @@
     harness: Harness,
     engines: Vec<Backend>,
     peer: UdpSocket,
-    others: Vec<UdpSocket>,
+    other_peers: Vec<UdpSocket>,
 }
 
 impl Fleet {
@@ -107,7 +107,7 @@
             harness,
             engines,
             peer,
-            others: peers,
+            other_peers: peers,
         }
     }
 
@@ -118,7 +118,7 @@
             timestamp: 1234,
             ..peer_beacon(2)
         };
-        let other = &self.others[0];
+        let other = &self.other_peers[0];
         send(other, &self.harness, Message::Beacon(Box::new(last))).await;
         let echoed = |message: &Message| match message {
             Message::Beacon(beacon) => beacon.echo.is_some_and(|echo| echo.timestamp == 1234),
@@ -188,14 +188,14 @@
 fn a_resumed_request_goes_to_the_engine_that_a_peer_found() {
     common::run(async {
         let fleet = Fleet::start("").await;
-        let read = Prompt {
+        let cached = Prompt {
             hash: PART_ID,
             server: beacon::id(&name(17)),
         };
         send(
             &fleet.peer,
             &fleet.harness,
-            Message::CachedPrompts(vec![read]),
+            Message::CachedPrompts(vec![cached]),
         )
         .await;
         let last = Beacon {
@@ -306,19 +306,19 @@
         for _ in 0..2 {
             send(&fleet.peer, &fleet.harness, Message::Lookup(service)).await;
         }
-        let held = |message: &Message| matches!(message, Message::CachedPrompts(_));
+        let is_result = |message: &Message| matches!(message, Message::CachedPrompts(_));
         let share = (0..ENGINE_COUNT).filter(|number| fleet.engines[*number].request_count() > 0);
-        let reply = timeout(Duration::from_secs(1), receive(&fleet.peer, held)).await;
+        let reply = timeout(Duration::from_secs(1), receive(&fleet.peer, is_result)).await;
         let share: Vec<_> = share.collect();
         match reply {
-            Ok(Message::CachedPrompts(reads)) => {
+            Ok(Message::CachedPrompts(prompts)) => {
                 let servers = share.iter().map(|number| beacon::id(&name(*number)));
                 let mut servers: Vec<_> = servers.collect();
-                let mut read: Vec<_> = reads.iter().map(|read| read.server).collect();
+                let mut reported: Vec<_> = prompts.iter().map(|prompt| prompt.server).collect();
                 servers.sort_unstable();
-                read.sort_unstable();
-                assert_eq!(read, servers);
-                assert!(reads.iter().all(|read| read.hash == PART_ID));
+                reported.sort_unstable();
+                assert_eq!(reported, servers);
+                assert!(prompts.iter().all(|prompt| prompt.hash == PART_ID));
             }
             other => assert!(share.is_empty(), "{other:?}, queried: {share:?}"),
         }
--- a/components/gateway/tests/queue.rs
+++ b/components/gateway/tests/queue.rs
@@ -19,8 +19,8 @@
     Message as Request,
     document,
     event_chunk,
-    stream_head, //
-    write_events,
+    stream_head,
+    write_events, //
 };
 use futures_util::future::join_all;
 use rstest::rstest;
@@ -178,10 +178,10 @@
     });
 }
 
-/// A caller disconnects while its request waits. The request must free its place in the queue and
-/// must not run.
+/// A caller disconnects while its request waits. The request must leave the queue and must
+/// not run.
 #[test]
-fn a_caller_that_disconnects_frees_its_place() {
+fn a_request_leaves_the_queue_when_its_caller_disconnects() {
     common::run(async {
         let (backend, _) = engine(20).await;
         let harness = Harness::with_document(document());
--- a/components/gateway/tests/reconnect.rs
+++ b/components/gateway/tests/reconnect.rs
@@ -13,8 +13,8 @@
     Harness,
     document,
     response,
-    stream_head, //
-    write_events,
+    stream_head,
+    write_events, //
 };
 use rstest::rstest;
 use tokio::time::{
--- a/components/gateway/tests/shutdown.rs
+++ b/components/gateway/tests/shutdown.rs
@@ -10,8 +10,8 @@
     Message,
     document,
     settings,
-    stream_head, //
-    write_events,
+    stream_head,
+    write_events, //
 };
 use gateway::settings::Settings;
 use rstest::rstest;
--- a/components/gateway/tests/streams.rs
+++ b/components/gateway/tests/streams.rs
@@ -15,8 +15,8 @@
     Message,
     document,
     event_chunk,
-    stream_head, //
-    write_events,
+    stream_head,
+    write_events, //
 };
 use gateway::Update;
 use tokio::time::{
@@ -537,8 +537,8 @@
         .await;
         let harness = Harness::with_document(document());
         harness.register("s1", "draft", "a", backend.address);
-        for turn in 0..8 {
-            let id = format!("r{turn}");
+        for number in 0..8 {
+            let id = format!("r{number}");
             let (_, response) = harness.request(&id, "/stream/x", "tokens: 30000\r\n").await;
             assert_eq!(response.expect("a complete response").status(), 200);
         }
--- a/components/gateway/tests/unreachable.rs
+++ b/components/gateway/tests/unreachable.rs
@@ -1,5 +1,4 @@
-//! Tests with many unreachable backend servers, as after a traffic move or in a failing data
-//! centre.
+//! Tests with many unreachable backend servers, as after a rollout or in a failing data centre.
 
 mod common;
 
@@ -13,8 +12,8 @@
     Harness,
     document,
     settings,
-    stream_head, //
-    write_events,
+    stream_head,
+    write_events, //
 };
 use gateway::{
     Update,
@@ -163,9 +162,9 @@
 }
 
 /// Guards against a stream that keeps the version that was valid on its arrival, and tries the
-/// servers of that version one after the other although a move has taken the traffic away from it.
+/// servers of that version one after the other although a rollout has moved the traffic away.
 #[test]
-fn a_stream_lost_at_the_end_of_a_move_resumes_at_the_new_version() {
+fn a_stream_lost_at_the_end_of_a_rollout_resumes_at_the_new_version() {
     common::run(async {
         let harness = start_with_one_retry();
         let old = Backend::start(|_, _| std::future::pending::<bool>()).await;
