--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to completion requests: the driver of the decisions in [`answer::resume`].
+//! Answers completion requests: drives the decisions in [`answer::resume`].
 
 use std::{
     collections::HashMap,
@@ -67,17 +67,17 @@
 
 mod epochs;
 
-/// Events of its epochs that are queued for the driver of an answer.
-const EVENT_QUEUE: usize = 64;
+/// Maximum number of events of its epochs that are queued for the driver of an answer.
+const EVENT_QUEUE_CAPACITY: usize = 64;
 
-/// Chunks that are queued for the caller's connection.
-const CHUNK_QUEUE: usize = 256;
+/// Maximum number of chunks that are queued for the caller's connection.
+const CHUNK_QUEUE_CAPACITY: usize = 256;
 
 /// Timeout of the pointer lookup for a request that may be new.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Timeout of the pointer lookup for a request whose caller has received a part of the answer.
-const RETURN_LOOKUP_TIMEOUT: Duration = Duration::from_millis(500);
+const RECONNECT_LOOKUP_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A completion request.
 #[derive(Clone, Debug)]
@@ -105,7 +105,7 @@
     /// Whether the caller gave the request a key, by which it can resume the answer.
     pub(crate) resumable: bool,
     /// Position up to which the caller has received the answer.
-    pub(crate) mark: Option<Position>,
+    pub(crate) position: Option<Position>,
 }
 
 impl Query {
@@ -118,7 +118,7 @@
 /// A chunk of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Chunk {
-    /// Further tokens, each with the mark after it.
+    /// Further tokens, each with the position after it.
     Tokens(Vec<(Position, String)>),
     /// Discard everything sent so far: the answer starts over with these tokens.
     Restart(Vec<(Position, String)>),
@@ -134,19 +134,19 @@
     query: Query,
     permit: Arc<Permit>,
 ) -> mpsc::Receiver<Chunk> {
-    let (chunks, receiver) = mpsc::channel(CHUNK_QUEUE);
+    let (chunks, receiver) = mpsc::channel(CHUNK_QUEUE_CAPACITY);
     tokio::spawn(drive(state, query, permit, chunks));
     receiver
 }
 
-/// Driver of one answer.
+/// Drives one answer: passes events to [`Resume`] and executes the resulting actions.
 struct Driver {
     state: Arc<State>,
     query: Query,
     permit: Arc<Permit>,
     resume: Resume,
     attempts: HashMap<Epoch, Arc<Attempt>>,
-    /// The tokens of the answer so far, with the mark after it.
+    /// Tokens of the answer so far, each with the position after it.
     tokens: Vec<(Position, String)>,
     events: mpsc::Sender<Event>,
     started: Instant,
@@ -162,7 +162,7 @@
 
 /// Runs an answer to its end.
 async fn drive(state: Arc<State>, query: Query, permit: Arc<Permit>, chunks: mpsc::Sender<Chunk>) {
-    let (events, mut incoming) = mpsc::channel(EVENT_QUEUE);
+    let (events, mut incoming) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let now = state.now();
     let settings = settings(&state, &query, now);
     let mut driver = Driver {
@@ -224,19 +224,19 @@
 }
 
 impl Driver {
-    /// Returns the first event of the answer; looks up whether a generation of the request is already
-    /// running.
+    /// Returns the first event of the answer; looks up whether a generation of the request is
+    /// already running.
     async fn first_event(&mut self) -> Event {
-        let mark = self.query.mark;
-        let begin = match mark {
-            Some(mark) => Event::Return { position: mark },
+        let position = self.query.position;
+        let begin = match position {
+            Some(position) => Event::Return { position },
             None => Event::Begin { from: 0 },
         };
         if !self.query.resumable {
             return begin;
         }
-        let limit = if mark.is_some() {
-            RETURN_LOOKUP_TIMEOUT
+        let limit = if position.is_some() {
+            RECONNECT_LOOKUP_TIMEOUT
         } else {
             LOOKUP_TIMEOUT
         };
@@ -267,7 +267,7 @@
         Event::Found {
             epoch: found.epoch,
             server: found.server,
-            position: mark.unwrap_or_default(),
+            position: position.unwrap_or_default(),
         }
     }
 
@@ -355,8 +355,8 @@
         }
     }
 
-    /// Clears the server of an epoch with fresh tokens, and records evidence against the servers of
-    /// the epochs that it has overtaken.
+    /// Clears the server of an epoch that produced fresh tokens, and records evidence against the
+    /// servers of the epochs that it has overtaken.
     fn update_unresponsive(&self, epoch: Epoch, fresh: Index) {
         if fresh == 0 {
             return;
@@ -436,17 +436,17 @@
         None
     }
 
-    /// Appends tokens to the answer, and returns them with their marks.
+    /// Appends tokens to the answer, and returns each with the position after it.
     fn append(&mut self, tokens: Vec<String>) -> Vec<(Position, String)> {
-        let mut mark = self
+        let mut position = self
             .tokens
             .last()
-            .map(|(mark, _)| *mark)
+            .map(|(position, _)| *position)
             .unwrap_or_default();
         let from = self.tokens.len();
         for token in tokens {
-            mark.push(&token);
-            self.tokens.push((mark, token));
+            position.push(&token);
+            self.tokens.push((position, token));
         }
         self.tokens[from..].to_vec()
     }
@@ -495,7 +495,7 @@
     }
 
     /// Counts the answer for the report on service-level burn.
-    fn count_answer(&self, whole: bool, count: usize) {
+    fn count_answer(&self, complete: bool, count: usize) {
         let (first, between) = self.timer.times(count);
         let target = &self.query.target;
         let request = burn::Request {
@@ -505,7 +505,7 @@
             version: &target.version,
             first,
             between,
-            whole,
+            whole: complete,
         };
         self.state.burn.count(&request, self.state.now());
     }
--- a/components/entry/src/answers/epochs.rs
+++ b/components/entry/src/answers/epochs.rs
@@ -43,8 +43,8 @@
                     retry_after: left,
                 });
             }
-            // A suspect request may be waiting for a place. Started on a second engine as well, it
-            // could crash both at once.
+            // A suspect request may still be queued at the sidecar of the first engine. Started on
+            // a second engine as well, it could crash both at once.
             Verdict::Suspect | Verdict::Solitary if cause == Cause::Suspicion => {
                 return Some(Event::Denied { epoch });
             }
@@ -75,7 +75,8 @@
                 self.query.request,
                 self.tokens.len()
             );
-            metrics::counter!("medlarhatch_resumes_total", "cause" => label(cause)).increment(1);
+            metrics::counter!("medlarhatch_resumes_total", "cause" => cause_label(cause))
+                .increment(1);
             self.count_resume(cause);
         }
         let connection = replica.connection;
@@ -141,11 +142,12 @@
         }
     }
 
-    /// Returns the known facts for the sidecar, if the request is suspected to crash servers.
+    /// Returns the known facts about crashes for the sidecar, if the request is suspected to crash
+    /// servers.
     fn suspicion_facts(&self) -> Option<Box<Facts>> {
         let suspects = &self.state.suspects;
-        let clear = suspects.verdict(self.query.fingerprint()) == Verdict::Clear;
-        (!clear).then(|| Box::new(suspects.facts()))
+        let is_clear = suspects.verdict(self.query.fingerprint()) == Verdict::Clear;
+        (!is_clear).then(|| Box::new(suspects.facts()))
     }
 
     /// Attaches to an epoch, from token `from` on.
@@ -163,8 +165,8 @@
     }
 }
 
-/// Returns the metric label of a cause.
-fn label(cause: Cause) -> &'static str {
+/// Returns the metric cause_label of a cause.
+fn cause_label(cause: Cause) -> &'static str {
     match cause {
         Cause::First => "first",
         Cause::Loss => "loss",
--- a/components/entry/src/attempt.rs
+++ b/components/entry/src/attempt.rs
@@ -57,10 +57,10 @@
     state::State,
 };
 
-/// Time within which a working link answers an attach.
+/// Time within which the sidecar answers an attach over a working link.
 const ATTACH_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// An epoch, with what is needed to attach to it again.
+/// Epoch of an answer, with the data that is needed to attach to it again.
 pub(crate) struct Attempt {
     pub(crate) epoch: Epoch,
     pub(crate) nonce: Nonce,
@@ -123,22 +123,23 @@
     });
     let epoch = attempt.epoch;
     let host = &attempt.peer.host;
-    let current = async {
+    let over_current_link = async {
         let connection = connect(&state, host).await?;
         exchange(&connection.link, &frame).await
     };
-    if let Ok(Some((stream, first))) = timeout(ATTACH_TIMEOUT, current).await {
+    if let Ok(Some((stream, first))) = timeout(ATTACH_TIMEOUT, over_current_link).await {
         handle_attach(&attempt, stream, first, &events).await;
         return;
     }
-    // The current link doesn't answer. It may be dead while the sidecar is healthy, and to wait until
-    // missing heartbeats show that would delay the caller by seconds. So dial another link.
-    let fresh = async {
+    // No answer over the current link. The link may be dead while the sidecar is healthy, and to
+    // wait until missing heartbeats show that would delay the caller by seconds. So another link is
+    // dialled.
+    let over_new_link = async {
         let (link, _control) = dial(&state, host).await?;
         let (stream, first) = exchange(&link, &frame).await?;
         Some((link, _control, stream, first))
     };
-    match timeout(state.settings.times.silence, fresh).await {
+    match timeout(state.settings.times.silence, over_new_link).await {
         Ok(Some((link, _control, stream, first))) => {
             handle_attach(&attempt, stream, first, &events).await;
             link.close();
@@ -197,8 +198,8 @@
         }
     };
     let cancelled = tokio::select! {
-        // The driver may end right after it cancels. The cancel must win over the closed channel, or
-        // the engine would go on until the sidecar's grace time ends.
+        // The driver may end right after it cancels. The cancel must win over the closed channel,
+        // or the engine would go on until the sidecar's grace time ends.
         biased;
         () = attempt.cancel.cancelled() => true,
         () = read => false,
@@ -213,7 +214,7 @@
     }
 }
 
-/// Converts a frame to an event; none for a frame without one.
+/// Converts a frame to an event; returns `None` for a frame that causes none.
 fn to_event(attempt: &Attempt, frame: Frame, attached: bool) -> Option<Event> {
     let epoch = attempt.epoch;
     match frame {
--- a/components/entry/src/burn.rs
+++ b/components/entry/src/burn.rs
@@ -57,7 +57,8 @@
 }
 
 impl Timer {
-    /// Records received tokens; only the first call has an effect.
+    /// Records that tokens were received, for an answer that was started at `started`; only the
+    /// first call has an effect.
     pub(crate) fn tokens(&mut self, started: Instant) {
         if self.first.is_none() {
             self.first = Some((started.elapsed(), Instant::now()));
--- a/components/entry/src/callers/body.rs
+++ b/components/entry/src/callers/body.rs
@@ -23,8 +23,8 @@
     pub(crate) stream: bool,
 }
 
-/// Fields of both endpoints. `n` and `top_p` are accepted only with the values that don't affect the
-/// answer, and `user` is ignored.
+/// Fields of both endpoints. `n` and `top_p` are accepted only with the values that don't affect
+/// the answer, and `user` is ignored.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Fields {
--- a/components/entry/src/callers/completions.rs
+++ b/components/entry/src/callers/completions.rs
@@ -34,7 +34,7 @@
 
 use super::{
     body,
-    shape::{
+    openai::{
         self,
         Kind, //
     },
@@ -47,7 +47,7 @@
     },
     callers::request::{
         header,
-        limit,
+        limit_share,
         payload,
         team, //
     },
@@ -75,7 +75,7 @@
     pub(crate) kind: Kind,
 }
 
-/// Admission of a request: its place at the entry and its permit for the service.
+/// Admission of a request: its slot at the entry and its permit for the service.
 struct Admission {
     permit: Arc<Permit>,
     _guard: Guard,
@@ -126,7 +126,7 @@
             ));
         };
         let key = header(req, "idempotency-key");
-        let mark = match header(req, "last-event-id") {
+        let position = match header(req, "last-event-id") {
             Some(text) => Some(text.parse::<Position>().map_err(|error| {
                 Problem::invalid("Last-Event-ID", format!("`{text}`: {error}"))
             })?),
@@ -153,7 +153,7 @@
             max_tokens: body.max_tokens.unwrap_or(state.settings.limits.tokens),
             temperature: body.temperature,
             streamed: body.stream,
-            mark,
+            position,
             prefix: prefix(&body.prompt),
             prompt: body.prompt,
         };
@@ -163,12 +163,12 @@
         let request = gates::Request {
             service: &query.target.service,
             team: &query.team,
-            limit: limit(state, &snapshot.document.limit(&query.team)),
+            limit: limit_share(state, &snapshot.document.limit(&query.team)),
             cost: query.max_tokens,
             max_wait: state.settings.times.queue,
             objective: gates::first_token_objective(),
-            min_concurrency_factor: gates::min_concurrency_share(),
-            resume: query.mark.is_some(),
+            min_concurrency_factor: gates::min_concurrency_factor(),
+            resume: query.position.is_some(),
         };
         let permit = Arc::new(state.gates.admit(request).await?);
         Ok((
@@ -193,7 +193,7 @@
         // An interrupt before any other chunk gets an error status instead of a stream.
         match chunks.recv().await {
             Some(Chunk::Interrupt(reason, after)) => {
-                shape::interrupted(reason, false).retry(after).write(res);
+                openai::interrupted(reason, false).retry(after).write(res);
             }
             Some(first) => {
                 let events = events(self.kind, id, model, first, chunks, admission);
@@ -220,14 +220,14 @@
                     append(&mut text, &tokens);
                 }
                 Chunk::Finish(finish, usage) => {
-                    res.render(Json(shape::complete(
+                    res.render(Json(openai::complete(
                         self.kind, id, model, &text, finish, usage,
                     )));
                     return;
                 }
                 Chunk::Interrupt(reason, after) => {
                     let delivered = !text.is_empty();
-                    shape::interrupted(reason, delivered)
+                    openai::interrupted(reason, delivered)
                         .retry(after)
                         .write(res);
                     return;
@@ -238,8 +238,8 @@
     }
 }
 
-/// Returns the identifier of a request: the caller's key with the team and a hash of the body, so that
-/// a key reused with another body doesn't return the answer to the first.
+/// Returns the identifier of a request: the caller's key with the team and a hash of the body, so
+/// that a key reused with another body doesn't return the answer to the first.
 fn request_id(team: &str, key: Option<&str>, bytes: &[u8]) -> String {
     match key {
         Some(key) => format!("{team}/{key}/{:032x}", xxh3_128(bytes)),
@@ -275,12 +275,12 @@
     });
     stream::once(async { first })
         .chain(rest)
-        .flat_map(move |chunk| stream::iter(events_of(kind, &id, &model, chunk)))
+        .flat_map(move |chunk| stream::iter(chunk_events(kind, &id, &model, chunk)))
         .map(Ok)
 }
 
 /// Converts a chunk to server-sent events.
-fn events_of(kind: Kind, id: &str, model: &str, chunk: Chunk) -> Vec<SseEvent> {
+fn chunk_events(kind: Kind, id: &str, model: &str, chunk: Chunk) -> Vec<SseEvent> {
     match chunk {
         Chunk::Tokens(tokens) => tokens
             .into_iter()
@@ -297,25 +297,25 @@
             events
         }
         Chunk::Finish(finish, _) => {
-            let chunk = shape::chunk(kind, id, model, "", Some(finish));
+            let chunk = openai::chunk(kind, id, model, "", Some(finish));
             vec![
                 SseEvent::default().text(chunk.to_string()),
                 SseEvent::default().text("[DONE]"),
             ]
         }
         Chunk::Interrupt(reason, after) => {
-            let problem = shape::interrupted(reason, true).retry(after);
+            let problem = openai::interrupted(reason, true).retry(after);
             let body = serde_json::json!({"error": problem}).to_string();
             vec![SseEvent::default().name("error").retry(after).text(body)]
         }
     }
 }
 
-/// Creates the event of one token; its mark is the event id.
+/// Creates the event of one token; the id of the event is the position after the token.
 fn token_event(kind: Kind, id: &str, model: &str, token: (Position, String)) -> SseEvent {
-    let (mark, text) = token;
-    let chunk = shape::chunk(kind, id, model, &text, None);
+    let (position, text) = token;
+    let chunk = openai::chunk(kind, id, model, &text, None);
     SseEvent::default()
-        .id(mark.to_string())
+        .id(position.to_string())
         .text(chunk.to_string())
 }
--- a/components/entry/src/callers/mod.rs
+++ b/components/entry/src/callers/mod.rs
@@ -2,10 +2,10 @@
 
 mod body;
 mod completions;
+mod openai;
 mod request;
 mod router;
 mod service;
-mod shape;
 mod status;
 
 pub(crate) use request::payload;
--- a/components/entry/src/callers/request.rs
+++ b/components/entry/src/callers/request.rs
@@ -1,4 +1,4 @@
-//! Steps that are common to all requests of callers.
+//! Functions that the handlers of callers' requests share.
 
 use std::sync::Arc;
 
@@ -27,10 +27,12 @@
 /// Team of requests without the header.
 const DEFAULT_TEAM: &str = "default";
 
-/// Time after which to retry at an entry that is full, shutting down, or without a document.
+/// Time after which a caller may retry at an entry that is full, shutting down, or without a
+/// document.
 const RETRY_AFTER: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// Admits a request, unless the entry is full or shutting down.
+/// Admits a request unless the entry is full or shutting down. The request counts as in progress
+/// until the guard is dropped.
 pub(crate) fn admit(state: &State) -> Result<Guard, Problem> {
     if state.stopping.is_cancelled() {
         return Err(
@@ -50,7 +52,7 @@
     })
 }
 
-/// Returns a header as text; none if it is missing or isn't visible ASCII.
+/// Returns a header as text; `None` if it is missing or isn't visible ASCII.
 pub(crate) fn header(req: &Request, name: &str) -> Option<String> {
     let value = req.headers().get(name)?;
     value.to_str().ok().map(str::to_string)
@@ -76,8 +78,9 @@
     }
 }
 
-/// Returns the share of a team's limits that this entry enforces: limits apply to the whole system.
-pub(crate) fn limit(state: &State, limit: &document::Limit) -> admission::Limit {
+/// Returns the share of a team's limits that this entry enforces, as the limits apply to all
+/// entries together.
+pub(crate) fn limit_share(state: &State, limit: &document::Limit) -> admission::Limit {
     let total = admission::Limit {
         in_flight: limit.in_flight,
         rate: limit.rate,
--- a/components/entry/src/callers/router.rs
+++ b/components/entry/src/callers/router.rs
@@ -13,8 +13,8 @@
 
 use super::{
     completions::Completions,
+    openai::Kind,
     service::Service,
-    shape::Kind,
     status::Status, //
 };
 use crate::{
--- a/components/entry/src/callers/service.rs
+++ b/components/entry/src/callers/service.rs
@@ -18,7 +18,7 @@
     admit,
     document,
     header,
-    limit,
+    limit_share,
     payload,
     team, //
 };
@@ -93,11 +93,11 @@
         let request = gates::Request {
             service: &provision.name,
             team: &team,
-            limit: limit(state, &snapshot.document.limit(&team)),
+            limit: limit_share(state, &snapshot.document.limit(&team)),
             cost: 1,
             max_wait: state.settings.times.queue,
             objective: gates::first_token_objective(),
-            min_concurrency_factor: gates::min_concurrency_share(),
+            min_concurrency_factor: gates::min_concurrency_factor(),
             resume: false,
         };
         let permit = state.gates.admit(request).await?;
--- a/components/entry/src/callers/status.rs
+++ b/components/entry/src/callers/status.rs
@@ -23,8 +23,8 @@
     state::State,
 };
 
-/// Handler of outcome requests. A key belongs to a team and a service; without `?service=`, all
-/// services that record calls are searched.
+/// Handler of requests for the outcome of a call. A key belongs to a team and a service; without
+/// `?service=`, all services that record calls are searched.
 pub(crate) struct Status {
     pub(crate) state: Arc<State>,
 }
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -1,5 +1,4 @@
-//! Calls to plain services through their sidecars: the driver of the decisions in
-//! [`contract::attempt`].
+//! Calls plain services through their sidecars: drives the decisions in [`contract::attempt`].
 
 use std::{
     sync::Arc,
@@ -101,7 +100,7 @@
     into_answer(outcome)
 }
 
-/// Returns the outcome of a recorded call, for `GET /v1/calls/<key>`; none without a record.
+/// Returns the outcome of a recorded call, for `GET /v1/calls/<key>`; `None` without a record.
 ///
 /// The record is read from the store anew for each request: a read that began before the request,
 /// or one shared with another caller, could return a state older than the caller has seen already.
@@ -112,7 +111,7 @@
     key: &str,
 ) -> Result<Option<Outcome>, Problem> {
     match state.records.read(&record::key(service, team, key)).await {
-        Read::Found(standing) => Ok(Some(standing.record.status(&status_path(service, key)))),
+        Read::Found(stored) => Ok(Some(stored.record.status(&status_path(service, key)))),
         Read::Absent => Ok(None),
         Read::Failed => {
             state.outage.record();
@@ -133,7 +132,7 @@
     )
 }
 
-/// Driver of one call.
+/// Drives one call: passes events to [`Attempt`] and executes the resulting actions.
 struct Driver<'a> {
     state: &'a State,
     provision: &'a Provision,
@@ -143,7 +142,7 @@
     digest: String,
     status_path: String,
     attempt: Attempt,
-    /// Servers that were tried.
+    /// Servers that the call was sent to.
     avoid: Vec<Server>,
 }
 
@@ -202,14 +201,14 @@
                     Event::Voided(write)
                 }
                 Some(Action::ReadBack) => Event::Read(self.state.records.read(&self.key()).await),
-                Some(Action::Reply(outcome)) => return self.log_refusal(outcome),
+                Some(Action::Reply(outcome)) => return self.record_outage(outcome),
                 None => unreachable!("each event of an open attempt is followed by an action"),
             };
         }
     }
 
-    /// Logs and remembers an outage of the store.
-    fn log_refusal(&self, outcome: Outcome) -> Outcome {
+    /// Logs and records an outage of the store, if that is the reason for the outcome.
+    fn record_outage(&self, outcome: Outcome) -> Outcome {
         if let Outcome::NotRun {
             reason: Reason::StoreOut,
             ..
@@ -275,7 +274,7 @@
     }
 }
 
-/// State of a backend server as a reply shows it.
+/// State of a backend server, as judged by a reply.
 enum Health {
     Served,
     Failed,
@@ -300,7 +299,8 @@
     }
 }
 
-/// Converts the reply of a sidecar; none when the service may have run a call without a record.
+/// Converts the reply of a sidecar to an event; returns `None` when the service may have run a call
+/// that has no record.
 fn reply_event(reply: Reply) -> Option<Event> {
     match reply {
         Reply::Kept(reply) => Some(Event::Replied(*reply)),
@@ -346,7 +346,7 @@
         Outcome::Unknown { ask } => {
             let message = "the call may have run, and its answer was lost";
             let mut problem = Problem::new(Code::Unknown, message).run(Run::Unknown);
-            problem.ask = ask;
+            problem.status_path = ask;
             Err(problem)
         }
     }
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Startup and shutdown of an entry.
+//! Starts and stops an entry.
 
 use std::{
     net::SocketAddr,
@@ -59,7 +59,7 @@
     pool::Pool,
     resumes::Resumes,
     state::{
-        Intervals,
+        GapTable,
         Requests,
         State, //
     },
@@ -117,7 +117,7 @@
         tokio::spawn(links::accept(state.clone()));
         tokio::spawn(documents::driver::run(state.clone()));
         tokio::spawn(moves::run(state.clone()));
-        tokio::spawn(lateness(state.clone()));
+        tokio::spawn(measure_lateness(state.clone()));
         tokio::spawn(update_readiness(state.clone(), ready));
         events::emit!(
             process::STARTED,
@@ -192,7 +192,7 @@
         movers: Movers::default(),
         burn: Recorder::default(),
         resumes: Resumes::default(),
-        gaps: Intervals::default(),
+        gaps: GapTable::default(),
         unresponsive: Default::default(),
         lateness: Default::default(),
         requests: Requests::default(),
@@ -204,7 +204,7 @@
 }
 
 /// Measures the scheduling delay of this process until the entry has stopped.
-async fn lateness(state: Arc<State>) {
+async fn measure_lateness(state: Arc<State>) {
     let clock = || state.now();
     state.lateness.follow(clock, &state.stopped).await;
 }
--- a/components/entry/src/documents.rs
+++ b/components/entry/src/documents.rs
@@ -1,4 +1,7 @@
-//! The document in force at this entry, and its spread between processes.
+//! Document in force at this entry, and its spread between processes.
+//!
+//! A [`spread::Replica`] per process, run by [`driver`], decides which document is in force. It is
+//! called the document replica here, to tell it from the replicas of services.
 
 use std::{
     collections::HashMap,
@@ -40,31 +43,33 @@
 pub(crate) mod driver;
 pub(crate) mod edit;
 
-/// Events queued for the board, and facts for subscribers. When the queue of the board is full,
-/// messages are dropped; heartbeats make up for them.
-const QUEUE: usize = 4096;
+/// Maximum number of events queued for the document replica, and of facts for each subscriber. When
+/// the queue of the document replica is full, messages are dropped; later heartbeats detect the
+/// difference.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// The document in force, if any, and the event queue of the board that decides on it.
+/// Document in force, if any, and the event queue of the document replica.
 pub(crate) struct Documents {
     snapshot: ArcSwapOption<Snapshot>,
     revision: watch::Sender<Revision>,
+    /// Whether the document replica allows this entry to serve.
     ready: watch::Sender<bool>,
     origin: Instant,
-    /// Milliseconds from the origin to the board's last tick.
+    /// Milliseconds from the origin to the last tick of the document replica.
     last_tick_ms: AtomicU64,
     events: mpsc::Sender<Event>,
-    /// Receiving end of `events`; the driver takes it when it starts.
-    queued: Mutex<Option<mpsc::Receiver<Event>>>,
+    /// Receiver of `events`; the driver takes it when it starts.
+    event_receiver: Mutex<Option<mpsc::Receiver<Event>>>,
     /// Facts received from other processes.
     facts: broadcast::Sender<(Key, Fact)>,
     /// Whether this entry watches the store and aggregates the evidence of its data centre.
     reader: watch::Sender<bool>,
-    /// Recipients of the accounts of the surveys in progress.
+    /// Recipients of the inventories, by the id of the survey in progress.
     surveys: Mutex<HashMap<u64, mpsc::UnboundedSender<Inventory>>>,
-    next_survey: AtomicU64,
+    next_survey_id: AtomicU64,
 }
 
-/// A document in force, with its revision.
+/// Document in force, with its revision and the digest of its text.
 pub(crate) struct Snapshot {
     pub(crate) revision: Revision,
     pub(crate) digest: u64,
@@ -73,7 +78,7 @@
 
 impl Default for Documents {
     fn default() -> Self {
-        let (events, queued) = mpsc::channel(QUEUE);
+        let (events, event_receiver) = mpsc::channel(QUEUE_CAPACITY);
         Self {
             snapshot: ArcSwapOption::empty(),
             revision: watch::Sender::new(0),
@@ -81,11 +86,11 @@
             origin: Instant::now(),
             last_tick_ms: AtomicU64::new(0),
             events,
-            queued: Mutex::new(Some(queued)),
-            facts: broadcast::Sender::new(QUEUE),
+            event_receiver: Mutex::new(Some(event_receiver)),
+            facts: broadcast::Sender::new(QUEUE_CAPACITY),
             reader: watch::Sender::new(false),
             surveys: Mutex::default(),
-            next_survey: AtomicU64::new(0),
+            next_survey_id: AtomicU64::new(0),
         }
     }
 }
@@ -107,13 +112,14 @@
     /// Returns whether this entry may serve by its document.
     ///
     /// When a paused process resumes, requests that arrived in the meantime may be handled before
-    /// the board has noticed the pause. So the board's last tick must also be recent.
+    /// the document replica has noticed the pause. So its last tick must also be recent.
     pub(crate) fn may_serve(&self) -> bool {
         let last_tick = Duration::from_millis(self.last_tick_ms.load(Ordering::Acquire));
         *self.ready.borrow() && self.origin.elapsed().saturating_sub(last_tick) < PAUSE_THRESHOLD
     }
 
-    /// Records that the board has handled the current time and its actions are done.
+    /// Records that the document replica has handled the current time, and its actions are
+    /// executed.
     fn tick(&self) {
         let now = self.origin.elapsed().as_millis() as u64;
         self.last_tick_ms.store(now, Ordering::Release);
@@ -124,7 +130,7 @@
         self.snapshot.load_full()
     }
 
-    /// Subscribes to whether the board allows this entry to serve.
+    /// Subscribes to whether the document replica allows this entry to serve.
     pub(crate) fn readiness(&self) -> watch::Receiver<bool> {
         self.ready.subscribe()
     }
@@ -134,7 +140,7 @@
         self.revision.subscribe()
     }
 
-    /// Queues an event for the board.
+    /// Queues an event for the document replica.
     pub(crate) fn queue_event(&self, event: Event) {
         // Dropped when the queue is full: documents and facts are sent again while digests differ.
         let _ = self.events.try_send(event);
@@ -145,8 +151,8 @@
         self.queue_event(Event::AddFact { key, fact });
     }
 
-    /// Subscribes to facts from other processes. A subscriber that lags by more than [`QUEUE`] of
-    /// them misses some.
+    /// Subscribes to facts from other processes. A subscriber that lags by more than
+    /// [`QUEUE_CAPACITY`] of them misses some.
     pub(crate) fn facts(&self) -> broadcast::Receiver<(Key, Fact)> {
         self.facts.subscribe()
     }
@@ -157,7 +163,7 @@
         self.reader.subscribe()
     }
 
-    /// Decodes a message from another process and queues it for the board.
+    /// Decodes a message from another process, and queues it for the document replica.
     pub(crate) fn receive(&self, from: &Host, bytes: &[u8]) {
         match postcard::from_bytes(bytes) {
             Ok(message) => self.queue_event(Event::Message {
@@ -170,29 +176,30 @@
         }
     }
 
-    /// Starts a survey of what is in force in all data centres. Returns its number, for
-    /// [`Self::end_survey`], and the receiver of the accounts.
+    /// Starts a survey of the revisions in force in all data centres. Returns its id, for
+    /// [`Self::end_survey`], and the receiver of the inventories, one per data centre.
     pub(crate) fn survey(&self) -> (u64, mpsc::UnboundedReceiver<Inventory>) {
-        let number = self.next_survey.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_survey_id.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = mpsc::unbounded_channel();
         let mut surveys = self.surveys.lock().expect("no panic while held");
-        surveys.insert(number, sender);
+        surveys.insert(id, sender);
         drop(surveys);
-        self.queue_event(Event::Survey { survey: number });
-        (number, receiver)
+        self.queue_event(Event::Survey { survey: id });
+        (id, receiver)
     }
 
-    /// Ends a survey; later accounts are dropped.
-    pub(crate) fn end_survey(&self, number: u64) {
+    /// Ends a survey; later inventories are dropped.
+    pub(crate) fn end_survey(&self, id: u64) {
         let mut surveys = self.surveys.lock().expect("no panic while held");
-        surveys.remove(&number);
+        surveys.remove(&id);
     }
 
-    /// Passes an account to its survey.
-    fn forward_account(&self, number: u64, account: Inventory) {
+    /// Passes an inventory to its survey.
+    fn forward_inventory(&self, survey: u64, inventory: Inventory) {
         let surveys = self.surveys.lock().expect("no panic while held");
-        if let Some(survey) = surveys.get(&number) {
-            let _ = survey.send(account);
+        if let Some(recipient) = surveys.get(&survey) {
+            // Fails when the survey has just ended.
+            let _ = recipient.send(inventory);
         }
     }
 
--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -1,4 +1,4 @@
-//! Driver of the board of documents: sends its messages over the links, and makes its calls to the
+//! Drives the document replica: sends its messages over the links, and makes its calls to the
 //! platform's store.
 
 use std::{
@@ -47,41 +47,41 @@
     state::State, //
 };
 
-/// Interval of the board's ticks.
+/// Interval of the document replica's ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Driver of the board.
+/// Passes events to the document replica and executes the resulting actions.
 struct Driver {
     state: Arc<State>,
-    board: Replica,
+    replica: Replica,
     /// Tasks of the calls to the store that are in progress.
     calls: HashMap<u64, AbortHandle>,
-    /// Whether the last call failed; that is logged once.
-    store_out: bool,
+    /// Whether the last call to the store failed. Only the first of several failures is logged.
+    store_unavailable: bool,
 }
 
-/// Runs the board until the entry has stopped.
+/// Runs the document replica until the entry has stopped.
 pub(crate) async fn run(state: Arc<State>) {
-    let queued = state
+    let event_receiver = state
         .documents
-        .queued
+        .event_receiver
         .lock()
         .expect("no panic while held")
         .take();
-    let Some(mut queued) = queued else {
+    let Some(mut event_receiver) = event_receiver else {
         return;
     };
-    let place = Identity {
+    let identity = Identity {
         host: state.settings.name.clone(),
         data_centre: state.settings.data_centre.clone(),
         incarnation: state.hello.incarnation.max(1),
     };
     let rng = StdRng::seed_from_u64(rand::random());
     let mut driver = Driver {
-        board: Replica::new(place, state.now(), rng),
+        replica: Replica::new(identity, state.now(), rng),
         state: state.clone(),
         calls: HashMap::new(),
-        store_out: false,
+        store_unavailable: false,
     };
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -94,7 +94,7 @@
                 Event::Leave
             }
             _ = ticks.tick() => tick(),
-            event = queued.recv() => match event {
+            event = event_receiver.recv() => match event {
                 Some(event) => event,
                 None => return,
             },
@@ -112,41 +112,41 @@
 }
 
 impl Driver {
-    /// Passes an event to the board and executes the resulting actions.
+    /// Passes an event to the document replica and executes the resulting actions.
     fn handle(&mut self, event: Event) {
-        self.log_outage(&event);
+        self.track_call(&event);
         let is_tick = matches!(event, Event::Tick { .. });
-        for action in self.board.handle(event, self.state.now()) {
+        for action in self.replica.handle(event, self.state.now()) {
             self.execute(action);
         }
         if is_tick {
-            let reader = self.board.is_reader(self.state.now());
-            let changed = |last: &mut bool| std::mem::replace(last, reader) != reader;
+            let is_reader = self.replica.is_reader(self.state.now());
+            let changed = |last: &mut bool| std::mem::replace(last, is_reader) != is_reader;
             self.state.documents.reader.send_if_modified(changed);
         }
-        // The board checks the time on every event, not only on a tick.
+        // The document replica checks the time on every event, not only on a tick.
         self.state.documents.tick();
     }
 
-    /// Logs when the store stops answering.
-    fn log_outage(&mut self, event: &Event) {
+    /// Keeps track of the calls to the store, and logs when the store becomes unavailable.
+    fn track_call(&mut self, event: &Event) {
         match event {
             Event::Failed { call } => {
                 self.calls.remove(call);
-                if !self.store_out {
+                if !self.store_unavailable {
                     events::emit!(documents::STORE_OUT, "call={call}");
                 }
-                self.store_out = true;
+                self.store_unavailable = true;
             }
             Event::Read { call, .. } | Event::Changed { call, .. } | Event::Compacted { call } => {
                 self.calls.remove(call);
-                self.store_out = false;
+                self.store_unavailable = false;
             }
             _ => {}
         }
     }
 
-    /// Executes an action of the board.
+    /// Executes an action of the document replica.
     fn execute(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => self.send(to, &message),
@@ -168,7 +168,7 @@
                 if environment != self.state.settings.environment {
                     return;
                 }
-                if let Some(edition) = self.board.document(&environment) {
+                if let Some(edition) = self.replica.document(&environment) {
                     self.state.documents.apply(edition);
                 }
             }
@@ -180,13 +180,13 @@
                 self.state.documents.ready.send_replace(false);
             }
             Action::FactReceived { key } => {
-                if let Some(fact) = self.board.facts().get(&key) {
+                if let Some(fact) = self.replica.facts().get(&key) {
                     // Fails when there is no subscriber.
                     let _ = self.state.documents.facts.send((key, fact.clone()));
                 }
             }
             Action::Inventory { survey, inventory } => {
-                self.state.documents.forward_account(survey, inventory);
+                self.state.documents.forward_inventory(survey, inventory);
             }
         }
     }
@@ -202,7 +202,7 @@
             return;
         }
         // In a large fleet an entry has links to some hosts only; others are dialled on demand. The
-        // board tolerates the loss of messages.
+        // document replica tolerates the loss of messages.
         let state = self.state.clone();
         tokio::spawn(async move {
             if let Some(connection) = connect(&state, &to).await {
@@ -265,14 +265,14 @@
     deliver(&state, event).await;
 }
 
-/// Delivers the result of a call to the board. Waits for room in the queue, since results must not be
-/// dropped as messages are.
+/// Delivers the result of a call to the document replica. Waits for space in the queue: unlike
+/// messages, results must not be dropped.
 async fn deliver(state: &State, event: Event) {
     let _ = state.documents.events.send(event).await;
 }
 
-/// Returns the edition in an entry of the store; none if it belongs to another environment, as keys
-/// under the same prefix may.
+/// Returns the document in an entry of the store; `None` if it belongs to another environment, as
+/// keys with the same prefix may.
 fn edition(state: &State, entry: &Entry) -> Option<(Environment, Edition)> {
     let environment = &state.settings.environment;
     if entry.key != key(environment) {
--- a/components/entry/src/documents/edit.rs
+++ b/components/entry/src/documents/edit.rs
@@ -26,11 +26,11 @@
 
 use super::key;
 
-/// Delay before a failed call to the store is retried; it grows linearly with the failures.
+/// Delay before a failed call to the store is retried, multiplied by the number of failures.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Decodes a document of the store. A value that is no envelope was written by other means, and is
-/// taken as a document without history.
+/// Decodes a document of the store. A value that isn't an envelope was written by other means, and
+/// counts as a document without history.
 pub(crate) fn decode(entry: &Entry) -> Stored {
     let envelope = serde_json::from_str(&entry.value).unwrap_or_else(|_| Envelope {
         edit: Record {
@@ -50,13 +50,14 @@
     }
 }
 
-/// Reads the document of an environment from the store; none when there is no such document.
+/// Reads the document of an environment from the store; returns `None` if there is no such
+/// document.
 pub(crate) async fn read(platform: &Client, environment: &str) -> Result<Option<Stored>, Error> {
     let entry = platform.get(&key(environment)).await?;
     Ok(entry.as_ref().map(decode))
 }
 
-/// Applies an edit. Returns within a few times the platform's time limit.
+/// Applies an edit. Returns within a few times the timeout of a call to the store.
 pub(crate) async fn apply(platform: &Client, draft: Draft) -> Outcome {
     let (mut edit, mut step) = Edit::new(draft);
     let mut failures = 0;
--- a/components/entry/src/fleet.rs
+++ b/components/entry/src/fleet.rs
@@ -30,13 +30,13 @@
     }, //
 };
 
-/// The processes that this entry has or had a link to.
+/// Peers of this entry, by host.
 #[derive(Default)]
 pub(crate) struct Fleet {
     peers: Mutex<HashMap<Host, Arc<Peer>>>,
 }
 
-/// Another process.
+/// Process that this entry has or had a link to.
 pub(crate) struct Peer {
     /// Name of its host.
     pub(crate) host: Host,
@@ -135,9 +135,9 @@
         let heartbeat = self.heartbeat.lock().expect("no panic while held");
         let load = heartbeat.load.unwrap_or_default();
         // The reported load lags; the work of this entry is taken from its own count instead.
-        let own = self.work_at_heartbeat.load(Ordering::Acquire);
-        let others = (load.running + load.queued).saturating_sub(own);
-        Some((load.capacity, others + self.in_flight()))
+        let own_work = self.work_at_heartbeat.load(Ordering::Acquire);
+        let other_work = (load.running + load.queued).saturating_sub(own_work);
+        Some((load.capacity, other_work + self.in_flight()))
     }
 }
 
@@ -192,7 +192,7 @@
     }
 
     /// Returns the sidecar of a backend server, if its link is up.
-    pub(crate) fn peer_of(&self, server: &str) -> Option<(Arc<Peer>, Connection)> {
+    pub(crate) fn sidecar_of(&self, server: &str) -> Option<(Arc<Peer>, Connection)> {
         self.all().into_iter().find_map(|peer| {
             let connection = peer.connection()?;
             let backend = connection.hello.backend.as_ref()?;
--- a/components/entry/src/gates.rs
+++ b/components/entry/src/gates.rs
@@ -15,7 +15,7 @@
     Settings, //
 };
 use gates::{
-    Gates as Queues,
+    Gates as ServiceGates,
     Rejection, //
 };
 pub(crate) use gates::{
@@ -33,7 +33,7 @@
 
 /// The gate of each service, and the retry budget.
 pub(crate) struct Gates {
-    queues: Arc<Queues>,
+    service_gates: Arc<ServiceGates>,
     budget: Mutex<Budget>,
 }
 
@@ -42,9 +42,10 @@
     Settings::default().first_token_target
 }
 
-/// Returns the minimum share of the concurrency that late first tokens may reduce it to. The reports
-/// of replicas are old, and late tokens reveal queues that no report shows.
-pub(crate) fn min_concurrency_share() -> f64 {
+/// Returns the lowest factor by which late first tokens may reduce the concurrency below the
+/// reported capacity. The reports of replicas are old, and late tokens reveal queues that no
+/// report shows.
+pub(crate) fn min_concurrency_factor() -> f64 {
     Settings::default().min_factor
 }
 
@@ -52,7 +53,7 @@
     /// Creates the gates; `origin` is the origin of their clock readings.
     pub(crate) fn new(origin: Instant) -> Gates {
         Gates {
-            queues: Queues::new(origin),
+            service_gates: ServiceGates::new(origin),
             budget: Mutex::default(),
         }
     }
@@ -63,39 +64,39 @@
     ///
     /// Returns a [`Code::Busy`] problem with the time after which to retry.
     pub(crate) async fn admit(&self, request: Request<'_>) -> Result<Permit, Problem> {
-        let permit = self.queues.admit(request).await.map_err(refusal)?;
+        let permit = self.service_gates.admit(request).await.map_err(refusal)?;
         self.budget.lock().expect("no panic while held").request();
         Ok(permit)
     }
 
-    /// Draws a retry from the budget, and returns whether there was one left.
+    /// Takes a retry from the budget; returns `false` if it is used up.
     pub(crate) fn retry(&self) -> bool {
         self.budget.lock().expect("no panic while held").retry()
     }
 
-    /// Draws the resume of an answer from the budget; it is never denied.
+    /// Takes the resume of an answer from the budget. A resume is never denied.
     pub(crate) fn resume(&self) {
         self.budget.lock().expect("no panic while held").resume();
     }
 
     /// Updates the gates with the load of each service's replicas.
     fn report(&self, load: impl Fn(&str) -> Option<Report>) {
-        self.queues.report(|service, _| load(service));
+        self.service_gates.report(|service, _| load(service));
     }
 
-    /// Admits queued requests, and refuses those that have waited too long.
+    /// Admits queued requests, and rejects those that have waited too long.
     fn tick(&self) {
-        self.queues.tick();
+        self.service_gates.tick();
     }
 }
 
-/// Returns the problem for a refused request.
-fn refusal(refused: Rejection) -> Problem {
-    let message = match refused.reason {
+/// Returns the problem for a rejected request.
+fn refusal(rejection: Rejection) -> Problem {
+    let message = match rejection.reason {
         Reason::InFlight => "the team has as many requests in progress as it may",
         Reason::Rate => "the team sends more requests a second than it may",
         Reason::Full => "there are more requests than can be served in time",
         Reason::Late => "the request could not be begun in time",
     };
-    Problem::new(Code::Busy, message).retry(refused.retry_after)
+    Problem::new(Code::Busy, message).retry(rejection.retry_after)
 }
--- a/components/entry/src/hosts.rs
+++ b/components/entry/src/hosts.rs
@@ -37,7 +37,7 @@
     role: Role,
     /// Time at which it was last in the list.
     last_listed: Instant,
-    /// Stops the task that maintains the link; none while no such task runs.
+    /// Stops the task that maintains the link; `None` while no such task runs.
     link_task: Option<CancellationToken>,
     /// Time at which a link was last requested on demand.
     last_requested: Option<Instant>,
@@ -62,11 +62,11 @@
     /// Returns the number of known entries, including this one.
     pub(crate) fn entry_count(&self) -> u32 {
         let members = self.members.lock().expect("no panic while held");
-        let others = members
+        let other_entries = members
             .values()
             .filter(|host| host.role == Role::Entry)
             .count();
-        u32::try_from(others + 1).unwrap_or(u32::MAX)
+        u32::try_from(other_entries + 1).unwrap_or(u32::MAX)
     }
 
     /// Returns the names of the other known entries.
--- a/components/entry/src/hosts/connector.rs
+++ b/components/entry/src/hosts/connector.rs
@@ -47,15 +47,17 @@
     state::State, //
 };
 
-/// Approximate size of a host in the list, and maximum bytes per second spent on reading the list.
-const HOST_BYTES: f64 = 150.0;
-const READ_BYTES_PER_SECOND: f64 = 2048.0;
+/// Approximate size of a host in the list, in bytes.
+const HOST_ENTRY_BYTES: f64 = 150.0;
+
+/// Maximum mean rate at which the list is read, in bytes per second.
+const MAX_READ_BYTES_PER_SECOND: f64 = 2048.0;
 
 /// Time after which a host that is no longer listed and has no link is removed.
 const REMOVE_AFTER: Duration = Duration::from_secs(60);
 
 /// Time for which a link that was dialled on demand is kept without work.
-const ON_DEMAND_IDLE: Duration = Duration::from_secs(30);
+const ON_DEMAND_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Polls the list and updates the links until the entry has stopped.
 pub(crate) async fn run(state: Arc<State>) {
@@ -98,10 +100,11 @@
 /// exceed the control traffic allowed per node many times over. It may be stale, since a leaving
 /// host announces that in its heartbeats, and the failure of a host is detected on its link.
 fn read_interval(hosts: usize) -> Duration {
-    Duration::from_secs_f64(hosts as f64 * HOST_BYTES / READ_BYTES_PER_SECOND)
+    Duration::from_secs_f64(hosts as f64 * HOST_ENTRY_BYTES / MAX_READ_BYTES_PER_SECOND)
 }
 
-/// Returns a link to a host, which is dialled if there is none; none after the silence timeout.
+/// Returns a link to a host, which is dialled if there is none; returns `None` after the silence
+/// timeout.
 pub(crate) async fn connect(state: &Arc<State>, host: &str) -> Option<Connection> {
     let peer = state.fleet.peer(host);
     if let Some(connection) = peer.connection() {
@@ -162,7 +165,7 @@
         });
         member.last_listed = now;
         member.data_centre = host.data_centre;
-        // The host was replaced by another one of the same name.
+        // Another host of the same name has replaced this one.
         if member.address != host.address {
             member.address = host.address;
             stop_link(member);
@@ -183,13 +186,13 @@
         }
         keep
     });
-    let permanent = permanent(state, &members);
+    let permanent_links = permanent_links(state, &members);
     for (name, host) in members.iter_mut() {
         let requested = host
             .last_requested
-            .is_some_and(|at| now.duration_since(at) < ON_DEMAND_IDLE);
+            .is_some_and(|at| now.duration_since(at) < ON_DEMAND_IDLE_TIMEOUT);
         let busy = state.fleet.peer(name).in_flight() > 0;
-        if permanent.contains(name) || requested || busy {
+        if permanent_links.contains(name) || requested || busy {
             start_link(state, name, host);
         } else {
             stop_link(host);
@@ -207,7 +210,7 @@
 }
 
 /// Returns the hosts that this entry has a permanent link to.
-fn permanent(state: &State, members: &HashMap<Host, Member>) -> HashSet<Host> {
+fn permanent_links(state: &State, members: &HashMap<Host, Member>) -> HashSet<Host> {
     let own = &state.settings.name;
     let candidates = |role| {
         members
--- a/components/entry/src/links.rs
+++ b/components/entry/src/links.rs
@@ -37,16 +37,18 @@
     state::State,
 };
 
-/// First and longest pause between two attempts to dial one host.
+/// First pause between two attempts to dial a host.
 const MIN_DIAL_PAUSE: Duration = Duration::from_millis(50);
+
+/// Longest pause between two attempts to dial a host.
 const MAX_DIAL_PAUSE: Duration = Duration::from_secs(2);
 
-/// Checks of a busy link within the silence timeout.
-const SILENCE_CHECKS: u32 = 8;
+/// Number of checks of a busy link within the silence timeout.
+const SILENCE_CHECKS_PER_TIMEOUT: u32 = 8;
 
-/// Frames queued for a link's control stream. When the queue is full, the newest are dropped, since
-/// everything on that stream is sent again later.
-const FRAME_QUEUE: usize = 256;
+/// Maximum number of frames queued for a link's control stream. When the queue is full, the newest
+/// are dropped, since everything on that stream is sent again later.
+const FRAME_QUEUE_CAPACITY: usize = 256;
 
 /// Maintains a link to one host: dials it, and redials when the link is lost.
 pub(crate) async fn maintain(
@@ -82,8 +84,8 @@
     host: &str,
     address: SocketAddr,
 ) -> Result<(Link, Stream, Hello), Error> {
-    // A socket of its own: a new link must get through even if the path of the last one, with the
-    // same addresses and ports, no longer carries packets.
+    // Each link has its own socket: a new link must get through even if the path of the last one,
+    // with the same addresses and ports, no longer carries packets.
     let link = state.node.dial_apart(address, host).await?;
     let silence = state.settings.times.silence;
     let (stream, hello) = greeting::dialled(&link, &state.hello, silence).await?;
@@ -132,10 +134,10 @@
     stop: &CancellationToken,
 ) {
     events::emit!(links::UP, "host={}", peer.host);
-    let (frames, queued) = mpsc::channel(FRAME_QUEUE);
+    let (frames, queued) = mpsc::channel(FRAME_QUEUE_CAPACITY);
     let heartbeats = state.heartbeat.subscribe();
     let times = &state.settings.times;
-    let pace = Pace {
+    let heartbeat_intervals = Pace {
         busy: times.heartbeat,
         rest: times.rest,
     };
@@ -154,7 +156,7 @@
         heartbeats,
         queued,
         peer.watch_work(),
-        pace,
+        heartbeat_intervals,
         received_any,
     ));
     let (shared, sender) = (state.clone(), frames.clone());
@@ -196,7 +198,7 @@
             let _ = work.wait_for(|work| *work > 0).await;
             last_received = Instant::now();
         }
-        sleep(silence / SILENCE_CHECKS).await;
+        sleep(silence / SILENCE_CHECKS_PER_TIMEOUT).await;
         let now = link.bytes().1;
         if now != received {
             received = now;
@@ -236,8 +238,8 @@
         Error::Malformed(reason) => {
             events::emit!(links::PROTOCOL, "host={host} reason=\"{reason}\"");
         }
-        // A host that is gone stays in the list for a while: with longer pauses only, so that it is
-        // logged about once a second at most.
+        // A host that is gone stays in the list for a while. Failures to dial it are logged only at
+        // the longer pauses, about once a second at most.
         _ if pause >= Duration::from_millis(800) => {
             events::emit!(links::LOST, "host={host} reason=\"{error}\"");
         }
--- a/components/entry/src/moves.rs
+++ b/components/entry/src/moves.rs
@@ -62,8 +62,8 @@
 /// their digests come with each heartbeat.
 const VETO_SYNC_TIME: Duration = Duration::from_secs(5);
 
-/// Time for which a veto or a record is spread. All entries have
-/// read the same from the record in the store long before that.
+/// Time for which a veto or a record is spread. Long before its end, all entries have read the same
+/// from the record in the store.
 const FACT_LIFETIME: Duration = Duration::from_secs(30 * 24 * 3600);
 
 /// Runs the movers and applies documents to them until the entry has stopped.
@@ -95,10 +95,10 @@
             state.burn.set_levels(&snapshot.document);
         }
         report_ready(&state, &snapshot.document);
-        let names = active(&state);
-        let others = state.hosts.other_entries();
+        let names = active_moves(&state);
+        let other_entries = state.hosts.other_entries();
         for name in names {
-            let rank = rank(&state.settings.name, &others, &name);
+            let rank = rank(&state.settings.name, &other_entries, &name);
             handle(&state, &name, Event::Rank(rank));
             if state.now() >= VETO_SYNC_TIME {
                 handle(&state, &name, Event::Synced);
@@ -146,7 +146,7 @@
 }
 
 /// Returns the names of the moves that have a mover.
-fn active(state: &State) -> Vec<Move> {
+fn active_moves(state: &State) -> Vec<Move> {
     let movers = state.movers.lock();
     movers.keys().cloned().collect()
 }
@@ -155,7 +155,7 @@
 fn apply(state: &Arc<State>, document: &Document) {
     for plan in &document.moves {
         let routes = routes(document, plan);
-        if active(state).contains(&plan.name) {
+        if active_moves(state).contains(&plan.name) {
             let plan = plan.clone();
             handle(state, &plan.name.clone(), Event::Planned { plan, routes });
             continue;
@@ -176,7 +176,7 @@
             execute(state, &plan.name, action);
         }
     }
-    for name in active(state) {
+    for name in active_moves(state) {
         if document.moves.iter().any(|plan| plan.name == name) {
             continue;
         }
@@ -254,8 +254,8 @@
         }
         Action::Notice(notice) => log::notice(name, &notice),
         Action::Publish(Fact::Veto(veto)) => publish_veto(state, name, &veto),
-        // Picks read share and concentration from the mover, and the document keeps the servers of
-        // the old version.
+        // `Movers::pick` reads the share and the concentration from the mover, and the document
+        // keeps the servers of the old version.
         Action::Share(_) | Action::Concentrate(_) | Action::KeepWarm(_) | Action::Publish(_) => {}
     }
 }
--- a/components/entry/src/moves/observer.rs
+++ b/components/entry/src/moves/observer.rs
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Records received tokens; `count` is their total number so far, and `started` the start of the
-    /// request.
+    /// Records received tokens; `count` is their total number so far, and `started` the start of
+    /// the request.
     pub(crate) fn tokens_received(&mut self, state: &Arc<State>, started: Instant, count: usize) {
         let Some(assignment) = &self.assignment else {
             return;
--- a/components/entry/src/moves/store.rs
+++ b/components/entry/src/moves/store.rs
@@ -65,7 +65,7 @@
     handle(&state, &name, Event::Stored(answer));
 }
 
-/// Converts an entry of the store; none is a record that was never written.
+/// Converts the entry of a record in the store; without an entry, the record was never written.
 fn stored_answer(entry: Option<store::store::Entry>) -> Answer {
     let Some(entry) = entry else {
         return Answer::Current {
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -51,7 +51,7 @@
     state::State,
 };
 
-/// Time limit for the answers of the other data centres to a survey.
+/// Time within which the data centres must respond to a survey.
 const SURVEY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time after which an operator may retry during an outage of the store.
@@ -78,7 +78,7 @@
     state: Arc<State>,
 }
 
-/// A document as it stands in the store.
+/// Response of [`Get`]: a document in the store.
 #[derive(Serialize)]
 struct Stored {
     revision: Revision,
@@ -128,8 +128,8 @@
     }
 }
 
-/// `POST /environments/<environment>/promote`: copies the document of another environment in which it
-/// was tried.
+/// `POST /environments/<environment>/promote`: copies the document of another environment in which
+/// it was tried.
 struct Promote {
     state: Arc<State>,
 }
@@ -165,7 +165,7 @@
 ///
 /// Returns a [`Code::Invalid`] problem for a parameter that is missing or malformed.
 fn pin(req: &mut Request) -> Result<Pin, Problem> {
-    let invalid = |field: &str, what: &str| Problem::invalid(field, what);
+    let invalid = |field: &str, message: &str| Problem::invalid(field, message);
     let digest: Option<String> = req.query("digest");
     let digest = digest.and_then(|digest| u64::from_str_radix(&digest, 16).ok());
     Ok(Pin {
@@ -261,7 +261,7 @@
     }
 }
 
-/// Reads the stored document and passes it to the board.
+/// Reads the stored document and passes it to the document replica.
 async fn announce(state: &State, environment: &str) {
     let Ok(Some(stored)) = edit::read(&state.platform, environment).await else {
         return;
@@ -301,16 +301,16 @@
     }
 }
 
-/// `GET /environments/<environment>/status`: returns what is in force in each data centre.
+/// `GET /environments/<environment>/status`: returns the revisions in force in each data centre.
 struct Survey {
     state: Arc<State>,
 }
 
-/// What is in force in the data centres that answered in time.
+/// Response of [`Survey`]: the revisions in force in the data centres that responded in time.
 #[derive(Serialize)]
 struct Overview {
     environment: String,
-    /// Highest revision of all answers.
+    /// Highest revision of all responses.
     revision: Revision,
     data_centres: Vec<Inventory>,
 }
@@ -320,23 +320,23 @@
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let environment = environment_name(req);
         let deadline = Instant::now() + SURVEY_TIMEOUT;
-        let (number, mut accounts) = self.state.documents.survey();
+        let (survey, mut inventories) = self.state.documents.survey();
         let expected = self
             .state
             .hosts
             .data_centre_count(&self.state.settings.data_centre);
         let mut received = BTreeMap::new();
         while received.len() < expected {
-            let Ok(Some(mut account)) = timeout_at(deadline, accounts.recv()).await else {
+            let Ok(Some(mut inventory)) = timeout_at(deadline, inventories.recv()).await else {
                 break;
             };
-            account
+            inventory
                 .standings
                 .retain(|standing| standing.environment == environment);
-            received.insert(account.data_centre.clone(), account);
+            received.insert(inventory.data_centre.clone(), inventory);
         }
-        self.state.documents.end_survey(number);
-        let standings = received.values().flat_map(|account| &account.standings);
+        self.state.documents.end_survey(survey);
+        let standings = received.values().flat_map(|inventory| &inventory.standings);
         let revision = standings
             .map(|standing| standing.revision)
             .max()
@@ -403,7 +403,7 @@
     state: Arc<State>,
 }
 
-/// State of one entry.
+/// Response of [`Status`]: the state of this entry.
 #[derive(Serialize)]
 struct Summary<'a> {
     host: &'a str,
--- a/components/entry/src/outage.rs
+++ b/components/entry/src/outage.rs
@@ -10,7 +10,7 @@
 /// Time for which calls that need a record are refused immediately after a failure of the store.
 pub(crate) const COOLDOWN: Duration = Duration::from_millis(500);
 
-/// Time of the store's last failure.
+/// Time of the last failure of the store.
 ///
 /// Without it, each recorded call during a long outage would wait for its own timeout before it is
 /// refused.
--- a/components/entry/src/pointers.rs
+++ b/components/entry/src/pointers.rs
@@ -16,7 +16,10 @@
     frame::Point, //
 };
 
-use crate::{hosts::connector::connect, state::State};
+use crate::{
+    hosts::connector::connect,
+    state::State, //
+};
 
 /// Time limit for sending a pointer to a holder.
 const PUBLISH_TIMEOUT: Duration = Duration::from_secs(2);
@@ -41,8 +44,8 @@
     }
 }
 
-/// Asks the holders of a request for its pointer, within `limit` each. Of several pointers, returns
-/// the one with the latest epoch.
+/// Queries the holders of a request for its pointer, within `limit` each. Of several pointers,
+/// returns the one with the latest epoch.
 pub(crate) async fn find(state: &Arc<State>, request: &str, limit: Duration) -> Option<Pointer> {
     let lookups = state
         .hosts
--- a/components/entry/src/pool.rs
+++ b/components/entry/src/pool.rs
@@ -1,4 +1,4 @@
-//! Driver of the replica choice in the `routing` crate.
+//! Chooses replicas: drives the decisions in the `routing` crate.
 
 use std::{
     sync::{
@@ -41,13 +41,13 @@
     Peer, //
 };
 
-/// Maximum number of choices until one is a server that the document names.
+/// Maximum number of attempts to choose a server that the document names.
 const MAX_CHOICES: usize = 8;
 
 /// Minimum time after which a caller that found no replica may retry.
 pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Last known state of the replicas, and the random choice between them.
+/// Last reported state of the replicas, by which requests are assigned to them.
 pub(crate) struct Pool {
     inner: Mutex<Inner>,
     origin: Instant,
@@ -57,12 +57,12 @@
 /// State behind the lock.
 struct Inner {
     pool: routing::Pool,
-    /// Places that have had replicas, for the summaries of other data centres.
-    places: Vec<Deployment>,
+    /// Deployments that have had replicas, for the summaries of other data centres.
+    deployments: Vec<Deployment>,
     rng: SmallRng,
 }
 
-/// What a replica is chosen by.
+/// Criteria for the choice of a replica.
 pub(crate) struct Criteria<'a> {
     pub(crate) service: &'a Service,
     pub(crate) release: &'a Release,
@@ -97,7 +97,7 @@
         Arc::new(Self {
             inner: Mutex::new(Inner {
                 pool: routing::Pool::new(routing::Settings::default()),
-                places: Vec::new(),
+                deployments: Vec::new(),
                 rng: SmallRng::seed_from_u64(rand::random()),
             }),
             origin,
@@ -115,16 +115,16 @@
         let Some(backend) = &hello.backend else {
             return;
         };
-        let place = Deployment {
+        let deployment = Deployment {
             service: backend.service.clone(),
             version: backend.version.clone(),
             data_centre: hello.data_centre.clone(),
         };
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic while held");
-        inner.pool.insert(now, &backend.server, &place);
-        if !inner.places.contains(&place) {
-            inner.places.push(place);
+        inner.pool.insert(now, &backend.server, &deployment);
+        if !inner.deployments.contains(&deployment) {
+            inner.deployments.push(deployment);
         }
     }
 
@@ -235,25 +235,26 @@
         criteria: &Criteria<'_>,
         tried: &[DataCentre],
     ) -> Option<DataCentre> {
-        let mut places = self.places.iter();
-        let place = places.find(|place| {
-            place.service == *criteria.service
-                && place.version == criteria.release.name
-                && !tried.contains(&place.data_centre)
+        let mut deployments = self.deployments.iter();
+        let deployment = deployments.find(|deployment| {
+            deployment.service == *criteria.service
+                && deployment.version == criteria.release.name
+                && !tried.contains(&deployment.data_centre)
         });
-        place.map(|place| place.data_centre.clone())
+        deployment.map(|deployment| deployment.data_centre.clone())
     }
 
-    /// Refreshes the summaries of other data centres from the replicas that this entry has links to.
+    /// Refreshes the summaries of other data centres from the replicas that this entry has links
+    /// to.
     fn refresh_summaries(&mut self, now: Clock, criteria: &Criteria<'_>, own: &DataCentre) {
-        for place in &self.places {
-            let serves =
-                place.service == *criteria.service && place.version == criteria.release.name;
-            if !serves || place.data_centre == *own {
+        for deployment in &self.deployments {
+            let serves = deployment.service == *criteria.service
+                && deployment.version == criteria.release.name;
+            if !serves || deployment.data_centre == *own {
                 continue;
             }
-            let summary = self.pool.summary(now, place);
-            self.pool.record_summary(now, place, &summary);
+            let summary = self.pool.summary(now, deployment);
+            self.pool.record_summary(now, deployment, &summary);
         }
     }
 }
--- a/components/entry/src/problem.rs
+++ b/components/entry/src/problem.rs
@@ -70,8 +70,8 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
     /// Path that returns the outcome of the call.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub ask: Option<String>,
+    #[serde(rename = "ask", skip_serializing_if = "Option::is_none")]
+    pub status_path: Option<String>,
 }
 
 /// JSON body of an error response.
@@ -90,7 +90,7 @@
             field: None,
             run: Run::NotRun,
             retry_after_ms: None,
-            ask: None,
+            status_path: None,
         }
     }
 
--- a/components/entry/src/replicas.rs
+++ b/components/entry/src/replicas.rs
@@ -11,7 +11,7 @@
     state::State, //
 };
 
-/// Maximum number of choices until one has a link that is up.
+/// Maximum number of attempts to choose a replica whose link is up.
 const MAX_CHOICES: usize = 8;
 
 impl State {
@@ -27,7 +27,7 @@
                 avoid: &avoid,
                 ..*criteria
             })?;
-            let Some((peer, connection)) = self.fleet.peer_of(&server) else {
+            let Some((peer, connection)) = self.fleet.sidecar_of(&server) else {
                 // The link has just closed, and the pool is not updated yet.
                 avoid.push(server);
                 continue;
--- a/components/entry/src/state.rs
+++ b/components/entry/src/state.rs
@@ -53,7 +53,7 @@
     unresponsive::Unresponsive, //
 };
 
-/// Shared by the tasks of one entry.
+/// State of one entry.
 pub(crate) struct State {
     pub(crate) settings: Entry,
     pub(crate) node: Node,
@@ -76,8 +76,8 @@
     pub(crate) burn: Recorder,
     /// Counters of resumed answers.
     pub(crate) resumes: Resumes,
-    /// Time between tokens, by service and version.
-    pub(crate) gaps: Intervals,
+    /// Times between tokens, by service and version.
+    pub(crate) gaps: GapTable,
     pub(crate) unresponsive: Unresponsive,
     /// Scheduling delay of this process.
     pub(crate) lateness: Lateness,
@@ -109,23 +109,23 @@
     }
 }
 
-/// Times between tokens by service and version, from which new answers start.
+/// Times between tokens by service and version: the initial estimate for each new answer.
 #[derive(Default)]
-pub(crate) struct Intervals(Mutex<HashMap<(Service, Version), Gaps>>);
+pub(crate) struct GapTable(Mutex<HashMap<(Service, Version), Gaps>>);
 
-impl Intervals {
+impl GapTable {
     /// Adds a time between two tokens.
     pub(crate) fn learn(&self, service: &str, version: &str, gap: Duration) {
-        let mut intervals = self.0.lock().expect("no panic while held");
+        let mut gaps = self.0.lock().expect("no panic while held");
         let key = (service.to_string(), version.to_string());
-        intervals.entry(key).or_default().learn(gap);
+        gaps.entry(key).or_default().learn(gap);
     }
 
-    /// Returns what is known of a version, or the default.
+    /// Returns the measured times of a version, or the default.
     pub(crate) fn get(&self, service: &str, version: &str) -> Gaps {
-        let intervals = self.0.lock().expect("no panic while held");
+        let gaps = self.0.lock().expect("no panic while held");
         let key = (service.to_string(), version.to_string());
-        intervals.get(&key).copied().unwrap_or_default()
+        gaps.get(&key).copied().unwrap_or_default()
     }
 }
 
