--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -181,10 +181,10 @@
         permit,
     };
     let first = driver.first_event().await;
-    let mut ready = driver.handle(first);
+    let mut ready_chunks = driver.handle(first);
     let mut caller_gone = false;
     loop {
-        for chunk in ready {
+        for chunk in ready_chunks {
             if chunks.send(chunk).await.is_err() {
                 break;
             }
@@ -193,7 +193,7 @@
             return;
         }
         let wake = driver.resume.next_wake().map(|at| driver.state.origin + at);
-        ready = tokio::select! {
+        ready_chunks = tokio::select! {
             // Events that are queued come before the timer: otherwise an entry that was paused, or
             // waited for a slow caller, would suspect an engine that has already answered.
             biased;
--- a/components/entry/src/documents.rs
+++ b/components/entry/src/documents.rs
@@ -101,7 +101,7 @@
 }
 
 impl Documents {
-    /// Returns the document to serve by; none while this entry may have missed a newer one.
+    /// Returns the document to serve by; `None` while this entry may have missed a newer one.
     pub(crate) fn current(&self) -> Option<Arc<Snapshot>> {
         match self.may_serve() {
             true => self.latest(),
--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -229,7 +229,7 @@
             documents: listing
                 .entries
                 .iter()
-                .filter_map(|e| edition(&state, e))
+                .filter_map(|entry| edition(&state, entry))
                 .collect(),
             revision: listing.revision,
         },
--- a/components/entry/src/moves.rs
+++ b/components/entry/src/moves.rs
@@ -218,7 +218,10 @@
             continue;
         };
         let count = |version: &Version| {
-            let release = provision.versions.iter().find(|r| r.name == *version);
+            let release = provision
+                .versions
+                .iter()
+                .find(|release| release.name == *version);
             release.map_or(0, |release| ready_servers(&servers, release).len() as u32)
         };
         let event = Event::Ready {
--- a/components/entry/src/moves/movers.rs
+++ b/components/entry/src/moves/movers.rs
@@ -74,7 +74,10 @@
             Side::New => &plan.to,
         };
         let provision = document.service(&target.service)?;
-        let picked = provision.versions.iter().find(|r| r.name == *version)?;
+        let picked = provision
+            .versions
+            .iter()
+            .find(|release| release.name == *version)?;
         *release = picked.clone();
         target.version = version.clone();
         if pick.side == Side::New
--- a/components/gateway/src/accept.rs
+++ b/components/gateway/src/accept.rs
@@ -112,9 +112,9 @@
 struct Progress {
     /// Whether a request is in progress.
     running: Cell<bool>,
-    /// When the last response ended, or the connection was opened.
+    /// Time at which the last response ended, or the connection was opened.
     idle_since: Cell<Option<Instant>>,
-    /// When the first byte of the next request arrived.
+    /// Time at which the first byte of the next request arrived.
     request_began: Cell<Option<Instant>>,
 }
 
--- a/components/gateway/src/admin.rs
+++ b/components/gateway/src/admin.rs
@@ -26,11 +26,11 @@
     body::Body, //
 };
 
-/// Status and body of a response.
-pub type Answer = (StatusCode, String);
+/// Status and text of a response.
+pub type Page = (StatusCode, String);
 
-/// Answers every request with the result of `answer` until `stop` is cancelled.
-pub async fn run(listener: TcpListener, answer: Rc<dyn Fn() -> Answer>, stop: CancellationToken) {
+/// Responds to every request with the result of `respond` until `stop` is cancelled.
+pub async fn run(listener: TcpListener, respond: Rc<dyn Fn() -> Page>, stop: CancellationToken) {
     loop {
         let accepted = tokio::select! {
             () = stop.cancelled() => return,
@@ -39,10 +39,10 @@
         let Ok((stream, _)) = accepted else {
             continue;
         };
-        let answer = answer.clone();
+        let respond = respond.clone();
         spawn_local(async move {
             let service = service_fn(move |_: Request<Incoming>| {
-                let (status, text) = answer();
+                let (status, text) = respond();
                 let mut response = Response::new(Body::whole(text));
                 *response.status_mut() = status;
                 std::future::ready(Ok::<_, Infallible>(response))
--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -101,14 +101,14 @@
 #[derive(Clone)]
 struct Lookup {
     at: Instant,
-    /// Index of this gateway among all, and their number, which define its partition of the
-    /// engines.
+    /// Rank of this gateway among the live ones, and their number, which define its partition of
+    /// the engines.
     position: (usize, usize),
     done: watch::Receiver<bool>,
 }
 
 impl CacheLookup {
-    /// Creates a cache without lookups.
+    /// Creates the state without lookups.
     pub fn new(outgoing: UnboundedSender<Outgoing>) -> CacheLookup {
         CacheLookup {
             lookups: RefCell::default(),
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -82,15 +82,15 @@
 /// Interval at which a shutdown checks for open connections.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Bound sockets.
+/// Bound sockets of a gateway.
 pub struct Listeners {
-    /// Callers' connections.
+    /// Listener for callers' connections.
     pub callers: TcpListener,
-    /// Readiness endpoint.
+    /// Listener of the readiness endpoint.
     pub ready: TcpListener,
-    /// Beacons and messages of other gateways.
+    /// Socket for beacons and messages of other gateways.
     pub peers: UdpSocket,
-    /// Metrics endpoint.
+    /// Listener of the metrics endpoint.
     pub metrics: Option<TcpListener>,
 }
 
@@ -269,18 +269,18 @@
         );
         spawn_local(accept);
         let context = self.context.clone();
-        let answer = Rc::new(move || match is_ready(&context) {
+        let respond = Rc::new(move || match is_ready(&context) {
             true => (StatusCode::OK, String::new()),
             false => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
         });
-        spawn_local(admin::run(readiness, answer, stopped.clone()));
+        spawn_local(admin::run(readiness, respond, stopped.clone()));
         if let Some(metrics) = metrics {
             let (context, handle) = (self.context.clone(), metering::install());
-            let answer = Rc::new(move || {
+            let respond = Rc::new(move || {
                 gauges(&context).set();
                 (StatusCode::OK, handle.render())
             });
-            spawn_local(admin::run(metrics, answer, stopped.clone()));
+            spawn_local(admin::run(metrics, respond, stopped.clone()));
         }
         let context = &self.context;
         if let Some(channels) = self.channels.take() {
--- a/components/gateway/src/shutdown.rs
+++ b/components/gateway/src/shutdown.rs
@@ -120,9 +120,9 @@
     }
 
     /// Returns whether a new request is admitted: it must be expected to end before the process
-    /// exits. The last gateway of a data centre allows fewer deviations, as its
-    /// callers can't reach another one at once. `objective` is used to estimate the duration on a
-    /// route without samples.
+    /// exits. The last gateway of a data centre allows fewer deviations, as its callers can't reach
+    /// another one at once. `objective` is used to estimate the duration on a route without
+    /// samples.
     pub fn admits(&self, route: &Route, objective: Duration, grace: Duration) -> bool {
         match self.neighbours.get() {
             0 => self.ends_within(route, objective, grace, MAX_DEVIATIONS_LAST_GATEWAY),
