--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -247,7 +247,7 @@
             return begin;
         };
         let peer = self.state.fleet.peer(&found.host);
-        let dispatch = self
+        let in_flight = self
             .state
             .pool
             .start(&found.server, None, peer.work_counter());
@@ -255,7 +255,7 @@
             epoch: found.epoch,
             nonce: found.nonce,
             server: found.server.clone(),
-            dispatch,
+            in_flight,
             peer,
             suspects: self.state.suspects.clone(),
             cancel: CancellationToken::new(),
@@ -307,13 +307,14 @@
             } = &event
                 && let Some(attempt) = self.attempts.get(epoch)
             {
-                self.observer.broken(&self.state, &attempt.server, *reason);
+                self.observer
+                    .record_breakage(&self.state, &attempt.server, *reason);
             }
             if let Event::Refused { epoch, .. } = &event
                 && let Some(attempt) = self.attempts.get(epoch)
                 && let Some(reason) = *attempt.refused.lock().expect("no panic while held")
             {
-                self.observer.refused(&self.state, reason);
+                self.observer.record_refusal(&self.state, reason);
             }
             let before = self.resume.next();
             let mut actions = Vec::new();
@@ -409,7 +410,8 @@
             Action::Finish(finish) => {
                 let usage = self.usage();
                 let count = self.tokens.len();
-                self.observer.ended(&self.state, Ending::Completed, count);
+                self.observer
+                    .record_end(&self.state, Ending::Completed, count);
                 self.count_answer(true, count);
                 chunks.push(Chunk::Finish(finish, usage));
             }
@@ -428,7 +430,7 @@
                     _ => Ending::Inconclusive,
                 };
                 let count = self.tokens.len();
-                self.observer.ended(&self.state, ending, count);
+                self.observer.record_end(&self.state, ending, count);
                 self.count_answer(false, count);
                 chunks.push(Chunk::Interrupt(reason, retry_after));
             }
@@ -489,9 +491,9 @@
         }
         self.last_tokens = Some((now, epoch));
         let count = self.tokens.len() + fresh as usize;
-        self.timer.tokens(self.started);
+        self.timer.record_tokens(self.started);
         self.observer
-            .tokens_received(&self.state, self.started, count);
+            .record_tokens(&self.state, self.started, count);
     }
 
     /// Counts the answer for the report on service-level burn.
--- a/components/entry/src/answers/epochs.rs
+++ b/components/entry/src/answers/epochs.rs
@@ -52,9 +52,9 @@
         }
         match cause {
             Cause::First => {}
-            Cause::Loss => self.state.gates.resume(),
-            Cause::Suspicion if self.all_unresponsive() => self.state.gates.resume(),
-            Cause::Suspicion if self.state.gates.retry() => {}
+            Cause::Loss => self.state.gates.take_resume(),
+            Cause::Suspicion if self.all_unresponsive() => self.state.gates.take_resume(),
+            Cause::Suspicion if self.state.gates.take_retry() => {}
             Cause::Suspicion => return Some(Event::Denied { epoch }),
         }
         let criteria = Criteria {
@@ -85,7 +85,7 @@
             nonce: rand::random(),
             server: replica.server,
             peer: replica.peer,
-            dispatch: replica.dispatch,
+            in_flight: replica.in_flight,
             suspects: self.state.suspects.clone(),
             cancel: CancellationToken::new(),
             stream_number: AtomicU32::new(0),
--- a/components/entry/src/attempt.rs
+++ b/components/entry/src/attempt.rs
@@ -53,7 +53,7 @@
         connect,
         dial, //
     },
-    pool::Dispatch,
+    pool::InFlight,
     state::State,
 };
 
@@ -77,7 +77,7 @@
     /// Reason for which the sidecar refused the epoch, if it did.
     pub(crate) refused: Mutex<Option<Reason>>,
     /// Counts the work at the replica while the epoch is needed.
-    pub(crate) dispatch: Dispatch,
+    pub(crate) in_flight: InFlight,
 }
 
 /// Channel for the events of an epoch.
@@ -228,11 +228,13 @@
         Frame::Refused(refused) => {
             let retry_after = refused.retry_after;
             *attempt.refused.lock().expect("no panic while held") = Some(refused.reason);
-            attempt.dispatch.finish(Outcome::Refused { retry_after });
+            attempt
+                .in_flight
+                .set_outcome(Outcome::Refused { retry_after });
             Some(Event::Refused { epoch, retry_after })
         }
         Frame::Tokens(tokens) => {
-            attempt.dispatch.answered();
+            attempt.in_flight.record_first_output();
             Some(Event::Tokens {
                 epoch,
                 index: tokens.index,
@@ -241,10 +243,10 @@
         }
         Frame::End(end) => {
             match end.finish {
-                Finish::Stop | Finish::Length => attempt.dispatch.served(),
+                Finish::Stop | Finish::Length => attempt.in_flight.set_served(),
                 // A cancel by an entry and a full log say nothing about the replica.
                 Finish::Broken(Breakage::Cancelled | Breakage::LogFull) => {}
-                Finish::Broken(_) => attempt.dispatch.finish(Outcome::Failed),
+                Finish::Broken(_) => attempt.in_flight.set_outcome(Outcome::Failed),
             }
             *attempt.usage.lock().expect("no panic while held") = end.usage;
             Some(Event::End {
--- a/components/entry/src/burn.rs
+++ b/components/entry/src/burn.rs
@@ -59,7 +59,7 @@
 impl Timer {
     /// Records that tokens were received, for an answer that was started at `started`; only the
     /// first call has an effect.
-    pub(crate) fn tokens(&mut self, started: Instant) {
+    pub(crate) fn record_tokens(&mut self, started: Instant) {
         if self.first.is_none() {
             self.first = Some((started.elapsed(), Instant::now()));
         }
--- a/components/entry/src/callers/completions.rs
+++ b/components/entry/src/callers/completions.rs
@@ -136,9 +136,10 @@
         let mut release = release.clone();
         let servers = state.fleet.servers();
         let document = &snapshot.document;
-        let assignment = state
-            .movers
-            .pick(document, &request, &servers, &mut target, &mut release);
+        let assignment =
+            state
+                .movers
+                .assign(document, &request, &servers, &mut target, &mut release);
         let query = Query {
             seed: body.seed.unwrap_or_else(|| xxh3_64(request.as_bytes())),
             resumable: key.is_some(),
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -264,12 +264,12 @@
         let replied = timeout(self.state.settings.times.call, replied).await;
         let event = replied.ok().flatten().and_then(reply_event);
         match health(event.as_ref()) {
-            Health::Served => replica.dispatch.served(),
-            Health::Failed => replica.dispatch.finish(routing::Outcome::Failed),
+            Health::Served => replica.in_flight.set_served(),
+            Health::Failed => replica.in_flight.set_outcome(routing::Outcome::Failed),
             Health::Unknown => {}
         }
         event.unwrap_or_else(|| Event::Silent {
-            budget: self.class == Class::Repeatable && self.state.gates.retry(),
+            budget: self.class == Class::Repeatable && self.state.gates.take_retry(),
         })
     }
 }
--- a/components/entry/src/gates.rs
+++ b/components/entry/src/gates.rs
@@ -70,12 +70,12 @@
     }
 
     /// Takes a retry from the budget; returns `false` if it is used up.
-    pub(crate) fn retry(&self) -> bool {
+    pub(crate) fn take_retry(&self) -> bool {
         self.budget.lock().expect("no panic while held").retry()
     }
 
     /// Takes the resume of an answer from the budget. A resume is never denied.
-    pub(crate) fn resume(&self) {
+    pub(crate) fn take_resume(&self) {
         self.budget.lock().expect("no panic while held").resume();
     }
 
--- a/components/entry/src/hosts.rs
+++ b/components/entry/src/hosts.rs
@@ -47,14 +47,14 @@
     /// Returns the address of a known host.
     fn address(&self, host: &str) -> Option<SocketAddr> {
         let members = self.members.lock().expect("no panic while held");
-        members.get(host).map(|host| host.address)
+        members.get(host).map(|member| member.address)
     }
 
     /// Returns the number of data centres that have an entry, including `own`.
     pub(crate) fn data_centre_count(&self, own: &str) -> usize {
         let members = self.members.lock().expect("no panic while held");
-        let entries = members.values().filter(|host| host.role == Role::Entry);
-        let mut names: HashSet<_> = entries.map(|host| host.data_centre.as_str()).collect();
+        let entries = members.values().filter(|member| member.role == Role::Entry);
+        let mut names: HashSet<_> = entries.map(|member| member.data_centre.as_str()).collect();
         names.insert(own);
         names.len()
     }
@@ -64,7 +64,7 @@
         let members = self.members.lock().expect("no panic while held");
         let other_entries = members
             .values()
-            .filter(|host| host.role == Role::Entry)
+            .filter(|member| member.role == Role::Entry)
             .count();
         u32::try_from(other_entries + 1).unwrap_or(u32::MAX)
     }
@@ -72,7 +72,9 @@
     /// Returns the names of the other known entries.
     pub(crate) fn other_entries(&self) -> Vec<Host> {
         let members = self.members.lock().expect("no panic while held");
-        let entries = members.iter().filter(|(_, host)| host.role == Role::Entry);
+        let entries = members
+            .iter()
+            .filter(|(_, member)| member.role == Role::Entry);
         entries.map(|(name, _)| name.clone()).collect()
     }
 
@@ -82,7 +84,7 @@
         let members = self.members.lock().expect("no panic while held");
         let sidecars = members
             .values()
-            .filter(|host| host.role == Role::Sidecar)
+            .filter(|member| member.role == Role::Sidecar)
             .count();
         let entries = members.len() - sidecars + 1;
         let linked = sidecars.min(links);
@@ -95,11 +97,11 @@
         let members = self.members.lock().expect("no panic while held");
         let sidecars = members
             .iter()
-            .filter(|(_, host)| host.role == Role::Sidecar);
+            .filter(|(_, member)| member.role == Role::Sidecar);
         let candidates: Vec<_> = sidecars
-            .map(|(name, host)| pointer::Candidate {
+            .map(|(name, member)| pointer::Candidate {
                 host: name.clone(),
-                data_centre: host.data_centre.clone(),
+                data_centre: member.data_centre.clone(),
             })
             .collect();
         let holders = pointer::holders(request, &candidates).into_iter();
--- a/components/entry/src/hosts/connector.rs
+++ b/components/entry/src/hosts/connector.rs
@@ -177,25 +177,25 @@
 fn reconcile(state: &Arc<State>) {
     let mut members = state.hosts.members.lock().expect("no panic while held");
     let now = Instant::now();
-    members.retain(|name, host| {
+    members.retain(|name, member| {
         let up = state.fleet.peer(name).connection().is_some();
-        let keep = up || now.duration_since(host.last_listed) < REMOVE_AFTER;
+        let keep = up || now.duration_since(member.last_listed) < REMOVE_AFTER;
         if !keep {
-            stop_link(host);
+            stop_link(member);
             state.fleet.remove(name);
         }
         keep
     });
     let permanent_links = permanent_links(state, &members);
-    for (name, host) in members.iter_mut() {
-        let requested = host
+    for (name, member) in members.iter_mut() {
+        let requested = member
             .last_requested
             .is_some_and(|at| now.duration_since(at) < ON_DEMAND_IDLE_TIMEOUT);
         let busy = state.fleet.peer(name).in_flight() > 0;
         if permanent_links.contains(name) || requested || busy {
-            start_link(state, name, host);
+            start_link(state, name, member);
         } else {
-            stop_link(host);
+            stop_link(member);
         }
     }
 }
@@ -203,9 +203,9 @@
 /// Requests a link to a host that may have no permanent one.
 fn request_link(state: &Arc<State>, name: &str) {
     let mut members = state.hosts.members.lock().expect("no panic while held");
-    if let Some(host) = members.get_mut(name) {
-        host.last_requested = Some(Instant::now());
-        start_link(state, name, host);
+    if let Some(member) = members.get_mut(name) {
+        member.last_requested = Some(Instant::now());
+        start_link(state, name, member);
     }
 }
 
@@ -215,10 +215,10 @@
     let candidates = |role| {
         members
             .iter()
-            .filter(|(_, host)| host.role == role)
-            .map(|(name, host)| Candidate {
+            .filter(|(_, member)| member.role == role)
+            .map(|(name, member)| Candidate {
                 host: name.clone(),
-                data_centre: host.data_centre.clone(),
+                data_centre: member.data_centre.clone(),
             })
             .collect::<Vec<_>>()
     };
@@ -232,19 +232,19 @@
 }
 
 /// Starts the task that maintains a link, unless it is running.
-fn start_link(state: &Arc<State>, name: &str, host: &mut Member) {
-    if host.link_task.is_some() {
+fn start_link(state: &Arc<State>, name: &str, member: &mut Member) {
+    if member.link_task.is_some() {
         return;
     }
     let token = state.stopped.child_token();
-    host.link_task = Some(token.clone());
+    member.link_task = Some(token.clone());
     let peer = state.fleet.peer(name);
-    tokio::spawn(maintain(state.clone(), peer, host.address, token));
+    tokio::spawn(maintain(state.clone(), peer, member.address, token));
 }
 
 /// Stops the task that maintains a link.
-fn stop_link(host: &mut Member) {
-    if let Some(token) = host.link_task.take() {
+fn stop_link(member: &mut Member) {
+    if let Some(token) = member.link_task.take() {
         token.cancel();
     }
 }
--- a/components/entry/src/moves.rs
+++ b/components/entry/src/moves.rs
@@ -257,7 +257,7 @@
         }
         Action::Notice(notice) => log::notice(name, &notice),
         Action::Publish(Fact::Veto(veto)) => publish_veto(state, name, &veto),
-        // `Movers::pick` reads the share and the concentration from the mover, and the document
+        // `Movers::assign` reads the share and the concentration from the mover, and the document
         // keeps the servers of the old version.
         Action::Share(_) | Action::Concentrate(_) | Action::KeepWarm(_) | Action::Publish(_) => {}
     }
--- a/components/entry/src/moves/movers.rs
+++ b/components/entry/src/moves/movers.rs
@@ -54,7 +54,7 @@
 
     /// Assigns a request to a version if a move applies to its target, and sets target and release
     /// to that version.
-    pub(crate) fn pick(
+    pub(crate) fn assign(
         &self,
         document: &Document,
         request: &str,
--- a/components/entry/src/moves/observer.rs
+++ b/components/entry/src/moves/observer.rs
@@ -60,7 +60,7 @@
 
     /// Records received tokens; `count` is their total number so far, and `started` the start of
     /// the request.
-    pub(crate) fn tokens_received(&mut self, state: &Arc<State>, started: Instant, count: usize) {
+    pub(crate) fn record_tokens(&mut self, state: &Arc<State>, started: Instant, count: usize) {
         let Some(assignment) = &self.assignment else {
             return;
         };
@@ -83,13 +83,18 @@
     }
 
     /// Records that a generation of the request broke on its server.
-    pub(crate) fn broken(&mut self, state: &Arc<State>, server: &Server, reason: Breakage) {
+    pub(crate) fn record_breakage(
+        &mut self,
+        state: &Arc<State>,
+        server: &Server,
+        reason: Breakage,
+    ) {
         let Some(assignment) = &self.assignment else {
             return;
         };
         match reason {
             Breakage::EngineStalled | Breakage::Repeat | Breakage::Hole => {
-                self.ended(state, Ending::Failed, 0);
+                self.record_end(state, Ending::Failed, 0);
             }
             Breakage::EngineDied => {
                 let wall = SystemTime::now();
@@ -109,7 +114,7 @@
     }
 
     /// Records that a sidecar refused the request.
-    pub(crate) fn refused(&mut self, state: &Arc<State>, reason: Reason) {
+    pub(crate) fn record_refusal(&mut self, state: &Arc<State>, reason: Reason) {
         // Errors, a missing version and missing features count against the version; a full or
         // leaving server doesn't.
         let version_faults = [
@@ -119,13 +124,13 @@
             Reason::Continuation,
         ];
         if version_faults.contains(&reason) {
-            self.ended(state, Ending::Failed, 0);
+            self.record_end(state, Ending::Failed, 0);
         }
     }
 
     /// Records the end of the request, or a failure that counts against the version. Only the first
     /// call for a request has an effect.
-    pub(crate) fn ended(&mut self, state: &Arc<State>, ending: Ending, count: usize) {
+    pub(crate) fn record_end(&mut self, state: &Arc<State>, ending: Ending, count: usize) {
         let Some(assignment) = self.assignment.take() else {
             return;
         };
--- a/components/entry/src/pool.rs
+++ b/components/entry/src/pool.rs
@@ -75,7 +75,7 @@
 }
 
 /// Counts one unit of work at a replica until it is dropped, and reports its outcome then.
-pub(crate) struct Dispatch {
+pub(crate) struct InFlight {
     work: Arc<watch::Sender<u32>>,
     pool: Arc<Pool>,
     server: Server,
@@ -88,7 +88,7 @@
     pub(crate) peer: Arc<Peer>,
     pub(crate) connection: Connection,
     pub(crate) server: Server,
-    pub(crate) dispatch: Dispatch,
+    pub(crate) in_flight: InFlight,
 }
 
 impl Pool {
@@ -213,12 +213,12 @@
         server: &Server,
         prefix: Option<Prefix>,
         work: &Arc<watch::Sender<u32>>,
-    ) -> Dispatch {
+    ) -> InFlight {
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic while held");
         inner.pool.sent(now, server, prefix);
         work.send_modify(|work| *work += 1);
-        Dispatch {
+        InFlight {
             work: work.clone(),
             pool: self.clone(),
             server: server.clone(),
@@ -259,27 +259,27 @@
     }
 }
 
-impl Dispatch {
+impl InFlight {
     /// Records the first token or byte of the answer.
-    pub(crate) fn answered(&self) {
+    pub(crate) fn record_first_output(&self) {
         let mut inner = self.pool.inner.lock().expect("no panic while held");
         inner.pool.answered(&self.server);
     }
 
-    /// Records that the work was completed.
-    pub(crate) fn served(&self) {
+    /// Sets the outcome of completed work.
+    pub(crate) fn set_served(&self) {
         let time = self.started.elapsed();
-        self.finish(Outcome::Served { time });
+        self.set_outcome(Outcome::Served { time });
     }
 
-    /// Records the outcome, unless one is recorded already.
-    pub(crate) fn finish(&self, outcome: Outcome) {
+    /// Sets the outcome, unless one is set already. It defaults to cancelled.
+    pub(crate) fn set_outcome(&self, outcome: Outcome) {
         let mut recorded = self.outcome.lock().expect("no panic while held");
         recorded.get_or_insert(outcome);
     }
 }
 
-impl Drop for Dispatch {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let outcome = self.outcome.lock().expect("no panic while held").take();
         let outcome = outcome.unwrap_or(Outcome::Cancelled);
--- a/components/entry/src/replicas.rs
+++ b/components/entry/src/replicas.rs
@@ -32,14 +32,14 @@
                 avoid.push(server);
                 continue;
             };
-            let dispatch = self
+            let in_flight = self
                 .pool
                 .start(&server, criteria.prefix, peer.work_counter());
             return Ok(Replica {
                 peer,
                 connection,
                 server,
-                dispatch,
+                in_flight,
             });
         }
         Err(MIN_RETRY_AFTER)
