--- a/components/entry/src/answers/epochs.rs
+++ b/components/entry/src/answers/epochs.rs
@@ -43,8 +43,8 @@
                     retry_after: remaining,
                 });
             }
-            // A suspect request may be waiting for a place. Started on a second engine as well, it
-            // could crash both at once.
+            // A suspect request may still be queued at the sidecar of the first engine. Started on
+            // a second engine as well, it could crash both at once.
             Verdict::Suspect | Verdict::Isolated if cause == Cause::Suspicion => {
                 return Some(Event::Denied { epoch });
             }
@@ -52,9 +52,9 @@
         }
         match cause {
             Cause::First => {}
-            Cause::Loss => self.state.gates.resume(),
-            Cause::Suspicion if self.all_unresponsive() => self.state.gates.resume(),
-            Cause::Suspicion if self.state.gates.retry() => {}
+            Cause::Loss => self.state.gates.take_resume(),
+            Cause::Suspicion if self.all_unresponsive() => self.state.gates.take_resume(),
+            Cause::Suspicion if self.state.gates.take_retry() => {}
             Cause::Suspicion => return Some(Event::Denied { epoch }),
         }
         let criteria = Criteria {
@@ -75,7 +75,8 @@
                 self.query.request,
                 self.tokens.len()
             );
-            metrics::counter!("medlarhatch_resumes_total", "cause" => label(cause)).increment(1);
+            metrics::counter!("medlarhatch_resumes_total", "cause" => cause_label(cause))
+                .increment(1);
             self.count_resume(cause);
         }
         let connection = replica.connection;
@@ -84,7 +85,7 @@
             nonce: rand::random(),
             server: replica.server,
             peer: replica.peer,
-            dispatch: replica.dispatch,
+            in_flight: replica.in_flight,
             suspects: self.state.suspects.clone(),
             cancel: CancellationToken::new(),
             stream_number: AtomicU32::new(0),
@@ -141,11 +142,12 @@
         }
     }
 
-    /// Returns the known facts for the sidecar, if the request is suspected to crash servers.
+    /// Returns the known facts about crashes for the sidecar, if the request is suspected to crash
+    /// servers.
     fn suspicion_facts(&self) -> Option<Box<Facts>> {
         let suspects = &self.state.suspects;
-        let clear = suspects.verdict(self.query.fingerprint()) == Verdict::Clear;
-        (!clear).then(|| Box::new(suspects.facts()))
+        let is_clear = suspects.verdict(self.query.fingerprint()) == Verdict::Clear;
+        (!is_clear).then(|| Box::new(suspects.facts()))
     }
 
     /// Attaches to an epoch, from token `from` on.
@@ -163,8 +165,8 @@
     }
 }
 
-/// Returns the metric label of a cause.
-fn label(cause: Cause) -> &'static str {
+/// Returns the metric cause_label of a cause.
+fn cause_label(cause: Cause) -> &'static str {
     match cause {
         Cause::First => "first",
         Cause::Loss => "loss",
--- a/components/entry/src/hosts.rs
+++ b/components/entry/src/hosts.rs
@@ -37,7 +37,7 @@
     role: Role,
     /// Time at which it was last in the list.
     last_listed: Instant,
-    /// Stops the task that maintains the link; none while no such task runs.
+    /// Stops the task that maintains the link; `None` while no such task runs.
     link_task: Option<CancellationToken>,
     /// Time at which a link was last requested on demand.
     last_requested: Option<Instant>,
@@ -47,14 +47,14 @@
     /// Returns the address of a known host.
     fn address(&self, host: &str) -> Option<SocketAddr> {
         let members = self.members.lock().expect("no panic while held");
-        members.get(host).map(|host| host.address)
+        members.get(host).map(|member| member.address)
     }
 
     /// Returns the number of data centres that have an entry, including `own`.
     pub(crate) fn data_centre_count(&self, own: &str) -> usize {
         let members = self.members.lock().expect("no panic while held");
-        let entries = members.values().filter(|host| host.role == Role::Entry);
-        let mut names: HashSet<_> = entries.map(|host| host.data_centre.as_str()).collect();
+        let entries = members.values().filter(|member| member.role == Role::Entry);
+        let mut names: HashSet<_> = entries.map(|member| member.data_centre.as_str()).collect();
         names.insert(own);
         names.len()
     }
@@ -62,17 +62,19 @@
     /// Returns the number of known entries, including this one.
     pub(crate) fn entry_count(&self) -> u32 {
         let members = self.members.lock().expect("no panic while held");
-        let others = members
+        let other_entries = members
             .values()
-            .filter(|host| host.role == Role::Entry)
+            .filter(|member| member.role == Role::Entry)
             .count();
-        u32::try_from(others + 1).unwrap_or(u32::MAX)
+        u32::try_from(other_entries + 1).unwrap_or(u32::MAX)
     }
 
     /// Returns the names of the other known entries.
     pub(crate) fn other_entries(&self) -> Vec<Host> {
         let members = self.members.lock().expect("no panic while held");
-        let entries = members.iter().filter(|(_, host)| host.role == Role::Entry);
+        let entries = members
+            .iter()
+            .filter(|(_, member)| member.role == Role::Entry);
         entries.map(|(name, _)| name.clone()).collect()
     }
 
@@ -82,7 +84,7 @@
         let members = self.members.lock().expect("no panic while held");
         let sidecars = members
             .values()
-            .filter(|host| host.role == Role::Sidecar)
+            .filter(|member| member.role == Role::Sidecar)
             .count();
         let entries = members.len() - sidecars + 1;
         let linked = sidecars.min(links);
@@ -95,11 +97,11 @@
         let members = self.members.lock().expect("no panic while held");
         let sidecars = members
             .iter()
-            .filter(|(_, host)| host.role == Role::Sidecar);
+            .filter(|(_, member)| member.role == Role::Sidecar);
         let candidates: Vec<_> = sidecars
-            .map(|(name, host)| pointer::Candidate {
+            .map(|(name, member)| pointer::Candidate {
                 host: name.clone(),
-                data_centre: host.data_centre.clone(),
+                data_centre: member.data_centre.clone(),
             })
             .collect();
         let holders = pointer::holders(request, &candidates).into_iter();
--- a/components/entry/src/hosts/connector.rs
+++ b/components/entry/src/hosts/connector.rs
@@ -47,15 +47,17 @@
     state::State, //
 };
 
-/// Approximate size of a host in the list, and maximum bytes per second spent on reading the list.
-const HOST_BYTES: f64 = 150.0;
-const READ_BYTES_PER_SECOND: f64 = 2048.0;
+/// Approximate size of a host in the list, in bytes.
+const HOST_ENTRY_BYTES: f64 = 150.0;
+
+/// Maximum mean rate at which the list is read, in bytes per second.
+const MAX_READ_BYTES_PER_SECOND: f64 = 2048.0;
 
 /// Time after which a host that is no longer listed and has no link is removed.
 const REMOVE_AFTER: Duration = Duration::from_secs(60);
 
 /// Time for which a link that was dialled on demand is kept without work.
-const ON_DEMAND_IDLE: Duration = Duration::from_secs(30);
+const ON_DEMAND_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Polls the list and updates the links until the entry has stopped.
 pub(crate) async fn run(state: Arc<State>) {
@@ -98,10 +100,11 @@
 /// exceed the control traffic allowed per node many times over. It may be stale, since a leaving
 /// host announces that in its heartbeats, and the failure of a host is detected on its link.
 fn read_interval(hosts: usize) -> Duration {
-    Duration::from_secs_f64(hosts as f64 * HOST_BYTES / READ_BYTES_PER_SECOND)
+    Duration::from_secs_f64(hosts as f64 * HOST_ENTRY_BYTES / MAX_READ_BYTES_PER_SECOND)
 }
 
-/// Returns a link to a host, which is dialled if there is none; none after the silence timeout.
+/// Returns a link to a host, which is dialled if there is none; returns `None` after the silence
+/// timeout.
 pub(crate) async fn connect(state: &Arc<State>, host: &str) -> Option<Connection> {
     let peer = state.fleet.peer(host);
     if let Some(connection) = peer.connection() {
@@ -162,7 +165,7 @@
         });
         member.last_listed = now;
         member.data_centre = host.data_centre;
-        // The host was replaced by another one of the same name.
+        // Another host of the same name has replaced this one.
         if member.address != host.address {
             member.address = host.address;
             stop_link(member);
@@ -174,25 +177,25 @@
 fn reconcile(state: &Arc<State>) {
     let mut members = state.hosts.members.lock().expect("no panic while held");
     let now = Instant::now();
-    members.retain(|name, host| {
+    members.retain(|name, member| {
         let up = state.fleet.peer(name).connection().is_some();
-        let keep = up || now.duration_since(host.last_listed) < REMOVE_AFTER;
+        let keep = up || now.duration_since(member.last_listed) < REMOVE_AFTER;
         if !keep {
-            stop_link(host);
+            stop_link(member);
             state.fleet.remove(name);
         }
         keep
     });
-    let permanent = permanent(state, &members);
-    for (name, host) in members.iter_mut() {
-        let requested = host
+    let permanent_links = permanent_links(state, &members);
+    for (name, member) in members.iter_mut() {
+        let requested = member
             .last_requested
-            .is_some_and(|at| now.duration_since(at) < ON_DEMAND_IDLE);
+            .is_some_and(|at| now.duration_since(at) < ON_DEMAND_IDLE_TIMEOUT);
         let busy = state.fleet.peer(name).in_flight() > 0;
-        if permanent.contains(name) || requested || busy {
-            start_link(state, name, host);
+        if permanent_links.contains(name) || requested || busy {
+            start_link(state, name, member);
         } else {
-            stop_link(host);
+            stop_link(member);
         }
     }
 }
@@ -200,22 +203,22 @@
 /// Requests a link to a host that may have no permanent one.
 fn request_link(state: &Arc<State>, name: &str) {
     let mut members = state.hosts.members.lock().expect("no panic while held");
-    if let Some(host) = members.get_mut(name) {
-        host.last_requested = Some(Instant::now());
-        start_link(state, name, host);
+    if let Some(member) = members.get_mut(name) {
+        member.last_requested = Some(Instant::now());
+        start_link(state, name, member);
     }
 }
 
 /// Returns the hosts that this entry has a permanent link to.
-fn permanent(state: &State, members: &HashMap<Host, Member>) -> HashSet<Host> {
+fn permanent_links(state: &State, members: &HashMap<Host, Member>) -> HashSet<Host> {
     let own = &state.settings.name;
     let candidates = |role| {
         members
             .iter()
-            .filter(|(_, host)| host.role == role)
-            .map(|(name, host)| Candidate {
+            .filter(|(_, member)| member.role == role)
+            .map(|(name, member)| Candidate {
                 host: name.clone(),
-                data_centre: host.data_centre.clone(),
+                data_centre: member.data_centre.clone(),
             })
             .collect::<Vec<_>>()
     };
@@ -229,19 +232,19 @@
 }
 
 /// Starts the task that maintains a link, unless it is running.
-fn start_link(state: &Arc<State>, name: &str, host: &mut Member) {
-    if host.link_task.is_some() {
+fn start_link(state: &Arc<State>, name: &str, member: &mut Member) {
+    if member.link_task.is_some() {
         return;
     }
     let token = state.stopped.child_token();
-    host.link_task = Some(token.clone());
+    member.link_task = Some(token.clone());
     let peer = state.fleet.peer(name);
-    tokio::spawn(maintain(state.clone(), peer, host.address, token));
+    tokio::spawn(maintain(state.clone(), peer, member.address, token));
 }
 
 /// Stops the task that maintains a link.
-fn stop_link(host: &mut Member) {
-    if let Some(token) = host.link_task.take() {
+fn stop_link(member: &mut Member) {
+    if let Some(token) = member.link_task.take() {
         token.cancel();
     }
 }
--- a/components/entry/src/moves/movers.rs
+++ b/components/entry/src/moves/movers.rs
@@ -54,7 +54,7 @@
 
     /// Assigns a request to a version if a move applies to its target, and sets target and release
     /// to that version.
-    pub(crate) fn pick(
+    pub(crate) fn assign(
         &self,
         document: &Document,
         request: &str,
@@ -74,7 +74,10 @@
             Side::New => &plan.to,
         };
         let provision = document.service(&target.service)?;
-        let picked = provision.versions.iter().find(|r| r.name == *version)?;
+        let picked = provision
+            .versions
+            .iter()
+            .find(|release| release.name == *version)?;
         *release = picked.clone();
         target.version = version.clone();
         if pick.side == Side::New
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -51,7 +51,7 @@
     state::State,
 };
 
-/// Time limit for the answers of the other data centres to a survey.
+/// Time within which the data centres must respond to a survey.
 const SURVEY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time after which an operator may retry during an outage of the store.
@@ -78,7 +78,7 @@
     state: Arc<State>,
 }
 
-/// A document as it stands in the store.
+/// Response of [`Get`]: a document in the store.
 #[derive(Serialize)]
 struct Stored {
     revision: Revision,
@@ -128,8 +128,8 @@
     }
 }
 
-/// `POST /environments/<environment>/promote`: copies the document of another environment in which it
-/// was tried.
+/// `POST /environments/<environment>/promote`: copies the document of another environment in which
+/// it was tried.
 struct Promote {
     state: Arc<State>,
 }
@@ -165,18 +165,18 @@
 ///
 /// Returns a [`Code::Invalid`] problem for a parameter that is missing or malformed.
 fn pin(req: &mut Request) -> Result<Pin, Problem> {
-    let invalid = |field: &str, what: &str| Problem::invalid(field, what);
+    let invalid = |field: &str, message: &str| Problem::invalid(field, message);
     let digest: Option<String> = req.query("digest");
     let digest = digest.and_then(|digest| u64::from_str_radix(&digest, 16).ok());
     Ok(Pin {
         environment: req
             .query("from")
-            .ok_or_else(|| invalid("from", "the environment of the trial is required"))?,
+            .ok_or_else(|| invalid("from", "the environment of the trial is needed"))?,
         revision: req
             .query("revision")
-            .ok_or_else(|| invalid("revision", "the revision that was tried is required"))?,
+            .ok_or_else(|| invalid("revision", "the revision that was tried is needed"))?,
         digest: digest
-            .ok_or_else(|| invalid("digest", "the digest that was tried is required, in hex"))?,
+            .ok_or_else(|| invalid("digest", "the digest that was tried is needed, in hex"))?,
     })
 }
 
@@ -246,14 +246,14 @@
             Err(Problem::new(Code::Conflict, message))
         }
         Outcome::Large => {
-            let message = "the document exceeds the size limit of the store; nothing was written";
+            let message = "the document is larger than the store takes; nothing was written";
             Err(Problem::new(Code::TooLarge, message))
         }
-        Outcome::Unavailable => Err(unavailable("the store is unavailable")),
+        Outcome::Unavailable => Err(unavailable("the store is out")),
         Outcome::Unknown => {
             let message = format!(
-                "the store is unavailable, and the document may have been written; \
-                 the edit may be repeated with edit id {id} and takes effect once"
+                "the store is out, and whether the document was written isn't known; \
+                 the same with edit id {id} may be repeated and takes effect once"
             );
             let problem = Problem::new(Code::Unknown, message).run(Run::Unknown);
             Err(problem.retry(OUTAGE_RETRY_AFTER))
@@ -261,7 +261,7 @@
     }
 }
 
-/// Reads the stored document and passes it to the board.
+/// Reads the stored document and passes it to the document replica.
 async fn announce(state: &State, environment: &str) {
     let Ok(Some(stored)) = edit::read(&state.platform, environment).await else {
         return;
@@ -277,7 +277,7 @@
     match other {
         Some(record) if record.id.is_empty() => "written by other means".into(),
         Some(record) => format!("edit {} of {}", record.id, record.operator),
-        None => "the document no longer exists".into(),
+        None => "there is no such document any more".into(),
     }
 }
 
@@ -301,16 +301,16 @@
     }
 }
 
-/// `GET /environments/<environment>/status`: returns what is in force in each data centre.
+/// `GET /environments/<environment>/status`: returns the revisions in force in each data centre.
 struct Survey {
     state: Arc<State>,
 }
 
-/// What is in force in the data centres that answered in time.
+/// Response of [`Survey`]: the revisions in force in the data centres that responded in time.
 #[derive(Serialize)]
 struct Overview {
     environment: String,
-    /// Highest revision of all answers.
+    /// Highest revision of all responses.
     revision: Revision,
     data_centres: Vec<Inventory>,
 }
@@ -320,23 +320,23 @@
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let environment = environment_name(req);
         let deadline = Instant::now() + SURVEY_TIMEOUT;
-        let (number, mut accounts) = self.state.documents.survey();
+        let (survey, mut inventories) = self.state.documents.survey();
         let expected = self
             .state
             .hosts
             .data_centre_count(&self.state.settings.data_centre);
         let mut received = BTreeMap::new();
         while received.len() < expected {
-            let Ok(Some(mut account)) = timeout_at(deadline, accounts.recv()).await else {
+            let Ok(Some(mut inventory)) = timeout_at(deadline, inventories.recv()).await else {
                 break;
             };
-            account
+            inventory
                 .standings
                 .retain(|standing| standing.environment == environment);
-            received.insert(account.data_centre.clone(), account);
+            received.insert(inventory.data_centre.clone(), inventory);
         }
-        self.state.documents.end_survey(number);
-        let standings = received.values().flat_map(|account| &account.standings);
+        self.state.documents.end_survey(survey);
+        let standings = received.values().flat_map(|inventory| &inventory.standings);
         let revision = standings
             .map(|standing| standing.revision)
             .max()
@@ -403,7 +403,7 @@
     state: Arc<State>,
 }
 
-/// State of one entry.
+/// Response of [`Status`]: the state of this entry.
 #[derive(Serialize)]
 struct Summary<'a> {
     host: &'a str,
--- a/components/entry/src/replicas.rs
+++ b/components/entry/src/replicas.rs
@@ -11,7 +11,7 @@
     state::State, //
 };
 
-/// Maximum number of choices until one has a link that is up.
+/// Maximum number of attempts to choose a replica whose link is up.
 const MAX_CHOICES: usize = 8;
 
 impl State {
@@ -27,19 +27,19 @@
                 avoid: &avoid,
                 ..*criteria
             })?;
-            let Some((peer, connection)) = self.fleet.peer_of(&server) else {
+            let Some((peer, connection)) = self.fleet.sidecar_of(&server) else {
                 // The link has just closed, and the pool is not updated yet.
                 avoid.push(server);
                 continue;
             };
-            let dispatch = self
+            let in_flight = self
                 .pool
                 .start(&server, criteria.prefix, peer.work_counter());
             return Ok(Replica {
                 peer,
                 connection,
                 server,
-                dispatch,
+                in_flight,
             });
         }
         Err(MIN_RETRY_AFTER)
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -38,11 +38,11 @@
     document_cache::Snapshot,
     protocol::{
         Activity,
-        Dispatch, //
+        Dispatch,
+        Generation,
         HeaderError,
         Metadata,
-        Prompt,
-        Reply,
+        Reply, //
     },
     settings::Bounds,
     update::Registration, //
@@ -73,7 +73,7 @@
 /// Host that the document's routes match.
 pub const HOST: &str = "desk.example";
 
-/// Edge that uses unprefixed header names.
+/// Protocol with unprefixed header names.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Plain;
 
@@ -109,8 +109,8 @@
             deadline: number(headers, "deadline")?.map(Duration::from_millis),
             key: text(headers, "key").map(str::to_string),
             after: number(headers, "after")?,
-            prompt: tokens.map(|tokens| Prompt {
-                tokens: tokens as u32,
+            generation: tokens.map(|tokens| Generation {
+                prompt_tokens: tokens as u32,
                 max_tokens: 100,
                 expected_tokens: None,
                 parts: parse_parts(text(headers, "parts").unwrap_or_default()),
@@ -580,10 +580,10 @@
         let index = Rc::new(Index::new(document));
         self.gateway
             .apply(Update::Document(Snapshot { version, index }));
-        let mut fresh = self.gateway.freshness().borrow_mut();
-        fresh.advance(version);
+        let mut freshness = self.gateway.freshness().borrow_mut();
+        freshness.advance(version);
         let at = clock::now();
-        fresh.receive(
+        freshness.receive(
             at,
             Claim {
                 revision: version,
@@ -606,7 +606,7 @@
         address: SocketAddr,
         slots: u32,
     ) {
-        let facts = Spec {
+        let spec = Spec {
             service: service.into(),
             version: "v1".into(),
             data_centre: data_centre.into(),
@@ -617,7 +617,7 @@
             registration: Registration {
                 server: server.into(),
                 address,
-                facts,
+                spec,
                 leaving: false,
             },
             since: clock::now(),
