--- a/components/experiment/src/engine.rs
+++ b/components/experiment/src/engine.rs
@@ -1,9 +1,9 @@
-//! The model of an engine: continuous batching, kept small.
+//! A simplified model of an inference engine with continuous batching.
 //!
-//! Prompts are read one after the other. While one is read, the answers of the others come at
-//! [`BESIDE`] of their pace, and reading goes at [`READING`] of its own. Each run more makes all
-//! answers slower by [`SLOWER`]. What doesn't fit into the memory or the slots waits in the order in
-//! which it came.
+//! The engine prefills one prompt at a time. During a prefill the other runs decode at
+//! [`DECODE_RATE_DURING_PREFILL`] of their usual rate, and the prefill itself proceeds at
+//! [`PREFILL_RATE_DURING_DECODE`] of its own. Each further run slows the decoding of all runs by
+//! [`DECODE_SLOWDOWN_PER_RUN`]. Runs for which there is no memory or no slot wait in arrival order.
 
 use std::{
     collections::VecDeque,
@@ -12,36 +12,36 @@
 
 use crate::Setup;
 
-/// Pace of answers while a prompt is read, against that without.
-const BESIDE: f64 = 0.4;
+/// Decode rate during a prefill, as a share of the rate without one.
+const DECODE_RATE_DURING_PREFILL: f64 = 0.4;
 
-/// Pace of reading while answers are given, against that without.
-const READING: f64 = 0.75;
+/// Prefill rate while other runs decode, as a share of the rate on an otherwise idle engine.
+const PREFILL_RATE_DURING_DECODE: f64 = 0.75;
 
-/// Part by which each further run makes all answers slower.
-const SLOWER: f64 = 0.03;
+/// Share by which each further run increases the decode time of all runs.
+const DECODE_SLOWDOWN_PER_RUN: f64 = 0.03;
 
-/// Number of a request.
+/// Index of a request in the simulation.
 pub(crate) type Id = usize;
 
-/// A request at an engine.
+/// A request on an engine, waiting or running.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) id: Id,
-    /// Tokens that are still to be read.
-    pub(crate) unread: f64,
-    /// Events given, and in all.
+    /// Prompt tokens that remain to be prefilled.
+    pub(crate) unprefilled: f64,
+    /// Events sent so far, and in total.
     pub(crate) events: (f64, f64),
-    /// Memory that it takes, in tokens.
+    /// KV cache memory that the run occupies, in tokens.
     pub(crate) tokens: u64,
 }
 
-/// What an engine did.
+/// Progress of a run during one tick.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Step {
-    /// An event came; the first one if that is said.
+    /// The run sent an event; `first` marks the first one.
     Event { id: Id, first: bool },
-    /// The answer is whole.
+    /// The run sent its last event.
     End { id: Id },
 }
 
@@ -50,10 +50,10 @@
     pub(crate) lost: bool,
     waiting: VecDeque<Run>,
     running: Vec<Run>,
-    /// Tokens of copies of other engines' runs.
-    pub(crate) copies: u64,
-    /// Tokens that were read.
-    pub(crate) read: f64,
+    /// Memory that backup copies of other engines' runs occupy, in tokens.
+    pub(crate) backup_tokens: u64,
+    /// Prompt tokens prefilled so far.
+    pub(crate) prefilled: f64,
 }
 
 impl Engine {
@@ -61,38 +61,52 @@
         self.waiting.push_back(run);
     }
 
-    /// Takes a request out; returns the part of its prompt that was read.
+    /// Removes a request, whether it waits or runs.
     pub(crate) fn remove(&mut self, id: Id) {
         self.waiting.retain(|run| run.id != id);
         self.running.retain(|run| run.id != id);
     }
 
-    /// Loses all that it runs; returns what that was.
+    /// Drops all runs and backup copies; returns the runs.
     pub(crate) fn crash(&mut self) -> Vec<Run> {
-        self.copies = 0;
+        self.backup_tokens = 0;
         let mut lost: Vec<Run> = self.waiting.drain(..).collect();
         lost.append(&mut self.running);
         lost
     }
 
+    /// Runs the engine for `time`; returns the events that it sent and the runs that ended.
     pub(crate) fn advance(&mut self, setup: &Setup, time: Duration) -> Vec<Step> {
         let mut steps = Vec::new();
-        self.begin(setup);
-        let reading = self.running.iter().position(|run| run.unread > 0.0);
-        let answering = self.running.iter().filter(|run| run.unread <= 0.0).count();
-        if let Some(place) = reading {
-            let beside = if answering > 0 { READING } else { 1.0 };
-            let tokens = setup.reading * beside * time.as_secs_f64();
-            let run = &mut self.running[place];
-            self.read += tokens.min(run.unread);
-            run.unread -= tokens;
+        self.start_waiting(setup);
+        let prefilling = self.running.iter().position(|run| run.unprefilled > 0.0);
+        let decoding = self
+            .running
+            .iter()
+            .filter(|run| run.unprefilled <= 0.0)
+            .count();
+        if let Some(index) = prefilling {
+            let rate = if decoding > 0 {
+                PREFILL_RATE_DURING_DECODE
+            } else {
+                1.0
+            };
+            let tokens = setup.prefill_rate * rate * time.as_secs_f64();
+            let run = &mut self.running[index];
+            self.prefilled += tokens.min(run.unprefilled);
+            run.unprefilled -= tokens;
         }
-        let slower = 1.0 + SLOWER * answering.saturating_sub(1) as f64;
-        let pace = if reading.is_some() { BESIDE } else { 1.0 };
-        let events = time.as_secs_f64() / setup.step.as_secs_f64() / slower * pace;
+        let slowdown = 1.0 + DECODE_SLOWDOWN_PER_RUN * decoding.saturating_sub(1) as f64;
+        let decode_rate = if prefilling.is_some() {
+            DECODE_RATE_DURING_PREFILL
+        } else {
+            1.0
+        };
+        let events =
+            time.as_secs_f64() / setup.event_interval.as_secs_f64() / slowdown * decode_rate;
         let mut ended = Vec::new();
-        for (place, run) in self.running.iter_mut().enumerate() {
-            if run.unread > 0.0 || Some(place) == reading {
+        for (index, run) in self.running.iter_mut().enumerate() {
+            if run.unprefilled > 0.0 || Some(index) == prefilling {
                 continue;
             }
             let before = run.events.0.floor();
@@ -114,10 +128,11 @@
         steps
     }
 
-    fn begin(&mut self, setup: &Setup) {
+    /// Starts waiting runs while memory and slots allow.
+    fn start_waiting(&mut self, setup: &Setup) {
         while let Some(next) = self.waiting.front() {
             let used: u64 = self.running.iter().map(|run| run.tokens).sum();
-            let fits = used + self.copies + next.tokens <= setup.memory;
+            let fits = used + self.backup_tokens + next.tokens <= setup.kv_capacity;
             let slot = self.running.len() < setup.slots as usize;
             if !slot || !fits && !self.running.is_empty() {
                 return;
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -1,4 +1,4 @@
-//! One entry: the production decisions, and what they know.
+//! One entry: the production placement and admission gate, and the state that they decide on.
 
 use std::collections::{
     HashMap,
@@ -44,64 +44,66 @@
     engine::Id, //
 };
 
-/// Time after a wait for which engines count as pressed.
-const PRESSED: Clock = Clock::from_secs(5);
+/// Time for which engines count as under pressure after a request has waited.
+const PRESSURE_WINDOW: Clock = Clock::from_secs(5);
 
 pub(crate) struct Entry {
     pub(crate) data_centre: String,
     pub(crate) placement: Placement,
     gate: Gate,
     waiting: HashMap<Ticket, Id>,
-    waited: Option<Clock>,
-    /// Requests here that can still be in time.
-    hurried: HashSet<Id>,
-    /// Such requests at other entries.
-    pub(crate) others: u32,
-    next: usize,
+    last_wait: Option<Clock>,
+    /// Requests that wait at this entry and can still meet the first-event target.
+    waiting_in_time: HashSet<Id>,
+    /// Number of such requests at the other entries, as of the last beacon.
+    pub(crate) peers_in_time: u32,
+    cursor: usize,
     policy: Policy,
     work: Work,
 }
 
-/// What becomes of a request at the gate.
-pub(crate) enum Gated {
-    Goes(Id),
-    Refused(Id, Clock),
+/// The gate's decision on a request.
+pub(crate) enum Decision {
+    Admit(Id),
+    Refuse(Id, Clock),
 }
 
 impl Entry {
-    pub(crate) fn new(setup: &Setup, policy: Policy, data_centre: String, place: usize) -> Entry {
+    pub(crate) fn new(setup: &Setup, policy: Policy, data_centre: String, index: usize) -> Entry {
         let mut placement = Placement::default();
-        placement.set_position((place, setup.entries));
-        let tokens = (setup.size.0 + setup.size.1 * setup.event as f64) as u64;
+        placement.set_position((index, setup.entries));
+        let tokens =
+            (setup.mean_lengths.0 + setup.mean_lengths.1 * setup.tokens_per_event as f64) as u64;
         Entry {
             data_centre,
             placement,
             gate: Gate::new(Settings {
-                first_token_target: setup.objective,
+                first_token_target: setup.first_event_target,
                 min_factor: 1.0,
                 ..Settings::default()
             }),
             waiting: HashMap::new(),
-            waited: None,
-            hurried: HashSet::new(),
-            others: 0,
-            next: 0,
+            last_wait: None,
+            waiting_in_time: HashSet::new(),
+            peers_in_time: 0,
+            cursor: 0,
             policy,
             work: Work {
                 requests: 1,
                 tokens,
-                unread: setup.size.0 as u64,
+                unread: setup.mean_lengths.0 as u64,
             },
         }
     }
 
-    fn report(&mut self, setup: &Setup, now: Clock, fresh: bool, rng: &mut SmallRng) {
-        let within = wait::engine_time(setup.objective);
+    /// Reports this entry's share of the free capacity to the gate.
+    fn report(&mut self, setup: &Setup, now: Clock, in_time: bool, rng: &mut SmallRng) {
+        let within = wait::engine_time(setup.first_event_target);
         let service = service();
         let any = Versions::Any;
         let room = self.placement.room(now, &service, any, self.work, within);
-        let room = match self.hurried.is_empty() && !fresh {
-            true => wait::room_behind(room, self.others),
+        let room = match self.waiting_in_time.is_empty() && !in_time {
+            true => wait::room_behind(room, self.peers_in_time),
             false => room,
         };
         let room = wait::share(room, setup.entries as u32, rng.random_range(0.0..1.0));
@@ -113,68 +115,69 @@
         });
     }
 
-    /// Lets a request in, has it wait, or refuses it.
+    /// Admits, queues or refuses a request; returns `None` if it is queued.
     pub(crate) fn arrive(
         &mut self,
         setup: &Setup,
         now: Clock,
         (id, team, cost): (Id, &Team, u64),
-        turn: &Wait,
+        wait: &Wait,
         rng: &mut SmallRng,
-    ) -> Option<Gated> {
-        self.report(setup, now, turn.in_time, rng);
+    ) -> Option<Decision> {
+        self.report(setup, now, wait.in_time, rng);
         let arrival = Arrival {
             team,
-            limit: turn.limit,
+            limit: wait.limit,
             cost,
-            max_wait: turn.max_wait,
+            max_wait: wait.max_wait,
             resume: false,
         };
         match self.gate.arrive(now, &arrival, rng) {
-            Verdict::Admit => Some(Gated::Goes(id)),
+            Verdict::Admit => Some(Decision::Admit(id)),
             Verdict::Queue(ticket) => {
                 self.waiting.insert(ticket, id);
-                if turn.in_time {
-                    self.hurried.insert(id);
+                if wait.in_time {
+                    self.waiting_in_time.insert(id);
                 }
                 None
             }
-            Verdict::Refuse { retry_after, .. } => Some(Gated::Refused(id, retry_after)),
+            Verdict::Refuse { retry_after, .. } => Some(Decision::Refuse(id, retry_after)),
         }
     }
 
-    /// Requests that wait here and can still be in time.
-    pub(crate) fn hurried(&self) -> u32 {
-        self.hurried.len() as u32
+    /// Number of requests that wait here and can still meet the first-event target.
+    pub(crate) fn waiting_in_time(&self) -> u32 {
+        self.waiting_in_time.len() as u32
     }
 
-    /// Looks at those that wait.
-    pub(crate) fn tick(&mut self, setup: &Setup, now: Clock, rng: &mut SmallRng) -> Vec<Gated> {
+    /// Returns the requests in the queue that the gate admits or refuses now.
+    pub(crate) fn tick(&mut self, setup: &Setup, now: Clock, rng: &mut SmallRng) -> Vec<Decision> {
         if self.waiting.is_empty() {
             return Vec::new();
         }
-        self.waited = Some(now);
+        self.last_wait = Some(now);
         self.report(setup, now, false, rng);
-        let mut gated = Vec::new();
+        let mut decisions = Vec::new();
         for released in self.gate.tick(now, rng) {
             let (Released::Admit(ticket) | Released::Refuse { ticket, .. }) = &released;
             let Some(id) = self.waiting.remove(ticket) else {
                 continue;
             };
-            self.hurried.remove(&id);
-            gated.push(match released {
-                Released::Admit(_) => Gated::Goes(id),
-                Released::Refuse { retry_after, .. } => Gated::Refused(id, retry_after),
+            self.waiting_in_time.remove(&id);
+            decisions.push(match released {
+                Released::Admit(_) => Decision::Admit(id),
+                Released::Refuse { retry_after, .. } => Decision::Refuse(id, retry_after),
             });
         }
-        gated
+        decisions
     }
 
-    /// Notes the end of a request that was let in at a priority.
+    /// Reports the end of an admitted request to the gate.
     pub(crate) fn finish(&mut self, team: &Team, done: &Done) {
         self.gate.finish(team, done);
     }
 
+    /// Chooses the server for a request.
     pub(crate) fn choose(
         &mut self,
         now: Clock,
@@ -186,9 +189,9 @@
         if self.policy == Policy::RoundRobin {
             let mut servers: Vec<&Server> = self.placement.servers().collect();
             servers.sort_unstable();
-            self.next += 1;
+            self.cursor += 1;
             return servers
-                .get(self.next % servers.len().max(1))
+                .get(self.cursor % servers.len().max(1))
                 .copied()
                 .cloned();
         }
@@ -206,7 +209,9 @@
         Some(choice.server)
     }
 
-    /// Chooses who holds the copy of a run's memory.
+    /// Chooses the server that holds the backup copy of a run's KV cache.
+    ///
+    /// Returns `None` if the policy makes no copies at present or no server has room.
     pub(crate) fn backup(
         &mut self,
         now: Clock,
@@ -214,10 +219,10 @@
         server: &Server,
         rng: &mut SmallRng,
     ) -> Option<Server> {
-        let pressed = self
-            .waited
-            .is_some_and(|at| now.saturating_sub(at) < PRESSED);
-        if !self.policy.copies(pressed) {
+        let under_pressure = self
+            .last_wait
+            .is_some_and(|at| now.saturating_sub(at) < PRESSURE_WINDOW);
+        if !self.policy.copies(under_pressure) {
             return None;
         }
         let (service, home) = (service(), self.data_centre.clone());
@@ -239,12 +244,13 @@
         Some(choice.server)
     }
 
+    /// Reports the end of work on a server to the placement.
     pub(crate) fn done(&mut self, now: Clock, server: &Server, work: Work, outcome: Outcome) {
         self.placement.done(now, server, work, outcome);
     }
 }
 
-/// The one service of a play.
+/// Name of the only service in a simulation.
 pub(crate) fn service() -> String {
     "writer".into()
 }
--- a/components/experiment/src/lib.rs
+++ b/components/experiment/src/lib.rs
@@ -1,20 +1,20 @@
-//! Plays load patterns against the production decisions in virtual time.
+//! Simulates load patterns in virtual time, with the production code for placement and admission.
 //!
-//! What is real here: [`routing::Placement`], [`admission::Gate`] and [`admission::wait`], one of each
-//! for every entry, told what entries are told. What is modelled: callers, engines and the time that
-//! messages take. A [`Policy`] switches single decisions off, so that two of them can be compared over
-//! the same seeds.
+//! Every entry runs its own production [`routing::Placement`], [`admission::Gate`] and
+//! [`admission::wait`], with the inputs that a real entry receives. Callers, engines and message delays
+//! are modelled. A [`Policy`] disables single decisions, so that two policies can be compared over the
+//! same seeds.
 
 mod engine;
 mod entry;
 pub mod pattern;
 pub mod policy;
-mod seen;
 pub mod setup;
-mod world;
+mod simulation;
+mod summary;
 
 pub use pattern::Pattern;
 pub use policy::Policy;
-pub use seen::Seen;
 pub use setup::Setup;
-pub use world::play;
+pub use simulation::simulate;
+pub use summary::Summary;
--- a/components/experiment/src/pattern.rs
+++ b/components/experiment/src/pattern.rs
@@ -7,36 +7,37 @@
 
 use crate::Setup;
 
-/// What happens in a play, from a quarter of its length on, for a third of it.
+/// A load pattern or an outage. It is active from a quarter of the simulation's duration on, for a
+/// third of that duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Pattern {
-    /// Nothing: callers come at a multiple of the capacity all the time.
+    /// Constant load at a multiple of the capacity.
     Steady(f64),
-    /// Callers come at a multiple of the capacity, before and after at 0.4 of it.
+    /// Load at a multiple of the capacity; 0.4 of the capacity before and after.
     Burst(f64),
-    /// A burst of twice the capacity, whose prompts all begin with the same four fifths.
+    /// A burst of twice the capacity, in which all prompts share their first four fifths.
     OneKey,
-    /// A burst of twice the capacity, all from one team.
+    /// A burst of twice the capacity, most of it from one team.
     OneTeam,
-    /// A burst of twice the capacity, whose callers repeat at once when they are refused.
+    /// A burst of twice the capacity, whose callers retry at once after a refusal.
     Impatient,
-    /// A data centre's engines are lost for two seconds, three times.
+    /// All engines of one data centre are down for two seconds, three times.
     DataCentre,
-    /// One engine of three is lost, at 0.4 of the capacity of all.
+    /// One engine of three is down, at 0.4 of the capacity of all three.
     OneOfThree,
-    /// Callers come at a multiple of the capacity to a hundred entries before engines with few slots;
-    /// many give less time than their route.
+    /// Constant load at a multiple of the capacity, over a hundred entries and engines with few slots;
+    /// many callers set a deadline shorter than the route's timeout.
     Fleet(f64),
-    /// Callers come at a multiple of the capacity with prompts that an engine reads for longer than half
-    /// of the time for a first event.
+    /// Constant load at a multiple of the capacity, with prompts whose prefill takes longer than half
+    /// of the first-event target.
     LongPrompts(f64),
 }
 
-/// A pattern that nobody knows.
+/// Error for a pattern name that doesn't exist or a load that isn't a number.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "{0}: not one of steady:X, burst:X, one-key, one-team, impatient, data-centre, one-of-three, fleet:X, \
-     long-prompts:X"
+    "{0}: unknown pattern; expected one of steady:X, burst:X, one-key, one-team, impatient, \
+     data-centre, one-of-three, fleet:X, long-prompts:X"
 )]
 pub struct Unknown(String);
 
@@ -45,42 +46,42 @@
 
     fn from_str(text: &str) -> Result<Pattern, Unknown> {
         let unknown = || Unknown(text.to_string());
-        let (name, times) = match text.split_once(':') {
-            Some((name, times)) => (name, times.parse().map_err(|_| unknown())?),
+        let (name, load) = match text.split_once(':') {
+            Some((name, load)) => (name, load.parse().map_err(|_| unknown())?),
             None => (text, 3.0),
         };
         Ok(match name {
-            "steady" => Pattern::Steady(times),
-            "burst" => Pattern::Burst(times),
+            "steady" => Pattern::Steady(load),
+            "burst" => Pattern::Burst(load),
             "one-key" => Pattern::OneKey,
             "one-team" => Pattern::OneTeam,
             "impatient" => Pattern::Impatient,
             "data-centre" => Pattern::DataCentre,
             "one-of-three" => Pattern::OneOfThree,
-            "fleet" => Pattern::Fleet(times),
-            "long-prompts" => Pattern::LongPrompts(times),
+            "fleet" => Pattern::Fleet(load),
+            "long-prompts" => Pattern::LongPrompts(load),
             _ => return Err(unknown()),
         })
     }
 }
 
 impl Pattern {
-    /// Name for tables.
+    /// Name in the printed tables.
     pub fn name(&self) -> String {
         match self {
-            Pattern::Steady(times) => format!("{times} times the capacity, steady"),
-            Pattern::Burst(times) => format!("{times} times the capacity, a burst"),
+            Pattern::Steady(load) => format!("{load} times the capacity, steady"),
+            Pattern::Burst(load) => format!("{load} times the capacity, a burst"),
             Pattern::OneKey => "a burst on one prompt's beginning".into(),
             Pattern::OneTeam => "a burst of one team".into(),
             Pattern::Impatient => "a burst of callers that repeat at once".into(),
             Pattern::DataCentre => "a data centre's engines lost three times".into(),
             Pattern::OneOfThree => "one engine of three lost".into(),
-            Pattern::Fleet(times) => format!("{times} times the capacity, a hundred entries"),
-            Pattern::LongPrompts(times) => format!("{times} times the capacity, long prompts"),
+            Pattern::Fleet(load) => format!("{load} times the capacity, a hundred entries"),
+            Pattern::LongPrompts(load) => format!("{load} times the capacity, long prompts"),
         }
     }
 
-    /// The system that it is played on.
+    /// The system and callers that the pattern is simulated with.
     pub fn setup(&self) -> Setup {
         match self {
             Pattern::OneOfThree => Setup {
@@ -93,8 +94,8 @@
                 data_centres: 5,
                 slots: 8,
                 teams: 40,
-                gives: (0.85, 1.0),
-                length: Duration::from_secs(20),
+                deadline_share: (0.85, 1.0),
+                duration: Duration::from_secs(20),
                 ..Setup::default()
             },
             Pattern::LongPrompts(_) => Setup {
@@ -102,43 +103,43 @@
                 engines: 45,
                 data_centres: 5,
                 slots: 8,
-                size: (13_300.0, 130.0),
+                mean_lengths: (13_300.0, 130.0),
                 ..Setup::default()
             },
             _ => Setup::default(),
         }
     }
 
-    /// Whether the pattern is on at a time.
-    pub fn on(&self, setup: &Setup, now: Duration) -> bool {
-        let begin = setup.length.mul_f64(0.25);
-        now >= begin && now < begin + setup.length.mul_f64(1.0 / 3.0)
+    /// Whether the pattern is active at the time `now`.
+    pub fn is_active(&self, setup: &Setup, now: Duration) -> bool {
+        let start = setup.duration.mul_f64(0.25);
+        now >= start && now < start + setup.duration.mul_f64(1.0 / 3.0)
     }
 
-    /// Multiple of the capacity at which callers come at a time.
+    /// Load at the time `now`, as a multiple of the capacity.
     pub fn load(&self, setup: &Setup, now: Duration) -> f64 {
-        let on = self.on(setup, now);
+        let active = self.is_active(setup, now);
         match self {
-            Pattern::Steady(times) | Pattern::Fleet(times) | Pattern::LongPrompts(times) => *times,
-            Pattern::Burst(times) if on => *times,
-            Pattern::OneKey | Pattern::OneTeam | Pattern::Impatient if on => 2.0,
+            Pattern::Steady(load) | Pattern::Fleet(load) | Pattern::LongPrompts(load) => *load,
+            Pattern::Burst(load) if active => *load,
+            Pattern::OneKey | Pattern::OneTeam | Pattern::Impatient if active => 2.0,
             _ => 0.4,
         }
     }
 
-    /// Engines that are lost at a time, by their data centre and number.
-    pub fn lost(&self, setup: &Setup, now: Duration, data_centre: usize, number: usize) -> bool {
-        if !self.on(setup, now) {
+    /// Whether the engine with this data centre and index is down at the time `now`.
+    pub fn is_down(&self, setup: &Setup, now: Duration, data_centre: usize, index: usize) -> bool {
+        if !self.is_active(setup, now) {
             return false;
         }
-        let since = now - setup.length.mul_f64(0.25);
+        let since = now - setup.duration.mul_f64(0.25);
         match self {
             Pattern::DataCentre => {
-                let turn = since.as_millis() as usize / 6000;
+                let round = since.as_millis() as usize / 6000;
                 let down = since.as_millis() % 6000 < 2000;
-                down && data_centre == turn % setup.data_centres
+                down && data_centre == round % setup.data_centres
             }
-            Pattern::OneOfThree => number == 0,
+            Pattern::OneOfThree => index == 0,
             _ => false,
         }
     }
--- a/components/experiment/src/policy.rs
+++ b/components/experiment/src/policy.rs
@@ -1,25 +1,25 @@
-//! Which decisions are on.
+//! Policies that disable single production decisions.
 
 use std::str::FromStr;
 
-/// A set of decisions.
+/// The set of production decisions that a simulation uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// All that production does.
+    /// All decisions, as in production.
     All,
-    /// Streams are sent on at once, whatever room there is.
+    /// Requests are dispatched at once, regardless of free capacity.
     NoQueue,
-    /// No copies of runs' memory are made.
+    /// No backup copies of runs' KV caches.
     NoCopies,
-    /// Copies are made as long as they fit, also while streams wait.
+    /// Backup copies whenever they fit, even while requests wait.
     Copies,
-    /// Servers in turn, without regard to their load; nobody waits.
+    /// Round robin over the servers regardless of load, without a queue.
     RoundRobin,
 }
 
-/// A policy that nobody knows.
+/// Error for a policy name that doesn't exist.
 #[derive(Debug, thiserror::Error)]
-#[error("{0}: not one of all, no-queue, no-copies, copies, round-robin")]
+#[error("{0}: unknown policy; expected one of all, no-queue, no-copies, copies, round-robin")]
 pub struct Unknown(String);
 
 impl FromStr for Policy {
@@ -38,7 +38,7 @@
 }
 
 impl Policy {
-    /// Name for tables.
+    /// Name in the printed tables.
     pub fn name(self) -> &'static str {
         match self {
             Policy::All => "all",
@@ -49,13 +49,15 @@
         }
     }
 
+    /// Whether requests pass the admission gate.
     pub(crate) fn queues(self) -> bool {
         !matches!(self, Policy::NoQueue | Policy::RoundRobin)
     }
 
-    pub(crate) fn copies(self, pressed: bool) -> bool {
+    /// Whether runs get backup copies.
+    pub(crate) fn copies(self, under_pressure: bool) -> bool {
         match self {
-            Policy::All | Policy::NoQueue => !pressed,
+            Policy::All | Policy::NoQueue => !under_pressure,
             Policy::Copies => true,
             Policy::NoCopies | Policy::RoundRobin => false,
         }
--- a/components/experiment/src/setup.rs
+++ b/components/experiment/src/setup.rs
@@ -1,44 +1,44 @@
-//! What stands, and what callers ask for.
+//! The simulated system and its callers.
 
 use std::time::Duration;
 
-/// A system and its usual callers.
+/// Sizes and rates of the simulated system, and the requests of its callers.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Data centres over which entries and engines are spread.
+    /// Number of data centres over which entries and engines are spread.
     pub data_centres: usize,
-    /// Memory of an engine, in tokens.
-    pub memory: u64,
-    /// Requests that an engine runs at once.
+    /// KV cache memory of an engine, in tokens.
+    pub kv_capacity: u64,
+    /// Maximum number of concurrent runs on an engine.
     pub slots: u32,
-    /// Tokens of prompts that an engine reads in a second while it does nothing else.
-    pub reading: f64,
-    /// Time between two events of a run that is alone.
-    pub step: Duration,
-    /// Tokens of an event.
-    pub event: u64,
-    /// Mean number of tokens of a prompt, and of events of an answer.
-    pub size: (f64, f64),
-    /// Tokens with which all prompts begin alike.
-    pub shared: u64,
-    /// Teams.
+    /// Prompt tokens that an otherwise idle engine prefills per second.
+    pub prefill_rate: f64,
+    /// Time between two events of a run that has the engine to itself.
+    pub event_interval: Duration,
+    /// Tokens in one event.
+    pub tokens_per_event: u64,
+    /// Mean prompt length in tokens, and mean answer length in events.
+    pub mean_lengths: (f64, f64),
+    /// Length of the prefix that all prompts share, in tokens.
+    pub shared_prefix: u64,
+    /// Number of teams.
     pub teams: usize,
-    /// Time for the first event.
-    pub objective: Duration,
-    /// Longest pause between two events.
-    pub gap: Duration,
-    /// Time for the whole answer.
+    /// Longest time to the first event for an answer in time.
+    pub first_event_target: Duration,
+    /// Longest pause between two events for an answer in time.
+    pub max_pause: Duration,
+    /// Timeout of the route, for the whole answer.
     pub timeout: Duration,
-    /// Part of it that callers give, at the least and at the most.
-    pub gives: (f64, f64),
-    /// Times that a refused caller comes back.
+    /// Bounds of callers' deadlines, as shares of the timeout.
+    pub deadline_share: (f64, f64),
+    /// Number of times that a caller retries a refused request.
     pub retries: u32,
-    /// Length of a play; the pattern fills its middle.
-    pub length: Duration,
+    /// Duration in which requests arrive; the pattern is active in its middle.
+    pub duration: Duration,
 }
 
 impl Default for Setup {
@@ -47,28 +47,28 @@
             entries: 5,
             engines: 24,
             data_centres: 3,
-            memory: 55_000,
+            kv_capacity: 55_000,
             slots: 24,
-            reading: 5000.0,
-            step: Duration::from_millis(30),
-            event: 8,
-            size: (5000.0, 130.0),
-            shared: 200,
+            prefill_rate: 5000.0,
+            event_interval: Duration::from_millis(30),
+            tokens_per_event: 8,
+            mean_lengths: (5000.0, 130.0),
+            shared_prefix: 200,
             teams: 10,
-            objective: Duration::from_millis(4500),
-            gap: Duration::from_millis(700),
+            first_event_target: Duration::from_millis(4500),
+            max_pause: Duration::from_millis(700),
             timeout: Duration::from_secs(25),
-            gives: (1.0, 1.0),
+            deadline_share: (1.0, 1.0),
             retries: 1,
-            length: Duration::from_secs(60),
+            duration: Duration::from_secs(60),
         }
     }
 }
 
 impl Setup {
-    /// Requests that the engines can begin in a second when two thirds of their time go to reading:
-    /// the rest is for the answers.
+    /// Requests per second that the engines can start with two thirds of their time spent on prefills;
+    /// the rest goes to decoding.
     pub fn capacity(&self) -> f64 {
-        self.engines as f64 * self.reading / self.size.0 * 2.0 / 3.0
+        self.engines as f64 * self.prefill_rate / self.mean_lengths.0 * 2.0 / 3.0
     }
 }
--- a/components/experiment/tests/patterns.rs
+++ b/components/experiment/tests/patterns.rs
@@ -1,117 +1,142 @@
-//! Load patterns, replayed from fixed seeds: what each decision is there for.
+//! Load patterns simulated from fixed seeds, to show what each production decision achieves.
 
 use experiment::{
     Pattern,
     Policy,
-    Seen,
     Setup,
-    play, //
+    Summary,
+    simulate, //
 };
 
 const SEEDS: [u64; 2] = [1, 2];
 
-fn seen(pattern: Pattern, policy: Policy) -> Vec<Seen> {
+fn summaries(pattern: Pattern, policy: Policy) -> Vec<Summary> {
     let setup = pattern.setup();
-    let plays = SEEDS.iter();
-    plays
-        .map(|seed| play(&setup, pattern, policy, *seed))
+    let seeds = SEEDS.iter();
+    seeds
+        .map(|seed| simulate(&setup, pattern, policy, *seed))
         .collect()
 }
 
-fn mean(seen: &[Seen], figure: impl Fn(&Seen) -> f64) -> f64 {
-    seen.iter().map(figure).sum::<f64>() / seen.len() as f64
+fn mean(summaries: &[Summary], figure: impl Fn(&Summary) -> f64) -> f64 {
+    summaries.iter().map(figure).sum::<f64>() / summaries.len() as f64
 }
 
-/// Callers of an hour come in ten minutes. Sent on at once, all of them wait for one another and few
-/// are served in time; three times the load must not cost what the engines can do.
+/// Guards against a collapse of goodput under overload. Without a queue, the engines share their time
+/// among all requests and few are in time; with it, goodput at three times the capacity must stay near
+/// the goodput at the capacity.
 #[test]
-fn goodput_holds_at_three_times_the_capacity() {
-    let capacity = mean(&seen(Pattern::Steady(1.0), Policy::All), Seen::goodput);
-    let overload = seen(Pattern::Steady(3.0), Policy::All);
-    let held = mean(&overload, Seen::goodput);
+fn goodput_holds_at_three_times_capacity() {
+    let capacity = mean(
+        &summaries(Pattern::Steady(1.0), Policy::All),
+        Summary::goodput,
+    );
+    let overload = summaries(Pattern::Steady(3.0), Policy::All);
+    let held = mean(&overload, Summary::goodput);
     assert!(held >= 0.95 * capacity, "{held} of {capacity}");
-    for seen in &overload {
+    for summary in &overload {
         assert!(
-            seen.least() >= 0.25,
-            "one kind is served {} as often",
-            seen.least()
+            summary.lowest_share() >= 0.25,
+            "one group is served in time {} as often as the mean",
+            summary.lowest_share()
         );
     }
-    let direct = mean(&seen(Pattern::Steady(3.0), Policy::NoQueue), Seen::goodput);
+    let direct = mean(
+        &summaries(Pattern::Steady(3.0), Policy::NoQueue),
+        Summary::goodput,
+    );
     assert!(direct < 0.5 * capacity, "{direct} of {capacity}");
 }
 
-/// A little more than the capacity: late requests fill the gaps at one entry while others wait in
-/// time at the next one.
+/// Guards against late requests that take free capacity at one entry, slightly above the capacity,
+/// while requests that can still be in time wait at another.
 #[test]
-fn late_requests_stand_behind_those_in_time_elsewhere() {
-    let capacity = mean(&seen(Pattern::Steady(1.0), Policy::All), Seen::goodput);
-    let held = mean(&seen(Pattern::Steady(1.5), Policy::All), Seen::goodput);
+fn late_requests_yield_to_those_in_time_at_other_entries() {
+    let capacity = mean(
+        &summaries(Pattern::Steady(1.0), Policy::All),
+        Summary::goodput,
+    );
+    let held = mean(
+        &summaries(Pattern::Steady(1.5), Policy::All),
+        Summary::goodput,
+    );
     assert!(held >= 0.95 * capacity, "{held} of {capacity}");
 }
 
-/// A rush of twenty seconds, of all teams, of one, or of callers that repeat at once.
+/// A burst of twenty seconds from all teams, from one team, or from callers that retry at once.
 #[test]
-fn a_rush_is_served_better_with_a_queue() {
+fn queue_improves_goodput_in_bursts() {
     for pattern in [Pattern::Burst(3.0), Pattern::OneTeam, Pattern::Impatient] {
-        let queued = mean(&seen(pattern, Policy::All), Seen::goodput);
-        let direct = mean(&seen(pattern, Policy::NoQueue), Seen::goodput);
+        let queued = mean(&summaries(pattern, Policy::All), Summary::goodput);
+        let direct = mean(&summaries(pattern, Policy::NoQueue), Summary::goodput);
         let name = pattern.name();
         assert!(queued > 1.5 * direct, "{name}: {queued} against {direct}");
     }
 }
 
-/// Nobody waits, and nobody is refused, while there is room for all.
+/// Below the capacity, no request is refused or fails, and 99 % are in time.
 #[test]
-fn a_calm_day_needs_no_queue() {
-    for seen in seen(Pattern::Steady(0.5), Policy::All) {
-        assert_eq!((seen.refused, seen.failed), (0, 0));
+fn nothing_is_refused_below_capacity() {
+    for summary in summaries(Pattern::Steady(0.5), Policy::All) {
+        assert_eq!((summary.refused, summary.failed), (0, 0));
         assert!(
-            seen.good * 100 >= seen.asked * 99,
+            summary.in_time * 100 >= summary.requests * 99,
             "{} of {}",
-            seen.good,
-            seen.asked
+            summary.in_time,
+            summary.requests
         );
     }
 }
 
-/// A data centre's engines crash, three times. Their streams go on from the copies of their memory;
-/// without them each prompt would be read again, and some callers would see a pause of seconds.
+/// The engines of a data centre crash three times. Their streams continue from backup copies of the
+/// KV cache; without copies each prompt is prefilled again, and some callers see a pause of seconds.
 #[test]
-fn copies_save_prompts_when_a_data_centre_is_lost() {
-    let with = seen(Pattern::DataCentre, Policy::All);
-    let without = seen(Pattern::DataCentre, Policy::NoCopies);
-    let hit = |seen: &Seen| f64::from(seen.hit.1) / f64::from(seen.hit.0.max(1));
+fn copies_avoid_prefills_when_a_data_centre_is_lost() {
+    let with = summaries(Pattern::DataCentre, Policy::All);
+    let without = summaries(Pattern::DataCentre, Policy::NoCopies);
+    let in_time_after_loss = |summary: &Summary| {
+        f64::from(summary.interrupted.1) / f64::from(summary.interrupted.0.max(1))
+    };
     assert!(
-        mean(&with, Seen::waste) < 0.02,
+        mean(&with, Summary::wasted_share) < 0.02,
         "{}",
-        mean(&with, Seen::waste)
+        mean(&with, Summary::wasted_share)
     );
-    assert!(mean(&without, Seen::waste) > 3.0 * mean(&with, Seen::waste));
-    assert!(mean(&with, hit) >= 0.95, "{}", mean(&with, hit));
-    assert!(mean(&without, hit) < mean(&with, hit));
+    assert!(mean(&without, Summary::wasted_share) > 3.0 * mean(&with, Summary::wasted_share));
+    assert!(
+        mean(&with, in_time_after_loss) >= 0.95,
+        "{}",
+        mean(&with, in_time_after_loss)
+    );
+    assert!(mean(&without, in_time_after_loss) < mean(&with, in_time_after_loss));
 }
 
-/// One play must be the same each time, or two policies couldn't be compared.
+/// A comparison of two policies needs simulations that are deterministic for a seed.
 #[test]
-fn a_seed_gives_the_same_play() {
+fn same_seed_gives_same_result() {
     let setup = Setup::default();
-    let one = play(&setup, Pattern::Burst(2.0), Policy::All, 7);
-    let other = play(&setup, Pattern::Burst(2.0), Policy::All, 7);
+    let one = simulate(&setup, Pattern::Burst(2.0), Policy::All, 7);
+    let other = simulate(&setup, Pattern::Burst(2.0), Policy::All, 7);
     assert_eq!(
-        (one.asked, one.good, one.late),
-        (other.asked, other.good, other.late)
+        (one.requests, one.in_time, one.late),
+        (other.requests, other.in_time, other.late)
+    );
+    let different = simulate(&setup, Pattern::Burst(2.0), Policy::All, 8);
+    assert_ne!(
+        (one.requests, one.in_time),
+        (different.requests, different.in_time)
     );
-    let different = play(&setup, Pattern::Burst(2.0), Policy::All, 8);
-    assert_ne!((one.asked, one.good), (different.asked, different.good));
 }
 
-/// Guards against prompts that no engine counts as room for, as reading one takes longer than half of the time
-/// for a first event: they were refused while most engines were idle.
+/// Guards against long prompts being refused while most engines are idle: no engine counted as having
+/// room for a prompt whose prefill takes longer than half of the first-event target.
 #[test]
-fn long_prompts_go_to_engines_that_read_nothing() {
+fn long_prompts_are_served_by_idle_engines() {
     let setup = Pattern::LongPrompts(0.4).setup();
     let offered = setup.capacity() * 0.4;
-    let served = mean(&seen(Pattern::LongPrompts(0.4), Policy::All), Seen::goodput);
+    let served = mean(
+        &summaries(Pattern::LongPrompts(0.4), Policy::All),
+        Summary::goodput,
+    );
     assert!(served >= 0.8 * offered, "{served} of {offered}");
 }
--- a/components/measure/src/admission.rs
+++ b/components/measure/src/admission.rs
@@ -8,7 +8,7 @@
 use argh::FromArgs;
 
 use crate::{
-    range::Spread,
+    sample::Sample,
     table, //
 };
 
@@ -59,7 +59,7 @@
 }
 
 fn row(case: Case, policy: Policy, seen: &[Seen]) -> Vec<String> {
-    let spread = |of: fn(&Seen) -> f64| Spread::of(seen.iter().map(of));
+    let spread = |of: fn(&Seen) -> f64| Sample::of(seen.iter().map(of));
     let recovery = if case == Case::Outage {
         spread(|seen| seen.recovery).highest_is_worst(0)
     } else {
--- a/components/measure/src/experiment.rs
+++ b/components/measure/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Load patterns against the production decisions, with and without single ones of them.
+//! Simulated load patterns, with all production decisions and with single ones disabled.
 
 use std::{
     fs,
@@ -9,8 +9,8 @@
 use experiment::{
     Pattern,
     Policy,
-    Seen,
-    play, //
+    Summary,
+    simulate, //
 };
 
 use crate::{
@@ -18,43 +18,47 @@
         self,
         Line, //
     },
-    range::Spread,
+    sample::Sample,
     table, //
 };
 
-/// Plays load patterns in virtual time, and compares policies over the same seeds.
+/// Simulates load patterns in virtual time and compares policies over the same seeds.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "experiment")]
 pub struct Args {
-    /// pattern to play; may be given more than once (default: all, bursts of 1 to 6)
+    /// pattern to simulate; may be given more than once (default: all, bursts of 1 to 6)
     #[argh(option)]
     pattern: Vec<Pattern>,
-    /// policy to play it with; may be given more than once (default: all, no-queue)
+    /// policy to simulate it with; may be given more than once (default: all, no-queue)
     #[argh(option)]
     policy: Vec<Policy>,
     /// number of seeds (default 10)
     #[argh(option, default = "10")]
     seeds: u64,
-    /// file for a plot of the goodput over the load, as SVG
+    /// file for an SVG plot of goodput over load
     #[argh(option)]
     plot: Option<String>,
 }
 
-/// Multiples of the capacity at which the plot has its points.
-const LOADS: [f64; 7] = [0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 6.0];
+/// Loads of the plot's points, as multiples of the capacity.
+const PLOT_LOADS: [f64; 7] = [0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 6.0];
 
-/// Prints one table, and draws the plot.
+/// Prints one table, and writes the plot if a file is given.
 ///
 /// # Errors
 ///
-/// When the plot can't be written.
+/// Returns an error if the plot can't be written.
 pub fn print(args: &Args) -> io::Result<()> {
-    let patterns = or(&args.pattern, usual());
-    let policies = or(&args.policy, vec![Policy::All, Policy::NoQueue]);
+    let patterns = or_default(&args.pattern, default_patterns());
+    let policies = or_default(&args.policy, vec![Policy::All, Policy::NoQueue]);
     let mut rows = Vec::new();
     for pattern in patterns {
         for policy in &policies {
-            rows.push(row(pattern, *policy, &seen(pattern, *policy, args.seeds)));
+            rows.push(row(
+                pattern,
+                *policy,
+                &simulate_seeds(pattern, *policy, args.seeds),
+            ));
         }
     }
     println!("{} seeds; median (worst)\n", args.seeds);
@@ -79,14 +83,14 @@
     fs::write(path, draw(&policies, args.seeds))
 }
 
-fn or<T: Clone>(given: &[T], usual: Vec<T>) -> Vec<T> {
+fn or_default<T: Clone>(given: &[T], default: Vec<T>) -> Vec<T> {
     match given.is_empty() {
-        true => usual,
+        true => default,
         false => given.to_vec(),
     }
 }
 
-fn usual() -> Vec<Pattern> {
+fn default_patterns() -> Vec<Pattern> {
     vec![
         Pattern::Burst(1.0),
         Pattern::Burst(3.0),
@@ -99,44 +103,50 @@
     ]
 }
 
-fn seen(pattern: Pattern, policy: Policy, seeds: u64) -> Vec<Seen> {
+fn simulate_seeds(pattern: Pattern, policy: Policy, seeds: u64) -> Vec<Summary> {
     let setup = pattern.setup();
     (0..seeds)
-        .map(|seed| play(&setup, pattern, policy, seed))
+        .map(|seed| simulate(&setup, pattern, policy, seed))
         .collect()
 }
 
-fn row(pattern: Pattern, policy: Policy, seen: &[Seen]) -> Vec<String> {
-    let of = |figure: fn(&Seen) -> f64| Spread::of(seen.iter().map(figure));
-    let part = |count: fn(&Seen) -> u32| {
-        let parts = seen.iter();
-        Spread::of(parts.map(|seen| 100.0 * f64::from(count(seen)) / f64::from(seen.asked.max(1))))
+fn row(pattern: Pattern, policy: Policy, summaries: &[Summary]) -> Vec<String> {
+    let sample = |figure: fn(&Summary) -> f64| Sample::of(summaries.iter().map(figure));
+    let percent =
+        |count: fn(&Summary) -> u32| {
+            let requests = summaries.iter();
+            Sample::of(requests.map(|summary| {
+                100.0 * f64::from(count(summary)) / f64::from(summary.requests.max(1))
+            }))
+        };
+    let in_time_after_loss = |summary: &Summary| {
+        100.0 * f64::from(summary.interrupted.1) / f64::from(summary.interrupted.0.max(1))
     };
-    let hit = |seen: &Seen| 100.0 * f64::from(seen.hit.1) / f64::from(seen.hit.0.max(1));
-    let hits = match seen.iter().all(|seen| seen.hit.0 == 0) {
+    let after_loss = match summaries.iter().all(|summary| summary.interrupted.0 == 0) {
         true => "-".to_string(),
-        false => of(hit).lowest_is_worst(0),
+        false => sample(in_time_after_loss).lowest_is_worst(0),
     };
     vec![
         pattern.name(),
         policy.name().to_string(),
-        part(|seen| seen.good).lowest_is_worst(0),
-        part(|seen| seen.late).highest_is_worst(0),
-        part(|seen| seen.refused).highest_is_worst(0),
-        part(|seen| seen.failed).highest_is_worst(0),
-        of(Seen::goodput).lowest_is_worst(1),
-        of(Seen::least).lowest_is_worst(2),
-        hits,
-        of(|seen| 100.0 * seen.waste()).highest_is_worst(1),
+        percent(|summary| summary.in_time).lowest_is_worst(0),
+        percent(|summary| summary.late).highest_is_worst(0),
+        percent(|summary| summary.refused).highest_is_worst(0),
+        percent(|summary| summary.failed).highest_is_worst(0),
+        sample(Summary::goodput).lowest_is_worst(1),
+        sample(Summary::lowest_share).lowest_is_worst(2),
+        after_loss,
+        sample(|summary| 100.0 * summary.wasted_share()).highest_is_worst(1),
     ]
 }
 
+/// Returns the SVG of the goodput over the load, with one line per policy.
 fn draw(policies: &[Policy], seeds: u64) -> String {
     let mut lines = Vec::new();
     for policy in policies {
-        let points = LOADS.iter().map(|load| {
-            let seen = seen(Pattern::Steady(*load), *policy, seeds);
-            let goodput = Spread::of(seen.iter().map(Seen::goodput)).median();
+        let points = PLOT_LOADS.iter().map(|load| {
+            let summaries = simulate_seeds(Pattern::Steady(*load), *policy, seeds);
+            let goodput = Sample::of(summaries.iter().map(Summary::goodput)).median();
             (*load, goodput)
         });
         lines.push(Line {
--- a/components/measure/src/main.rs
+++ b/components/measure/src/main.rs
@@ -20,9 +20,10 @@
 mod moves;
 mod plot;
 mod process;
-mod range;
+
 mod resumes;
 mod routing;
+mod sample;
 mod slopes;
 mod spread;
 mod table;
--- a/components/measure/src/routing.rs
+++ b/components/measure/src/routing.rs
@@ -8,7 +8,7 @@
 use argh::FromArgs;
 
 use crate::{
-    range::Spread,
+    sample::Sample,
     table, //
 };
 
@@ -58,7 +58,7 @@
 }
 
 fn row(case: Case, policy: Policy, seen: &[Seen]) -> Vec<String> {
-    let spread = |of: fn(&Seen) -> f64| Spread::of(seen.iter().map(of));
+    let spread = |of: fn(&Seen) -> f64| Sample::of(seen.iter().map(of));
     vec![
         case.name().to_string(),
         policy.name().to_string(),
