--- a/components/experiment/src/pattern.rs
+++ b/components/experiment/src/pattern.rs
@@ -25,11 +25,11 @@
     DataCentre,
     /// One engine of three is down, at 0.4 of the capacity of all three.
     OneOfThree,
-    /// Constant load at a multiple of the capacity, over a hundred entries and engines with few slots;
-    /// many callers set a deadline shorter than the route's timeout.
+    /// Constant load at a multiple of the capacity, over a hundred entries and engines with few
+    /// slots; many callers set a deadline shorter than the route's timeout.
     Fleet(f64),
-    /// Constant load at a multiple of the capacity, with prompts whose prefill takes longer than half
-    /// of the first-event target.
+    /// Constant load at a multiple of the capacity, with prompts whose prefill takes longer than
+    /// half of the first-event target.
     LongPrompts(f64),
 }
 
--- a/components/experiment/src/setup.rs
+++ b/components/experiment/src/setup.rs
@@ -66,8 +66,8 @@
 }
 
 impl Setup {
-    /// Requests per second that the engines can start with two thirds of their time spent on prefills;
-    /// the rest goes to decoding.
+    /// Requests per second that the engines can start with two thirds of their time spent on
+    /// prefills; the rest goes to decoding.
     pub fn capacity(&self) -> f64 {
         self.engines as f64 * self.prefill_rate / self.mean_lengths.0 * 2.0 / 3.0
     }
--- a/components/experiment/src/summary.rs
+++ b/components/experiment/src/summary.rs
@@ -38,8 +38,8 @@
         f64::from(self.in_time) / self.duration.as_secs_f64()
     }
 
-    /// The lowest share of requests answered in time among all teams and prompt lengths, relative to
-    /// the share over all requests. Groups with fewer than 20 requests are left out.
+    /// The lowest share of requests answered in time among all teams and prompt lengths, relative
+    /// to the share over all requests. Groups with fewer than 20 requests are left out.
     pub fn lowest_share(&self) -> f64 {
         let all = share((self.requests, self.in_time));
         let groups = self.teams.iter().chain(&self.sizes);
--- a/components/experiment/tests/patterns.rs
+++ b/components/experiment/tests/patterns.rs
@@ -22,9 +22,9 @@
     summaries.iter().map(figure).sum::<f64>() / summaries.len() as f64
 }
 
-/// Guards against a collapse of goodput under overload. Without a queue, the engines share their time
-/// among all requests and few are in time; with it, goodput at three times the capacity must stay near
-/// the goodput at the capacity.
+/// Guards against a collapse of goodput under overload. Without a queue, the engines share their
+/// time among all requests and few are in time; with it, goodput at three times the capacity must
+/// stay near the goodput at the capacity.
 #[test]
 fn goodput_holds_at_three_times_capacity() {
     let capacity = mean(
@@ -89,7 +89,8 @@
 }
 
 /// The engines of a data centre crash three times. Their streams continue from backup copies of the
-/// KV cache; without copies each prompt is prefilled again, and some callers see a pause of seconds.
+/// KV cache; without copies each prompt is prefilled again, and some callers see a pause of
+/// seconds.
 #[test]
 fn copies_avoid_prefills_when_a_data_centre_is_lost() {
     let with = summaries(Pattern::DataCentre, Policy::All);
@@ -128,8 +129,8 @@
     );
 }
 
-/// Guards against long prompts being refused while most engines are idle: no engine counted as having
-/// room for a prompt whose prefill takes longer than half of the first-event target.
+/// Guards against long prompts being refused while most engines are idle: no engine counted as
+/// having room for a prompt whose prefill takes longer than half of the first-event target.
 #[test]
 fn long_prompts_are_served_by_idle_engines() {
     let setup = Pattern::LongPrompts(0.4).setup();
--- a/components/measure/src/admission.rs
+++ b/components/measure/src/admission.rs
@@ -1,9 +1,11 @@
-//! Admission against none and against a plain limit, over generated events.
+//! Simulates the production admission gate, no admission control and a plain limit, and compares
+//! them.
 //!
-//! Requests of 300 teams arrive at random, with lengths drawn beforehand; five teams make half of
-//! them. Engines are not modelled: a request counts as in time when it began within its patience
-//! and not beyond capacity, where engines keep their times. Refused callers come back when they
-//! were told, up to five times.
+//! Requests of 300 teams arrive at random; five teams send half of them. Run lengths are drawn on
+//! arrival, independently of the policy. Engines are not modelled: a request counts as in time if
+//! it started within [`simulation::MAX_WAIT`] and without exceeding the capacity, up to which
+//! engines keep their latencies. Refused callers retry after the time in the refusal, up to five
+//! times.
 
 use argh::FromArgs;
 
@@ -13,15 +15,15 @@
 };
 
 mod policy;
-mod stream;
+mod simulation;
 
 use policy::Policy;
-use stream::{
+use simulation::{
     Case,
-    Seen, //
+    Summary, //
 };
 
-/// Admission against none and against a plain limit, over generated events.
+/// Compares the admission gate with no admission control and with a plain limit, in virtual time.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "admission")]
 pub struct Args {
@@ -30,16 +32,16 @@
     seeds: u64,
 }
 
-/// Prints one table: each case with each policy.
+/// Prints one table with a row for each case and policy.
 pub fn print(args: &Args) {
     let mut rows = Vec::new();
     for case in Case::ALL {
         for policy in Policy::ALL {
-            let mut seen = Vec::new();
+            let mut summaries = Vec::new();
             for seed in 0..args.seeds {
-                seen.push(stream::run(case, policy, seed));
+                summaries.push(simulation::run(case, policy, seed));
             }
-            rows.push(row(case, policy, &seen));
+            rows.push(row(case, policy, &summaries));
         }
     }
     println!("{} seeds; median (worst)", args.seeds);
@@ -58,20 +60,20 @@
     );
 }
 
-fn row(case: Case, policy: Policy, seen: &[Seen]) -> Vec<String> {
-    let spread = |of: fn(&Seen) -> f64| Sample::of(seen.iter().map(of));
+fn row(case: Case, policy: Policy, summaries: &[Summary]) -> Vec<String> {
+    let sample = |figure: fn(&Summary) -> f64| Sample::of(summaries.iter().map(figure));
     let recovery = if case == Case::Outage {
-        spread(|seen| seen.recovery).highest_is_worst(0)
+        sample(|summary| summary.recovery_seconds).highest_is_worst(0)
     } else {
         "-".to_string()
     };
     vec![
         case.name().to_string(),
         policy.name().to_string(),
-        spread(|seen| seen.goodput_percent).lowest_is_worst(1),
-        spread(|seen| seen.small_percent).lowest_is_worst(1),
-        spread(|seen| seen.low_percent).lowest_is_worst(1),
-        spread(|seen| seen.tries).highest_is_worst(2),
+        sample(|summary| summary.goodput_percent).lowest_is_worst(1),
+        sample(|summary| summary.small_teams_percent).lowest_is_worst(1),
+        sample(|summary| summary.fifth_percentile).lowest_is_worst(1),
+        sample(|summary| summary.attempts).highest_is_worst(2),
         recovery,
     ]
 }
--- a/components/measure/src/admission/policy.rs
+++ b/components/measure/src/admission/policy.rs
@@ -1,4 +1,4 @@
-//! The ways to admit that are compared.
+//! The admission policies that are compared.
 
 use std::time::Duration;
 
@@ -19,47 +19,50 @@
 };
 use rand::rngs::StdRng;
 
-use super::stream::{
+use super::simulation::{
     CAPACITY,
-    PATIENCE, //
+    MAX_WAIT, //
 };
 
-/// A way to admit.
+/// An admission policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    Everything,
+    /// Admits every request.
+    Unlimited,
+    /// Refuses requests beyond the entry's share of the capacity; callers retry after a second.
     PlainLimit,
+    /// The production gate.
     Gate,
 }
 
 impl Policy {
-    pub const ALL: [Self; 3] = [Self::Everything, Self::PlainLimit, Self::Gate];
+    pub const ALL: [Self; 3] = [Self::Unlimited, Self::PlainLimit, Self::Gate];
 
     pub fn name(self) -> &'static str {
         match self {
-            Self::Everything => "none",
+            Self::Unlimited => "none",
             Self::PlainLimit => "limit, come back in 1 s",
             Self::Gate => "this gate",
         }
     }
 }
 
-/// What becomes of an arrival.
-pub enum Answer {
-    Begin,
+/// The policy's decision on a request.
+pub enum Decision {
+    Start,
     Wait(Ticket),
     Refuse(Duration),
 }
 
-/// One entry's admission.
-pub struct Door {
+/// Admission control of one entry.
+pub struct Controller {
     policy: Policy,
     gate: Gate,
     running: u32,
     capacity: u32,
 }
 
-impl Door {
+impl Controller {
     pub fn new(policy: Policy) -> Self {
         Self {
             policy,
@@ -72,7 +75,8 @@
         }
     }
 
-    /// Takes the whole capacity, and the runs of the other entries as they were a while ago.
+    /// Reports the capacity of all entries together, and the other entries' runs as of their last
+    /// reports.
     pub fn report(&mut self, capacity: u32, others: u32, entries: u32) {
         self.capacity = capacity / entries;
         self.gate.report(Report {
@@ -82,20 +86,20 @@
         });
     }
 
-    pub fn arrive(&mut self, now: Clock, team: &Team, rng: &mut StdRng) -> Answer {
-        let open = match self.policy {
-            Policy::Everything => true,
+    pub fn arrive(&mut self, now: Clock, team: &Team, rng: &mut StdRng) -> Decision {
+        let admitted = match self.policy {
+            Policy::Unlimited => true,
             Policy::PlainLimit => self.running < self.capacity,
-            Policy::Gate => return self.ask(now, team, rng),
+            Policy::Gate => return self.arrive_at_gate(now, team, rng),
         };
-        if !open {
-            return Answer::Refuse(Duration::from_secs(1));
+        if !admitted {
+            return Decision::Refuse(Duration::from_secs(1));
         }
         self.running += 1;
-        Answer::Begin
+        Decision::Start
     }
 
-    fn ask(&mut self, now: Clock, team: &Team, rng: &mut StdRng) -> Answer {
+    fn arrive_at_gate(&mut self, now: Clock, team: &Team, rng: &mut StdRng) -> Decision {
         let arrival = Arrival {
             team,
             limit: Limit {
@@ -105,16 +109,16 @@
                 priority: 1,
             },
             cost: 1,
-            max_wait: PATIENCE,
+            max_wait: MAX_WAIT,
             resume: false,
         };
         match self.gate.arrive(now, &arrival, rng) {
             Verdict::Admit => {
                 self.running += 1;
-                Answer::Begin
+                Decision::Start
             }
-            Verdict::Queue(ticket) => Answer::Wait(ticket),
-            Verdict::Refuse { retry_after, .. } => Answer::Refuse(retry_after),
+            Verdict::Queue(ticket) => Decision::Wait(ticket),
+            Verdict::Refuse { retry_after, .. } => Decision::Refuse(retry_after),
         }
     }
 
@@ -132,20 +136,20 @@
         );
     }
 
-    /// Lets waiting requests go on, or refuses them.
-    pub fn tick(&mut self, now: Clock, rng: &mut StdRng) -> Vec<(Ticket, Answer)> {
+    /// Returns the waiting requests that are admitted or refused now.
+    pub fn tick(&mut self, now: Clock, rng: &mut StdRng) -> Vec<(Ticket, Decision)> {
         let mut released = Vec::new();
-        for one in self.gate.tick(now, rng) {
-            match one {
+        for release in self.gate.tick(now, rng) {
+            match release {
                 Released::Admit(ticket) => {
                     self.running += 1;
-                    released.push((ticket, Answer::Begin));
+                    released.push((ticket, Decision::Start));
                 }
                 Released::Refuse {
                     ticket,
                     retry_after,
                     ..
-                } => released.push((ticket, Answer::Refuse(retry_after))),
+                } => released.push((ticket, Decision::Refuse(retry_after))),
             }
         }
         released
--- a/components/measure/src/calls/faults.rs
+++ b/components/measure/src/calls/faults.rs
@@ -1,4 +1,4 @@
-//! What callers are told, fault by fault, with records and without.
+//! Results that callers receive under each fault, with and without call records.
 
 use std::{
     collections::BTreeMap,
@@ -11,13 +11,14 @@
 };
 use tokio::time::sleep;
 
-use super::desk::{
-    Desk,
-    PACE,
-    Told, //
+use super::fixture::{
+    CallResult,
+    Fixture,
+    POLL_INTERVAL, //
 };
 use crate::table;
 
+/// A fault during a call.
 #[derive(Clone, Copy)]
 enum Fault {
     StoreOut,
@@ -58,6 +59,7 @@
         }
     }
 
+    /// Whether the fault strikes before the sidecar passes the call to the service.
     fn before_hand_over(self) -> bool {
         !matches!(
             self,
@@ -69,8 +71,8 @@
 pub(super) async fn print(runs: usize) {
     let mut rows = Vec::new();
     for fault in FAULTS {
-        for kept in [false, true] {
-            rows.push(row(fault, kept, runs).await);
+        for recorded in [false, true] {
+            rows.push(row(fault, recorded, runs).await);
         }
     }
     let heading = [
@@ -86,27 +88,27 @@
     table::print(&heading, &rows);
 }
 
-async fn row(fault: Fault, kept: bool, runs: usize) -> Vec<String> {
-    let mut told = BTreeMap::<String, usize>::new();
-    let mut longest = Duration::ZERO;
-    let mut most = 0;
+async fn row(fault: Fault, recorded: bool, runs: usize) -> Vec<String> {
+    let mut outcomes = BTreeMap::<String, usize>::new();
+    let mut max_latency = Duration::ZERO;
+    let mut max_calls = 0;
     for _ in 0..runs {
-        let mut desk = Desk::open().await;
-        let first = strike(&mut desk, fault, kept.then_some("k")).await;
-        longest = longest.max(first.took);
-        *told.entry(first.run).or_default() += 1;
-        // A caller that repeats the call with its key must not make it run twice.
-        if kept {
-            desk.store(platform::Fault {
+        let mut fixture = Fixture::start().await;
+        let first = inject(&mut fixture, fault, recorded.then_some("k")).await;
+        max_latency = max_latency.max(first.latency);
+        *outcomes.entry(first.outcome).or_default() += 1;
+        // A retry with the same key must not make the call run twice.
+        if recorded {
+            fixture.inject_store_fault(platform::Fault {
                 clear: true,
                 ..platform::Fault::default()
             });
-            desk.deposit(1, Some("k")).await;
+            fixture.deposit(1, Some("k")).await;
         }
-        most = most.max(desk.calls(kept.then_some("k")));
+        max_calls = max_calls.max(fixture.calls(recorded.then_some("k")));
     }
     let share = |name: &str| {
-        let count = told.get(name).copied().unwrap_or_default();
+        let count = outcomes.get(name).copied().unwrap_or_default();
         format!("{:.0} %", 100.0 * count as f64 / runs as f64)
     };
     vec![
@@ -117,117 +119,126 @@
             "no"
         }
         .into(),
-        if kept { "kept" } else { "none" }.into(),
+        if recorded { "kept" } else { "none" }.into(),
         share("ran"),
         share("not_run"),
         share("unknown"),
-        format!("{:.2}", longest.as_secs_f64()),
-        most.to_string(),
+        format!("{:.2}", max_latency.as_secs_f64()),
+        max_calls.to_string(),
     ]
 }
 
-async fn strike(desk: &mut Desk, fault: Fault, key: Option<&str>) -> Told {
-    let store = platform::Fault::default();
-    let all = service::Fault::default();
+/// Injects a fault and sends a call; returns the caller's result.
+async fn inject(fixture: &mut Fixture, fault: Fault, key: Option<&str>) -> CallResult {
+    let store_healthy = platform::Fault::default();
+    let healthy = service::Fault::default();
     match fault {
-        Fault::StoreOut => desk.store(platform::Fault {
+        Fault::StoreOut => fixture.inject_store_fault(platform::Fault {
             outage: true,
-            ..store
+            ..store_healthy
         }),
-        Fault::StoreSilent => desk.store(platform::Fault {
+        Fault::StoreSilent => fixture.inject_store_fault(platform::Fault {
             silence: true,
-            ..store
+            ..store_healthy
         }),
         Fault::StoreAnswerLost => {
-            warm(desk).await;
-            desk.store(platform::Fault {
+            warm_up(fixture).await;
+            fixture.inject_store_fault(platform::Fault {
                 lose_answers: Some(1),
-                ..store
+                ..store_healthy
             });
         }
         Fault::StoreWriteLate => {
-            warm(desk).await;
-            desk.store(platform::Fault {
+            warm_up(fixture).await;
+            fixture.inject_store_fault(platform::Fault {
                 slow_ms: Some(2500),
-                ..store
+                ..store_healthy
             });
         }
-        Fault::SidecarBeforeRecord => return kill_before_record(desk, key).await,
-        Fault::SidecarInHandOver => return kill_in_hand_over(desk, key).await,
+        Fault::SidecarBeforeRecord => return kill_before_record(fixture, key).await,
+        Fault::SidecarInHandOver => return kill_in_hand_over(fixture, key).await,
         Fault::ServiceDown => {
-            strike_services(desk, &service::Fault { die: true, ..all });
-            for service in &desk.0.services {
+            inject_service_fault(
+                fixture,
+                &service::Fault {
+                    die: true,
+                    ..healthy
+                },
+            );
+            for service in &fixture.0.services {
                 service.dead().await;
             }
         }
-        Fault::ServiceDiesBefore => strike_services(
-            desk,
+        Fault::ServiceDiesBefore => inject_service_fault(
+            fixture,
             &service::Fault {
                 die_before_take: true,
-                ..all
+                ..healthy
             },
         ),
-        Fault::ServiceDiesAfter => strike_services(
-            desk,
+        Fault::ServiceDiesAfter => inject_service_fault(
+            fixture,
             &service::Fault {
                 die_after_take: true,
-                ..all
+                ..healthy
             },
         ),
     }
-    desk.deposit(0, key).await
+    fixture.deposit(0, key).await
 }
 
-/// Lets each sidecar take its lease, so that the next write is a record.
-async fn warm(desk: &Desk) {
-    let (one, other) = (desk.send(0, Some("w1")), desk.send(1, Some("w2")));
-    let _ = (one.await, other.await);
+/// Makes each sidecar take its lease, so that the next write to the store is a call record.
+async fn warm_up(fixture: &Fixture) {
+    let (first, second) = (fixture.send(0, Some("w1")), fixture.send(1, Some("w2")));
+    let _ = (first.await, second.await);
     sleep(Duration::from_millis(50)).await;
 }
 
-async fn kill_before_record(desk: &mut Desk, key: Option<&str>) -> Told {
-    let before = desk.0.platform.counts().writes;
-    desk.store(platform::Fault {
+/// Kills the sidecars while they write the call record to a slow store.
+async fn kill_before_record(fixture: &mut Fixture, key: Option<&str>) -> CallResult {
+    let before = fixture.0.platform.counts().writes;
+    fixture.inject_store_fault(platform::Fault {
         slow_ms: Some(700),
         ..platform::Fault::default()
     });
-    strike_services(
-        desk,
+    inject_service_fault(
+        fixture,
         &service::Fault {
             slow_ms: Some(300),
             ..service::Fault::default()
         },
     );
-    let told = desk.send(0, key);
-    while desk.0.platform.counts().writes == before && desk.calls(key) == 0 {
-        sleep(PACE).await;
+    let result = fixture.send(0, key);
+    while fixture.0.platform.counts().writes == before && fixture.calls(key) == 0 {
+        sleep(POLL_INTERVAL).await;
     }
-    for sidecar in &mut desk.0.sidecars {
+    for sidecar in &mut fixture.0.sidecars {
         sidecar.kill();
     }
-    desk.store(platform::Fault {
+    fixture.inject_store_fault(platform::Fault {
         clear: true,
         ..platform::Fault::default()
     });
-    told.await.expect("no task panics")
+    result.await.expect("no task panics")
 }
 
-async fn kill_in_hand_over(desk: &mut Desk, key: Option<&str>) -> Told {
-    strike_services(
-        desk,
+/// Kills the sidecar of the replica that is serving the call.
+async fn kill_in_hand_over(fixture: &mut Fixture, key: Option<&str>) -> CallResult {
+    inject_service_fault(
+        fixture,
         &service::Fault {
             slow_ms: Some(300),
             ..service::Fault::default()
         },
     );
-    let told = desk.send(0, key);
-    let replica = desk.handed().await;
-    desk.0.sidecars[replica].kill();
-    told.await.expect("no task panics")
+    let result = fixture.send(0, key);
+    let replica = fixture.wait_for_call().await;
+    fixture.0.sidecars[replica].kill();
+    result.await.expect("no task panics")
 }
 
-fn strike_services(desk: &Desk, fault: &service::Fault) {
-    for service in &desk.0.services {
+fn inject_service_fault(fixture: &Fixture, fault: &service::Fault) {
+    for service in &fixture.0.services {
         service.fault(fault.clone());
     }
 }
--- a/components/measure/src/calls/desk.rs
+++ b/components/measure/src/calls/fixture.rs
@@ -1,4 +1,5 @@
-//! A booking desk on stand-ins, over loopback: two replicas and two entries.
+//! Test system for the measurements of calls, over loopback: two entries, and two replicas of a
+//! fake ledger service.
 
 use std::time::Duration;
 
@@ -30,27 +31,30 @@
   - {name: ledger, match: {path: /svc/ledger}, service: ledger, version: v1}
 ";
 
-/// Replicas of the service.
+/// Number of replicas of the ledger service.
 pub(super) const REPLICAS: usize = 2;
 
-/// Pace at which conditions are looked at.
-pub(super) const PACE: Duration = Duration::from_millis(1);
+/// Time between two checks of a condition.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What a caller was told, and after which time.
+/// A caller's result of a call.
 #[derive(Clone, Debug)]
-pub(super) struct Told {
-    pub(super) run: String,
-    pub(super) took: Duration,
+pub(super) struct CallResult {
+    /// Whether the call ran: "ran", or the value in the error response, or "no answer".
+    pub(super) outcome: String,
+    /// Time until the response arrived.
+    pub(super) latency: Duration,
 }
 
-/// Two entries, two replicas, one platform.
-pub(super) struct Desk(pub(super) Trial);
+/// Two entries, two replicas with their sidecars, and one platform.
+pub(super) struct Fixture(pub(super) Trial);
 
-impl Desk {
-    pub(super) async fn open() -> Self {
+impl Fixture {
+    /// Starts the system and waits until it is ready.
+    pub(super) async fn start() -> Self {
         let mut trial = Trial::start().await.expect("a trial starts");
-        for number in 0..REPLICAS {
-            let name = format!("ledger-{number}");
+        for index in 0..REPLICAS {
+            let name = format!("ledger-{index}");
             let settings = service::Settings::default();
             let started = trial.service(&name, "dc1", "ledger", settings).await;
             started.expect("a service starts");
@@ -60,13 +64,15 @@
             started.expect("an entry starts");
         }
         let revision = trial.put(0, "production", DOCUMENT).await;
-        let ready = trial.ready(revision.expect("the document is taken")).await;
-        ready.expect("the trial gets ready");
+        let ready = trial
+            .ready(revision.expect("the platform accepts the document"))
+            .await;
+        ready.expect("the trial becomes ready");
         Self(trial)
     }
 
-    /// Sends a deposit.
-    pub(super) fn send(&self, entry: usize, key: Option<&str>) -> JoinHandle<Told> {
+    /// Sends a deposit to an entry, with an idempotency key if one is given.
+    pub(super) fn send(&self, entry: usize, key: Option<&str>) -> JoinHandle<CallResult> {
         let address = format!("{}/svc/ledger/deposits", self.0.callers(entry));
         let body = json!({"account": "a", "amount": 5}).to_string();
         let mut request = self.0.client.post(address).body(body);
@@ -75,37 +81,39 @@
         }
         tokio::spawn(async move {
             let begun = Instant::now();
-            let run = match request.send().await {
-                Ok(response) => run(response).await,
+            let outcome = match request.send().await {
+                Ok(response) => read_outcome(response).await,
                 Err(_) => "no answer".into(),
             };
-            Told {
-                run,
-                took: begun.elapsed(),
+            CallResult {
+                outcome,
+                latency: begun.elapsed(),
             }
         })
     }
 
-    pub(super) async fn deposit(&self, entry: usize, key: Option<&str>) -> Told {
+    /// Sends a deposit and waits for the result.
+    pub(super) async fn deposit(&self, entry: usize, key: Option<&str>) -> CallResult {
         self.send(entry, key).await.expect("no task panics")
     }
 
-    pub(super) fn store(&self, fault: platform::Fault) {
+    /// Injects a fault into the platform's store.
+    pub(super) fn inject_store_fault(&self, fault: platform::Fault) {
         self.0.platform.fault(fault);
     }
 
-    /// Waits until a service was handed a call; gives its number.
-    pub(super) async fn handed(&self) -> usize {
+    /// Waits until a replica has received a call; returns its index.
+    pub(super) async fn wait_for_call(&self) -> usize {
         loop {
             let mut services = self.0.services.iter();
             if let Some(replica) = services.position(|service| !service.calls().is_empty()) {
                 return replica;
             }
-            sleep(PACE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Hand-overs that the services saw, of calls with this key.
+    /// Returns how often the replicas received calls with this key.
     pub(super) fn calls(&self, key: Option<&str>) -> usize {
         let services = self.0.services.iter();
         let calls = services.flat_map(|service| service.calls());
@@ -113,11 +121,11 @@
     }
 }
 
-async fn run(response: reqwest::Response) -> String {
+async fn read_outcome(response: reqwest::Response) -> String {
     if response.status().is_success() {
         return "ran".into();
     }
     let body: Value = response.json().await.unwrap_or_default();
-    let run = body["error"]["run"].as_str();
-    run.unwrap_or("no answer").to_string()
+    let outcome = body["error"]["run"].as_str();
+    outcome.unwrap_or("no answer").to_string()
 }
--- a/components/measure/src/calls/latency.rs
+++ b/components/measure/src/calls/latency.rs
@@ -1,4 +1,4 @@
-//! Added latency and store calls of a kept call, at several latencies of the store.
+//! Added latency and store calls of a recorded call, at several latencies of the store.
 
 use std::time::Duration;
 
@@ -14,15 +14,16 @@
     sleep, //
 };
 
-use super::desk::{
-    Desk,
-    PACE, //
+use super::fixture::{
+    Fixture,
+    POLL_INTERVAL, //
 };
 use crate::table;
 
 /// Latencies of the store, in milliseconds.
-const STORE: [u64; 3] = [1, 5, 20];
+const STORE_LATENCIES_MS: [u64; 3] = [1, 5, 20];
 
+/// Which process writes the call record.
 #[derive(Clone, Copy)]
 enum Variant {
     NoRecord,
@@ -48,26 +49,26 @@
 
 pub(super) async fn print(calls: usize) {
     let mut rows = Vec::new();
-    for store in STORE {
-        let mut without = Duration::ZERO;
+    for latency_ms in STORE_LATENCIES_MS {
+        let mut baseline = Duration::ZERO;
         for variant in VARIANTS {
-            let desk = Desk::open().await;
-            desk.store(Fault {
-                slow_ms: Some(store),
+            let fixture = Fixture::start().await;
+            fixture.inject_store_fault(Fault {
+                slow_ms: Some(latency_ms),
                 ..Fault::default()
             });
-            let (times, cost) = measure(&desk, variant, calls).await;
-            let middle = times[times.len() / 2];
+            let (times, store_calls) = measure(&fixture, variant, calls).await;
+            let median = times[times.len() / 2];
             if matches!(variant, Variant::NoRecord) {
-                without = middle;
+                baseline = median;
             }
             rows.push(vec![
-                store.to_string(),
+                latency_ms.to_string(),
                 variant.name().into(),
-                millis(middle),
-                millis(times[times.len() * 99 / 100]),
-                millis(middle.saturating_sub(without)),
-                format!("{cost:.2}"),
+                format_ms(median),
+                format_ms(times[times.len() * 99 / 100]),
+                format_ms(median.saturating_sub(baseline)),
+                format!("{store_calls:.2}"),
             ]);
         }
     }
@@ -82,45 +83,45 @@
     table::print(&heading, &rows);
 }
 
-/// Latencies in order, and store calls a call, without watches.
-async fn measure(desk: &Desk, variant: Variant, calls: usize) -> (Vec<Duration>, f64) {
-    let address = format!("http://{}", desk.0.platform.address());
+/// Returns the sorted latencies, and the store calls per call without watches.
+async fn measure(fixture: &Fixture, variant: Variant, calls: usize) -> (Vec<Duration>, f64) {
+    let address = format!("http://{}", fixture.0.platform.address());
     let client = Client::new(&address, Duration::from_secs(2));
     let records = Records::new(client.expect("the address is a URL"));
     for entry in 0..2 {
-        desk.deposit(entry, Some(&format!("warm-{entry}"))).await;
+        fixture.deposit(entry, Some(&format!("warm-{entry}"))).await;
     }
     records.write("call/warm", 0, &record()).await;
-    settle(desk).await;
-    let before = desk.0.platform.counts();
+    wait_until_idle(fixture).await;
+    let before = fixture.0.platform.counts();
     let mut times = Vec::new();
     for number in 0..calls {
         let begun = Instant::now();
         let key = format!("k{number}");
-        let told = match variant {
-            Variant::NoRecord => desk.deposit(0, None).await,
-            Variant::SidecarRecords => desk.deposit(0, Some(&key)).await,
+        let result = match variant {
+            Variant::NoRecord => fixture.deposit(0, None).await,
+            Variant::SidecarRecords => fixture.deposit(0, Some(&key)).await,
             Variant::EntryRecords => {
                 records.write(&format!("call/{key}"), 0, &record()).await;
-                desk.deposit(0, None).await
+                fixture.deposit(0, None).await
             }
         };
-        assert_eq!(told.run, "ran", "a call without a fault runs");
+        assert_eq!(result.outcome, "ran", "a call without a fault runs");
         times.push(begun.elapsed());
     }
-    settle(desk).await;
-    let after = desk.0.platform.counts();
-    let cost = after.reads + after.writes - before.reads - before.writes;
+    wait_until_idle(fixture).await;
+    let after = fixture.0.platform.counts();
+    let store_calls = after.reads + after.writes - before.reads - before.writes;
     times.sort();
-    (times, cost as f64 / calls as f64)
+    (times, store_calls as f64 / calls as f64)
 }
 
-/// Waits until the store is asked for nothing more.
-async fn settle(desk: &Desk) {
+/// Waits until the store receives no more writes.
+async fn wait_until_idle(fixture: &Fixture) {
     loop {
-        let before = desk.0.platform.counts().writes;
-        sleep(PACE * 100).await;
-        if desk.0.platform.counts().writes == before {
+        let before = fixture.0.platform.counts().writes;
+        sleep(POLL_INTERVAL * 100).await;
+        if fixture.0.platform.counts().writes == before {
             return;
         }
     }
@@ -134,6 +135,6 @@
     }
 }
 
-fn millis(time: Duration) -> String {
+fn format_ms(time: Duration) -> String {
     format!("{:.2}", time.as_secs_f64() * 1e3)
 }
--- a/components/measure/src/calls/leaving.rs
+++ b/components/measure/src/calls/leaving.rs
@@ -1,4 +1,4 @@
-//! Time from a leaving sign to the last new work at the host that leaves.
+//! Time from a leaving signal to the last new call at the leaving host.
 
 use std::time::Duration;
 
@@ -9,29 +9,35 @@
     sleep, //
 };
 
-use super::desk::{
-    Desk,
-    PACE, //
+use super::fixture::{
+    Fixture,
+    POLL_INTERVAL, //
 };
 use crate::table;
 
-/// How long new work is watched for after the sign.
-const WATCHED: Duration = Duration::from_secs(4);
+/// Time for which new calls are observed after the signal.
+const OBSERVATION_TIME: Duration = Duration::from_secs(4);
 
-/// Pause between two calls of one caller.
-const PAUSE: Duration = Duration::from_millis(2);
+/// Pause between two calls of a caller.
+const CALL_PAUSE: Duration = Duration::from_millis(2);
 
+/// Source of the signal that a host leaves.
 #[derive(Clone, Copy)]
-enum Sign {
+enum Signal {
     Sidecar,
     List,
     Both,
     WrongList,
 }
 
-const SIGNS: [Sign; 4] = [Sign::Sidecar, Sign::List, Sign::Both, Sign::WrongList];
+const SIGNALS: [Signal; 4] = [
+    Signal::Sidecar,
+    Signal::List,
+    Signal::Both,
+    Signal::WrongList,
+];
 
-impl Sign {
+impl Signal {
     fn name(self) -> &'static str {
         match self {
             Self::Sidecar => "the sidecar's own",
@@ -44,17 +50,17 @@
 
 pub(super) async fn print(runs: usize) {
     let mut rows = Vec::new();
-    for sign in SIGNS {
+    for signal in SIGNALS {
         let mut times = Vec::new();
         let mut failed = 0;
         for _ in 0..runs {
-            let (time, failures) = measure(sign).await;
+            let (time, failures) = measure(signal).await;
             times.push(time);
             failed += failures;
         }
         times.sort();
         rows.push(vec![
-            sign.name().into(),
+            signal.name().into(),
             format!("{:.0}", times[times.len() / 2].as_secs_f64() * 1e3),
             format!("{:.0}", times[times.len() - 1].as_secs_f64() * 1e3),
             failed.to_string(),
@@ -69,47 +75,52 @@
     table::print(&heading, &rows);
 }
 
-/// Time of the last call that began at the leaving replica, and calls that failed.
-async fn measure(sign: Sign) -> (Duration, usize) {
-    let desk = Desk::open().await;
+/// Returns the time from the signal to the last new call at the leaving replica, and the number of
+/// failed calls.
+async fn measure(signal: Signal) -> (Duration, usize) {
+    let fixture = Fixture::start().await;
     for entry in 0..2 {
-        desk.deposit(entry, None).await;
+        fixture.deposit(entry, None).await;
     }
-    let address = format!("http://{}/hosts", desk.0.platform.address());
+    let address = format!("http://{}/hosts", fixture.0.platform.address());
     let begun = Instant::now();
-    if matches!(sign, Sign::Sidecar | Sign::Both) {
-        desk.0.sidecars[0].stop();
+    if matches!(signal, Signal::Sidecar | Signal::Both) {
+        fixture.0.sidecars[0].stop();
     }
-    if matches!(sign, Sign::List | Sign::Both) {
-        list(&address, true).await;
+    if matches!(signal, Signal::List | Signal::Both) {
+        update_host_list(&address, true).await;
     }
-    if matches!(sign, Sign::WrongList) {
-        list(&address, false).await;
+    if matches!(signal, Signal::WrongList) {
+        update_host_list(&address, false).await;
     }
     let mut last = Duration::ZERO;
     let mut failed = 0;
-    let mut seen = desk.0.services[0].calls().len();
-    while begun.elapsed() < WATCHED {
-        let pair = [desk.send(0, None), desk.send(1, None)];
-        for told in pair {
-            let told = told.await.expect("no task panics");
-            failed += usize::from(told.run != "ran");
+    let mut calls_before = fixture.0.services[0].calls().len();
+    while begun.elapsed() < OBSERVATION_TIME {
+        let calls = [fixture.send(0, None), fixture.send(1, None)];
+        for result in calls {
+            let result = result.await.expect("no task panics");
+            failed += usize::from(result.outcome != "ran");
         }
-        let now = desk.0.services[0].calls().len();
-        if now > seen {
-            seen = now;
+        let now = fixture.0.services[0].calls().len();
+        if now > calls_before {
+            calls_before = now;
             last = begun.elapsed();
         }
-        sleep(PAUSE.max(PACE)).await;
+        sleep(CALL_PAUSE.max(POLL_INTERVAL)).await;
     }
     (last, failed)
 }
 
-/// Makes the list say that the first replica leaves, or makes it empty.
-async fn list(address: &str, leaving: bool) {
+/// Marks the first replica as leaving in the platform's host list, or empties the list.
+async fn update_host_list(address: &str, leaving: bool) {
     let client = Client::new();
-    let answer = client.get(address).send().await.expect("the list is there");
-    let mut list: Value = answer.json().await.expect("the list is JSON");
+    let response = client
+        .get(address)
+        .send()
+        .await
+        .expect("the platform returns the list");
+    let mut list: Value = response.json().await.expect("the list is JSON");
     let hosts = list["hosts"].as_array_mut().expect("the list has hosts");
     if !leaving {
         hosts.clear();
@@ -119,6 +130,6 @@
             host["state"] = "leaving".into();
         }
     }
-    let put = client.put(address).body(list.to_string()).send().await;
-    put.expect("the list is taken");
+    let request = client.put(address).body(list.to_string()).send().await;
+    request.expect("the platform accepts the list");
 }
--- a/components/measure/src/calls/poison.rs
+++ b/components/measure/src/calls/poison.rs
@@ -1,7 +1,7 @@
-//! Servers lost per poisonous request and innocents refused, in virtual time.
+//! Servers lost per poisonous request and innocent requests refused, in virtual time.
 //!
-//! Generated events drive the production ledger: which requests run where is chosen by its own rule
-//! of placement. Nothing else of a fleet is modelled.
+//! A simulated fleet drives the production ledger, whose placement rule decides which requests may
+//! run together. Nothing else of a fleet is modelled.
 
 use std::time::Duration;
 
@@ -23,47 +23,48 @@
 
 use crate::table;
 
-const STEP: Duration = Duration::from_millis(100);
-const SERVERS: usize = 25;
-const STEPS: usize = 1500;
+/// Increment of the virtual time.
+const TICK: Duration = Duration::from_millis(100);
+const SERVER_COUNT: usize = 25;
+const TICK_COUNT: usize = 1500;
 
-/// Sends of the poison, each under a new id.
-const SENDS: u32 = 10;
+/// Number of times that callers send the poisonous requests, each time under a new ID.
+const MAX_POISON_SENDS: u32 = 10;
 
-/// Fingerprints below this are poisonous.
-const INNOCENT: Fingerprint = 100;
+/// Lowest fingerprint of an innocent request; those below are poisonous.
+const FIRST_INNOCENT: Fingerprint = 100;
 
-/// Which requests are refused, and who runs beside whom.
+/// Which requests are refused, and which may share a server.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Rule {
-    /// Nobody is refused.
-    Nothing,
-    /// Whoever was in flight at two deaths is refused; suspects run anywhere.
+    /// No request is refused.
+    NoRefusals,
+    /// A request that was in flight at two deaths is refused; suspects run on any server.
     TwoDeaths,
-    /// The ledger of this system.
-    Apart,
+    /// The production ledger, which isolates suspects.
+    Isolation,
 }
 
-const RULES: [Rule; 3] = [Rule::Nothing, Rule::TwoDeaths, Rule::Apart];
+const RULES: [Rule; 3] = [Rule::NoRefusals, Rule::TwoDeaths, Rule::Isolation];
 
 impl Rule {
     fn name(self) -> &'static str {
         match self {
-            Self::Nothing => "no refusals",
+            Self::NoRefusals => "no refusals",
             Self::TwoDeaths => "refuse after two deaths",
-            Self::Apart => "suspects apart (this system)",
+            Self::Isolation => "suspects apart (this system)",
         }
     }
 }
 
-/// A case of the table.
+/// A case, which gives one row of the table per rule.
 #[derive(Clone, Copy)]
 struct Case {
     innocents: u128,
     poisons: u128,
-    /// Time from a poison's start to the death.
-    crash: Duration,
-    /// An engine without any poison dies as well, a second after the first death.
+    /// Time from the start of a poisonous request to the server's death.
+    time_to_crash: Duration,
+    /// Whether a server without a poisonous request dies too, a second after the first death.
     accident: bool,
 }
 
@@ -90,25 +91,25 @@
 
 fn cases() -> Vec<Case> {
     let mut cases = Vec::new();
-    for crash in [300, 10_000].map(Duration::from_millis) {
+    for time_to_crash in [300, 10_000].map(Duration::from_millis) {
         for innocents in [1, 8, 30] {
             cases.push(Case {
                 innocents,
                 poisons: 1,
-                crash,
+                time_to_crash,
                 accident: false,
             });
         }
         cases.push(Case {
             innocents: 30,
             poisons: 2,
-            crash,
+            time_to_crash,
             accident: false,
         });
         cases.push(Case {
             innocents: 30,
             poisons: 1,
-            crash,
+            time_to_crash,
             accident: true,
         });
     }
@@ -116,31 +117,31 @@
 }
 
 fn row(case: Case, rule: Rule, seeds: u64) -> Vec<String> {
-    let mut lost = Vec::new();
+    let mut losses = Vec::new();
     let mut refused = 0;
-    let mut wait = Duration::ZERO;
+    let mut longest_wait = Duration::ZERO;
     for seed in 0..seeds {
         let mut fleet = Fleet::new(case, rule, seed);
         fleet.run();
-        lost.push(f64::from(fleet.lost) / case.poisons as f64);
+        losses.push(f64::from(fleet.servers_lost) / case.poisons as f64);
         refused += fleet.innocents_refused;
-        wait = wait.max(fleet.longest_wait);
+        longest_wait = longest_wait.max(fleet.longest_wait);
     }
-    let mean = lost.iter().sum::<f64>() / seeds as f64;
+    let mean = losses.iter().sum::<f64>() / seeds as f64;
     vec![
         case.poisons.to_string(),
         case.innocents.to_string(),
-        format!("{:.1}", case.crash.as_secs_f64()),
+        format!("{:.1}", case.time_to_crash.as_secs_f64()),
         if case.accident { "yes" } else { "no" }.into(),
         rule.name().into(),
         format!("{mean:.2}"),
-        format!("{:.1}", lost.iter().copied().fold(0.0, f64::max)),
+        format!("{:.1}", losses.iter().copied().fold(0.0, f64::max)),
         format!("{:.2}", f64::from(refused) / seeds as f64),
-        format!("{:.1}", wait.as_secs_f64()),
+        format!("{:.1}", longest_wait.as_secs_f64()),
     ]
 }
 
-/// A request that waits for a server, and since when.
+/// A request that waits for a server.
 #[derive(Clone, Copy)]
 struct Waiting {
     fingerprint: Fingerprint,
@@ -157,26 +158,27 @@
     servers: Vec<Vec<Flight>>,
     waiting: Vec<Waiting>,
     sends: u32,
-    lost: u32,
+    servers_lost: u32,
     accident_at: Option<Duration>,
     innocents_refused: u32,
     longest_wait: Duration,
 }
 
 impl Fleet {
-    /// Every server runs work of other callers; the batch with the poison runs on the first one.
+    /// Starts with requests of other callers on every server but the first, which runs the batch
+    /// with the poisonous requests.
     fn new(case: Case, rule: Rule, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut servers = vec![Vec::new(); SERVERS];
-        for (number, server) in servers.iter_mut().enumerate() {
+        let mut servers = vec![Vec::new(); SERVER_COUNT];
+        for (index, server) in servers.iter_mut().enumerate() {
             for slot in 0..8 {
                 server.push(Flight {
-                    fingerprint: 1000 * (1 + number as u128) + slot,
+                    fingerprint: 1000 * (1 + index as u128) + slot,
                     ran: Duration::from_millis(rng.random_range(0..60_000)),
                 });
             }
         }
-        let innocents = (0..case.innocents).map(|number| INNOCENT + number);
+        let innocents = (0..case.innocents).map(|index| FIRST_INNOCENT + index);
         servers[0] = (0..case.poisons)
             .chain(innocents)
             .map(|fingerprint| Flight {
@@ -194,7 +196,7 @@
             servers,
             waiting: Vec::new(),
             sends: 0,
-            lost: 0,
+            servers_lost: 0,
             accident_at: None,
             innocents_refused: 0,
             longest_wait: Duration::ZERO,
@@ -202,66 +204,72 @@
     }
 
     fn run(&mut self) {
-        for step in 0..STEPS {
-            self.now += STEP;
-            self.send(step);
-            self.place();
-            for server in 0..SERVERS {
+        for tick in 0..TICK_COUNT {
+            self.now += TICK;
+            self.add_requests(tick);
+            self.place_waiting();
+            for server in 0..SERVER_COUNT {
                 self.advance(server);
             }
             if self.accident_at.is_some_and(|at| self.now >= at) {
                 self.accident_at = None;
-                let server = self.rng.random_range(0..SERVERS);
-                let poisoned = self.servers[server]
+                let server = self.rng.random_range(0..SERVER_COUNT);
+                let poisonous = self.servers[server]
                     .iter()
-                    .any(|f| f.fingerprint < INNOCENT);
-                if !poisoned {
+                    .any(|flight| flight.fingerprint < FIRST_INNOCENT);
+                if !poisonous {
                     self.die(server, false);
                 }
             }
         }
     }
 
-    /// New work arrives all the time; the callers of the poison send it again.
-    fn send(&mut self, step: usize) {
+    /// Adds new requests, and resends the poisonous ones every 50 ticks.
+    fn add_requests(&mut self, tick: usize) {
         if self.rng.random_bool(0.3) {
-            self.wait(1_000_000 + step as u128);
+            self.enqueue(1_000_000 + tick as u128);
         }
-        if step % 50 != 49 || self.sends >= SENDS {
+        if tick % 50 != 49 || self.sends >= MAX_POISON_SENDS {
             return;
         }
         for poison in 0..self.case.poisons {
             let mut running = self.servers.iter().flatten();
-            let there = running.any(|flight| flight.fingerprint == poison);
-            if !there && !self.waiting.iter().any(|w| w.fingerprint == poison) {
-                self.wait(poison);
+            let is_running = running.any(|flight| flight.fingerprint == poison);
+            if !is_running
+                && !self
+                    .waiting
+                    .iter()
+                    .any(|request| request.fingerprint == poison)
+            {
+                self.enqueue(poison);
             }
         }
         self.sends += 1;
     }
 
-    fn wait(&mut self, fingerprint: Fingerprint) {
+    fn enqueue(&mut self, fingerprint: Fingerprint) {
         self.waiting.push(Waiting {
             fingerprint,
             since: self.now,
         });
     }
 
-    fn place(&mut self) {
-        let mut order: Vec<usize> = (0..SERVERS).collect();
+    /// Refuses or starts waiting requests.
+    fn place_waiting(&mut self) {
+        let mut order: Vec<usize> = (0..SERVER_COUNT).collect();
         for request in std::mem::take(&mut self.waiting) {
-            let innocent = request.fingerprint >= INNOCENT;
+            let innocent = request.fingerprint >= FIRST_INNOCENT;
             if self.refuses(request.fingerprint) {
                 self.innocents_refused += u32::from(innocent);
                 continue;
             }
             order.shuffle(&mut self.rng);
-            let free = order.iter().find(|server| {
+            let allowed = order.iter().find(|server| {
                 let running = &self.servers[**server];
-                self.rule != Rule::Apart
+                self.rule != Rule::Isolation
                     || self.ledger.place(request.fingerprint, running, self.now) == Place::Free
             });
-            let Some(server) = free else {
+            let Some(server) = allowed else {
                 self.waiting.push(request);
                 continue;
             };
@@ -277,50 +285,52 @@
 
     fn refuses(&self, fingerprint: Fingerprint) -> bool {
         match self.rule {
-            Rule::Nothing => false,
+            Rule::NoRefusals => false,
             Rule::TwoDeaths => {
                 let deaths = self.deaths.iter();
                 deaths.filter(|death| death.contains(&fingerprint)).count() >= 2
             }
-            Rule::Apart => matches!(
+            Rule::Isolation => matches!(
                 self.ledger.verdict(fingerprint, self.now),
                 Verdict::Refused { .. }
             ),
         }
     }
 
+    /// Runs a server for one tick.
     fn advance(&mut self, server: usize) {
         for flight in &mut self.servers[server] {
-            flight.ran += STEP;
+            flight.ran += TICK;
         }
-        let crash = self.case.crash;
+        let time_to_crash = self.case.time_to_crash;
         let mut flights = self.servers[server].iter();
-        if flights.any(|flight| flight.fingerprint < INNOCENT && flight.ran >= crash) {
+        if flights.any(|flight| flight.fingerprint < FIRST_INNOCENT && flight.ran >= time_to_crash)
+        {
             self.die(server, true);
             return;
         }
-        let length = Duration::from_secs(60);
-        for flight in self.servers[server].extract_if(.., |flight| flight.ran >= length) {
-            if self.rule == Rule::Apart {
+        let run_time = Duration::from_secs(60);
+        for flight in self.servers[server].extract_if(.., |flight| flight.ran >= run_time) {
+            if self.rule == Rule::Isolation {
                 self.ledger.ended(flight.fingerprint, self.now);
             }
         }
     }
 
-    fn die(&mut self, server: usize, poisoned: bool) {
+    fn die(&mut self, server: usize, poisonous: bool) {
         let flights = std::mem::take(&mut self.servers[server]);
-        if poisoned {
-            self.lost += 1;
+        if poisonous {
+            self.servers_lost += 1;
         }
-        if poisoned && self.case.accident && self.lost == 1 {
+        if poisonous && self.case.accident && self.servers_lost == 1 {
             self.accident_at = Some(self.now + Duration::from_secs(1));
         }
         for flight in &flights {
-            self.wait(flight.fingerprint);
+            self.enqueue(flight.fingerprint);
         }
         self.deaths
             .push(flights.iter().map(|flight| flight.fingerprint).collect());
-        if self.rule != Rule::Apart {
+        if self.rule != Rule::Isolation {
             return;
         }
         let death = Death {
@@ -328,7 +338,7 @@
             at: self.now,
             flights,
         };
-        let number = self.deaths.len() as u64;
-        self.ledger.died(number, death, self.now);
+        let death_id = self.deaths.len() as u64;
+        self.ledger.died(death_id, death, self.now);
     }
 }
--- a/components/measure/src/experiment.rs
+++ b/components/measure/src/experiment.rs
@@ -154,7 +154,7 @@
             points: points.collect(),
         });
     }
-    plot::lines(
+    plot::line_plot(
         &lines,
         "load, multiple of the capacity",
         "answers in time a second",
--- a/components/measure/src/links.rs
+++ b/components/measure/src/links.rs
@@ -1,4 +1,4 @@
-//! What links cost an entry at rest: processor time, memory and bytes, against their number.
+//! Processor time, memory and traffic of an idle entry, by the number of its links.
 
 use std::{
     io,
@@ -35,36 +35,36 @@
 };
 
 use crate::{
-    process::Bench,
+    process::Launcher,
     table,
     tokens, //
 };
 
-/// What links cost an entry at rest: processor time, memory and bytes, against their number.
+/// Measures processor time, memory and traffic of an idle entry, by the number of its links.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "links")]
 pub struct Args {
-    /// numbers of links
+    /// number of links; may be given more than once (default: 0, 32, 64, 128)
     #[argh(option)]
     links: Vec<usize>,
-    /// seconds for each number
+    /// duration in seconds for each number of links (default 10)
     #[argh(option, default = "10")]
     seconds: u64,
 }
 
-/// Pace of heartbeats at rest.
-const REST: Duration = Duration::from_secs(2);
+/// Time between two heartbeats of an idle link.
+const IDLE_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Prints the table.
 pub async fn run(args: Args) -> io::Result<()> {
-    let numbers = if args.links.is_empty() {
+    let link_counts = if args.links.is_empty() {
         vec![0, 32, 64, 128]
     } else {
         args.links
     };
     let mut rows = Vec::new();
-    for number in numbers {
-        rows.push(one(number, Duration::from_secs(args.seconds)).await?);
+    for link_count in link_counts {
+        rows.push(measure_links(link_count, Duration::from_secs(args.seconds)).await?);
     }
     table::print(
         &[
@@ -80,49 +80,55 @@
     Ok(())
 }
 
-async fn one(number: usize, time: Duration) -> io::Result<Vec<String>> {
-    let bench = Bench::new()?;
+/// Measures an entry with this number of links; returns the row of the table.
+async fn measure_links(link_count: usize, duration: Duration) -> io::Result<Vec<String>> {
+    let launcher = Launcher::new()?;
     let platform = Platform::start(platform::Settings::default()).await?;
     let settings = trial::trial::entry_settings("entry-a", "dc1", platform.address());
     let mut settings = settings;
     settings.times.hosts = Duration::from_secs(1);
-    settings.limits.links = number.max(1);
-    let (links, mut joined) = mpsc::channel(number.max(1));
+    settings.limits.links = link_count.max(1);
+    let (links, mut linked) = mpsc::channel(link_count.max(1));
     let mut hosts = Vec::new();
-    for index in 0..number {
+    for index in 0..link_count {
         let host = format!("draft-{index}");
-        let node = Node::bind(any(), &bench.keys(&host)?, REST * 3).map_err(io::Error::other)?;
-        hosts.push(tokens::listed(&host, node.address()?));
-        tokio::spawn(stand_in(node, host, links.clone()));
+        let node = Node::bind(
+            any_local_port(),
+            &launcher.keys(&host)?,
+            IDLE_HEARTBEAT_INTERVAL * 3,
+        )
+        .map_err(io::Error::other)?;
+        hosts.push(tokens::sidecar_host(&host, node.address()?));
+        tokio::spawn(fake_sidecar(node, host, links.clone()));
     }
     platform.set_hosts(hosts);
-    let entry = bench.entry(&settings)?;
-    let mut up: Vec<Link> = Vec::new();
-    while up.len() < number {
-        up.extend(joined.recv().await);
+    let entry = launcher.entry(&settings)?;
+    let mut links_up: Vec<Link> = Vec::new();
+    while links_up.len() < link_count {
+        links_up.extend(linked.recv().await);
     }
-    // The handshakes are over; what follows is rest.
-    sleep(REST).await;
-    let before = (entry.cost()?, bytes(&up));
-    sleep(time).await;
-    let after = (entry.cost()?, bytes(&up));
-    let seconds = time.as_secs_f64();
-    let processor = (after.0.processor - before.0.processor).as_secs_f64() / seconds * 100.0;
-    // What the stand-ins received is what the entry sent.
+    // Excludes the handshakes from the measurement.
+    sleep(IDLE_HEARTBEAT_INTERVAL).await;
+    let before = (entry.usage()?, total_bytes(&links_up));
+    sleep(duration).await;
+    let after = (entry.usage()?, total_bytes(&links_up));
+    let seconds = duration.as_secs_f64();
+    let processor = (after.0.cpu_time - before.0.cpu_time).as_secs_f64() / seconds * 100.0;
+    // The links are measured at the fake sidecars, so bytes received there were sent by the entry.
     let sent = (after.1.1 - before.1.1) as f64 / seconds;
     let received = (after.1.0 - before.1.0) as f64 / seconds;
     Ok(vec![
-        number.to_string(),
+        link_count.to_string(),
         format!("{processor:.2}"),
-        format!("{:.1}", after.0.memory as f64 / 1e6),
+        format!("{:.1}", after.0.resident_bytes as f64 / 1e6),
         format!("{sent:.0}"),
         format!("{received:.0}"),
-        format!("{:.0}", (sent + received) / number.max(1) as f64),
+        format!("{:.0}", (sent + received) / link_count.max(1) as f64),
     ])
 }
 
-/// A sidecar that does nothing but greet and beat.
-async fn stand_in(node: Node, host: String, links: mpsc::Sender<Link>) {
+/// Runs a fake sidecar that only answers the greeting and sends heartbeats.
+async fn fake_sidecar(node: Node, host: String, links: mpsc::Sender<Link>) {
     let hello = Hello {
         protocol: PROTOCOL,
         host: host.clone(),
@@ -144,36 +150,38 @@
         let Ok(link) = incoming.answer().await else {
             continue;
         };
-        let Ok((stream, _)) = greeting::answered(&link, &hello, REST).await else {
+        let Ok((stream, _)) = greeting::answered(&link, &hello, IDLE_HEARTBEAT_INTERVAL).await
+        else {
             continue;
         };
-        let (_others, nothing) = mpsc::channel(1);
+        let (_others, no_urgent) = mpsc::channel(1);
         let (_work, rest) = watch::channel(0);
         let pace = Pace {
-            busy: REST,
-            rest: REST,
+            busy: IDLE_HEARTBEAT_INTERVAL,
+            rest: IDLE_HEARTBEAT_INTERVAL,
         };
         tokio::spawn(greeting::beat(
             stream.sender,
             state.subscribe(),
-            nothing,
+            no_urgent,
             rest,
             pace,
             || false,
         ));
         let mut receiver = stream.receiver;
         tokio::spawn(async move { while let Ok(Some(_)) = receiver.receive().await {} });
-        // The measurement is over when nobody receives.
+        // The receiver is dropped when the measurement is over.
         let _ = links.send(link).await;
     }
 }
 
-/// Payload bytes sent and received on all links; 28 bytes of IP and UDP header come to each packet.
-fn bytes(links: &[Link]) -> (u64, u64) {
+/// Returns the payload bytes sent and received on all links, without the 28 bytes of IP and UDP
+/// header per packet.
+fn total_bytes(links: &[Link]) -> (u64, u64) {
     let all = links.iter().map(Link::bytes);
-    all.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
+    all.fold((0, 0), |sum, link| (sum.0 + link.0, sum.1 + link.1))
 }
 
-fn any() -> SocketAddr {
+fn any_local_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/components/measure/src/load.rs
+++ b/components/measure/src/load.rs
@@ -1,5 +1,5 @@
-//! Goodput against load: a whole system in one process, callers that come at a fixed rate whatever
-//! becomes of those before them.
+//! Goodput against load: a complete system in one process, with an open loop of callers that send
+//! at a fixed rate regardless of earlier responses.
 
 use std::{
     io,
@@ -24,17 +24,17 @@
 
 use crate::table;
 
-/// Goodput against load, over a whole system on stand-ins in one process.
+/// Measures goodput against load, with a complete system on fake engines in one process.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "load")]
 pub struct Args {
-    /// engines
+    /// number of engines (default 6)
     #[argh(option, default = "6")]
     engines: usize,
-    /// seconds for each load
+    /// duration in seconds for each load (default 15)
     #[argh(option, default = "15")]
     seconds: u64,
-    /// loads as multiples of the capacity
+    /// load as a multiple of the capacity; may be given more than once (default: 0.5, 1, 3)
     #[argh(option)]
     loads: Vec<f64>,
 }
@@ -47,31 +47,31 @@
   - {name: letters, service: draft, version: v1}
 ";
 
-/// Runs that an engine does at full speed.
-const CAPACITY: u32 = 8;
+/// Number of concurrent runs that an engine serves at full speed.
+const ENGINE_CAPACITY: u32 = 8;
 
-/// Tokens of an answer, and the times of the engines.
-const TOKENS: u64 = 40;
-const FIRST: Duration = Duration::from_millis(60);
-const BETWEEN: Duration = Duration::from_millis(25);
+/// Tokens of an answer, and an engine's times to the first token and between tokens.
+const ANSWER_TOKENS: u64 = 40;
+const FIRST_TOKEN_TIME: Duration = Duration::from_millis(60);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The service level: time to the first token, and mean time between tokens.
-const FIRST_LEVEL: Duration = Duration::from_millis(1900);
-const BETWEEN_LEVEL: Duration = Duration::from_millis(54);
+/// Service level of an answer in time: time to the first token, and mean time between tokens.
+const FIRST_TOKEN_TARGET: Duration = Duration::from_millis(1900);
+const TOKEN_INTERVAL_TARGET: Duration = Duration::from_millis(54);
 
-/// Answers a second that the engines can give.
-fn capacity(engines: usize) -> f64 {
-    let each = FIRST + BETWEEN * TOKENS as u32;
-    engines as f64 * f64::from(CAPACITY) / each.as_secs_f64()
+/// Answers per second that the engines can generate.
+fn answers_per_second(engines: usize) -> f64 {
+    let answer_time = FIRST_TOKEN_TIME + TOKEN_INTERVAL * ANSWER_TOKENS as u32;
+    engines as f64 * f64::from(ENGINE_CAPACITY) / answer_time.as_secs_f64()
 }
 
-/// What one caller got.
-enum Got {
-    /// A whole answer, with the time to the first token and the mean time between tokens.
-    Whole(Duration, Duration),
-    /// A refusal with a time to come back, after this time.
+/// Outcome of one request.
+enum Outcome {
+    /// A complete answer, with the time to the first token and the mean time between tokens.
+    Complete(Duration, Duration),
+    /// A refusal with status 429 or 503, with the time until it arrived.
     Refused(Duration),
-    /// Anything else.
+    /// Any other response, an incomplete answer, or no response.
     Failed,
 }
 
@@ -85,7 +85,7 @@
     let mut rows = Vec::new();
     for load in loads {
         rows.push(
-            one(args.engines, load, args.seconds)
+            measure_load(args.engines, load, args.seconds)
                 .await
                 .map_err(io::Error::other)?,
         );
@@ -107,13 +107,14 @@
     Ok(())
 }
 
+/// Starts the system and waits until it is ready.
 async fn start(engines: usize) -> Result<Trial, trial::Error> {
     let mut trial = Trial::start().await?;
     for number in 0..engines {
         let settings = Settings {
-            capacity: CAPACITY,
-            first: FIRST,
-            between: BETWEEN,
+            capacity: ENGINE_CAPACITY,
+            first: FIRST_TOKEN_TIME,
+            between: TOKEN_INTERVAL,
             ..Settings::default()
         };
         trial
@@ -128,9 +129,14 @@
     Ok(trial)
 }
 
-async fn one(engines: usize, load: f64, seconds: u64) -> Result<Vec<String>, trial::Error> {
+/// Measures one load; returns the row of the table.
+async fn measure_load(
+    engines: usize,
+    load: f64,
+    seconds: u64,
+) -> Result<Vec<String>, trial::Error> {
     let trial = start(engines).await?;
-    let rate = capacity(engines) * load;
+    let rate = answers_per_second(engines) * load;
     let count = (rate * seconds as f64) as usize;
     let begun = Instant::now();
     let mut tasks = JoinSet::new();
@@ -138,72 +144,74 @@
         sleep_until(begun + Duration::from_secs_f64(number as f64 / rate)).await;
         let address = format!("{}/v1/completions", trial.callers(number % 2));
         let client = trial.client.clone();
-        tasks.spawn(async move { ask(&client, &address, number).await });
+        tasks.spawn(async move { send_request(&client, &address, number).await });
     }
-    let (mut first, mut refused) = (Vec::new(), Vec::new());
-    let (mut good, mut late, mut failed) = (0, 0, 0);
-    while let Some(got) = tasks.join_next().await {
-        match got.unwrap_or(Got::Failed) {
-            Got::Whole(time, between) => {
-                first.push(time);
-                if time <= FIRST_LEVEL && between <= BETWEEN_LEVEL {
-                    good += 1;
+    let (mut first_times, mut refusal_times) = (Vec::new(), Vec::new());
+    let (mut in_time, mut late, mut failed) = (0, 0, 0);
+    while let Some(outcome) = tasks.join_next().await {
+        match outcome.unwrap_or(Outcome::Failed) {
+            Outcome::Complete(time, between) => {
+                first_times.push(time);
+                if time <= FIRST_TOKEN_TARGET && between <= TOKEN_INTERVAL_TARGET {
+                    in_time += 1;
                 } else {
                     late += 1;
                 }
             }
-            Got::Refused(time) => refused.push(time),
-            Got::Failed => failed += 1,
+            Outcome::Refused(time) => refusal_times.push(time),
+            Outcome::Failed => failed += 1,
         }
     }
-    first.sort();
-    refused.sort();
+    first_times.sort();
+    refusal_times.sort();
     Ok(vec![
         format!("{load}"),
         format!("{rate:.0}"),
-        format!("{:.1}", f64::from(good) / seconds as f64),
+        format!("{:.1}", f64::from(in_time) / seconds as f64),
         late.to_string(),
-        refused.len().to_string(),
+        refusal_times.len().to_string(),
         failed.to_string(),
-        at(&first, 0.5),
-        at(&first, 0.99),
-        at(&refused, 0.99),
+        percentile_ms(&first_times, 0.5),
+        percentile_ms(&first_times, 0.99),
+        percentile_ms(&refusal_times, 0.99),
     ])
 }
 
-async fn ask(client: &reqwest::Client, address: &str, number: usize) -> Got {
+/// Sends a request and reads the whole response.
+async fn send_request(client: &reqwest::Client, address: &str, number: usize) -> Outcome {
     let body = json!({
-        "model": "m", "prompt": format!("Order sheet {number}"), "max_tokens": TOKENS,
+        "model": "m", "prompt": format!("Order sheet {number}"), "max_tokens": ANSWER_TOKENS,
         "seed": number, "stream": true,
     });
     let begun = Instant::now();
     let Ok(response) = client.post(address).json(&body).send().await else {
-        return Got::Failed;
+        return Outcome::Failed;
     };
     if response.status() == StatusCode::TOO_MANY_REQUESTS
         || response.status() == StatusCode::SERVICE_UNAVAILABLE
     {
-        return Got::Refused(begun.elapsed());
+        return Outcome::Refused(begun.elapsed());
     }
     let mut stream = Stream::new(response);
     let mut arrivals = Vec::new();
-    let mut whole = false;
+    let mut complete = false;
     while let Ok(Some(event)) = stream.next().await {
-        whole = whole || event.finish().is_some();
+        complete = complete || event.finish().is_some();
         if event.token().is_some() {
             arrivals.extend(event.at);
         }
     }
-    match (whole, arrivals.first(), arrivals.last()) {
+    match (complete, arrivals.first(), arrivals.last()) {
         (true, Some(first), Some(last)) => {
             let between = (*last - *first) / arrivals.len() as u32;
-            Got::Whole(*first - begun, between)
+            Outcome::Complete(*first - begun, between)
         }
-        _ => Got::Failed,
+        _ => Outcome::Failed,
     }
 }
 
-fn at(sorted: &[Duration], share: f64) -> String {
+/// Formats a percentile of sorted durations in milliseconds.
+fn percentile_ms(sorted: &[Duration], share: f64) -> String {
     let index = ((sorted.len() as f64 * share) as usize).min(sorted.len().saturating_sub(1));
     let value = sorted.get(index).copied().unwrap_or_default();
     format!("{:.0}", value.as_secs_f64() * 1e3)
--- a/components/measure/src/main.rs
+++ b/components/measure/src/main.rs
@@ -1,7 +1,8 @@
-//! Measuring programs. `cargo run --release -p measure -- <what>` prints a table in Markdown.
+//! Benchmarks and simulations: `cargo run --release -p measure -- <command>` prints Markdown
+//! tables.
 //!
-//! Each figure in the docs names the command that gave it. Baselines run in the same process and
-//! over the same seeds as what they are compared with.
+//! Every figure in the docs names the command that produced it. Baselines run in the same process
+//! and over the same seeds as the variant that they are compared with.
 
 use std::{
     future::Future,
@@ -33,12 +34,12 @@
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum Command {
     Admission(admission::Args),
     Calls(calls::Args),
     Experiment(experiment::Args),
@@ -54,51 +55,51 @@
     Version(Version),
 }
 
-/// Prints which build is measured.
+/// Prints the version of this build.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "version")]
 struct Version {}
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let measured = match args.what {
-        What::Admission(args) => {
+    let result = match args.command {
+        Command::Admission(args) => {
             admission::print(&args);
             Ok(())
         }
-        What::Calls(args) => {
+        Command::Calls(args) => {
             calls::print(&args);
             Ok(())
         }
-        What::Experiment(args) => experiment::print(&args),
-        What::Idle(args) => live(idle::run(args)),
-        What::Links(args) => live(links::run(args)),
-        What::Load(args) => live(load::run(args)),
-        What::Moves(args) => {
+        Command::Experiment(args) => experiment::print(&args),
+        Command::Idle(args) => block_on(idle::run(args)),
+        Command::Links(args) => block_on(links::run(args)),
+        Command::Load(args) => block_on(load::run(args)),
+        Command::Moves(args) => {
             moves::print(&args);
             Ok(())
         }
-        What::Resumes(args) => {
+        Command::Resumes(args) => {
             resumes::print(&args);
             Ok(())
         }
-        What::Routing(args) => {
+        Command::Routing(args) => {
             routing::print(&args);
             Ok(())
         }
-        What::Slopes(args) => slopes::print(&args),
-        What::Spread(args) => {
+        Command::Slopes(args) => slopes::print(&args),
+        Command::Spread(args) => {
             spread::print(&args);
             Ok(())
         }
-        What::Tokens(args) => live(tokens::run(args)),
-        What::Version(_) => {
+        Command::Tokens(args) => block_on(tokens::run(args)),
+        Command::Version(_) => {
             let rows = vec![vec![env!("CARGO_PKG_VERSION").to_string()]];
             table::print(&["version"], &rows);
             Ok(())
         }
     };
-    match measured {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
@@ -107,8 +108,8 @@
     }
 }
 
-/// Runs a measurement that needs sockets and time.
-fn live(measurement: impl Future<Output = io::Result<()>>) -> io::Result<()> {
+/// Runs a measurement that uses sockets and real time.
+fn block_on(measurement: impl Future<Output = io::Result<()>>) -> io::Result<()> {
     tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?
--- a/components/measure/src/moves.rs
+++ b/components/measure/src/moves.rs
@@ -1,7 +1,7 @@
-//! Moves: the production movers against a fixed ramp and an immediate switch.
+//! Compares the production movers with a fixed ramp and an immediate switch, in virtual time.
 //!
-//! Evidence is generated in virtual time for a table of faults. No hosts, queues or links are
-//! modelled: each request's fate is drawn from its version, its route and the time.
+//! Evidence is generated for a table of faults. Hosts, queues and links are not modelled: the
+//! result of each request is drawn by its version, its route and the time.
 
 use std::thread;
 
@@ -11,13 +11,13 @@
 
 mod baseline;
 mod fleet;
-mod run;
+mod simulation;
 mod traffic;
 
 use baseline::Rule;
-use run::{
-    Policy,
-    Result, //
+use simulation::{
+    Outcome,
+    Policy, //
 };
 use traffic::{
     Case,
@@ -25,39 +25,41 @@
     Onset, //
 };
 
-/// Measures moves of good and bad versions, for movers and baselines, in virtual time.
+/// Compares movers with baselines on moves to good and bad versions, in virtual time.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "moves")]
 pub struct Args {
-    /// seeds of each case at few requests and at the co-operative's size; the target size has a
-    /// fifth of them
+    /// seeds per case at 72 requests an hour and at 10 a second; at 150 a second a fifth of them
+    /// (default 100)
     #[argh(option, default = "100")]
     seeds: u64,
-    /// seeds of each case of a good version at the co-operative's size
+    /// seeds per case of a good version at 10 requests a second (default 400)
     #[argh(option, default = "400")]
     good_seeds: u64,
-    /// threads
+    /// number of threads (default 4)
     #[argh(option, default = "4")]
     threads: u64,
-    /// only faults whose name holds this
+    /// run only faults whose name contains this text
     #[argh(option, default = "String::new()")]
     only: String,
-    /// only rates whose name holds this
+    /// run only rates whose name contains this text
     #[argh(option, default = "String::new()")]
     rate: String,
-    /// leave the baselines out
+    /// run the movers without the baselines
     #[argh(switch)]
     alone: bool,
 }
 
-/// A rate: its name, requests a second, replicas of each version.
+/// Request rates: name, requests per second, and replicas per version. The second is the rate of
+/// the co-operative, the third the target.
 const RATES: [(&str, f64, u32); 3] = [
     ("72 an hour", 0.02, 25),
     ("10 a second", 10.0, 25),
     ("150 a second", 150.0, 330),
 ];
 
-const BAD: [Fault; 5] = [
+/// Faults of the new version, which must be reverted.
+const BAD_VERSIONS: [Fault; 5] = [
     Fault::Failing,
     Fault::SlowFirst,
     Fault::SlowBetween,
@@ -65,7 +67,8 @@
     Fault::UnderLoad,
 ];
 
-const GOOD: [Fault; 6] = [
+/// Faults that are not the new version's, whose move must complete.
+const GOOD_VERSIONS: [Fault; 6] = [
     Fault::None,
     Fault::Poison,
     Fault::Repeated,
@@ -77,12 +80,12 @@
 /// Prints both tables.
 pub fn print(args: &Args) {
     println!("Good versions:\n");
-    good(args);
+    print_good(args);
     println!("\nBad versions:\n");
-    bad(args);
+    print_bad(args);
 }
 
-fn policies(args: &Args) -> Vec<(&'static str, Policy)> {
+fn selected_policies(args: &Args) -> Vec<(&'static str, Policy)> {
     let mut policies = vec![("movers", Policy::Movers)];
     if !args.alone {
         policies.push(("ramp", Policy::Fixed(Rule::Ramp)));
@@ -91,15 +94,15 @@
     policies
 }
 
-fn wanted(args: &Args, fault: Fault, rate: &str) -> bool {
+fn is_selected(args: &Args, fault: Fault, rate: &str) -> bool {
     format!("{fault:?}").contains(&args.only) && rate.contains(&args.rate)
 }
 
-fn good(args: &Args) {
+fn print_good(args: &Args) {
     let mut rows = Vec::new();
-    for fault in GOOD {
+    for fault in GOOD_VERSIONS {
         for (index, (name, rate, replicas)) in RATES.into_iter().enumerate() {
-            if !wanted(args, fault, name) {
+            if !is_selected(args, fault, name) {
                 continue;
             }
             let case = Case {
@@ -110,14 +113,14 @@
                 replicas,
             };
             let seeds = [args.seeds * 4, args.good_seeds, args.seeds / 5][index];
-            for (label, policy) in policies(args) {
-                let results = all(case, policy, seeds, args.threads);
+            for (label, policy) in selected_policies(args) {
+                let outcomes = run_seeds(case, policy, seeds, args.threads);
                 rows.push(vec![
                     format!("{fault:?}"),
                     name.into(),
                     label.into(),
-                    part(&results, |result| result.in_time),
-                    part(&results, |result| result.reverted),
+                    percent(&outcomes, |outcome| outcome.in_time),
+                    percent(&outcomes, |outcome| outcome.reverted),
                     seeds.to_string(),
                 ]);
             }
@@ -134,13 +137,13 @@
     table::print(&heading, &rows);
 }
 
-fn bad(args: &Args) {
+fn print_bad(args: &Args) {
     let mut rows = Vec::new();
-    for fault in BAD {
+    for fault in BAD_VERSIONS {
         for onset in [Onset::AtOnce, Onset::Later, Onset::AfterFull] {
             for strength in 0..3 {
                 for (index, rate) in RATES.into_iter().enumerate() {
-                    if !wanted(args, fault, rate.0) {
+                    if !is_selected(args, fault, rate.0) {
                         continue;
                     }
                     let seeds = [args.seeds, args.seeds, args.seeds / 5][index];
@@ -165,6 +168,7 @@
     table::print(&heading, &rows);
 }
 
+/// Returns the rows of one bad version, one per policy.
 fn bad_rows(
     args: &Args,
     (fault, onset, strength): (Fault, Onset, usize),
@@ -179,44 +183,49 @@
         replicas,
     };
     let slow = matches!(fault, Fault::SlowFirst | Fault::SlowBetween);
-    let names = match slow {
+    let strength_names = match slow {
         true => ["1.3 times", "2 times", "5 times"],
         false => ["1%", "5%", "50%"],
     };
     let mut rows = Vec::new();
-    for (label, policy) in policies(args) {
-        let results = all(case, policy, seeds, args.threads);
-        let requests = sorted(&results, |result| result.bad as f64);
-        let shares = sorted(&results, |result| {
-            100.0 * result.bad as f64 / result.all.max(1) as f64
+    for (label, policy) in selected_policies(args) {
+        let outcomes = run_seeds(case, policy, seeds, args.threads);
+        let requests = sorted_values(&outcomes, |outcome| outcome.bad_requests as f64);
+        let shares = sorted_values(&outcomes, |outcome| {
+            100.0 * outcome.bad_requests as f64 / outcome.requests.max(1) as f64
         });
-        let back: Vec<_> = results.iter().filter(|r| r.reverted).copied().collect();
-        let took = sorted(&back, |result| result.took);
+        let reverted: Vec<_> = outcomes
+            .iter()
+            .filter(|outcome| outcome.reverted)
+            .copied()
+            .collect();
+        let revert_times = sorted_values(&reverted, |outcome| outcome.revert_seconds);
         rows.push(vec![
             format!("{fault:?}"),
             format!("{onset:?}"),
-            names[strength].into(),
+            strength_names[strength].into(),
             name.into(),
             label.into(),
-            part(&results, |result| result.reverted),
+            percent(&outcomes, |outcome| outcome.reverted),
             format!("{:.0}", quantile(&requests, 0.5)),
             format!("{:.0}", quantile(&requests, 0.99)),
             format!("{:.1}%", quantile(&shares, 0.5)),
-            format!("{:.0}", quantile(&took, 0.5)),
-            format!("{:.0}", quantile(&took, 0.99)),
+            format!("{:.0}", quantile(&revert_times, 0.5)),
+            format!("{:.0}", quantile(&revert_times, 0.99)),
         ]);
     }
     rows
 }
 
-fn all(case: Case, policy: Policy, seeds: u64, threads: u64) -> Vec<Result> {
+/// Runs a case for all seeds, distributed over threads.
+fn run_seeds(case: Case, policy: Policy, seeds: u64, threads: u64) -> Vec<Outcome> {
     thread::scope(|scope| {
         let workers: Vec<_> = (0..threads)
             .map(|worker| {
                 scope.spawn(move || {
                     (worker..seeds)
                         .step_by(threads as usize)
-                        .map(|seed| run::run(case, policy, seed))
+                        .map(|seed| simulation::simulate(case, policy, seed))
                         .collect::<Vec<_>>()
                 })
             })
@@ -228,19 +237,22 @@
     })
 }
 
-fn part(results: &[Result], which: impl Fn(&Result) -> bool) -> String {
-    let count = results.iter().filter(|result| which(result)).count();
-    format!("{:.1}%", 100.0 * count as f64 / results.len().max(1) as f64)
+fn percent(outcomes: &[Outcome], predicate: impl Fn(&Outcome) -> bool) -> String {
+    let count = outcomes.iter().filter(|outcome| predicate(outcome)).count();
+    format!(
+        "{:.1}%",
+        100.0 * count as f64 / outcomes.len().max(1) as f64
+    )
 }
 
-fn sorted(results: &[Result], what: impl Fn(&Result) -> f64) -> Vec<f64> {
-    let mut values: Vec<_> = results.iter().map(what).collect();
+fn sorted_values(outcomes: &[Outcome], figure: impl Fn(&Outcome) -> f64) -> Vec<f64> {
+    let mut values: Vec<_> = outcomes.iter().map(figure).collect();
     values.sort_by(f64::total_cmp);
     values
 }
 
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
-    let place = (share * last as f64).round() as usize;
-    sorted.get(place).copied().unwrap_or(f64::NAN)
+    let index = (share * last as f64).round() as usize;
+    sorted.get(index).copied().unwrap_or(f64::NAN)
 }
--- a/components/measure/src/moves/baseline.rs
+++ b/components/measure/src/moves/baseline.rs
@@ -1,4 +1,4 @@
-//! What the movers are compared with: a fixed ramp with thresholds, and an immediate switch.
+//! Baselines for the movers: a fixed ramp with thresholds, and an immediate switch.
 
 use std::collections::VecDeque;
 
@@ -9,34 +9,36 @@
 };
 
 use super::traffic::{
-    Fate,
-    ROUTES, //
+    ROUTES,
+    RequestResult, //
 };
 
-/// Length of the window over which the thresholds are checked, in seconds. It reaches further back
-/// until it holds enough requests of the new version.
-const WINDOW: f64 = 300.0;
+/// Length of the window over which the thresholds are checked. It extends further back until it
+/// holds [`MIN_REQUESTS`] of the new version.
+const WINDOW_SECONDS: f64 = 300.0;
 
-/// Fewest requests of the new version in the window.
-const FEWEST: u32 = 20;
+/// Minimum number of requests of a version in the window for its thresholds to apply.
+const MIN_REQUESTS: u32 = 20;
 
-/// Share of failing requests that takes the new version back.
-const FAILED: f64 = 0.03;
+/// Share of failed requests above which the new version is reverted.
+const MAX_FAILED_SHARE: f64 = 0.03;
 
-/// Factor between the versions' mean times that takes the new version back.
-const SLOWER: f64 = 1.5;
+/// Factor between the versions' mean times above which the new version is reverted.
+const MAX_SLOWDOWN: f64 = 1.5;
 
-/// How the share is set.
+/// How the new version's share of the traffic is set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// Grows with time up to 54 minutes; thresholds over the last five minutes, checked each one.
+    /// Grows linearly to all traffic in 54 minutes. The thresholds are checked every minute, over
+    /// the last five minutes.
     Ramp,
-    /// All at once, with the same thresholds on failures; there is nothing to compare times with.
+    /// All traffic at once, with the same threshold on failures. Times can't be compared, as the
+    /// old version gets no requests.
     Switch,
 }
 
-/// One ended request.
-struct Sample {
+/// A finished request.
+struct FinishedRequest {
     at: f64,
     new: bool,
     failed: bool,
@@ -44,30 +46,30 @@
     between: f64,
 }
 
-/// A rule's state: one for all entries, without any delay between them.
+/// State of a rule. All entries share it without delay.
 pub struct Baseline {
     rule: Rule,
-    window: VecDeque<Sample>,
-    /// Share of the new version.
+    window: VecDeque<FinishedRequest>,
+    /// The new version's share of the traffic.
     pub share: f64,
-    /// Whether the new version was taken back.
+    /// Whether the new version was reverted.
     pub reverted: bool,
-    checked: f64,
+    checked_at: f64,
 }
 
 impl Baseline {
-    /// Starts a rule.
+    /// Creates the state at the start of a move.
     pub fn new(rule: Rule) -> Self {
         Self {
             rule,
             window: VecDeque::new(),
             share: 0.0,
             reverted: false,
-            checked: 0.0,
+            checked_at: 0.0,
         }
     }
 
-    /// Picks a version.
+    /// Picks the version for a request.
     pub fn pick(&self, route: usize, hash: u64) -> Pick {
         let point = hash as f64 / u64::MAX as f64;
         Pick {
@@ -83,18 +85,18 @@
         }
     }
 
-    /// A request ended.
-    pub fn finished(&mut self, pick: &Pick, fate: &Fate, now: f64) {
-        self.window.push_back(Sample {
+    /// Records a finished request.
+    pub fn finished(&mut self, pick: &Pick, result: &RequestResult, now: f64) {
+        self.window.push_back(FinishedRequest {
             at: now,
             new: pick.side == Side::New,
-            failed: fate.fails,
-            first: fate.first.as_secs_f64(),
-            between: fate.between.as_secs_f64(),
+            failed: result.fails,
+            first: result.first.as_secs_f64(),
+            between: result.between.as_secs_f64(),
         });
     }
 
-    /// A second passed.
+    /// Updates the share and checks the thresholds; called every second of virtual time.
     pub fn tick(&mut self, now: f64) {
         if self.reverted {
             return;
@@ -103,17 +105,17 @@
             Rule::Ramp => (now / 3240.0).min(1.0),
             Rule::Switch => 1.0,
         };
-        if now - self.checked < 60.0 {
+        if now - self.checked_at < 60.0 {
             return;
         }
-        self.checked = now;
-        let mut new = self.window.iter().filter(|sample| sample.new).count();
-        while let Some(sample) = self.window.front() {
-            let needed = sample.new && new <= FEWEST as usize;
-            if sample.at >= now - WINDOW || needed {
+        self.checked_at = now;
+        let mut new = self.window.iter().filter(|request| request.new).count();
+        while let Some(request) = self.window.front() {
+            let needed = request.new && new <= MIN_REQUESTS as usize;
+            if request.at >= now - WINDOW_SECONDS || needed {
                 break;
             }
-            new -= usize::from(sample.new);
+            new -= usize::from(request.new);
             self.window.pop_front();
         }
         if self.is_bad() {
@@ -127,23 +129,24 @@
         let mut failed = 0;
         let mut first = [0.0; 2];
         let mut between = [0.0; 2];
-        for sample in &self.window {
-            let side = usize::from(sample.new);
+        for request in &self.window {
+            let side = usize::from(request.new);
             counts[side] += 1;
-            failed += u32::from(sample.new && sample.failed);
-            first[side] += sample.first;
-            between[side] += sample.between;
+            failed += u32::from(request.new && request.failed);
+            first[side] += request.first;
+            between[side] += request.between;
         }
-        if counts[1] < FEWEST {
+        if counts[1] < MIN_REQUESTS {
             return false;
         }
-        if f64::from(failed) > FAILED * f64::from(counts[1]) {
+        if f64::from(failed) > MAX_FAILED_SHARE * f64::from(counts[1]) {
             return true;
         }
-        if counts[0] < FEWEST {
+        if counts[0] < MIN_REQUESTS {
             return false;
         }
         let mean = |sums: [f64; 2], side: usize| sums[side] / f64::from(counts[side]);
-        mean(first, 1) > SLOWER * mean(first, 0) || mean(between, 1) > SLOWER * mean(between, 0)
+        mean(first, 1) > MAX_SLOWDOWN * mean(first, 0)
+            || mean(between, 1) > MAX_SLOWDOWN * mean(between, 0)
     }
 }
--- a/components/measure/src/moves/fleet.rs
+++ b/components/measure/src/moves/fleet.rs
@@ -1,4 +1,5 @@
-//! The movers of several entries, joined by facts that arrive late, out of order and twice.
+//! Movers of several entries, which exchange facts that arrive late, out of order and more than
+//! once.
 
 use std::time::{
     Duration,
@@ -34,37 +35,38 @@
 };
 
 use super::traffic::{
-    Fate,
-    ROUTES, //
+    ROUTES,
+    RequestResult, //
 };
 
-/// A fact on its way to an entry.
-pub struct Letter {
-    /// When it arrives, in seconds.
+/// A fact in transit to an entry.
+pub struct Message {
+    /// Time of arrival, in seconds of virtual time.
     pub at: f64,
-    /// The entry.
+    /// Index of the receiving entry.
     pub to: usize,
-    /// What it says.
+    /// The fact.
     pub fact: Fact,
 }
 
-/// Movers of all entries and the record in the store.
+/// Movers of all entries, and the record in the store.
 pub struct Fleet {
     movers: Vec<Mover>,
     replicas: Vec<Option<u32>>,
     record: Option<Box<Record>>,
     revision: u64,
-    /// Writes that the store took, and refused.
+    /// Number of writes to the store, accepted or refused.
     pub writes: u32,
-    /// Facts that are on their way.
-    pub letters: Vec<Letter>,
+    /// Facts that have not arrived yet.
+    pub in_transit: Vec<Message>,
 }
 
-fn wall(now: f64) -> SystemTime {
+/// Converts virtual time in seconds to wall-clock time.
+fn wall_time(now: f64) -> SystemTime {
     SystemTime::UNIX_EPOCH + Duration::from_secs(1_700_000_000) + Duration::from_secs_f64(now)
 }
 
-/// The plan that is measured: an hour, and a quarter of an hour of watch time.
+/// Returns the measured plan: a move within an hour, then a quarter of an hour of watching.
 pub fn plan() -> Plan {
     Plan {
         name: "up".into(),
@@ -72,8 +74,8 @@
         from: "1".into(),
         to: "2".into(),
         routes: Vec::new(),
-        start: Some(wall(0.0)),
-        by: wall(3600.0),
+        start: Some(wall_time(0.0)),
+        by: wall_time(3600.0),
         watch: Duration::from_secs(900),
     }
 }
@@ -87,7 +89,7 @@
             record: None,
             revision: 0,
             writes: 0,
-            letters: Vec::new(),
+            in_transit: Vec::new(),
         };
         let routes: Vec<_> = ROUTES.iter().map(|(name, _)| (*name).into()).collect();
         for entry in 0..entries {
@@ -100,7 +102,7 @@
                 source,
                 data_centre,
             };
-            let start = wall(0.0);
+            let start = wall_time(0.0);
             let (mover, _) = Mover::new(owner, plan(), routes.clone(), Duration::ZERO, start);
             fleet.movers.push(mover);
             let ready = Event::Ready {
@@ -108,35 +110,36 @@
                 new: replicas,
             };
             for event in [Event::Synced, Event::Rank(entry as u32), ready] {
-                fleet.on(entry, event, 0.0, rng);
+                fleet.handle(entry, event, 0.0, rng);
             }
         }
         fleet
     }
 
-    /// Picks a version.
+    /// Picks the version for a request.
     pub fn pick(&self, entry: usize, route: usize, hash: u64, now: f64) -> Pick {
-        self.movers[entry].pick(&ROUTES[route].0.into(), hash, wall(now))
+        self.movers[entry].pick(&ROUTES[route].0.into(), hash, wall_time(now))
     }
 
-    /// The mean share over the entries.
+    /// Returns the new version's mean share of the traffic over the entries.
     pub fn share(&self) -> f64 {
         let sum: f64 = self.movers.iter().map(|mover| mover.level().share()).sum();
         sum / self.movers.len() as f64
     }
 
-    /// Whether every entry has the full share.
+    /// Whether every entry sends all traffic to the new version.
     pub fn is_full(&self) -> bool {
         self.movers.iter().all(|mover| mover.level() == Level::FULL)
     }
 
-    /// Load of a replica of the new version against one of the old version with all traffic.
+    /// Returns the load of a replica of the new version, relative to one of the old version with
+    /// all traffic.
     pub fn load(&self, replicas: u32) -> f64 {
         let used = self.replicas[0].unwrap_or(replicas);
         self.share() * f64::from(replicas) / f64::from(used.max(1))
     }
 
-    /// How the move ended, once every entry knows.
+    /// Returns the end of the move once every entry has recorded it.
     pub fn end(&self) -> Option<End> {
         let mut end = None;
         for mover in &self.movers {
@@ -145,29 +148,50 @@
         end
     }
 
-    /// A first token came.
-    pub fn first(&mut self, entry: usize, pick: &Pick, fate: &Fate, now: f64, rng: &mut StdRng) {
+    /// Reports the first token of a request.
+    pub fn first(
+        &mut self,
+        entry: usize,
+        pick: &Pick,
+        result: &RequestResult,
+        now: f64,
+        rng: &mut StdRng,
+    ) {
         let event = Event::First {
             pick: pick.clone(),
-            time: fate.first,
+            time: result.first,
             late: 0.0,
         };
-        self.on(entry, event, now, rng);
+        self.handle(entry, event, now, rng);
     }
 
-    /// The time between tokens is known.
-    pub fn between(&mut self, entry: usize, pick: &Pick, fate: &Fate, now: f64, rng: &mut StdRng) {
+    /// Reports the time between tokens of a request.
+    pub fn between(
+        &mut self,
+        entry: usize,
+        pick: &Pick,
+        result: &RequestResult,
+        now: f64,
+        rng: &mut StdRng,
+    ) {
         let event = Event::Between {
             pick: pick.clone(),
-            time: fate.between,
+            time: result.between,
             late: 0.0,
         };
-        self.on(entry, event, now, rng);
+        self.handle(entry, event, now, rng);
     }
 
-    /// A request ended.
-    pub fn finished(&mut self, entry: usize, pick: &Pick, fate: &Fate, now: f64, rng: &mut StdRng) {
-        let ending = if fate.fails {
+    /// Reports a finished request.
+    pub fn finished(
+        &mut self,
+        entry: usize,
+        pick: &Pick,
+        result: &RequestResult,
+        now: f64,
+        rng: &mut StdRng,
+    ) {
+        let ending = if result.fails {
             Ending::Failed
         } else {
             Ending::Completed
@@ -176,10 +200,10 @@
             pick: pick.clone(),
             ending,
         };
-        self.on(entry, event, now, rng);
+        self.handle(entry, event, now, rng);
     }
 
-    /// A backend server died.
+    /// Reports the death of a backend server.
     pub fn died(&mut self, entry: usize, pick: &Pick, run: u64, cause: Cause, now: f64) {
         let mut rng: StdRng = rand::SeedableRng::seed_from_u64(run);
         let death = Death {
@@ -190,33 +214,33 @@
             level: pick.level,
             cause,
         };
-        self.on(entry, Event::Died(death), now, &mut rng);
+        self.handle(entry, Event::Died(death), now, &mut rng);
     }
 
-    /// A second passed.
+    /// Ticks all movers and delivers the facts that are due; called every second of virtual time.
     pub fn tick(&mut self, now: f64, rng: &mut StdRng) {
         for entry in 0..self.movers.len() {
-            self.on(entry, Event::Tick, now, rng);
+            self.handle(entry, Event::Tick, now, rng);
         }
-        let (arrived, waiting) = std::mem::take(&mut self.letters)
+        let (arrived, waiting) = std::mem::take(&mut self.in_transit)
             .into_iter()
-            .partition(|letter: &Letter| letter.at <= now);
-        self.letters = waiting;
-        let arrived: Vec<Letter> = arrived;
-        for letter in arrived {
-            self.on(letter.to, Event::Received(letter.fact), now, rng);
+            .partition(|message: &Message| message.at <= now);
+        self.in_transit = waiting;
+        let arrived: Vec<Message> = arrived;
+        for message in arrived {
+            self.handle(message.to, Event::Received(message.fact), now, rng);
         }
     }
 
-    fn on(&mut self, entry: usize, event: Event, now: f64, rng: &mut StdRng) {
+    fn handle(&mut self, entry: usize, event: Event, now: f64, rng: &mut StdRng) {
         let at = Duration::from_secs_f64(now);
-        let actions = self.movers[entry].handle(event, at, wall(now));
+        let actions = self.movers[entry].handle(event, at, wall_time(now));
         for action in actions {
-            self.act(entry, action, now, rng);
+            self.apply(entry, action, now, rng);
         }
     }
 
-    fn act(&mut self, entry: usize, action: Action, now: f64, rng: &mut StdRng) {
+    fn apply(&mut self, entry: usize, action: Action, now: f64, rng: &mut StdRng) {
         match action {
             Action::Publish(fact) => self.publish(entry, &fact, now, rng),
             Action::Write { record, expect } => {
@@ -229,20 +253,21 @@
                     revision: self.revision,
                     record: self.record.clone(),
                 };
-                self.on(entry, Event::Stored(answer), now, rng);
+                self.handle(entry, Event::Stored(answer), now, rng);
             }
             Action::Read => {
                 let answer = Answer::Current {
                     revision: self.revision,
                     record: self.record.clone(),
                 };
-                self.on(entry, Event::Stored(answer), now, rng);
+                self.handle(entry, Event::Stored(answer), now, rng);
             }
             Action::Concentrate(replicas) => self.replicas[entry] = replicas,
             Action::Share(_) | Action::KeepWarm(_) | Action::Notice(_) => {}
         }
     }
 
+    /// Sends a fact to all other entries. It arrives after 0.2 to 2 s, and twice in 5 of 100 cases.
     fn publish(&mut self, from: usize, fact: &Fact, now: f64, rng: &mut StdRng) {
         for to in 0..self.movers.len() {
             if to == from {
@@ -252,7 +277,7 @@
             for _ in 0..copies {
                 let at = now + 0.2 + 1.8 * rng.random::<f64>();
                 let fact = fact.clone();
-                self.letters.push(Letter { at, to, fact });
+                self.in_transit.push(Message { at, to, fact });
             }
         }
     }
--- a/components/measure/src/moves/traffic.rs
+++ b/components/measure/src/moves/traffic.rs
@@ -1,4 +1,4 @@
-//! Requests and faults for the measurement of moves: what each version does to each request.
+//! Faults for the measurement of moves, and the result of each request under them.
 
 use std::time::Duration;
 
@@ -7,46 +7,46 @@
     rngs::StdRng, //
 };
 
-/// Routes of the measured service and their shares of the traffic.
+/// Routes of the measured service, with their shares of the traffic.
 pub const ROUTES: [(&str, f64); 3] = [("chat", 0.6), ("letters", 0.3), ("statements", 0.1)];
 
-/// Share of requests that fail on either version without any fault.
-const FAILING: f64 = 0.001;
+/// Share of requests that fail on either version without a fault.
+const BASE_FAILURE_SHARE: f64 = 0.001;
 
-/// Share of requests whose generation runs for minutes.
-const LONG: f64 = 0.12;
+/// Share of requests with a mean generation time of two minutes.
+const LONG_REQUEST_SHARE: f64 = 0.12;
 
-/// What is wrong, with the version or beside it.
+/// A fault of the new version, or one that has another cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
     /// The new version fails requests.
     Failing,
-    /// The new version's first tokens are late.
+    /// The new version's time to the first token is long.
     SlowFirst,
-    /// The new version's tokens come slowly.
+    /// The new version's time between tokens is long.
     SlowBetween,
     /// The new version fails requests of the smallest route.
     OneRoute,
-    /// The new version fails requests once its replicas are as loaded as the old one's.
+    /// The new version fails requests once its replicas have at least 0.8 of the old one's load.
     UnderLoad,
-    /// One request brings down each server that runs it; its caller sends it again.
+    /// One request crashes each server that runs it, and its caller retries it.
     Poison,
-    /// One request fails on any server; its caller sends it again and again.
+    /// One request fails on every server, and its caller keeps retrying it.
     Repeated,
-    /// A host of the new version is lost with all that ran on it.
+    /// A host of the new version is lost with all its running requests.
     LostHost,
-    /// More comes than both versions together can do, for five minutes.
+    /// The load exceeds the capacity of both versions together for five minutes.
     Overload,
-    /// The old version fails 3% and slows down at times.
+    /// The old version fails 3% of its requests and slows down at times.
     NoisyOld,
 }
 
-/// When the fault begins.
+/// Start of the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Onset {
-    /// From the first request on.
+    /// At the first request.
     AtOnce,
     /// Ten minutes into the move.
     Later,
@@ -54,42 +54,42 @@
     AfterFull,
 }
 
-/// What happens to one request.
+/// Times and success of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Fate {
+pub struct RequestResult {
     /// Time to the first token.
     pub first: Duration,
     /// Mean time between tokens.
     pub between: Duration,
     /// Time from the arrival to the end.
-    pub lasts: Duration,
-    /// It fails at its end.
+    pub duration: Duration,
+    /// Whether the request fails at its end.
     pub fails: bool,
 }
 
-/// One case of the table.
+/// A case of the tables.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    /// What is wrong.
+    /// The fault.
     pub fault: Fault,
-    /// Since when.
+    /// The fault's start.
     pub onset: Onset,
-    /// How strong: 0 weak, 1 middle, 2 strong.
+    /// Strength of the fault: 0 weak, 1 medium, 2 strong.
     pub strength: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// Replicas of each version.
     pub replicas: u32,
 }
 
-/// Shares of failing requests by strength.
-const FAILS: [f64; 3] = [0.01, 0.05, 0.5];
+/// Additional share of requests that fail, by strength.
+const FAILURE_SHARES: [f64; 3] = [0.01, 0.05, 0.5];
 
-/// Factors of slowness by strength.
-const SLOWER: [f64; 3] = [1.3, 2.0, 5.0];
+/// Factor by which times are longer, by strength.
+const SLOWDOWNS: [f64; 3] = [1.3, 2.0, 5.0];
 
 impl Fault {
-    /// Tells whether the version itself is bad.
+    /// Whether the fault is the new version's.
     pub fn is_bad(self) -> bool {
         use Fault::{
             Failing,
@@ -106,8 +106,8 @@
 }
 
 impl Case {
-    /// Draws what happens to a request. `load` is the load of the new version's replicas against
-    /// that of the old one's with all traffic; `active` says whether the fault has begun.
+    /// Draws the result of a request. `load` is the load of the new version's replicas, relative to
+    /// that of the old version's with all traffic; `active` tells whether the fault has started.
     pub fn draw(
         &self,
         new: bool,
@@ -116,52 +116,56 @@
         load: f64,
         now: f64,
         rng: &mut StdRng,
-    ) -> Fate {
-        let mut fails = FAILING;
-        let mut slower_first = 1.0;
-        let mut slower_between = 1.0;
+    ) -> RequestResult {
+        let mut failure_share = BASE_FAILURE_SHARE;
+        let mut first_slowdown = 1.0;
+        let mut between_slowdown = 1.0;
         let strength = self.strength;
         match self.fault {
-            Fault::Failing if new && active => fails += FAILS[strength],
-            Fault::OneRoute if new && active && route == 2 => fails += FAILS[strength],
-            Fault::UnderLoad if new && active && load >= 0.8 => fails += FAILS[strength],
-            Fault::SlowFirst if new && active => slower_first = SLOWER[strength],
-            Fault::SlowBetween if new && active => slower_between = SLOWER[strength],
+            Fault::Failing if new && active => failure_share += FAILURE_SHARES[strength],
+            Fault::OneRoute if new && active && route == 2 => {
+                failure_share += FAILURE_SHARES[strength]
+            }
+            Fault::UnderLoad if new && active && load >= 0.8 => {
+                failure_share += FAILURE_SHARES[strength]
+            }
+            Fault::SlowFirst if new && active => first_slowdown = SLOWDOWNS[strength],
+            Fault::SlowBetween if new && active => between_slowdown = SLOWDOWNS[strength],
             Fault::Overload if (1200.0..1500.0).contains(&now) => {
-                fails = 0.05;
-                slower_first = 4.0;
-                slower_between = 1.5;
+                failure_share = 0.05;
+                first_slowdown = 4.0;
+                between_slowdown = 1.5;
             }
             Fault::NoisyOld if !new && ((now / 180.0) as u64).is_multiple_of(3) => {
-                fails = 0.03;
-                slower_first = 1.5;
+                failure_share = 0.03;
+                first_slowdown = 1.5;
             }
             _ => {}
         }
-        let first = 0.8 * spread(rng, 0.5) * slower_first;
-        let between = 0.04 * spread(rng, 0.2) * slower_between;
-        let mean = if rng.random::<f64>() < LONG {
+        let first = 0.8 * lognormal_factor(rng, 0.5) * first_slowdown;
+        let between = 0.04 * lognormal_factor(rng, 0.2) * between_slowdown;
+        let mean = if rng.random::<f64>() < LONG_REQUEST_SHARE {
             120.0
         } else {
             8.0
         };
-        let lasts = first + mean * -(1.0 - rng.random::<f64>()).ln() * slower_between;
-        let fails = rng.random::<f64>() < fails;
-        let lasts = if fails {
-            lasts * rng.random::<f64>()
+        let duration = first + mean * -(1.0 - rng.random::<f64>()).ln() * between_slowdown;
+        let fails = rng.random::<f64>() < failure_share;
+        let duration = if fails {
+            duration * rng.random::<f64>()
         } else {
-            lasts
+            duration
         };
-        Fate {
+        RequestResult {
             first: Duration::from_secs_f64(first),
             between: Duration::from_secs_f64(between),
-            lasts: Duration::from_secs_f64(lasts),
+            duration: Duration::from_secs_f64(duration),
             fails,
         }
     }
 }
 
-/// Draws a route by the routes' shares.
+/// Draws the index of a route, weighted by the routes' shares.
 pub fn route(rng: &mut StdRng) -> usize {
     let mut point = rng.random::<f64>();
     for (index, (_, share)) in ROUTES.iter().enumerate() {
@@ -173,8 +177,8 @@
     0
 }
 
-/// A factor around 1 with a log-normal distribution.
-fn spread(rng: &mut StdRng, sigma: f64) -> f64 {
+/// Draws a factor from a lognormal distribution with median 1.
+fn lognormal_factor(rng: &mut StdRng, sigma: f64) -> f64 {
     let radius = (-2.0 * (1.0 - rng.random::<f64>()).ln()).sqrt();
     let angle = std::f64::consts::TAU * rng.random::<f64>();
     (sigma * radius * angle.cos()).exp()
--- a/components/measure/src/process.rs
+++ b/components/measure/src/process.rs
@@ -1,4 +1,4 @@
-//! Daemons as processes of their own, and what the system says that they cost.
+//! Runs daemons as child processes and reads their resource usage from `/proc`.
 
 use std::{
     fs,
@@ -23,46 +23,49 @@
 use keys::Authority;
 use serde::Serialize;
 
-/// Processor ticks a second, as Linux counts them for every process.
-const TICKS: u32 = 100;
+/// Unit of the processor times in `/proc/PID/stat`, per second; the same for all processes on
+/// Linux.
+const CLOCK_TICKS_PER_SECOND: u32 = 100;
 
-/// Lines that a daemon prints before it serves.
-const ENTRY_LINES: usize = 3;
-const SIDECAR_LINES: usize = 2;
+/// Number of address lines that a daemon prints on standard output before it serves.
+const ENTRY_ADDRESS_LINES: usize = 3;
+const SIDECAR_ADDRESS_LINES: usize = 2;
 
-/// A daemon that runs as a process; it is ended with this value.
+/// A daemon in a child process, which is killed on drop.
 pub struct Process {
     child: Child,
-    /// Addresses by the word that the daemon prints before each.
+    /// Addresses on which the daemon listens, by the label that it prints before each.
     addresses: Vec<(String, SocketAddr)>,
 }
 
-/// What a process has cost so far.
+/// Resource usage of a process so far.
 #[derive(Clone, Copy, Debug)]
-pub struct Cost {
-    /// Processor time.
-    pub processor: Duration,
-    /// Resident memory now, in bytes.
-    pub memory: u64,
-    /// Highest resident memory, in bytes.
-    pub peak: u64,
+pub struct Usage {
+    /// User and system time.
+    pub cpu_time: Duration,
+    /// Current resident memory, in bytes.
+    pub resident_bytes: u64,
+    /// Peak resident memory, in bytes.
+    pub peak_resident_bytes: u64,
 }
 
-/// A folder for settings and keys, and the program that is measured.
-pub struct Bench {
+/// Starts daemons of the measured program, with settings and keys in a temporary folder.
+pub struct Launcher {
     folder: PathBuf,
     program: PathBuf,
     authority: Authority,
 }
 
-impl Bench {
-    /// Measures the `medlarhatch` beside this program.
+impl Launcher {
+    /// Creates the folder and a key authority; measures the `medlarhatch` program next to this one.
+    ///
+    /// Returns an error if that program doesn't exist.
     pub fn new() -> io::Result<Self> {
         let own = std::env::current_exe()?;
         let program = own.with_file_name("medlarhatch");
         if !program.exists() {
             let message = format!(
-                "{}: build it first: cargo build --release",
+                "{}: not found; build it with `cargo build --release`",
                 program.display()
             );
             return Err(io::Error::new(io::ErrorKind::NotFound, message));
@@ -77,19 +80,19 @@
         })
     }
 
-    /// Keys for a host of this bench.
+    /// Issues keys for a host.
     pub fn keys(&self, host: &str) -> io::Result<settings::Keys> {
         self.authority.issue(host).map_err(io::Error::other)
     }
 
-    /// Starts an entry.
+    /// Starts an entry and waits until it has printed its addresses.
     pub fn entry(&self, settings: &settings::Entry) -> io::Result<Process> {
-        self.start("entry", &settings.name, settings, ENTRY_LINES)
+        self.start("entry", &settings.name, settings, ENTRY_ADDRESS_LINES)
     }
 
-    /// Starts a sidecar.
+    /// Starts a sidecar and waits until it has printed its addresses.
     pub fn sidecar(&self, settings: &settings::Sidecar) -> io::Result<Process> {
-        self.start("sidecar", &settings.name, settings, SIDECAR_LINES)
+        self.start("sidecar", &settings.name, settings, SIDECAR_ADDRESS_LINES)
     }
 
     fn start(
@@ -114,11 +117,11 @@
         let mut addresses = Vec::new();
         for line in BufReader::new(out).lines().take(lines) {
             let line = line?;
-            let Some((word, address)) = line.split_once(' ') else {
+            let Some((label, address)) = line.split_once(' ') else {
                 continue;
             };
             let address = address.parse().map_err(io::Error::other)?;
-            addresses.push((word.to_string(), address));
+            addresses.push((label.to_string(), address));
         }
         Ok(Process { child, addresses })
     }
@@ -131,53 +134,54 @@
     }
 }
 
-impl Drop for Bench {
+impl Drop for Launcher {
     fn drop(&mut self) {
-        // A folder that stays behind in the system's temporary folder does no harm.
+        // A leftover folder among the system's temporary files does no harm.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
 impl Process {
-    /// The address that the daemon printed after a word.
-    pub fn address(&self, word: &str) -> io::Result<SocketAddr> {
+    /// Returns the address that the daemon printed after a label.
+    pub fn address(&self, label: &str) -> io::Result<SocketAddr> {
         self.addresses
             .iter()
-            .find(|(printed, _)| printed == word)
+            .find(|(known, _)| known == label)
             .map(|(_, address)| *address)
-            .ok_or_else(|| io::Error::other(format!("the daemon printed no address for {word}")))
+            .ok_or_else(|| io::Error::other(format!("the daemon printed no address for {label}")))
     }
 
-    /// Reads what the process has cost so far.
-    pub fn cost(&self) -> io::Result<Cost> {
+    /// Reads the resource usage so far.
+    pub fn usage(&self) -> io::Result<Usage> {
         let folder = format!("/proc/{}", self.child.id());
         let stat = fs::read_to_string(format!("{folder}/stat"))?;
-        // The program's name may hold spaces; what follows its closing bracket doesn't.
+        // The program name may contain spaces, so fields are counted from its closing parenthesis.
         let rest = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
         let fields: Vec<&str> = rest.split_whitespace().collect();
         let ticks = |index: usize| fields.get(index).and_then(|text| text.parse::<u32>().ok());
         let ticks = ticks(11).unwrap_or(0) + ticks(12).unwrap_or(0);
         let status = fs::read_to_string(format!("{folder}/status"))?;
-        Ok(Cost {
-            processor: Duration::from_secs(1) * ticks / TICKS,
-            memory: kilobytes(&status, "VmRSS:"),
-            peak: kilobytes(&status, "VmHWM:"),
+        Ok(Usage {
+            cpu_time: Duration::from_secs(1) * ticks / CLOCK_TICKS_PER_SECOND,
+            resident_bytes: status_bytes(&status, "VmRSS:"),
+            peak_resident_bytes: status_bytes(&status, "VmHWM:"),
         })
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn kilobytes(status: &str, name: &str) -> u64 {
+/// Returns the value of a line of `/proc/PID/status` in bytes, or 0 if it is missing.
+fn status_bytes(status: &str, name: &str) -> u64 {
     let line = status.lines().find(|line| line.starts_with(name));
-    let number = line.and_then(|line| line.split_whitespace().nth(1));
-    number
+    let kilobytes = line.and_then(|line| line.split_whitespace().nth(1));
+    kilobytes
         .and_then(|text| text.parse::<u64>().ok())
         .unwrap_or(0)
         * 1024
--- a/components/measure/src/resumes.rs
+++ b/components/measure/src/resumes.rs
@@ -1,8 +1,8 @@
-//! Resumes: the production decisions against a time-out without suspicion and a retry from the
-//! start, in virtual time.
+//! Compares the production resume decisions with a timeout without suspicion and with a retry from
+//! the start, in virtual time.
 //!
-//! Token times and faults are generated; no hosts, queues or links are modelled. One answer is one
-//! run, all policies see the same answers.
+//! Token times and faults are generated; hosts, queues and links are not modelled. Each run
+//! simulates one answer, and all policies run over the same answers.
 
 use std::time::Duration;
 
@@ -15,34 +15,34 @@
 use crate::table;
 
 mod plot;
-mod run;
+mod simulation;
 
-use run::{
+use simulation::{
     Fault,
     Outcome,
-    run, //
+    simulate, //
 };
 
-/// Measures resumes of answers for suspicion and baselines, in virtual time.
+/// Compares resumes of answers after suspicion with baselines, in virtual time.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "resumes")]
 pub struct Args {
-    /// answers of each cell
+    /// answers per row (default 2000)
     #[argh(option, default = "2000")]
     seeds: u64,
-    /// file for the plot of the sweep, as SVG
+    /// file for an SVG plot of the threshold sweep
     #[argh(option)]
     plot: Option<String>,
 }
 
-/// A way to answer, with its name in the table.
+/// Resume settings, with their name in the table.
 struct Policy {
     name: String,
     settings: Settings,
 }
 
-/// Never reached: only certainty counts.
-const NEVER: Duration = Duration::from_secs(3000);
+/// A timeout that never expires, so that only certain failures count.
+const NEVER_EXPIRES: Duration = Duration::from_secs(3000);
 
 const FAULTS: [(Fault, &str); 4] = [
     (Fault::Death, "process death"),
@@ -51,17 +51,17 @@
     (Fault::Link, "link silent"),
 ];
 
-/// Prints the tables, and draws the sweep.
+/// Prints the tables, and writes the plot of the threshold sweep if a file is given.
 pub fn print(args: &Args) {
     println!(
-        "{} answers a cell; latency from the fault to the next new token.\n",
+        "{} answers per row; latency from the fault to the next new token.\n",
         args.seeds
     );
-    compare(args.seeds);
+    print_policies(args.seeds);
     println!();
-    first(args.seeds);
+    print_first_token_timeouts(args.seeds);
     println!();
-    let points = sweep(args.seeds);
+    let points = print_thresholds(args.seeds);
     let Some(path) = &args.plot else {
         return;
     };
@@ -70,7 +70,8 @@
     }
 }
 
-fn compare(seeds: u64) {
+/// Prints the latency and extra tokens of each policy under each fault.
+fn print_policies(seeds: u64) {
     let mut rows = Vec::new();
     for (fault, name) in FAULTS {
         for policy in policies() {
@@ -78,10 +79,10 @@
             rows.push(vec![
                 name.to_string(),
                 policy.name,
-                times(&outcomes, |outcome| outcome.decision),
-                times(&outcomes, |outcome| outcome.latency),
-                mean(&outcomes, |outcome| outcome.prefill),
-                mean(&outcomes, |outcome| outcome.thrown),
+                median_and_p99(&outcomes, |outcome| outcome.decision_delay),
+                median_and_p99(&outcomes, |outcome| outcome.latency),
+                mean(&outcomes, |outcome| outcome.extra_prefill),
+                mean(&outcomes, |outcome| outcome.discarded),
             ]);
         }
     }
@@ -96,22 +97,23 @@
     table::print(&heading, &rows);
 }
 
-/// The wait for a first token, with an engine that stops before it.
-fn first(seeds: u64) {
+/// Prints the effect of the first-token timeout on healthy engines and on ones that stop before
+/// that token.
+fn print_first_token_timeouts(seeds: u64) {
     let mut rows = Vec::new();
-    for wait in [1000, 1900, 2200, 2500, 3000, 4000] {
-        let wait = Duration::from_millis(wait);
+    for timeout in [1000, 1900, 2200, 2500, 3000, 4000] {
+        let timeout = Duration::from_millis(timeout);
         let settings = Settings {
-            first_token_timeout: wait,
+            first_token_timeout: timeout,
             ..Settings::default()
         };
-        let sound = outcomes(&settings, Fault::None, seeds);
+        let healthy = outcomes(&settings, Fault::None, seeds);
         let stopped = outcomes(&settings, Fault::First, seeds);
         rows.push(vec![
-            format!("{wait:?}"),
-            per_thousand(&sound),
-            format!("{:.2} %", 100.0 * extra(&sound)),
-            times(&stopped, |outcome| outcome.latency),
+            format!("{timeout:?}"),
+            per_thousand(&healthy),
+            format!("{:.2} %", 100.0 * extra_share(&healthy)),
+            median_and_p99(&stopped, |outcome| outcome.latency),
         ]);
     }
     let heading = [
@@ -123,24 +125,25 @@
     table::print(&heading, &rows);
 }
 
-fn sweep(seeds: u64) -> Vec<plot::Point> {
+/// Prints the false suspicions and latency of each threshold; returns the points of the plot.
+fn print_thresholds(seeds: u64) -> Vec<plot::Point> {
     let mut rows = Vec::new();
     let mut points = Vec::new();
     for policy in thresholds() {
-        let sound = outcomes(&policy.settings, Fault::None, seeds);
+        let healthy = outcomes(&policy.settings, Fault::None, seeds);
         let loaded = outcomes(&policy.settings, Fault::Loaded, seeds);
         let slow = outcomes(&policy.settings, Fault::Slow, seeds);
         let stopped = outcomes(&policy.settings, Fault::Stop, seeds);
-        let extra = 100.0 * extra(&slow);
+        let extra = 100.0 * extra_share(&slow);
         let median = quantile(&stopped, 0.5, |outcome| outcome.latency);
         rows.push(vec![
             policy.name.clone(),
-            per_thousand(&sound),
-            format!("{:.2} %", 100.0 * self::extra(&sound)),
-            format!("{:.2} %", 100.0 * self::extra(&loaded)),
+            per_thousand(&healthy),
+            format!("{:.2} %", 100.0 * extra_share(&healthy)),
+            format!("{:.2} %", 100.0 * extra_share(&loaded)),
             per_thousand(&slow),
             format!("{extra:.2} %"),
-            times(&stopped, |outcome| outcome.latency),
+            median_and_p99(&stopped, |outcome| outcome.latency),
         ]);
         points.push(plot::Point {
             name: policy.name,
@@ -162,17 +165,17 @@
 }
 
 fn policies() -> Vec<Policy> {
-    let certain = threshold::Settings {
-        lowest: NEVER,
-        highest: NEVER,
+    let no_suspicion = threshold::Settings {
+        lowest: NEVER_EXPIRES,
+        highest: NEVER_EXPIRES,
         ..threshold::Settings::default()
     };
     let timeout = Settings {
-        suspicion: certain,
-        first_token_timeout: NEVER,
+        suspicion: no_suspicion,
+        first_token_timeout: NEVER_EXPIRES,
         ..Settings::default()
     };
-    let again = Settings {
+    let restart = Settings {
         continues: false,
         streamed: false,
         ..timeout.clone()
@@ -180,7 +183,7 @@
     vec![
         policy("suspicion", Settings::default()),
         policy("time-out, continued", timeout),
-        policy("time-out, from the start", again),
+        policy("time-out, from the start", restart),
     ]
 }
 
@@ -193,7 +196,10 @@
             highest: fixed,
             ..threshold::Settings::default()
         };
-        policies.push(policy(&format!("fixed {fixed:?}"), with(suspicion)));
+        policies.push(policy(
+            &format!("fixed {fixed:?}"),
+            with_suspicion(suspicion),
+        ));
     }
     for (means, deviations) in [(2, 4), (4, 8), (8, 16)] {
         for lowest in [150, 250, 400, 600] {
@@ -207,14 +213,14 @@
                 };
                 let name =
                     format!("{means}m + {deviations}d, at least {lowest}ms, excuse {excuse}");
-                policies.push(policy(&name, with(suspicion)));
+                policies.push(policy(&name, with_suspicion(suspicion)));
             }
         }
     }
     policies
 }
 
-fn with(suspicion: threshold::Settings) -> Settings {
+fn with_suspicion(suspicion: threshold::Settings) -> Settings {
     Settings {
         suspicion,
         ..Settings::default()
@@ -229,33 +235,39 @@
 }
 
 fn outcomes(settings: &Settings, fault: Fault, seeds: u64) -> Vec<Outcome> {
-    (0..seeds).map(|seed| run(settings, fault, seed)).collect()
+    (0..seeds)
+        .map(|seed| simulate(settings, fault, seed))
+        .collect()
 }
 
-fn quantile(outcomes: &[Outcome], share: f64, of: impl Fn(&Outcome) -> Duration) -> Duration {
-    let mut all: Vec<Duration> = outcomes.iter().map(of).collect();
+fn quantile(outcomes: &[Outcome], share: f64, figure: impl Fn(&Outcome) -> Duration) -> Duration {
+    let mut all: Vec<Duration> = outcomes.iter().map(figure).collect();
     all.sort();
     all[((all.len() - 1) as f64 * share).round() as usize]
 }
 
-fn times(outcomes: &[Outcome], of: impl Fn(&Outcome) -> Duration) -> String {
-    let median = quantile(outcomes, 0.5, &of).as_secs_f64();
-    let high = quantile(outcomes, 0.99, &of).as_secs_f64();
-    format!("{median:.3} / {high:.3} s")
+fn median_and_p99(outcomes: &[Outcome], figure: impl Fn(&Outcome) -> Duration) -> String {
+    let median = quantile(outcomes, 0.5, &figure).as_secs_f64();
+    let p99 = quantile(outcomes, 0.99, &figure).as_secs_f64();
+    format!("{median:.3} / {p99:.3} s")
 }
 
-fn mean(outcomes: &[Outcome], of: impl Fn(&Outcome) -> u64) -> String {
-    let sum: u64 = outcomes.iter().map(of).sum();
-    format!("{:.1}", sum as f64 / outcomes.len() as f64)
+fn mean(outcomes: &[Outcome], figure: impl Fn(&Outcome) -> u64) -> String {
+    let total: u64 = outcomes.iter().map(figure).sum();
+    format!("{:.1}", total as f64 / outcomes.len() as f64)
 }
 
 fn per_thousand(outcomes: &[Outcome]) -> String {
-    let sum: u64 = outcomes.iter().map(|outcome| outcome.suspicions).sum();
-    format!("{:.1}", 1000.0 * sum as f64 / outcomes.len() as f64)
+    let total: u64 = outcomes.iter().map(|outcome| outcome.suspicions).sum();
+    format!("{:.1}", 1000.0 * total as f64 / outcomes.len() as f64)
 }
 
-fn extra(outcomes: &[Outcome]) -> f64 {
-    let extra: u64 = outcomes.iter().map(|one| one.prefill + one.thrown).sum();
-    let needed: u64 = outcomes.iter().map(|one| one.needed).sum();
+/// Returns the extra tokens as a share of the tokens that the answers need.
+fn extra_share(outcomes: &[Outcome]) -> f64 {
+    let extra: u64 = outcomes
+        .iter()
+        .map(|outcome| outcome.extra_prefill + outcome.discarded)
+        .sum();
+    let needed: u64 = outcomes.iter().map(|outcome| outcome.needed).sum();
     extra as f64 / needed as f64
 }
--- a/components/measure/src/routing.rs
+++ b/components/measure/src/routing.rs
@@ -1,9 +1,9 @@
-//! Replica choice against round robin and least load, over generated events.
+//! Simulates the production replica choice, round robin and least load, and compares them.
 //!
-//! Four entries send requests that arrive at random, with lengths drawn beforehand. Replicas are
-//! only counted, not modelled: what is measured is what a choice meets (how many runs are at the
-//! chosen replica, whether the prefix went there lately, whether it fails), not what a replica
-//! would make of it.
+//! Four entries send requests that arrive at random; their lengths are drawn on arrival,
+//! independently of the policy. The simulation records the state of the chosen replica: its number
+//! of runs, whether it received the prefix recently, and whether the request fails. It doesn't
+//! model how replicas respond to load.
 
 use argh::FromArgs;
 
@@ -13,15 +13,15 @@
 };
 
 mod policy;
-mod stream;
+mod simulation;
 
 use policy::Policy;
-use stream::{
+use simulation::{
     Case,
-    Seen, //
+    Summary, //
 };
 
-/// Replica choice against round robin and least load, over generated events.
+/// Compares the replica choice with round robin and least load, in virtual time.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "routing")]
 pub struct Args {
@@ -30,16 +30,16 @@
     seeds: u64,
 }
 
-/// Prints one table: each case with each policy.
+/// Prints one table with a row for each case and policy.
 pub fn print(args: &Args) {
     let mut rows = Vec::new();
     for case in Case::ALL {
         for policy in Policy::ALL {
-            let mut seen = Vec::new();
+            let mut summaries = Vec::new();
             for seed in 0..args.seeds {
-                seen.push(stream::run(case, policy, seed));
+                summaries.push(simulation::run(case, policy, seed));
             }
-            rows.push(row(case, policy, &seen));
+            rows.push(row(case, policy, &summaries));
         }
     }
     println!("{} seeds; median (worst)", args.seeds);
@@ -57,14 +57,14 @@
     );
 }
 
-fn row(case: Case, policy: Policy, seen: &[Seen]) -> Vec<String> {
-    let spread = |of: fn(&Seen) -> f64| Sample::of(seen.iter().map(of));
+fn row(case: Case, policy: Policy, summaries: &[Summary]) -> Vec<String> {
+    let sample = |figure: fn(&Summary) -> f64| Sample::of(summaries.iter().map(figure));
     vec![
         case.name().to_string(),
         policy.name().to_string(),
-        spread(|seen| seen.full_percent).highest_is_worst(1),
-        spread(|seen| seen.load_met).highest_is_worst(2),
-        spread(|seen| seen.prefix_percent).lowest_is_worst(1),
-        spread(|seen| seen.failed_percent).highest_is_worst(2),
+        sample(|summary| summary.full_replica_percent).highest_is_worst(1),
+        sample(|summary| summary.load_p99).highest_is_worst(2),
+        sample(|summary| summary.prefix_hit_percent).lowest_is_worst(1),
+        sample(|summary| summary.failed_percent).highest_is_worst(2),
     ]
 }
--- a/components/measure/src/routing/policy.rs
+++ b/components/measure/src/routing/policy.rs
@@ -1,4 +1,4 @@
-//! The ways to choose that are compared.
+//! The replica choice policies that are compared.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     Settings, //
 };
 
-/// A way to choose.
+/// A policy for the choice of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     RoundRobin,
@@ -45,21 +45,22 @@
     }
 }
 
-/// One entry's choice. All policies learn of replicas that are gone, and none else is helped.
+/// Replica choice of one entry. Removed replicas are reported to all policies; other faults are
+/// not.
 pub struct Chooser {
     policy: Policy,
     pool: Pool,
-    place: Deployment,
+    deployment: Deployment,
     servers: Vec<Server>,
     alive: Vec<bool>,
-    own: Vec<u32>,
-    reported: Vec<u32>,
-    turn: usize,
+    in_flight: Vec<u32>,
+    reported_running: Vec<u32>,
+    cursor: usize,
 }
 
 impl Chooser {
     pub fn new(policy: Policy, replicas: usize, first: usize) -> Self {
-        let place = Deployment {
+        let deployment = Deployment {
             service: "letters".to_string(),
             version: "v1".to_string(),
             data_centre: "near".to_string(),
@@ -68,51 +69,51 @@
         let mut servers = Vec::new();
         for number in 0..replicas {
             let server = format!("server-{number}");
-            pool.insert(Clock::ZERO, &server, &place);
+            pool.insert(Clock::ZERO, &server, &deployment);
             servers.push(server);
         }
         Self {
             policy,
             pool,
-            place,
+            deployment,
             servers,
             alive: vec![true; replicas],
-            own: vec![0; replicas],
-            reported: vec![0; replicas],
-            turn: first,
+            in_flight: vec![0; replicas],
+            reported_running: vec![0; replicas],
+            cursor: first,
         }
     }
 
-    /// Chooses a replica; `None` refuses the request.
+    /// Chooses a replica; returns `None` if the request is refused.
     pub fn choose(&mut self, now: Clock, prefix: u64, rng: &mut StdRng) -> Option<usize> {
         let chosen = match self.policy {
             Policy::RoundRobin => self.next_alive(),
-            Policy::LeastInFlight => self.least(&self.own.clone()),
-            Policy::LeastReported => self.least(&self.reported.clone()),
-            Policy::Pool => self.pooled(now, prefix, rng),
+            Policy::LeastInFlight => self.least_loaded(&self.in_flight.clone()),
+            Policy::LeastReported => self.least_loaded(&self.reported_running.clone()),
+            Policy::Pool => self.choose_from_pool(now, prefix, rng),
         }?;
-        self.own[chosen] += 1;
+        self.in_flight[chosen] += 1;
         self.pool.sent(now, &self.servers[chosen], Some(prefix));
         Some(chosen)
     }
 
     fn next_alive(&mut self) -> Option<usize> {
         for _ in 0..self.alive.len() {
-            self.turn = (self.turn + 1) % self.alive.len();
-            if self.alive[self.turn] {
-                return Some(self.turn);
+            self.cursor = (self.cursor + 1) % self.alive.len();
+            if self.alive[self.cursor] {
+                return Some(self.cursor);
             }
         }
         None
     }
 
-    /// The least of the loads; ties go round.
-    fn least(&mut self, loads: &[u32]) -> Option<usize> {
-        self.turn += 1;
+    /// Returns the live replica with the lowest load; ties are broken in rotation.
+    fn least_loaded(&mut self, loads: &[u32]) -> Option<usize> {
+        self.cursor += 1;
         let replicas = loads.len();
         let mut best: Option<usize> = None;
         for step in 0..replicas {
-            let number = (self.turn + step) % replicas;
+            let number = (self.cursor + step) % replicas;
             if self.alive[number] && best.is_none_or(|best| loads[number] < loads[best]) {
                 best = Some(number);
             }
@@ -120,23 +121,23 @@
         best
     }
 
-    fn pooled(&self, now: Clock, prefix: u64, rng: &mut StdRng) -> Option<usize> {
-        let ask = Request {
-            service: &self.place.service,
-            version: &self.place.version,
-            data_centre: &self.place.data_centre,
+    fn choose_from_pool(&self, now: Clock, prefix: u64, rng: &mut StdRng) -> Option<usize> {
+        let request = Request {
+            service: &self.deployment.service,
+            version: &self.deployment.version,
+            data_centre: &self.deployment.data_centre,
             prefix: Some(prefix),
             avoid: &[],
             resume: false,
         };
-        match self.pool.choose(now, &ask, rng) {
+        match self.pool.choose(now, &request, rng) {
             Choice::Server(server) => self.servers.iter().position(|known| *known == server),
             Choice::Remote(_) | Choice::None { .. } => None,
         }
     }
 
     pub fn done(&mut self, now: Clock, replica: usize, time: Duration, failed: bool) {
-        self.own[replica] = self.own[replica].saturating_sub(1);
+        self.in_flight[replica] = self.in_flight[replica].saturating_sub(1);
         let outcome = if failed {
             Outcome::Failed
         } else {
@@ -145,8 +146,15 @@
         self.pool.done(now, &self.servers[replica], outcome);
     }
 
-    pub fn learn(&mut self, now: Clock, replica: usize, running: u32, capacity: u32, age: Clock) {
-        self.reported[replica] = running;
+    pub fn record_report(
+        &mut self,
+        now: Clock,
+        replica: usize,
+        running: u32,
+        capacity: u32,
+        age: Clock,
+    ) {
+        self.reported_running[replica] = running;
         let report = Report {
             running,
             queued: 0,
@@ -159,12 +167,12 @@
             .record_report(now, &self.servers[replica], &report);
     }
 
-    pub fn cached(&mut self, now: Clock, replica: usize, event: Event) {
+    pub fn record_cache_event(&mut self, now: Clock, replica: usize, event: Event) {
         self.pool
             .record_cache_event(now, &self.servers[replica], event);
     }
 
-    pub fn gone(&mut self, replica: usize) {
+    pub fn remove(&mut self, replica: usize) {
         self.alive[replica] = false;
         self.pool.remove(&self.servers[replica]);
     }
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of routing and admission, for each replica, prefix and team.
+//! Memory per replica, prefix and team, and processor time per operation, of routing and admission.
 
 use std::{
     fs,
@@ -31,38 +31,41 @@
 
 use crate::table;
 
-/// Memory and processor time of routing and admission, for each replica, prefix and team.
+/// Measures memory per replica, prefix and team, and processor time per operation, of routing and
+/// admission.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "slopes")]
 pub struct Args {}
 
-const PAGE: u64 = 4096;
-const REPEATS: u32 = 20_000;
+/// Size of a memory page, the unit of `/proc/self/statm`, in bytes.
+const PAGE_BYTES: u64 = 4096;
+/// Number of operations that a processor time is averaged over.
+const ITERATIONS: u32 = 20_000;
 
-/// Prints one table: a row for each slope.
+/// Prints one table with a row for each cost.
 pub fn print(_: &Args) -> io::Result<()> {
     let rows = vec![
-        replicas()?,
-        prefixes()?,
-        teams()?,
-        choose(10),
-        choose(100),
-        choose(1000),
-        learn(),
-        arrive(100),
-        arrive(2300),
+        replica_memory()?,
+        prefix_memory()?,
+        team_memory()?,
+        choose_time(10),
+        choose_time(100),
+        choose_time(1000),
+        report_time(),
+        arrival_time(100),
+        arrival_time(2300),
     ];
     table::print(&["what", "each", "how"], &rows);
     Ok(())
 }
 
-/// Resident memory of this process, in bytes.
-fn resident() -> io::Result<u64> {
+/// Returns the resident memory of this process, in bytes.
+fn resident_bytes() -> io::Result<u64> {
     let text = fs::read_to_string("/proc/self/statm")?;
     let pages = text.split_whitespace().nth(1);
     let pages = pages.and_then(|pages| pages.parse::<u64>().ok());
     pages
-        .map(|pages| pages * PAGE)
+        .map(|pages| pages * PAGE_BYTES)
         .ok_or_else(|| io::Error::other("statm has no resident size"))
 }
 
@@ -70,11 +73,12 @@
     vec![what.to_string(), each, how.to_string()]
 }
 
-fn bytes(before: u64, after: u64, number: u64) -> String {
+/// Formats the memory per item in bytes.
+fn bytes_each(before: u64, after: u64, number: u64) -> String {
     format!("{} B", after.saturating_sub(before) / number)
 }
 
-fn place() -> Deployment {
+fn deployment() -> Deployment {
     Deployment {
         service: "letters".to_string(),
         version: "v1".to_string(),
@@ -82,7 +86,7 @@
     }
 }
 
-fn server(number: usize) -> String {
+fn server_name(number: usize) -> String {
     format!("rack-07-engine-{number:05}")
 }
 
@@ -90,8 +94,8 @@
     let mut pool = Pool::default();
     for number in 0..replicas {
         let now = Duration::from_millis(number as u64);
-        let server = server(number);
-        pool.insert(now, &server, &place());
+        let server = server_name(number);
+        pool.insert(now, &server, &deployment());
         pool.record_report(now, &server, &report(0));
     }
     pool
@@ -108,40 +112,45 @@
     }
 }
 
-/// Replicas with their whole history of levels.
-fn replicas() -> io::Result<Vec<String>> {
-    const NUMBER: usize = 50_000;
-    let before = resident()?;
-    let mut pool = pool(NUMBER);
-    for number in 0..NUMBER {
-        let server = server(number);
-        for turn in 0..40 {
-            let now = Duration::from_secs(1000) + Duration::from_millis(turn * 200);
+/// Measures the memory of a replica with a full history of load levels.
+fn replica_memory() -> io::Result<Vec<String>> {
+    const COUNT: usize = 50_000;
+    let before = resident_bytes()?;
+    let mut pool = pool(COUNT);
+    for number in 0..COUNT {
+        let server = server_name(number);
+        for iteration in 0..40 {
+            let now = Duration::from_secs(1000) + Duration::from_millis(iteration * 200);
             pool.sent(now, &server, None);
         }
     }
-    let after = resident()?;
+    let after = resident_bytes()?;
     let how = "resident memory, 50,000 replicas with 40 levels each";
-    Ok(row("replica", bytes(before, after, NUMBER as u64), how))
+    Ok(row("replica", bytes_each(before, after, COUNT as u64), how))
 }
 
-fn prefixes() -> io::Result<Vec<String>> {
-    const NUMBER: u64 = 16_384;
-    const POOLS: u64 = 8;
-    let before = resident()?;
+/// Measures the memory of a prefix with four holders.
+fn prefix_memory() -> io::Result<Vec<String>> {
+    const COUNT: u64 = 16_384;
+    const POOL_COUNT: u64 = 8;
+    let before = resident_bytes()?;
     let mut pools = Vec::new();
-    for _ in 0..POOLS {
+    for _ in 0..POOL_COUNT {
         let mut pool = pool(10);
-        for prefix in 0..NUMBER {
+        for prefix in 0..COUNT {
             for number in 0..4 {
-                pool.sent(Duration::from_secs(1), &server(number), Some(prefix));
+                pool.sent(Duration::from_secs(1), &server_name(number), Some(prefix));
             }
         }
         pools.push(pool);
     }
-    let after = resident()?;
+    let after = resident_bytes()?;
     let how = "resident memory, 16,384 prefixes with 4 holders each, 8 pools";
-    Ok(row("prefix", bytes(before, after, POOLS * NUMBER), how))
+    Ok(row(
+        "prefix",
+        bytes_each(before, after, POOL_COUNT * COUNT),
+        how,
+    ))
 }
 
 fn arrival(team: &String) -> Arrival<'_> {
@@ -159,86 +168,97 @@
     }
 }
 
-fn settings(start: u32) -> admission::Settings {
+fn settings(initial_limit: u32) -> admission::Settings {
     admission::Settings {
-        initial_limit: start,
+        initial_limit,
         max_teams: 1 << 20,
         ..admission::Settings::default()
     }
 }
 
-fn teams() -> io::Result<Vec<String>> {
-    const NUMBER: u32 = 100_000;
-    let before = resident()?;
-    let mut gate = Gate::new(settings(NUMBER));
+/// Measures the memory of a team with a request in progress.
+fn team_memory() -> io::Result<Vec<String>> {
+    const COUNT: u32 = 100_000;
+    let before = resident_bytes()?;
+    let mut gate = Gate::new(settings(COUNT));
     let mut rng = StdRng::seed_from_u64(1);
-    for number in 0..NUMBER {
+    for number in 0..COUNT {
         let team = format!("team-of-the-north-{number:06}");
         gate.arrive(Duration::from_secs(1), &arrival(&team), &mut rng);
     }
-    let after = resident()?;
+    let after = resident_bytes()?;
     let how = "resident memory, 100,000 teams with a request in progress";
-    Ok(row("team", bytes(before, after, u64::from(NUMBER)), how))
+    Ok(row(
+        "team",
+        bytes_each(before, after, u64::from(COUNT)),
+        how,
+    ))
 }
 
-fn time(total: Duration, number: u32) -> String {
+/// Formats the time per operation in microseconds.
+fn time_each(total: Duration, number: u32) -> String {
     format!("{:.2} µs", total.as_secs_f64() * 1e6 / f64::from(number))
 }
 
-/// A choice by prefix, with its bookkeeping.
-fn choose(replicas: usize) -> Vec<String> {
+/// Measures a choice by prefix, with the bookkeeping of a request's start and end.
+fn choose_time(replicas: usize) -> Vec<String> {
     let mut pool = pool(replicas);
     let mut rng = StdRng::seed_from_u64(1);
-    let place = place();
-    let begin = Instant::now();
-    for turn in 0..REPEATS {
-        let now = Duration::from_secs(100) + Duration::from_millis(u64::from(turn));
-        let prefix = Some(u64::from(turn % 300));
-        let ask = Request {
-            service: &place.service,
-            version: &place.version,
-            data_centre: &place.data_centre,
+    let deployment = deployment();
+    let start = Instant::now();
+    for iteration in 0..ITERATIONS {
+        let now = Duration::from_secs(100) + Duration::from_millis(u64::from(iteration));
+        let prefix = Some(u64::from(iteration % 300));
+        let request = Request {
+            service: &deployment.service,
+            version: &deployment.version,
+            data_centre: &deployment.data_centre,
             prefix,
             avoid: &[],
             resume: false,
         };
-        if let Choice::Server(server) = pool.choose(now, &ask, &mut rng) {
+        if let Choice::Server(server) = pool.choose(now, &request, &mut rng) {
             pool.sent(now, &server, prefix);
             let time = Duration::from_secs(1);
             pool.done(now, &server, Outcome::Served { time });
         }
     }
     let how = format!("choose, sent, done; {replicas} replicas of a version near; one core");
-    row("request, routing", time(begin.elapsed(), REPEATS), &how)
+    row(
+        "request, routing",
+        time_each(start.elapsed(), ITERATIONS),
+        &how,
+    )
 }
 
-fn learn() -> Vec<String> {
+/// Measures the processing of a load report.
+fn report_time() -> Vec<String> {
     let mut pool = pool(1000);
-    let servers: Vec<String> = (0..1000).map(server).collect();
-    let begin = Instant::now();
-    for turn in 0..REPEATS {
-        let now = Duration::from_secs(100) + Duration::from_millis(u64::from(turn));
-        let server = &servers[turn as usize % servers.len()];
-        pool.record_report(now, server, &report(turn % 50));
+    let servers: Vec<String> = (0..1000).map(server_name).collect();
+    let start = Instant::now();
+    for iteration in 0..ITERATIONS {
+        let now = Duration::from_secs(100) + Duration::from_millis(u64::from(iteration));
+        let server = &servers[iteration as usize % servers.len()];
+        pool.record_report(now, server, &report(iteration % 50));
     }
-    let each = time(begin.elapsed(), REPEATS);
+    let each = time_each(start.elapsed(), ITERATIONS);
     row("load report", each, "learn; 1000 replicas; one core")
 }
 
-/// A request through a gate that is at its limit, so that each one waits.
-fn arrive(teams: usize) -> Vec<String> {
+/// Measures a request through a gate at its limit, where each request waits.
+fn arrival_time(teams: usize) -> Vec<String> {
     let mut gate = Gate::new(admission::Settings {
         initial_time: Duration::from_millis(10),
         ..settings(100)
     });
     let mut rng = StdRng::seed_from_u64(1);
-    let names: Vec<String> = (0..teams).map(|number| format!("team-{number}")).collect();
+    let team_names: Vec<String> = (0..teams).map(|number| format!("team-{number}")).collect();
     let mut running = std::collections::VecDeque::new();
     let mut waiting = std::collections::HashMap::new();
-    let begin = Instant::now();
-    for turn in 0..REPEATS {
-        let now = Duration::from_secs(100) + Duration::from_millis(u64::from(turn));
-        let team = &names[turn as usize * 7 % teams];
+    let start = Instant::now();
+    for iteration in 0..ITERATIONS {
+        let now = Duration::from_secs(100) + Duration::from_millis(u64::from(iteration));
+        let team = &team_names[iteration as usize * 7 % teams];
         match gate.arrive(now, &arrival(team), &mut rng) {
             admission::Verdict::Admit => running.push_back(team),
             admission::Verdict::Queue(ticket) => {
@@ -266,5 +286,9 @@
         }
     }
     let how = format!("arrive, finish, tick at the limit; {teams} teams; one core");
-    row("request, admission", time(begin.elapsed(), REPEATS), &how)
+    row(
+        "request, admission",
+        time_each(start.elapsed(), ITERATIONS),
+        &how,
+    )
 }
--- a/components/measure/src/spread.rs
+++ b/components/measure/src/spread.rs
@@ -1,8 +1,8 @@
-//! Time until a document is in force everywhere, with its bytes and store calls.
+//! Time until a document is in force on all hosts, with the traffic and store calls that it takes.
 //!
-//! The production boards are joined in memory, with made-up time. The baseline is what an entry does
-//! that knows of no other: it holds a waiting watch of its own, with the same pauses and the same
-//! limit on silence. A third row sends documents whole where the spread sends the change alone.
+//! The production boards are connected in memory, in virtual time. The baseline is an entry that
+//! knows of no peers: it holds a long-polling watch of its own, with the same pauses and the same
+//! limit on silence. A third row sends complete documents where the spread sends only the change.
 
 use std::time::{
     Duration,
@@ -27,74 +27,85 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Time over which the pace at rest is counted.
-const REST: u64 = 60;
+/// Time over which idle traffic and store calls are counted, in seconds.
+const IDLE_SECONDS: u64 = 60;
 
-/// Measures the spread of documents, for fleets of several sizes.
+/// Measures the distribution of documents, for fleets of several sizes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "spread")]
 pub struct Args {
-    /// number of seeds
+    /// number of seeds (default 20)
     #[argh(option, default = "20")]
     seeds: u64,
-    /// size of the document in KiB
+    /// size of the document in KiB (default 100)
     #[argh(option, default = "100")]
     size: usize,
-    /// entries of the largest fleet
+    /// entries of the largest fleet (default 340)
     #[argh(option, default = "340")]
     largest: usize,
 }
 
-/// How entries learn of documents.
+/// How entries receive documents, as in the column "way".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// By the spread.
+enum Distribution {
+    /// Through the spread, which sends changes.
     Spread,
-    /// By the spread, each document whole.
+    /// Through the spread, as complete documents.
     Whole,
-    /// Each entry by a watch of its own.
+    /// Through a watch of each entry on the store.
     Watch,
 }
 
-/// What goes wrong while a document is written.
+/// A fault while a document is written, as in the column "trouble".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum Impairment {
     Nothing,
-    /// A tenth of all messages is lost.
+    /// A tenth of all messages are lost.
     Loss,
-    /// Every watch that waits is silent for good.
+    /// Every open watch stays silent forever.
     Silent,
 }
 
-/// What one run gave.
-struct Sample {
-    /// Time until the document is in force everywhere; none when it isn't within a minute.
-    took: Option<Duration>,
-    /// Bytes that one document cost the host that sent or received most.
-    most: u64,
-    /// Bytes that one document cost an average host, sent and received.
-    mean: u64,
-    /// Bytes a second at rest, sent and received, of the host with most.
-    rest: u64,
-    /// Store calls a second at rest, of all hosts.
-    calls: f64,
-    /// Processor time at rest of one host, as a share of a core, what joins the boards included.
-    load: f64,
+/// Figures of one run.
+struct Figures {
+    /// Time until the document is in force on all hosts; `None` if it takes more than a minute.
+    time_to_all: Option<Duration>,
+    /// Bytes sent and received for one document, on the host with the most.
+    max_bytes: u64,
+    /// Bytes sent and received for one document, on an average host.
+    mean_bytes: u64,
+    /// Bytes sent and received per second when idle, on the host with the most.
+    idle_bytes_per_second: u64,
+    /// Store calls per second when idle, of all hosts.
+    idle_store_calls: f64,
+    /// Processor time of one host when idle, as a share of a core. It includes the mesh that
+    /// connects the boards.
+    idle_core_share: f64,
 }
 
 /// Prints the tables.
 pub fn print(args: &Args) {
     let mut rows = Vec::new();
-    for (data_centres, each) in [(1, 2), (2, 4), (3, 11), (20, args.largest / 20)] {
-        if each == 0 {
+    for (data_centres, entries_each) in [(1, 2), (2, 4), (3, 11), (20, args.largest / 20)] {
+        if entries_each == 0 {
             continue;
         }
-        for way in [Way::Spread, Way::Whole, Way::Watch] {
-            for trouble in [Trouble::Nothing, Trouble::Loss, Trouble::Silent] {
-                if way != Way::Spread && trouble == Trouble::Loss {
+        for distribution in [
+            Distribution::Spread,
+            Distribution::Whole,
+            Distribution::Watch,
+        ] {
+            for impairment in [Impairment::Nothing, Impairment::Loss, Impairment::Silent] {
+                if distribution != Distribution::Spread && impairment == Impairment::Loss {
                     continue;
                 }
-                rows.push(row(args, data_centres, each, way, trouble));
+                rows.push(row(
+                    args,
+                    data_centres,
+                    entries_each,
+                    distribution,
+                    impairment,
+                ));
             }
         }
     }
@@ -114,112 +125,137 @@
     table::print(&heading, &rows);
 }
 
-fn row(args: &Args, data_centres: usize, each: usize, way: Way, trouble: Trouble) -> Vec<String> {
-    let run = |seed| sample(args, data_centres, each, way, trouble, seed);
-    let samples: Vec<_> = (1..=args.seeds).map(run).collect();
-    let mut times: Vec<_> = samples.iter().filter_map(|s| s.took).collect();
+fn row(
+    args: &Args,
+    data_centres: usize,
+    entries_each: usize,
+    distribution: Distribution,
+    impairment: Impairment,
+) -> Vec<String> {
+    let measure_seed = |seed| {
+        measure(
+            args,
+            data_centres,
+            entries_each,
+            distribution,
+            impairment,
+            seed,
+        )
+    };
+    let runs: Vec<_> = (1..=args.seeds).map(measure_seed).collect();
+    let mut times: Vec<_> = runs.iter().filter_map(|run| run.time_to_all).collect();
     times.sort_unstable();
-    let at = |share: f64| {
+    let percentile = |share: f64| {
         let index = (times.len() as f64 * share) as usize;
         let time = times.get(index.min(times.len().saturating_sub(1)));
         time.map_or("-".to_string(), |time| format!("{:.3}", time.as_secs_f64()))
     };
-    let median = |of: fn(&Sample) -> u64| {
-        let mut all: Vec<_> = samples.iter().map(of).collect();
+    let median = |figure: fn(&Figures) -> u64| {
+        let mut all: Vec<_> = runs.iter().map(figure).collect();
         all.sort_unstable();
         all[all.len() / 2]
     };
-    let mean = |of: fn(&Sample) -> f64| samples.iter().map(of).sum::<f64>() / samples.len() as f64;
+    let mean =
+        |figure: fn(&Figures) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
     vec![
-        format!("{} in {data_centres}", data_centres * each),
-        format!("{way:?}").to_lowercase(),
-        format!("{trouble:?}").to_lowercase(),
-        at(0.5),
-        at(0.99),
-        (samples.len() - times.len()).to_string(),
-        format!("{:.1}", median(|s| s.most) as f64 / 1024.0),
-        format!("{:.1}", median(|s| s.mean) as f64 / 1024.0),
-        median(|s| s.rest).to_string(),
-        format!("{:.2}", mean(|s| s.calls)),
-        format!("{:.3}", mean(|s| s.load) * 100.0),
+        format!("{} in {data_centres}", data_centres * entries_each),
+        format!("{distribution:?}").to_lowercase(),
+        format!("{impairment:?}").to_lowercase(),
+        percentile(0.5),
+        percentile(0.99),
+        (runs.len() - times.len()).to_string(),
+        format!("{:.1}", median(|run| run.max_bytes) as f64 / 1024.0),
+        format!("{:.1}", median(|run| run.mean_bytes) as f64 / 1024.0),
+        median(|run| run.idle_bytes_per_second).to_string(),
+        format!("{:.2}", mean(|run| run.idle_store_calls)),
+        format!("{:.3}", mean(|run| run.idle_core_share) * 100.0),
     ]
 }
 
-fn sample(
+fn measure(
     args: &Args,
     data_centres: usize,
-    each: usize,
-    way: Way,
-    trouble: Trouble,
+    entries_each: usize,
+    distribution: Distribution,
+    impairment: Impairment,
     seed: u64,
-) -> Sample {
+) -> Figures {
     let mut mesh = Mesh::new(
         data_centres,
-        each,
+        entries_each,
         seed,
-        if way == Way::Whole { whole } else { weigh },
+        if distribution == Distribution::Whole {
+            complete_size
+        } else {
+            encoded_size
+        },
     );
-    // An entry that watches alone is one that knows of no other.
-    mesh.empty_host_list = way == Way::Watch;
-    let text = text(args.size);
-    mesh.write(1, &text);
+    // An entry that knows of no peers watches the store alone.
+    mesh.empty_host_list = distribution == Distribution::Watch;
+    let document = document(args.size);
+    mesh.write(1, &document);
     mesh.start_all();
     mesh.until(60 * SECOND, |mesh| mesh.all_ready() && mesh.everywhere(1));
-    // The phase of the watches must not be that of the start.
+    // Varies the phase of the watches at the time of the write, as all of them begin at the start.
     mesh.run(10 * SECOND + SECOND.mul_f64(seed as f64 * 0.37 % 6.0));
     mesh.reset();
-    let rested = Instant::now();
-    mesh.run(Duration::from_secs(REST));
-    let hosts = (data_centres * each) as f64;
-    let load = rested.elapsed().as_secs_f64() / REST as f64 / hosts;
+    let idle_start = Instant::now();
+    mesh.run(Duration::from_secs(IDLE_SECONDS));
+    let hosts = (data_centres * entries_each) as f64;
+    let idle_core_share = idle_start.elapsed().as_secs_f64() / IDLE_SECONDS as f64 / hosts;
     let counts: Vec<_> = mesh.nodes.values().map(|node| node.count).collect();
-    let rest = counts
+    let idle_bytes_per_second = counts
         .iter()
-        .map(|c| c.sent + c.received)
+        .map(|count| count.sent + count.received)
         .max()
         .unwrap_or(0)
-        / REST;
-    let calls = counts.iter().map(|c| c.calls).sum::<u64>() as f64 / REST as f64;
-    match trouble {
-        Trouble::Nothing => {}
-        Trouble::Loss => mesh.loss = 0.1,
-        Trouble::Silent => mesh.fault(Fault::SilentWatches),
+        / IDLE_SECONDS;
+    let idle_store_calls =
+        counts.iter().map(|count| count.calls).sum::<u64>() as f64 / IDLE_SECONDS as f64;
+    match impairment {
+        Impairment::Nothing => {}
+        Impairment::Loss => mesh.loss = 0.1,
+        Impairment::Silent => mesh.fault(Fault::SilentWatches),
     }
     mesh.reset();
-    let began = mesh.now;
-    mesh.write(2, &text.replacen("weight: 1", "weight: 2", 1));
-    let took = mesh.until(60 * SECOND, |mesh| mesh.everywhere(2));
-    let beats = rest * (mesh.now - began).as_secs();
+    let written_at = mesh.now;
+    mesh.write(2, &document.replacen("weight: 1", "weight: 2", 1));
+    let time_to_all = mesh.until(60 * SECOND, |mesh| mesh.everywhere(2));
+    let idle_bytes = idle_bytes_per_second * (mesh.now - written_at).as_secs();
     let counts = mesh.nodes.values().map(|node| node.count);
     let bytes: Vec<_> = counts
-        .map(|c| (c.sent + c.received).saturating_sub(beats))
+        .map(|count| (count.sent + count.received).saturating_sub(idle_bytes))
         .collect();
-    Sample {
-        took,
-        most: bytes.iter().max().copied().unwrap_or(0),
-        mean: bytes.iter().sum::<u64>() / bytes.len() as u64,
-        rest,
-        calls,
-        load,
+    Figures {
+        time_to_all,
+        max_bytes: bytes.iter().max().copied().unwrap_or(0),
+        mean_bytes: bytes.iter().sum::<u64>() / bytes.len() as u64,
+        idle_bytes_per_second,
+        idle_store_calls,
+        idle_core_share,
     }
 }
 
-/// A document of so many KiB: most of a large one are its teams.
-fn text(size: usize) -> String {
-    let mut text = String::from("environment: production\nteams:\n");
-    while text.len() < size * 1024 {
-        text += &format!("  team-{}: {{ weight: 1, in_flight: 20 }}\n", text.len());
+/// Returns a document of this size in KiB, which consists mostly of teams.
+fn document(size: usize) -> String {
+    let mut document = String::from("environment: production\nteams:\n");
+    while document.len() < size * 1024 {
+        document += &format!(
+            "  team-{}: {{ weight: 1, in_flight: 20 }}\n",
+            document.len()
+        );
     }
-    text
+    document
 }
 
-fn weigh(message: &Message) -> usize {
+/// Returns the encoded size of a message in bytes.
+fn encoded_size(message: &Message) -> usize {
     postcard::experimental::serialized_size(message).unwrap_or(0)
 }
 
-/// Size of a message if documents were sent whole.
-fn whole(message: &Message) -> usize {
-    let size = weigh(message);
+/// Returns the size of a message in bytes if documents were sent complete.
+fn complete_size(message: &Message) -> usize {
+    let size = encoded_size(message);
     match message {
         Message::Push(push) => match &push.body {
             Body::Delta { delta, .. } => size + (delta.start + delta.end) as usize,
--- a/components/measure/src/table.rs
+++ b/components/measure/src/table.rs
@@ -1,6 +1,6 @@
-//! Tables in Markdown.
+//! Markdown tables.
 
-/// Prints a table with a heading row.
+/// Prints a Markdown table with a heading row to standard output.
 pub fn print(heading: &[&str], rows: &[Vec<String>]) {
     println!("| {} |", heading.join(" | "));
     println!("|{}", " --- |".repeat(heading.len()));
--- a/components/measure/src/tokens.rs
+++ b/components/measure/src/tokens.rs
@@ -1,4 +1,5 @@
-//! What token frames cost: processor time a token in the entry and the sidecar, and added latency.
+//! Overhead of streaming tokens through an entry and a sidecar: processor time per token, and added
+//! latency.
 
 use std::{
     io,
@@ -28,21 +29,22 @@
 use trial::stream::Stream;
 
 use crate::{
-    process::Bench,
+    process::Launcher,
     table, //
 };
 
-/// What token frames cost: processor time a token in the entry and the sidecar, and added latency.
+/// Measures the processor time per token in the entry and the sidecar, and the latency that they
+/// add.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "tokens")]
 pub struct Args {
-    /// numbers of streams at once
+    /// number of concurrent streams; may be given more than once (default: 1, 32, 128)
     #[argh(option)]
     streams: Vec<usize>,
-    /// tokens of each stream
+    /// tokens per stream (default 400)
     #[argh(option, default = "400")]
     tokens: u64,
-    /// time between tokens in milliseconds
+    /// time between tokens in milliseconds (default 20)
     #[argh(option, default = "20")]
     between: u64,
 }
@@ -55,20 +57,20 @@
   - {name: letters, service: draft, version: v1}
 ";
 
-/// Pace at which conditions are looked at.
-const PACE: Duration = Duration::from_millis(20);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Prints the table.
 pub async fn run(args: Args) -> io::Result<()> {
-    let numbers = if args.streams.is_empty() {
+    let stream_counts = if args.streams.is_empty() {
         vec![1, 32, 128]
     } else {
         args.streams
     };
     let between = Duration::from_millis(args.between);
     let mut rows = Vec::new();
-    for number in numbers {
-        rows.push(one(number, args.tokens, between).await?);
+    for streams in stream_counts {
+        rows.push(measure_streams(streams, args.tokens, between).await?);
     }
     table::print(
         &[
@@ -89,15 +91,21 @@
     Ok(())
 }
 
-/// Gaps between tokens of some streams, sorted, and the tokens in all.
-struct Seen {
+/// Token timings of several concurrent streams.
+struct Timings {
+    /// Sorted gaps between the tokens of each stream.
     gaps: Vec<Duration>,
     tokens: u64,
     took: Duration,
 }
 
-async fn one(streams: usize, tokens: u64, between: Duration) -> io::Result<Vec<String>> {
-    let bench = Bench::new()?;
+/// Measures this number of concurrent streams; returns the row of the table.
+async fn measure_streams(
+    streams: usize,
+    tokens: u64,
+    between: Duration,
+) -> io::Result<Vec<String>> {
+    let launcher = Launcher::new()?;
     let platform = Platform::start(platform::Settings::default()).await?;
     let engine = Engine::start(engine::Settings {
         between,
@@ -106,45 +114,49 @@
     })
     .await?;
     let address = engine.address();
-    let alone = drive(streams, tokens, format!("http://{address}/generate"), true).await?;
+    let engine_timings =
+        read_streams(streams, tokens, format!("http://{address}/generate"), true).await?;
 
     let mut settings = trial::trial::sidecar_settings("draft-a", "dc1", platform.address());
     settings.server.address = format!("http://{address}");
     settings.limits.runs = streams * 2;
-    let sidecar = bench.sidecar(&settings)?;
-    let entry = bench.entry(&trial::trial::entry_settings(
+    let sidecar = launcher.sidecar(&settings)?;
+    let entry = launcher.entry(&trial::trial::entry_settings(
         "entry-a",
         "dc1",
         platform.address(),
     ))?;
-    platform.set_hosts(vec![listed("draft-a", sidecar.address("links")?)]);
-    ready(&format!("http://{}", entry.address("operators")?)).await?;
-    let before = (entry.cost()?, sidecar.cost()?);
+    platform.set_hosts(vec![sidecar_host("draft-a", sidecar.address("links")?)]);
+    wait_until_ready(&format!("http://{}", entry.address("operators")?)).await?;
+    let before = (entry.usage()?, sidecar.usage()?);
     let url = format!("http://{}/v1/completions", entry.address("callers")?);
-    let through = drive(streams, tokens, url, false).await?;
-    let after = (entry.cost()?, sidecar.cost()?);
+    let entry_timings = read_streams(streams, tokens, url, false).await?;
+    let after = (entry.usage()?, sidecar.usage()?);
 
-    let cost = |spent: Duration| spent.as_secs_f64() * 1e6 / through.tokens as f64;
-    let entry_cost = cost(after.0.processor - before.0.processor);
-    let sidecar_cost = cost(after.1.processor - before.1.processor);
-    let both = 1e6 / (entry_cost + sidecar_cost).max(f64::MIN_POSITIVE);
+    let cost = |spent: Duration| spent.as_secs_f64() * 1e6 / entry_timings.tokens as f64;
+    let entry_cost = cost(after.0.cpu_time - before.0.cpu_time);
+    let sidecar_cost = cost(after.1.cpu_time - before.1.cpu_time);
+    let tokens_per_core_second = 1e6 / (entry_cost + sidecar_cost).max(f64::MIN_POSITIVE);
     Ok(vec![
         streams.to_string(),
-        format!("{:.0}", through.tokens as f64 / through.took.as_secs_f64()),
+        format!(
+            "{:.0}",
+            entry_timings.tokens as f64 / entry_timings.took.as_secs_f64()
+        ),
         format!("{entry_cost:.1}"),
         format!("{sidecar_cost:.1}"),
-        format!("{both:.0}"),
-        at(&alone.gaps, 0.5),
-        at(&through.gaps, 0.5),
-        at(&alone.gaps, 0.99),
-        at(&through.gaps, 0.99),
-        format!("{:.1}", after.0.peak as f64 / 1e6),
-        format!("{:.1}", after.1.peak as f64 / 1e6),
+        format!("{tokens_per_core_second:.0}"),
+        percentile_ms(&engine_timings.gaps, 0.5),
+        percentile_ms(&entry_timings.gaps, 0.5),
+        percentile_ms(&engine_timings.gaps, 0.99),
+        percentile_ms(&entry_timings.gaps, 0.99),
+        format!("{:.1}", after.0.peak_resident_bytes as f64 / 1e6),
+        format!("{:.1}", after.1.peak_resident_bytes as f64 / 1e6),
     ])
 }
 
-/// A sidecar's line in the host list.
-pub fn listed(host: &str, address: SocketAddr) -> platform::Host {
+/// Returns the host list entry of a sidecar.
+pub fn sidecar_host(host: &str, address: SocketAddr) -> platform::Host {
     platform::Host {
         name: host.into(),
         data_centre: "dc1".into(),
@@ -155,13 +167,13 @@
     }
 }
 
-/// Puts the document and waits until the entry serves it over a link.
-pub async fn ready(operators: &str) -> io::Result<()> {
+/// Writes the document and waits until the entry serves it and has a linked server.
+pub async fn wait_until_ready(operators: &str) -> io::Result<()> {
     let client = reqwest::Client::new();
-    let put = client
+    let request = client
         .put(format!("{operators}/environments/production"))
         .body(DOCUMENT);
-    put.send().await.map_err(io::Error::other)?;
+    request.send().await.map_err(io::Error::other)?;
     loop {
         let status = client.get(format!("{operators}/status")).send().await;
         let status: serde_json::Value = match status {
@@ -174,37 +186,44 @@
         if linked && status["revision"].as_u64() > Some(0) {
             return Ok(());
         }
-        sleep(PACE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Reads streams at once, from the engine itself or through an entry.
-async fn drive(streams: usize, tokens: u64, url: String, direct: bool) -> io::Result<Seen> {
+/// Reads concurrent streams, directly from the engine or through an entry.
+async fn read_streams(
+    streams: usize,
+    tokens: u64,
+    url: String,
+    direct: bool,
+) -> io::Result<Timings> {
     let client = reqwest::Client::new();
     let mut tasks = JoinSet::new();
     let begun = Instant::now();
     for number in 0..streams {
         let client = client.clone();
         let url = url.clone();
-        tasks.spawn(async move { read(&client, &url, number, tokens, direct).await });
+        tasks.spawn(async move { read_stream(&client, &url, number, tokens, direct).await });
     }
-    let mut seen = Seen {
+    let mut timings = Timings {
         gaps: Vec::new(),
         tokens: 0,
         took: Duration::ZERO,
     };
     while let Some(arrivals) = tasks.join_next().await {
         let arrivals = arrivals.map_err(io::Error::other)??;
-        seen.tokens += arrivals.len() as u64;
-        seen.gaps
+        timings.tokens += arrivals.len() as u64;
+        timings
+            .gaps
             .extend(arrivals.windows(2).map(|pair| pair[1] - pair[0]));
     }
-    seen.took = begun.elapsed();
-    seen.gaps.sort();
-    Ok(seen)
+    timings.took = begun.elapsed();
+    timings.gaps.sort();
+    Ok(timings)
 }
 
-async fn read(
+/// Reads one stream; returns the arrival times of its tokens.
+async fn read_stream(
     client: &reqwest::Client,
     url: &str,
     number: usize,
@@ -235,7 +254,7 @@
             let lines = chunk.iter().filter(|byte| **byte == b'\n').count();
             arrivals.extend(std::iter::repeat_n(Instant::now(), lines));
         }
-        // The last line is the end.
+        // The last line ends the stream and holds no token.
         arrivals.pop();
         return Ok(arrivals);
     }
@@ -248,7 +267,8 @@
     Ok(arrivals)
 }
 
-fn at(sorted: &[Duration], share: f64) -> String {
+/// Formats a percentile of sorted durations in milliseconds.
+fn percentile_ms(sorted: &[Duration], share: f64) -> String {
     let index = ((sorted.len() as f64 * share) as usize).min(sorted.len().saturating_sub(1));
     let value = sorted.get(index).copied().unwrap_or_default();
     format!("{:.2}", value.as_secs_f64() * 1e3)
