--- a/components/measure/src/calls.rs
+++ b/components/measure/src/calls.rs
@@ -28,7 +28,7 @@
 pub fn print(args: &Args) {
     println!("Poisonous requests, {} seeds per row:\n", args.seeds);
     poison::print(args.seeds);
-    let runtime = Runtime::new().expect("a runtime can be made");
+    let runtime = Runtime::new().expect("the runtime starts");
     runtime.block_on(async {
         println!(
             "\nAdded latency and store calls, {} calls per row:\n",
--- a/components/measure/src/idle.rs
+++ b/components/measure/src/idle.rs
@@ -68,7 +68,7 @@
     let counts_after = platform.counts();
     let seconds = duration.as_secs_f64();
     println!(
-        "\nStore calls a second, both together: reads {:.2}, writes {:.2}, watches {:.2}.",
+        "\nStore calls per second, entry and sidecar together: reads {:.2}, writes {:.2}, watches {:.2}.",
         (counts_after.reads - counts_before.reads) as f64 / seconds,
         (counts_after.writes - counts_before.writes) as f64 / seconds,
         (counts_after.watches - counts_before.watches) as f64 / seconds,
--- a/components/measure/src/main.rs
+++ b/components/measure/src/main.rs
@@ -21,7 +21,6 @@
 mod moves;
 mod plot;
 mod process;
-
 mod resumes;
 mod routing;
 mod sample;
