--- a/components/fakes/src/engine.rs
+++ b/components/fakes/src/engine.rs
@@ -33,9 +33,9 @@
 
 use crate::server::{
     self,
-    Answer,
-    Call,
     Process,
+    Request,
+    Response,
     lock, //
 };
 
@@ -274,7 +274,7 @@
         }
     }
 
-    fn order(&self, order: &order::Order) -> Answer {
+    fn order(&self, order: &order::Order) -> Response {
         let mut state = lock(&self.state);
         let ignore = state.faults.now.ignore_fence;
         let ready = Instant::now() + self.settings.load;
@@ -282,20 +282,20 @@
             .orders
             .take(order, ignore, &self.settings.model, ready)
         {
-            order::Outcome::Applied => Answer::json(200, &serde_json::json!({ "applied": true })),
+            order::Outcome::Applied => Response::json(200, &serde_json::json!({ "applied": true })),
             order::Outcome::Old { highest } => {
-                Answer::json(409, &serde_json::json!({ "highest": highest }))
+                Response::json(409, &serde_json::json!({ "highest": highest }))
             }
-            order::Outcome::Wrong(error) => Answer::bad(&error),
+            order::Outcome::Wrong(error) => Response::bad(&error),
         }
     }
 
-    fn health(&self) -> Answer {
+    fn health(&self) -> Response {
         let versions = lock(&self.state).orders.versions(Instant::now());
         if versions.is_empty() {
-            return Answer::error(503, "no version is loaded");
+            return Response::error(503, "no version is loaded");
         }
-        Answer::json(200, &serde_json::json!({ "ok": true }))
+        Response::json(200, &serde_json::json!({ "ok": true }))
     }
 }
 
@@ -310,20 +310,20 @@
     }
 }
 
-async fn answer(core: Arc<Core>, call: Call) -> Answer {
+async fn answer(core: Arc<Core>, call: Request) -> Response {
     match (call.method.as_str(), call.path.as_str()) {
         // What steers the stand-in works also while it is paused or silent.
         ("POST", "/fault") => {
             return match call.json::<Fault>() {
                 Ok(fault) => {
                     core.fault(&fault);
-                    Answer::json(200, &serde_json::json!({}))
+                    Response::json(200, &serde_json::json!({}))
                 }
                 Err(answer) => answer,
             };
         }
-        ("GET", "/runs") => return Answer::json(200, &lock(&core.state).runs),
-        _ => core.process.pass(call.connection).await,
+        ("GET", "/runs") => return Response::json(200, &lock(&core.state).runs),
+        _ => core.process.wait_responsive(call.connection).await,
     }
     match (call.method.as_str(), call.path.as_str()) {
         ("POST", "/generate") => match call.json() {
@@ -333,16 +333,16 @@
         ("POST", "/cancel") => match call.json::<Cancel>() {
             Ok(cancel) => {
                 core.cancel(&cancel.id);
-                Answer::json(200, &serde_json::json!({}))
+                Response::json(200, &serde_json::json!({}))
             }
             Err(answer) => answer,
         },
-        ("GET", "/load") => Answer::json(200, &core.load()),
+        ("GET", "/load") => Response::json(200, &core.load()),
         ("GET", "/cache-events") => match call.number("after") {
             Ok(after) => {
                 let lag = core.settings.lag;
                 let events = lock(&core.state).cache.events(after.unwrap_or(0), lag);
-                Answer::json(200, &serde_json::json!({ "events": events }))
+                Response::json(200, &serde_json::json!({ "events": events }))
             }
             Err(answer) => answer,
         },
@@ -351,6 +351,6 @@
             Err(answer) => answer,
         },
         ("GET", "/health") => core.health(),
-        _ => Answer::error(404, "no such call"),
+        _ => Response::error(404, "no such call"),
     }
 }
--- a/components/fakes/src/engine/run.rs
+++ b/components/fakes/src/engine/run.rs
@@ -26,8 +26,8 @@
     text, //
 };
 use crate::server::{
-    Answer,
     Connection,
+    Response,
     lock, //
 };
 
@@ -141,7 +141,7 @@
 }
 
 /// Starts a run, or refuses it.
-pub(super) fn start(core: &Arc<Core>, ask: Ask, connection: Connection) -> Answer {
+pub(super) fn start(core: &Arc<Core>, ask: Ask, connection: Connection) -> Response {
     if let Err(answer) = check(core, &ask) {
         return answer;
     }
@@ -149,35 +149,39 @@
         Ok(admitted) => admitted,
         Err(answer) => return answer,
     };
-    Answer::Lines(lines(place, plan).boxed())
+    Response::Lines(lines(place, plan).boxed())
 }
 
-fn check(core: &Core, ask: &Ask) -> Result<(), Answer> {
+fn check(core: &Core, ask: &Ask) -> Result<(), Response> {
     if ask.max_tokens == 0 {
-        return Err(Answer::bad("max_tokens must be at least 1"));
+        return Err(Response::bad("max_tokens must be at least 1"));
     }
     if !ask.temperature.is_finite() || ask.temperature < 0.0 {
-        return Err(Answer::bad("temperature must be 0 or more"));
+        return Err(Response::bad("temperature must be 0 or more"));
     }
     let state = lock(&core.state);
     if ask.model != core.settings.model {
-        return Err(Answer::error(409, "model not loaded"));
+        return Err(Response::error(409, "model not loaded"));
     }
     match state.orders.loaded(&ask.version, Instant::now()) {
         Loaded::Yes => {}
-        Loaded::Loading => return Err(Answer::error(503, "version is loading")),
-        Loaded::No => return Err(Answer::error(409, "version not loaded")),
+        Loaded::Loading => return Err(Response::error(503, "version is loading")),
+        Loaded::No => return Err(Response::error(409, "version not loaded")),
     }
     if state.faults.now.no_continue && !ask.continue_from.is_empty() {
-        return Err(Answer::bad("continue_from isn't known here"));
+        return Err(Response::bad("continue_from isn't known here"));
     }
     Ok(())
 }
 
-fn admit(core: &Arc<Core>, mut ask: Ask, connection: Connection) -> Result<(Place, Plan), Answer> {
+fn admit(
+    core: &Arc<Core>,
+    mut ask: Ask,
+    connection: Connection,
+) -> Result<(Place, Plan), Response> {
     let mut state = lock(&core.state);
     if state.running.len() >= core.full() {
-        return Err(Answer::busy(1));
+        return Err(Response::busy(1));
     }
     let number = state.runs.len();
     let from = ask.continue_from.len() as u64;
@@ -194,7 +198,7 @@
         },
     });
     if failed {
-        return Err(Answer::error(500, "the run failed"));
+        return Err(Response::error(500, "the run failed"));
     }
     let length = text::length(&ask.prompt, ask.seed, ask.max_tokens);
     let breaks = broken.is_some_and(|share| state.rng.random_bool(share.clamp(0.0, 1.0)));
@@ -296,7 +300,7 @@
             if !time.is_zero() {
                 sleep(time).await;
             }
-            process.pass(plan.connection).await;
+            process.wait_responsive(plan.connection).await;
         };
         // The sender of a silent connection doesn't learn that it was closed at the other end,
         // nor can it be told; a cancel still ends the run.
--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -28,9 +28,9 @@
 use crate::{
     server::{
         self,
-        Answer,
-        Call,
         Process,
+        Request,
+        Response,
         lock, //
     },
     store::Store, //
@@ -260,14 +260,14 @@
         }
     }
 
-    fn weights(&self, path: &str) -> Answer {
+    fn weights(&self, path: &str) -> Response {
         let mut state = lock(&self.state);
         let rate = state.fault.weights_per_s;
         if let Some(seconds) = state.weights.refuse(rate, Instant::now()) {
-            return Answer::busy(seconds);
+            return Response::busy(seconds);
         }
         let bytes = weights(path, WEIGHTS);
-        Answer::bytes(200, "application/octet-stream", bytes)
+        Response::bytes(200, "application/octet-stream", bytes)
     }
 }
 
@@ -297,16 +297,16 @@
     }
 }
 
-async fn answer(core: Arc<Core>, call: Call) -> Answer {
+async fn answer(core: Arc<Core>, call: Request) -> Response {
     match (call.method.as_str(), call.path.as_str()) {
         ("POST", "/fault") => match call.json::<Fault>() {
             Ok(fault) => {
                 core.fault(&fault);
-                Answer::json(200, &serde_json::json!({}))
+                Response::json(200, &serde_json::json!({}))
             }
             Err(answer) => answer,
         },
-        ("GET", "/counts") => Answer::json(200, &core.counts()),
+        ("GET", "/counts") => Response::json(200, &core.counts()),
         (_, "/hosts") => hosts::answer(&core, &call),
         ("GET", path) if path.starts_with("/weights/") => core.weights(path),
         _ => kv::answer(core, call).await,
--- a/components/fakes/src/platform/hosts.rs
+++ b/components/fakes/src/platform/hosts.rs
@@ -14,8 +14,8 @@
 
 use super::Core;
 use crate::server::{
-    Answer,
-    Call,
+    Request,
+    Response,
     lock, //
 };
 
@@ -127,13 +127,13 @@
     }
 }
 
-pub(super) fn answer(core: &Core, call: &Call) -> Answer {
+pub(super) fn answer(core: &Core, call: &Request) -> Response {
     let mut state = lock(&core.state);
     match call.method.as_str() {
-        "GET" if state.fault.hosts_empty => Answer::json(200, &Body { hosts: Vec::new() }),
+        "GET" if state.fault.hosts_empty => Response::json(200, &Body { hosts: Vec::new() }),
         "GET" => {
             let hosts = state.hosts.read(state.fault.hosts_lag_ms);
-            Answer::json(200, &Body { hosts })
+            Response::json(200, &Body { hosts })
         }
         "PUT" => match call.json::<Body>() {
             Ok(body) => {
@@ -154,12 +154,12 @@
                 state.hosts.remove(name);
                 done()
             }
-            None => Answer::bad("name is missing"),
+            None => Response::bad("name is missing"),
         },
-        _ => Answer::error(405, "no such call"),
+        _ => Response::error(405, "no such call"),
     }
 }
 
-fn done() -> Answer {
-    Answer::json(200, &serde_json::json!({}))
+fn done() -> Response {
+    Response::json(200, &serde_json::json!({}))
 }
--- a/components/fakes/src/platform/kv.rs
+++ b/components/fakes/src/platform/kv.rs
@@ -18,8 +18,8 @@
 };
 use crate::{
     server::{
-        Answer,
-        Call,
+        Request,
+        Response,
         lock, //
     },
     store::Refusal, //
@@ -62,9 +62,9 @@
     Watch,
 }
 
-pub(super) async fn answer(core: Arc<Core>, call: Call) -> Answer {
+pub(super) async fn answer(core: Arc<Core>, call: Request) -> Response {
     let Some(kind) = kind(&call) else {
-        return Answer::error(404, "no such call");
+        return Response::error(404, "no such call");
     };
     if let Some(answer) = admit(&core, kind) {
         return answer;
@@ -74,10 +74,10 @@
         // The call takes effect after the wait, also when its caller has given up by then.
         sleep(Duration::from_millis(slow)).await;
         if lock(&core.state).fault.silence {
-            return Answer::Never;
+            return Response::Hang;
         }
         if lock(&core.state).out() {
-            return Answer::error(503, "out of service");
+            return Response::error(503, "out of service");
         }
     }
     match kind {
@@ -88,7 +88,7 @@
     }
 }
 
-fn kind(call: &Call) -> Option<Kind> {
+fn kind(call: &Request) -> Option<Kind> {
     match (call.method.as_str(), call.path.as_str()) {
         ("GET", "/kv") => Some(Kind::Read),
         ("PUT" | "DELETE", "/kv") => Some(Kind::Write),
@@ -99,7 +99,7 @@
 }
 
 /// Counts the call; gives its answer when a fault or a rate forbids it.
-fn admit(core: &Core, kind: Kind) -> Option<Answer> {
+fn admit(core: &Core, kind: Kind) -> Option<Response> {
     let mut guard = lock(&core.state);
     let state = &mut *guard;
     let now = Instant::now();
@@ -110,54 +110,54 @@
         Kind::Watch => state.counts.watches += 1,
     }
     if state.fault.silence {
-        return Some(Answer::Never);
+        return Some(Response::Hang);
     }
     if state.out() {
-        return Some(Answer::error(503, "out of service"));
+        return Some(Response::error(503, "out of service"));
     }
     let refused = match kind {
         Kind::Read | Kind::Watch => state.reads.refuse(state.fault.reads_per_s, now),
         Kind::Write | Kind::Lease => state.writes.refuse(state.fault.writes_per_s, now),
     };
-    refused.map(Answer::busy)
+    refused.map(Response::busy)
 }
 
-fn done(answer: Result<Answer, Answer>) -> Answer {
+fn done(answer: Result<Response, Response>) -> Response {
     answer.unwrap_or_else(|answer| answer)
 }
 
-fn read(core: &Core, call: &Call) -> Result<Answer, Answer> {
+fn read(core: &Core, call: &Request) -> Result<Response, Response> {
     let state = lock(&core.state);
     let revision = state.store.revision();
     if let Some(key) = call.query.get("key") {
         let answer = match state.store.get(key) {
-            Some(entry) => Answer::json(200, entry),
-            None => Answer::json(404, &serde_json::json!({ "revision": revision })),
+            Some(entry) => Response::json(200, entry),
+            None => Response::json(404, &serde_json::json!({ "revision": revision })),
         };
         return Ok(answer);
     }
     let Some(prefix) = call.query.get("prefix") else {
-        return Err(Answer::bad("key or prefix is missing"));
+        return Err(Response::bad("key or prefix is missing"));
     };
     let after = call.query.get("after").map_or("", String::as_str);
     let limit = call.number("limit")?.unwrap_or(PAGE).min(PAGE);
     let entries = state.store.list(prefix, after, limit as usize);
     let body = serde_json::json!({ "entries": entries, "revision": revision });
-    Ok(Answer::json(200, &body))
+    Ok(Response::json(200, &body))
 }
 
 /// Writes a key, unless a fault loses the write or its answer.
-fn write(core: &Core, call: &Call) -> Answer {
+fn write(core: &Core, call: &Request) -> Response {
     {
         let mut state = lock(&core.state);
         if take(&mut state.fault.lose_writes) {
-            return Answer::Close;
+            return Response::Close;
         }
     }
     let answer = done(apply(core, call));
     let lost = take(&mut lock(&core.state).fault.lose_answers);
     if lost {
-        return Answer::Close;
+        return Response::Close;
     }
     answer
 }
@@ -173,31 +173,33 @@
     }
 }
 
-fn apply(core: &Core, call: &Call) -> Result<Answer, Answer> {
+fn apply(core: &Core, call: &Request) -> Result<Response, Response> {
     let written = if call.method == "PUT" {
         let put: Put = call.json()?;
         if put.value.len() > VALUE {
-            return Err(Answer::error(413, "value over 1 MiB"));
+            return Err(Response::error(413, "value over 1 MiB"));
         }
         let mut state = lock(&core.state);
         state.store.put(&put.key, &put.value, put.expect, put.lease)
     } else {
         let Some(key) = call.query.get("key") else {
-            return Err(Answer::bad("key is missing"));
+            return Err(Response::bad("key is missing"));
         };
         let expect = call.number("expect")?;
         lock(&core.state).store.delete(key, expect)
     };
     let answer = match written {
-        Ok(revision) => Answer::json(200, &serde_json::json!({ "revision": revision })),
-        Err(Refusal::Conflict(entry)) => Answer::json(409, &serde_json::json!({ "entry": entry })),
-        Err(Refusal::UnknownLease) => Answer::error(404, "lease"),
+        Ok(revision) => Response::json(200, &serde_json::json!({ "revision": revision })),
+        Err(Refusal::Conflict(entry)) => {
+            Response::json(409, &serde_json::json!({ "entry": entry }))
+        }
+        Err(Refusal::UnknownLease) => Response::error(404, "lease"),
     };
     wake(core);
     Ok(answer)
 }
 
-fn lease(core: &Core, call: &Call) -> Result<Answer, Answer> {
+fn lease(core: &Core, call: &Request) -> Result<Response, Response> {
     let now = Instant::now();
     let answer = match call.path.as_str() {
         "/lease" => {
@@ -205,21 +207,21 @@
             let ttl = Duration::from_millis(grant.ttl_ms);
             let lease = lock(&core.state).store.grant(ttl, now);
             let body = serde_json::json!({ "lease": lease, "ttl_ms": grant.ttl_ms });
-            Answer::json(200, &body)
+            Response::json(200, &body)
         }
         "/lease/keep" => {
             let lease: Lease = call.json()?;
             if lock(&core.state).store.keep(lease.lease, now) {
-                Answer::json(200, &serde_json::json!({}))
+                Response::json(200, &serde_json::json!({}))
             } else {
-                Answer::error(404, "lease")
+                Response::error(404, "lease")
             }
         }
         _ => {
             let lease: Lease = call.json()?;
             lock(&core.state).store.drop_lease(lease.lease);
             wake(core);
-            Answer::json(200, &serde_json::json!({}))
+            Response::json(200, &serde_json::json!({}))
         }
     };
     Ok(answer)
@@ -246,7 +248,7 @@
     }
 }
 
-async fn watch(core: &Core, call: &Call) -> Answer {
+async fn watch(core: &Core, call: &Request) -> Response {
     let (after, wait) = match (call.number("after"), call.number("wait_ms")) {
         (Ok(after), Ok(wait)) => (after.unwrap_or(0), wait.unwrap_or(0)),
         (Err(answer), _) | (_, Err(answer)) => return answer,
@@ -262,7 +264,7 @@
         {
             let state = lock(&core.state);
             if state.silences > silences || state.fault.silence {
-                return Answer::Never;
+                return Response::Hang;
             }
             if let Some(answer) = look(&state, prefix, after, late) {
                 return answer;
@@ -274,13 +276,13 @@
 }
 
 /// The answer to a watch, if there is one by now.
-fn look(state: &Inner, prefix: &str, after: u64, late: bool) -> Option<Answer> {
+fn look(state: &Inner, prefix: &str, after: u64, late: bool) -> Option<Response> {
     if state.out() {
-        return Some(Answer::error(503, "out of service"));
+        return Some(Response::error(503, "out of service"));
     }
     let revision = state.store.revision();
     let Some(events) = state.store.changes(prefix, after) else {
-        return Some(Answer::json(
+        return Some(Response::json(
             410,
             &serde_json::json!({ "revision": revision }),
         ));
@@ -289,5 +291,5 @@
         return None;
     }
     let body = serde_json::json!({ "events": events, "revision": revision.max(after) });
-    Some(Answer::json(200, &body))
+    Some(Response::json(200, &body))
 }
--- a/components/fakes/src/server.rs
+++ b/components/fakes/src/server.rs
@@ -28,8 +28,8 @@
     Depot,
     FlowCtrl,
     Handler,
-    Request,
-    Response,
+    Request as HttpRequest,
+    Response as HttpResponse,
     Router,
     Server,
     conn::tcp::TcpAcceptor,
@@ -73,7 +73,7 @@
 }
 
 /// One call as a stand-in sees it.
-pub struct Call {
+pub struct Request {
     /// Method.
     pub method: String,
     /// Path, without the query.
@@ -88,14 +88,14 @@
     pub connection: Connection,
 }
 
-impl Call {
+impl Request {
     /// Reads the body as JSON, or gives the 400 that says why it can't be.
     ///
     /// # Errors
     ///
     /// The answer to give.
-    pub fn json<T: DeserializeOwned>(&self) -> Result<T, Answer> {
-        serde_json::from_slice(&self.body).map_err(|error| Answer::bad(&error.to_string()))
+    pub fn json<T: DeserializeOwned>(&self) -> Result<T, Response> {
+        serde_json::from_slice(&self.body).map_err(|error| Response::bad(&error.to_string()))
     }
 
     /// Reads a number from the query; 400 when it is there and no number.
@@ -103,13 +103,13 @@
     /// # Errors
     ///
     /// The answer to give.
-    pub fn number(&self, name: &str) -> Result<Option<u64>, Answer> {
+    pub fn number(&self, name: &str) -> Result<Option<u64>, Response> {
         let Some(text) = self.query.get(name) else {
             return Ok(None);
         };
         match text.parse() {
             Ok(number) => Ok(Some(number)),
-            Err(_) => Err(Answer::bad(&format!("{name} isn't a number"))),
+            Err(_) => Err(Response::bad(&format!("{name} isn't a number"))),
         }
     }
 
@@ -124,7 +124,7 @@
 pub type Connection = u64;
 
 /// What becomes of a call.
-pub enum Answer {
+pub enum Response {
     /// Status, content type and body.
     Whole {
         /// Status code.
@@ -151,19 +151,19 @@
     /// The connection closes unanswered.
     Close,
     /// The connection stays open, unanswered.
-    Never,
+    Hang,
 }
 
-impl Answer {
+impl Response {
     /// An answer in JSON.
-    pub fn json(status: u16, body: &impl Serialize) -> Answer {
+    pub fn json(status: u16, body: &impl Serialize) -> Response {
         let body = serde_json::to_vec(body).expect("plain data turns into JSON");
-        Answer::bytes(status, JSON, body)
+        Response::bytes(status, JSON, body)
     }
 
     /// An answer of any content type.
-    pub fn bytes(status: u16, kind: &str, body: impl Into<Bytes>) -> Answer {
-        Answer::Whole {
+    pub fn bytes(status: u16, kind: &str, body: impl Into<Bytes>) -> Response {
+        Response::Whole {
             status,
             kind: kind.to_string(),
             body: body.into(),
@@ -172,19 +172,19 @@
     }
 
     /// An error in JSON.
-    pub fn error(status: u16, error: &str) -> Answer {
-        Answer::json(status, &serde_json::json!({ "error": error }))
+    pub fn error(status: u16, error: &str) -> Response {
+        Response::json(status, &serde_json::json!({ "error": error }))
     }
 
     /// A 400.
-    pub fn bad(error: &str) -> Answer {
-        Answer::error(400, error)
+    pub fn bad(error: &str) -> Response {
+        Response::error(400, error)
     }
 
     /// A 429 with the seconds to wait.
-    pub fn busy(seconds: u64) -> Answer {
+    pub fn busy(seconds: u64) -> Response {
         let body = serde_json::json!({ "error": "busy" }).to_string();
-        Answer::Whole {
+        Response::Whole {
             status: 429,
             kind: JSON.to_string(),
             body: body.into(),
@@ -257,15 +257,15 @@
     }
 
     /// Waits while the process is paused, and for ever on a silent connection or once it is dead.
-    pub async fn pass(&self, connection: Connection) {
-        self.awake().await;
+    pub async fn wait_responsive(&self, connection: Connection) {
+        self.wait_resumed().await;
         if self.silent(connection) || self.dead.is_cancelled() {
             std::future::pending::<()>().await;
         }
     }
 
     /// Waits while the process is paused.
-    pub async fn awake(&self) {
+    pub async fn wait_resumed(&self) {
         loop {
             let until = *lock(&self.paused);
             let Some(until) = until else {
@@ -280,7 +280,7 @@
 }
 
 /// Answers calls.
-pub type Respond = Box<dyn Fn(Call) -> BoxFuture<'static, Answer> + Send + Sync>;
+pub type Respond = Box<dyn Fn(Request) -> BoxFuture<'static, Response> + Send + Sync>;
 
 /// Which silence, if any, a peer's connection came after.
 type Connections = Arc<Mutex<HashMap<SocketAddr, Connection>>>;
@@ -333,10 +333,10 @@
 }
 
 impl Door {
-    async fn call(&self, request: &mut Request) -> Result<Call, Answer> {
+    async fn call(&self, request: &mut HttpRequest) -> Result<Request, Response> {
         let body = match request.payload_with_max_size(BODY).await {
             Ok(body) => body.clone(),
-            Err(error) => return Err(Answer::bad(&error.to_string())),
+            Err(error) => return Err(Response::bad(&error.to_string())),
         };
         let mut query = HashMap::new();
         for (name, value) in request.queries().iter() {
@@ -347,7 +347,7 @@
             Some(peer) => lock(&self.connections).get(&peer).copied().unwrap_or(0),
             None => 0,
         };
-        Ok(Call {
+        Ok(Request {
             method: request.method().to_string(),
             path: request.uri().path().to_string(),
             query,
@@ -358,13 +358,13 @@
     }
 
     /// Answers in a task of its own: a caller that goes away doesn't undo what a process began.
-    async fn answer(&self, call: Call) -> Answer {
+    async fn answer(&self, call: Request) -> Response {
         let dead = self.process.dead().clone();
         let future = (self.respond)(call);
         let task = tokio::spawn(async move { dead.run_until_cancelled(future).await });
         match task.await {
             Ok(Some(answer)) => answer,
-            Ok(None) | Err(_) => Answer::Close,
+            Ok(None) | Err(_) => Response::Close,
         }
     }
 }
@@ -373,9 +373,9 @@
 impl Handler for Door {
     async fn handle(
         &self,
-        request: &mut Request,
+        request: &mut HttpRequest,
         _depot: &mut Depot,
-        response: &mut Response,
+        response: &mut HttpResponse,
         control: &mut FlowCtrl,
     ) {
         let answer = match self.call(request).await {
@@ -383,7 +383,7 @@
             Err(answer) => answer,
         };
         match answer {
-            Answer::Whole {
+            Response::Whole {
                 status,
                 kind,
                 body,
@@ -401,13 +401,13 @@
                 // An empty body would be replaced by an error page of the library.
                 response.body(body);
             }
-            Answer::Lines(lines) => {
+            Response::Lines(lines) => {
                 let kind = HeaderValue::from_static("application/x-ndjson");
                 response.status_code(StatusCode::OK);
                 response.headers_mut().insert(CONTENT_TYPE, kind);
                 response.stream(lines);
             }
-            Answer::Stream {
+            Response::Stream {
                 status,
                 headers,
                 body,
@@ -417,11 +417,11 @@
                 response.headers_mut().extend(headers);
                 response.stream(body);
             }
-            Answer::Close => {
+            Response::Close => {
                 control.conn().abort();
                 std::future::pending::<()>().await;
             }
-            Answer::Never => std::future::pending::<()>().await,
+            Response::Hang => std::future::pending::<()>().await,
         }
     }
 }
--- a/components/fakes/src/service.rs
+++ b/components/fakes/src/service.rs
@@ -27,9 +27,9 @@
 
 use crate::server::{
     self,
-    Answer,
-    Call as Handover,
     Process,
+    Request,
+    Response,
     lock, //
 };
 
@@ -227,7 +227,7 @@
         }
     }
 
-    fn note(&self, call: &Handover) {
+    fn note(&self, call: &Request) {
         lock(&self.state).calls.push(Call {
             method: call.method.clone(),
             path: call.path.clone(),
@@ -237,22 +237,22 @@
     }
 
     /// Dies or fails, if a fault says so for this call.
-    fn strike(&self, call: &Handover) -> Option<Answer> {
+    fn strike(&self, call: &Request) -> Option<Response> {
         let mut state = lock(&self.state);
         let crash = state.fault.crash_on.clone();
         if crash.is_some_and(|text| holds(&call.body, &text)) {
             drop(state);
             self.process.die();
-            return Some(Answer::Never);
+            return Some(Response::Hang);
         }
         let share = state.fault.fail_share?;
         if state.rng.random_bool(share.clamp(0.0, 1.0)) {
-            return Some(Answer::error(500, "the call failed"));
+            return Some(Response::error(500, "the call failed"));
         }
         None
     }
 
-    fn deposit(&self, call: &Handover) -> Answer {
+    fn deposit(&self, call: &Request) -> Response {
         let deposit: Deposit = match call.json() {
             Ok(deposit) => deposit,
             Err(answer) => return answer,
@@ -261,7 +261,7 @@
         if state.fault.die_before_take {
             drop(state);
             self.process.die();
-            return Answer::Never;
+            return Response::Hang;
         }
         let key = call.header("idempotency-key");
         if let Some(answer) = state.repeat(key.as_deref()) {
@@ -282,15 +282,15 @@
         if state.fault.die_after_take {
             drop(state);
             self.process.die();
-            return Answer::Never;
+            return Response::Hang;
         }
-        Answer::bytes(201, "application/json", body)
+        Response::bytes(201, "application/json", body)
     }
 
-    fn account(&self, name: &str) -> Answer {
+    fn account(&self, name: &str) -> Response {
         let state = lock(&self.state);
         let account = state.accounts.get(name).cloned().unwrap_or_default();
-        Answer::json(
+        Response::json(
             200,
             &serde_json::json!({
                 "account": name, "balance": account.balance, "deposits": account.deposits,
@@ -298,7 +298,7 @@
         )
     }
 
-    fn status(&self, id: &str, write: bool) -> Answer {
+    fn status(&self, id: &str, write: bool) -> Response {
         let mut state = lock(&self.state);
         let status = state.statuses.entry(id.to_string()).or_default();
         if write {
@@ -306,7 +306,7 @@
         } else {
             status.reads += 1;
         }
-        Answer::json(
+        Response::json(
             200,
             &serde_json::json!({ "id": id, "reads": status.reads, "version": status.version }),
         )
@@ -315,12 +315,12 @@
 
 impl Inner {
     /// The first answer to this key, when the service drops repeats.
-    fn repeat(&self, key: Option<&str>) -> Option<Answer> {
+    fn repeat(&self, key: Option<&str>) -> Option<Response> {
         if !self.fault.drop_repeats {
             return None;
         }
         let (status, body) = self.answers.get(key?)?;
-        Some(Answer::bytes(*status, "application/json", body.clone()))
+        Some(Response::bytes(*status, "application/json", body.clone()))
     }
 }
 
@@ -328,29 +328,29 @@
     String::from_utf8_lossy(body).contains(text)
 }
 
-async fn answer(core: Arc<Core>, call: Handover) -> Answer {
+async fn answer(core: Arc<Core>, call: Request) -> Response {
     match (call.method.as_str(), call.path.as_str()) {
         // What steers the stand-in works also while it is paused or silent.
         ("POST", "/fault") => {
             return match call.json::<Fault>() {
                 Ok(fault) => {
                     core.fault(&fault);
-                    Answer::json(200, &serde_json::json!({}))
+                    Response::json(200, &serde_json::json!({}))
                 }
                 Err(answer) => answer,
             };
         }
-        ("GET", "/calls") => return Answer::json(200, &lock(&core.state).calls),
-        _ => core.process.pass(call.connection).await,
+        ("GET", "/calls") => return Response::json(200, &lock(&core.state).calls),
+        _ => core.process.wait_responsive(call.connection).await,
     }
     if (call.method.as_str(), call.path.as_str()) == ("GET", "/health") {
-        return Answer::json(200, &serde_json::json!({ "ok": true }));
+        return Response::json(200, &serde_json::json!({ "ok": true }));
     }
     core.note(&call);
     let slow = lock(&core.state).fault.slow_ms;
     if let Some(slow) = slow {
         sleep(Duration::from_millis(slow)).await;
-        core.process.pass(call.connection).await;
+        core.process.wait_responsive(call.connection).await;
     }
     if let Some(answer) = core.strike(&call) {
         return answer;
@@ -361,13 +361,13 @@
             Some(("/status/", id)) => core.status(id, false),
             _ => match path.strip_prefix("/accounts/") {
                 Some(name) => core.account(name),
-                None => Answer::error(404, "no such call"),
+                None => Response::error(404, "no such call"),
             },
         },
         ("POST", path) => match path.strip_prefix("/status/") {
             Some(id) => core.status(id, true),
-            None => Answer::error(404, "no such call"),
+            None => Response::error(404, "no such call"),
         },
-        _ => Answer::error(404, "no such call"),
+        _ => Response::error(404, "no such call"),
     }
 }
