--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -60,7 +60,7 @@
     /// Host list at the start.
     pub hosts: Vec<Host>,
     /// Changes that watches can go back to.
-    pub kept: usize,
+    pub retained_changes: usize,
     /// Ends the operating system's process on death. For the program only.
     pub exit: bool,
 }
@@ -70,7 +70,7 @@
         Settings {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             hosts: Vec::new(),
-            kept: 10_000,
+            retained_changes: 10_000,
             exit: false,
         }
     }
@@ -154,7 +154,7 @@
                 reads: bucket::Bucket::default(),
                 writes: bucket::Bucket::default(),
                 weights: bucket::Bucket::default(),
-                store: Store::new(settings.kept),
+                store: Store::new(settings.retained_changes),
                 hosts: hosts::List::new(settings.hosts),
             }),
         });
--- a/components/fakes/src/store.rs
+++ b/components/fakes/src/store.rs
@@ -50,25 +50,25 @@
 
 /// Keys with revisions, leases, and a log of bounded length.
 pub struct Store {
-    kept: usize,
+    retained_changes: usize,
     revision: u64,
     entries: BTreeMap<String, Entry>,
     log: VecDeque<Event>,
     /// Highest revision that is no longer in the log.
-    forgotten: u64,
+    compacted: u64,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
 }
 
 impl Store {
     /// An empty store that keeps a number of changes.
-    pub fn new(kept: usize) -> Store {
+    pub fn new(retained_changes: usize) -> Store {
         Store {
-            kept,
+            retained_changes,
             revision: 0,
             entries: BTreeMap::new(),
             log: VecDeque::new(),
-            forgotten: 0,
+            compacted: 0,
             leases: BTreeMap::new(),
             last_lease: 0,
         }
@@ -164,23 +164,23 @@
             value: value.map(str::to_string),
             revision: self.revision,
         });
-        while self.log.len() > self.kept {
+        while self.log.len() > self.retained_changes {
             if let Some(event) = self.log.pop_front() {
-                self.forgotten = event.revision;
+                self.compacted = event.revision;
             }
         }
         self.revision
     }
 
     /// Forgets all changes so far.
-    pub fn forget(&mut self) {
+    pub fn compact(&mut self) {
         self.log.clear();
-        self.forgotten = self.revision;
+        self.compacted = self.revision;
     }
 
     /// Changes under the prefix after a revision; `None` when they are no longer kept.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<Event>> {
-        if after < self.forgotten {
+        if after < self.compacted {
             return None;
         }
         let mut events = Vec::new();
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -128,7 +128,7 @@
 #[tokio::test]
 async fn forgotten_history_is_unknown() {
     let platform = Platform::start(Settings {
-        kept: 1,
+        retained_changes: 1,
         ..Settings::default()
     });
     let platform = platform.await.expect("loopback can be bound");
--- a/components/store/tests/store.rs
+++ b/components/store/tests/store.rs
@@ -139,7 +139,7 @@
 #[tokio::test]
 async fn watch_from_too_far_back_is_compacted() {
     let platform = start(Settings {
-        kept: 2,
+        retained_changes: 2,
         ..Settings::default()
     })
     .await;
