--- a/components/fakes/src/engine.rs
+++ b/components/fakes/src/engine.rs
@@ -71,21 +71,21 @@
     /// Runs at full speed.
     pub capacity: u32,
     /// Runs at which new ones are refused with 429; `None` is four times `capacity`.
-    pub full: Option<u32>,
+    pub max_runs: Option<u32>,
     /// Time to the first token of a prompt of up to a thousand tokens.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Time between tokens.
-    pub between: Duration,
+    pub token_interval: Duration,
     /// How late load readings and cache events are.
-    pub lag: Duration,
+    pub report_lag: Duration,
     /// How long loading a version takes.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Prompts that the prefix cache holds.
-    pub cache: usize,
+    pub cached_prompts: usize,
     /// Seed of the draws for shares of runs that fail.
     pub seed: u64,
     /// Ends the operating system's process on death. For the program only.
-    pub exit: bool,
+    pub exit_on_death: bool,
 }
 
 impl Default for Settings {
@@ -95,14 +95,14 @@
             model: "m".to_string(),
             version: "v1".to_string(),
             capacity: 32,
-            full: None,
-            first: Duration::from_millis(20),
-            between: Duration::from_millis(5),
-            lag: Duration::from_millis(100),
-            load: Duration::ZERO,
-            cache: 64,
+            max_runs: None,
+            first_token: Duration::from_millis(20),
+            token_interval: Duration::from_millis(5),
+            report_lag: Duration::from_millis(100),
+            load_time: Duration::ZERO,
+            cached_prompts: 64,
             seed: 1,
-            exit: false,
+            exit_on_death: false,
         }
     }
 }
@@ -120,7 +120,7 @@
     ///
     /// Gives the error of binding the address.
     pub async fn start(settings: Settings) -> io::Result<Engine> {
-        let process = Process::new(settings.exit);
+        let process = Process::new(settings.exit_on_death);
         let address = settings.address;
         let core = Arc::new(Core::new(settings, Arc::clone(&process)));
         let answering = Arc::clone(&core);
@@ -206,7 +206,7 @@
             runs: Vec::new(),
             running: BTreeMap::new(),
             cancels: BTreeMap::new(),
-            cache: cache::Cache::new(settings.cache),
+            cache: cache::Cache::new(settings.cached_prompts),
             orders: order::Orders::new(&settings.version),
             load: VecDeque::from([(Instant::now(), 0)]),
             rng: StdRng::seed_from_u64(settings.seed),
@@ -218,9 +218,9 @@
         }
     }
 
-    fn full(&self) -> usize {
-        let full = self.settings.full;
-        full.unwrap_or(4 * self.settings.capacity) as usize
+    fn max_runs(&self) -> usize {
+        let max_runs = self.settings.max_runs;
+        max_runs.unwrap_or(4 * self.settings.capacity) as usize
     }
 
     fn fault(&self, fault: &Fault) {
@@ -248,7 +248,7 @@
     fn load(&self) -> Load {
         let mut state = lock(&self.state);
         let now = Instant::now();
-        let lag = self.settings.lag;
+        let lag = self.settings.report_lag;
         // The reading is the last one that is old enough; those before it are of no use.
         while state.load.len() > 1 && now.duration_since(state.load[1].0) >= lag {
             state.load.pop_front();
@@ -277,7 +277,7 @@
     fn order(&self, order: &order::Order) -> Response {
         let mut state = lock(&self.state);
         let ignore = state.faults.now.ignore_fence;
-        let ready = Instant::now() + self.settings.load;
+        let ready = Instant::now() + self.settings.load_time;
         match state
             .orders
             .take(order, ignore, &self.settings.model, ready)
@@ -340,7 +340,7 @@
         ("GET", "/load") => Response::json(200, &core.load()),
         ("GET", "/cache-events") => match call.number("after") {
             Ok(after) => {
-                let lag = core.settings.lag;
+                let lag = core.settings.report_lag;
                 let events = lock(&core.state).cache.events(after.unwrap_or(0), lag);
                 Response::json(200, &serde_json::json!({ "events": events }))
             }
--- a/components/fakes/src/engine/run.rs
+++ b/components/fakes/src/engine/run.rs
@@ -180,7 +180,7 @@
     connection: Connection,
 ) -> Result<(Place, Plan), Response> {
     let mut state = lock(&core.state);
-    if state.running.len() >= core.full() {
+    if state.running.len() >= core.max_runs() {
         return Err(Response::busy(1));
     }
     let number = state.runs.len();
@@ -285,12 +285,12 @@
         let load = (f64::from(ahead) / f64::from(settings.capacity.max(1))).max(1.0);
         let slow = state.faults.now.slow.unwrap_or_default();
         if !first {
-            return settings.between.mul_f64(load) + Duration::from_millis(slow.between_ms);
+            return settings.token_interval.mul_f64(load) + Duration::from_millis(slow.between_ms);
         }
         let continued = plan.ask.continue_from.len() as u64;
         let unread = plan.prompt_tokens.saturating_sub(plan.cached_tokens) + continued;
         let size = (unread as f64 / 1000.0).max(1.0);
-        settings.first.mul_f64(size * load) + Duration::from_millis(slow.first_ms)
+        settings.first_token.mul_f64(size * load) + Duration::from_millis(slow.first_ms)
     }
 
     /// Waits for the time and while the process is paused; `None` when the run was cancelled.
--- a/components/fakes/src/main.rs
+++ b/components/fakes/src/main.rs
@@ -110,11 +110,11 @@
                 address: args.address,
                 model: args.model,
                 version: args.version,
-                first: args.first,
-                between: args.between,
+                first_token: args.first,
+                token_interval: args.between,
                 capacity: args.capacity,
-                load: args.load,
-                exit: true,
+                load_time: args.load,
+                exit_on_death: true,
                 ..engine::Settings::default()
             })
             .await?;
@@ -123,7 +123,7 @@
         What::Service(args) => {
             let service = service::Service::start(service::Settings {
                 address: args.address,
-                exit: true,
+                exit_on_death: true,
                 ..service::Settings::default()
             })
             .await?;
@@ -137,7 +137,7 @@
             let platform = platform::Platform::start(platform::Settings {
                 address: args.address,
                 hosts,
-                exit: true,
+                exit_on_death: true,
                 ..platform::Settings::default()
             })
             .await?;
--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -62,7 +62,7 @@
     /// Changes that watches can go back to.
     pub retained_changes: usize,
     /// Ends the operating system's process on death. For the program only.
-    pub exit: bool,
+    pub exit_on_death: bool,
 }
 
 impl Default for Settings {
@@ -71,7 +71,7 @@
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             hosts: Vec::new(),
             retained_changes: 10_000,
-            exit: false,
+            exit_on_death: false,
         }
     }
 }
@@ -141,7 +141,7 @@
     ///
     /// Gives the error of binding the address.
     pub async fn start(settings: Settings) -> io::Result<Platform> {
-        let process = Process::new(settings.exit);
+        let process = Process::new(settings.exit_on_death);
         let (changed, _) = watch::channel(0);
         let core = Arc::new(Core {
             process: Arc::clone(&process),
--- a/components/fakes/src/service.rs
+++ b/components/fakes/src/service.rs
@@ -41,7 +41,7 @@
     /// Seed of the draws for shares of calls that fail.
     pub seed: u64,
     /// Ends the operating system's process on death. For the program only.
-    pub exit: bool,
+    pub exit_on_death: bool,
 }
 
 impl Default for Settings {
@@ -49,7 +49,7 @@
         Settings {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             seed: 1,
-            exit: false,
+            exit_on_death: false,
         }
     }
 }
@@ -108,7 +108,7 @@
     ///
     /// Gives the error of binding the address.
     pub async fn start(settings: Settings) -> io::Result<Service> {
-        let process = Process::new(settings.exit);
+        let process = Process::new(settings.exit_on_death);
         let core = Arc::new(Core {
             process: Arc::clone(&process),
             state: Mutex::new(Inner {
--- a/components/fakes/tests/engine.rs
+++ b/components/fakes/tests/engine.rs
@@ -56,9 +56,9 @@
 
 fn quick() -> Settings {
     Settings {
-        first: Duration::from_millis(1),
-        between: Duration::from_millis(1),
-        lag: Duration::ZERO,
+        first_token: Duration::from_millis(1),
+        token_interval: Duration::from_millis(1),
+        report_lag: Duration::ZERO,
         ..Settings::default()
     }
 }
@@ -277,7 +277,7 @@
 #[tokio::test]
 async fn silence_holds_open_connections() {
     let engine = engine(Settings {
-        between: Duration::from_millis(5),
+        token_interval: Duration::from_millis(5),
         ..quick()
     })
     .await;
@@ -379,7 +379,7 @@
 #[tokio::test]
 async fn full_engine_refuses_with_a_time() {
     let engine = engine(Settings {
-        full: Some(1),
+        max_runs: Some(1),
         ..quick()
     })
     .await;
@@ -408,7 +408,7 @@
 #[tokio::test]
 async fn load_lags() {
     let engine = engine(Settings {
-        lag: Duration::from_secs(3600),
+        report_lag: Duration::from_secs(3600),
         ..quick()
     })
     .await;
@@ -421,7 +421,7 @@
 #[tokio::test]
 async fn cache_events_have_gaps_and_cached_prompts_count() {
     let engine = engine(Settings {
-        cache: 4,
+        cached_prompts: 4,
         ..quick()
     })
     .await;
@@ -477,7 +477,7 @@
 #[tokio::test]
 async fn version_that_loads_answers_503() {
     let engine = engine(Settings {
-        load: Duration::from_secs(3600),
+        load_time: Duration::from_secs(3600),
         ..quick()
     })
     .await;
--- a/components/measure/src/calls/desk.rs
+++ b/components/measure/src/calls/desk.rs
@@ -59,15 +59,17 @@
             let started = trial.entry(name, "dc1").await;
             started.expect("an entry starts");
         }
-        let revision = trial.put(0, "production", DOCUMENT).await;
-        let ready = trial.ready(revision.expect("the document is taken")).await;
+        let revision = trial.put_document(0, "production", DOCUMENT).await;
+        let ready = trial
+            .wait_ready(revision.expect("the document is taken"))
+            .await;
         ready.expect("the trial gets ready");
         Self(trial)
     }
 
     /// Sends a deposit.
     pub(super) fn send(&self, entry: usize, key: Option<&str>) -> JoinHandle<Told> {
-        let address = format!("{}/svc/ledger/deposits", self.0.callers(entry));
+        let address = format!("{}/svc/ledger/deposits", self.0.callers_url(entry));
         let body = json!({"account": "a", "amount": 5}).to_string();
         let mut request = self.0.client.post(address).body(body);
         if let Some(key) = key {
--- a/components/measure/src/load.rs
+++ b/components/measure/src/load.rs
@@ -112,8 +112,8 @@
     for number in 0..engines {
         let settings = Settings {
             capacity: CAPACITY,
-            first: FIRST,
-            between: BETWEEN,
+            first_token: FIRST,
+            token_interval: BETWEEN,
             ..Settings::default()
         };
         trial
@@ -123,8 +123,8 @@
     for name in ["entry-a", "entry-b"] {
         trial.entry(name, "dc1").await?;
     }
-    let revision = trial.put(0, "production", DOCUMENT).await?;
-    trial.ready(revision).await?;
+    let revision = trial.put_document(0, "production", DOCUMENT).await?;
+    trial.wait_ready(revision).await?;
     Ok(trial)
 }
 
@@ -136,7 +136,7 @@
     let mut tasks = JoinSet::new();
     for number in 0..count {
         sleep_until(begun + Duration::from_secs_f64(number as f64 / rate)).await;
-        let address = format!("{}/v1/completions", trial.callers(number % 2));
+        let address = format!("{}/v1/completions", trial.callers_url(number % 2));
         let client = trial.client.clone();
         tasks.spawn(async move { ask(&client, &address, number).await });
     }
@@ -191,7 +191,7 @@
     while let Ok(Some(event)) = stream.next().await {
         whole = whole || event.finish().is_some();
         if event.token().is_some() {
-            arrivals.extend(event.at);
+            arrivals.extend(event.received_at);
         }
     }
     match (whole, arrivals.first(), arrivals.last()) {
--- a/components/measure/src/tokens.rs
+++ b/components/measure/src/tokens.rs
@@ -96,11 +96,11 @@
     took: Duration,
 }
 
-async fn one(streams: usize, tokens: u64, between: Duration) -> io::Result<Vec<String>> {
+async fn one(streams: usize, tokens: u64, token_interval: Duration) -> io::Result<Vec<String>> {
     let bench = Bench::new()?;
     let platform = Platform::start(platform::Settings::default()).await?;
     let engine = Engine::start(engine::Settings {
-        between,
+        token_interval,
         capacity: streams as u32 * 2,
         ..engine::Settings::default()
     })
@@ -242,7 +242,7 @@
     let mut stream = Stream::new(response);
     while let Some(event) = stream.next().await.map_err(io::Error::other)? {
         if event.token().is_some() {
-            arrivals.extend(event.at);
+            arrivals.extend(event.received_at);
         }
     }
     Ok(arrivals)
--- a/components/trial/src/lib.rs
+++ b/components/trial/src/lib.rs
@@ -29,5 +29,5 @@
     Refused(String),
     /// Something didn't come about in time.
     #[error("not in time: {0}")]
-    Late(String),
+    Timeout(String),
 }
--- a/components/trial/src/stream.rs
+++ b/components/trial/src/stream.rs
@@ -23,7 +23,7 @@
     /// Its `data:`.
     pub data: String,
     /// When it came.
-    pub at: Option<Instant>,
+    pub received_at: Option<Instant>,
 }
 
 /// A streamed answer as its caller sees it.
@@ -54,7 +54,7 @@
             }
             let chunk = timeout(LIMIT, self.response.chunk())
                 .await
-                .map_err(|_| Error::Late("an event of the answer".into()))??;
+                .map_err(|_| Error::Timeout("an event of the answer".into()))??;
             let Some(chunk) = chunk else {
                 return Ok(None);
             };
@@ -83,7 +83,7 @@
 
 fn parse(block: &str) -> Event {
     let mut event = Event {
-        at: Some(Instant::now()),
+        received_at: Some(Instant::now()),
         ..Event::default()
     };
     for line in block.lines() {
--- a/components/trial/src/trial.rs
+++ b/components/trial/src/trial.rs
@@ -109,14 +109,14 @@
     }
 
     /// Address of a sidecar's links.
-    pub fn links(&self, sidecar: usize) -> SocketAddr {
+    pub fn link_address(&self, sidecar: usize) -> SocketAddr {
         let daemon = self.sidecars[sidecar].daemon.as_ref();
         daemon.map_or_else(any, |daemon| daemon.links)
     }
 
     /// Lists a sidecar under another address, of something that stands before it.
-    pub fn move_to(&mut self, sidecar: usize, address: SocketAddr) {
-        let links = self.links(sidecar);
+    pub fn set_sidecar_address(&mut self, sidecar: usize, address: SocketAddr) {
+        let links = self.link_address(sidecar);
         for host in &mut self.hosts {
             if host.address == links {
                 host.address = address;
@@ -181,13 +181,13 @@
     }
 
     /// Address of a host's links, as the platform's list has it.
-    pub fn address(&self, name: &str) -> Option<SocketAddr> {
+    pub fn host_address(&self, name: &str) -> Option<SocketAddr> {
         let host = self.hosts.iter().find(|host| host.name == name);
         host.map(|host| host.address)
     }
 
     /// Makes the platform's list give another address for a host, such as that of a relay.
-    pub fn readdress(&mut self, name: &str, address: SocketAddr) {
+    pub fn set_host_address(&mut self, name: &str, address: SocketAddr) {
         for host in &mut self.hosts {
             if host.name == name {
                 host.address = address;
@@ -197,7 +197,7 @@
     }
 
     /// Callers' base address of an entry.
-    pub fn callers(&self, entry: usize) -> String {
+    pub fn callers_url(&self, entry: usize) -> String {
         let daemon = self.entries[entry].daemon.as_ref();
         daemon
             .map(|daemon| format!("http://{}", daemon.callers))
@@ -205,7 +205,7 @@
     }
 
     /// Operators' base address of an entry.
-    pub fn operators(&self, entry: usize) -> String {
+    pub fn operators_url(&self, entry: usize) -> String {
         let daemon = self.entries[entry].daemon.as_ref();
         daemon
             .map(|daemon| format!("http://{}", daemon.operators))
@@ -213,8 +213,13 @@
     }
 
     /// Puts a document through an entry.
-    pub async fn put(&self, entry: usize, environment: &str, text: &str) -> Result<u64, Error> {
-        let address = format!("{}/environments/{environment}", self.operators(entry));
+    pub async fn put_document(
+        &self,
+        entry: usize,
+        environment: &str,
+        text: &str,
+    ) -> Result<u64, Error> {
+        let address = format!("{}/environments/{environment}", self.operators_url(entry));
         let answer = self
             .client
             .put(address)
@@ -231,12 +236,12 @@
 
     /// An entry's status.
     pub async fn status(&self, entry: usize) -> Result<Value, Error> {
-        let address = format!("{}/status", self.operators(entry));
+        let address = format!("{}/status", self.operators_url(entry));
         Ok(self.client.get(address).send().await?.json().await?)
     }
 
     /// Waits until every entry holds a revision and has a link to every backend server.
-    pub async fn ready(&self, revision: u64) -> Result<(), Error> {
+    pub async fn wait_ready(&self, revision: u64) -> Result<(), Error> {
         for entry in 0..self.entries.len() {
             let begun = Instant::now();
             loop {
@@ -245,7 +250,7 @@
                     break;
                 }
                 if begun.elapsed() > LIMIT {
-                    return Err(Error::Late(format!("entry {entry}: {status}")));
+                    return Err(Error::Timeout(format!("entry {entry}: {status}")));
                 }
                 sleep(PACE).await;
             }
--- a/components/trial/tests/answers.rs
+++ b/components/trial/tests/answers.rs
@@ -171,7 +171,7 @@
     assert_eq!(letter.tokens, text);
     assert_eq!(letter.error, None);
     // Operators see it as one answer, whose tokens another engine had to read in once more.
-    let address = format!("{}/reports/resumes?format=json", trial.operators(0));
+    let address = format!("{}/reports/resumes?format=json", trial.operators_url(0));
     let report = trial.client.get(address).send().await.expect("a report");
     let rows: serde_json::Value = report.json().await.expect("JSON");
     assert_eq!(rows[0]["answers"], 1, "{rows}");
@@ -241,14 +241,17 @@
 #[tokio::test]
 async fn a_silent_link_is_read_anew(#[case] cut: Cut) {
     let mut trial = desk(0, 1, DOCUMENT).await;
-    let relay = Relay::start(trial.links(0)).await;
-    trial.move_to(0, relay.address);
+    let relay = Relay::start(trial.link_address(0)).await;
+    trial.set_sidecar_address(0, relay.address);
     // Heartbeats alone would tell only after this time.
     let mut settings = entry_settings("entry-0", "dc1", trial.platform.address());
     settings.times.silence = Duration::from_secs(20);
     trial.entry_with(settings).await.expect("an entry");
-    let revision = trial.put(0, "production", DOCUMENT).await.expect("put");
-    trial.ready(revision).await.expect("ready");
+    let revision = trial
+        .put_document(0, "production", DOCUMENT)
+        .await
+        .expect("put");
+    trial.wait_ready(revision).await.expect("ready");
     let (seed, text) = whole_letter(1);
     let mut letter = Letter::open(request(&trial, 0, seed, None)).await;
     letter.read(8).await;
@@ -362,7 +365,7 @@
 async fn nothing_runs_for_nobody(#[case] key: Option<&str>, #[case] grace: Duration) {
     let mut trial = Trial::start().await.expect("a platform");
     let slow = fakes::engine::Settings {
-        between: Duration::from_millis(200),
+        token_interval: Duration::from_millis(200),
         ..fakes::engine::Settings::default()
     };
     trial
@@ -370,8 +373,11 @@
         .await
         .expect("an engine");
     trial.entry("entry-0", "dc1").await.expect("an entry");
-    let revision = trial.put(0, "production", DOCUMENT).await.expect("put");
-    trial.ready(revision).await.expect("ready");
+    let revision = trial
+        .put_document(0, "production", DOCUMENT)
+        .await
+        .expect("put");
+    trial.wait_ready(revision).await.expect("ready");
     let (seed, _) = whole_letter(1);
     let mut letter = Letter::open(request(&trial, 0, seed, key)).await;
     letter.read(2).await;
@@ -389,7 +395,7 @@
 async fn a_letter_may_be_longer_than_its_log() {
     let mut trial = Trial::start().await.expect("a platform");
     let quick = fakes::engine::Settings {
-        between: Duration::from_millis(2),
+        token_interval: Duration::from_millis(2),
         ..fakes::engine::Settings::default()
     };
     trial
@@ -397,8 +403,11 @@
         .await
         .expect("an engine");
     trial.entry("entry-0", "dc1").await.expect("an entry");
-    let revision = trial.put(0, "production", DOCUMENT).await.expect("put");
-    trial.ready(revision).await.expect("ready");
+    let revision = trial
+        .put_document(0, "production", DOCUMENT)
+        .await
+        .expect("put");
+    trial.wait_ready(revision).await.expect("ready");
     let (seed, text) = whole_letter(1);
     let mut letter = Letter::open(request(&trial, 0, seed, None)).await;
     letter.rest().await;
--- a/components/trial/tests/callers.rs
+++ b/components/trial/tests/callers.rs
@@ -48,7 +48,7 @@
 #[tokio::test]
 async fn a_bad_body_is_refused_by_the_name_of_its_field(#[case] name: &str, #[case] body: &str) {
     let trial = system(1).await;
-    let address = format!("{}/v1/completions", trial.callers(0));
+    let address = format!("{}/v1/completions", trial.callers_url(0));
     let response = trial
         .client
         .post(address)
@@ -62,7 +62,7 @@
 #[tokio::test]
 async fn paths_headers_and_sizes_are_refused_by_name() {
     let trial = system(1).await;
-    let base = trial.callers(0);
+    let base = trial.callers_url(0);
     let post = |path: &str, body: String| trial.client.post(format!("{base}{path}")).body(body);
     let good = "{\"model\":\"m\",\"prompt\":\"p\",\"max_tokens\":2}";
 
@@ -95,7 +95,7 @@
 async fn a_streamed_answer_is_whole_and_its_ids_count_its_tokens() {
     let trial = system(1).await;
     let body = json!({"model": "m", "prompt": "p", "max_tokens": 12, "seed": 3, "stream": true});
-    let address = format!("{}/v1/completions", trial.callers(0));
+    let address = format!("{}/v1/completions", trial.callers_url(0));
     let response = trial
         .client
         .post(address)
@@ -129,7 +129,7 @@
         "model": "m", "max_tokens": 5, "seed": 3,
         "messages": [{"role": "user", "content": "When is my turn?"}],
     });
-    let address = format!("{}/v1/chat/completions", trial.callers(0));
+    let address = format!("{}/v1/chat/completions", trial.callers_url(0));
     let response = trial
         .client
         .post(address)
@@ -150,7 +150,7 @@
 #[tokio::test]
 async fn without_a_replica_the_refusal_comes_at_once_with_a_time_to_come_back() {
     let trial = system(0).await;
-    let address = format!("{}/v1/completions", trial.callers(0));
+    let address = format!("{}/v1/completions", trial.callers_url(0));
     let body = json!({"model": "m", "prompt": "p", "stream": true});
     let begun = Instant::now();
     let response = trial
--- a/components/trial/tests/calls_service.rs
+++ b/components/trial/tests/calls_service.rs
@@ -135,7 +135,7 @@
 async fn teams_share_no_keys() {
     let desk = Desk::open(1).await;
     for team in ["one", "other"] {
-        let address = format!("{}/svc/ledger/deposits", desk.0.callers(0));
+        let address = format!("{}/svc/ledger/deposits", desk.0.callers_url(0));
         let request = desk.0.client.post(address).header("idempotency-key", "k");
         let request = request.header("x-medlarhatch-team", team);
         let answer = request.body(r#"{"account":"a","amount":5}"#).send().await;
--- a/components/trial/tests/desk/mod.rs
+++ b/components/trial/tests/desk/mod.rs
@@ -118,8 +118,8 @@
             settings.times.call = times.entry;
             trial.entry_with(settings).await.unwrap();
         }
-        let revision = trial.put(0, "production", DOCUMENT).await.unwrap();
-        trial.ready(revision).await.unwrap();
+        let revision = trial.put_document(0, "production", DOCUMENT).await.unwrap();
+        trial.wait_ready(revision).await.unwrap();
         Self(trial)
     }
 
@@ -130,7 +130,7 @@
         key: Option<&str>,
         amount: i64,
     ) -> tokio::task::JoinHandle<Told> {
-        let address = format!("{}/svc/ledger/deposits", self.0.callers(entry));
+        let address = format!("{}/svc/ledger/deposits", self.0.callers_url(entry));
         let body = json!({"account": "a", "amount": amount}).to_string();
         let mut request = self.0.client.post(address).body(body);
         if let Some(key) = key {
@@ -154,7 +154,7 @@
     }
 
     pub async fn ask(&self, entry: usize, path: &str) -> Value {
-        let address = format!("{}{path}", self.0.callers(entry));
+        let address = format!("{}{path}", self.0.callers_url(entry));
         let answer = self.0.client.get(address).send().await.unwrap();
         answer.json().await.unwrap()
     }
--- a/components/trial/tests/documents.rs
+++ b/components/trial/tests/documents.rs
@@ -52,7 +52,9 @@
             trial.entry(&name, &data_centre).await.expect("an entry");
         }
     }
-    let revision = trial.put(0, "production", &document("production", 1)).await;
+    let revision = trial
+        .put_document(0, "production", &document("production", 1))
+        .await;
     let revision = revision.expect("the first document is accepted");
     holds(&trial, revision).await;
     (trial, revision)
@@ -82,20 +84,23 @@
 
 /// Puts with a query; gives the status and the body.
 async fn put(trial: &Trial, entry: usize, query: &str, text: String) -> (StatusCode, Value) {
-    let address = format!("{}/environments/production?{query}", trial.operators(entry));
+    let address = format!(
+        "{}/environments/production?{query}",
+        trial.operators_url(entry)
+    );
     read(trial.client.put(address).body(text).send().await).await
 }
 
 async fn promote(trial: &Trial, query: &str) -> (StatusCode, Value) {
     let address = format!(
         "{}/environments/production/promote?{query}",
-        trial.operators(0)
+        trial.operators_url(0)
     );
     read(trial.client.request(Method::POST, address).send().await).await
 }
 
 async fn get(trial: &Trial, path: &str) -> (StatusCode, Value) {
-    let address = format!("{}/environments/{path}", trial.operators(0));
+    let address = format!("{}/environments/{path}", trial.operators_url(0));
     read(trial.client.get(address).send().await).await
 }
 
@@ -136,7 +141,9 @@
 #[tokio::test]
 async fn a_document_reaches_all_entries_and_two_a_data_centre_watch() {
     let (trial, _) = system(2, 3).await;
-    let revision = trial.put(4, "production", &document("production", 2)).await;
+    let revision = trial
+        .put_document(4, "production", &document("production", 2))
+        .await;
     holds(&trial, revision.expect("accepted")).await;
     let begun = Instant::now();
     while trial.platform.counts().watching != 4 {
@@ -223,7 +230,7 @@
         let query = format!("base={base}&edit=e{number}&operator=o{number}");
         let address = format!(
             "{}/environments/production?{query}",
-            trial.operators(number % 2)
+            trial.operators_url(number % 2)
         );
         let request = trial.client.put(address).body(document("production", 10));
         tokio::spawn(async move { read(request.send().await).await.0 })
@@ -271,7 +278,7 @@
 async fn a_trial_is_promoted_only_as_it_was_tried() {
     let (trial, base) = system(1, 1).await;
     let tried = trial
-        .put(0, "trial", &document("trial", 7))
+        .put_document(0, "trial", &document("trial", 7))
         .await
         .expect("a trial");
     let (_, kept) = get(&trial, "trial").await;
@@ -291,7 +298,7 @@
     assert_eq!(kept["text"], document("production", 7));
     assert_eq!(kept["edit"]["trial"]["revision"].as_u64(), Some(tried));
     trial
-        .put(0, "trial", &document("trial", 8))
+        .put_document(0, "trial", &document("trial", 8))
         .await
         .expect("a changed trial");
     let (status, body) = promote(&trial, &pin("p2", promoted, digest)).await;
@@ -309,7 +316,9 @@
 #[tokio::test]
 async fn an_entry_started_in_an_outage_takes_its_neighbours_document() {
     let (mut trial, _) = system(1, 3).await;
-    let revision = trial.put(0, "production", &document("production", 2)).await;
+    let revision = trial
+        .put_document(0, "production", &document("production", 2))
+        .await;
     let revision = revision.expect("accepted");
     holds(&trial, revision).await;
     fault(&trial, outage());
@@ -326,7 +335,7 @@
     fault(&trial, outage());
     trial.entries[0].kill();
     trial.entry("entry-0-0", "dc0").await.expect("an entry");
-    let address = format!("{}/svc/ledger/x", trial.callers(1));
+    let address = format!("{}/svc/ledger/x", trial.callers_url(1));
     let answer = trial.client.get(address).send().await.expect("an answer");
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers().contains_key("retry-after"));
--- a/components/trial/tests/failing.rs
+++ b/components/trial/tests/failing.rs
@@ -34,12 +34,12 @@
         started.await.unwrap();
     }
     trial.entry("entry-a", "dc1").await.unwrap();
-    let revision = trial.put(0, "production", DOCUMENT).await.unwrap();
-    trial.ready(revision).await.unwrap();
+    let revision = trial.put_document(0, "production", DOCUMENT).await.unwrap();
+    trial.wait_ready(revision).await.unwrap();
     trial.services[0].fault(fault);
     let mut failed = 0;
     for number in 0..CALLS {
-        let address = format!("{}/svc/ledger/deposits", trial.callers(0));
+        let address = format!("{}/svc/ledger/deposits", trial.callers_url(0));
         let request = trial
             .client
             .post(address)
--- a/components/trial/tests/moves.rs
+++ b/components/trial/tests/moves.rs
@@ -65,8 +65,8 @@
         ("new-1", "v2"),
     ] {
         let settings = Settings {
-            between: Duration::from_millis(1),
-            first: Duration::from_millis(2),
+            token_interval: Duration::from_millis(1),
+            first_token: Duration::from_millis(2),
             version: version.into(),
             ..Settings::default()
         };
@@ -81,8 +81,11 @@
 async fn system() -> Trial {
     let mut trial = engines().await;
     trial.entry("entry-0", "dc1").await.expect("an entry");
-    let revision = trial.put(0, "production", &document()).await.expect("put");
-    trial.ready(revision).await.expect("ready");
+    let revision = trial
+        .put_document(0, "production", &document())
+        .await
+        .expect("put");
+    trial.wait_ready(revision).await.expect("ready");
     trial
 }
 
@@ -90,13 +93,13 @@
     let body = json!({
         "model": "m", "prompt": format!("letter {number}"), "max_tokens": 4, "seed": number,
     });
-    let address = format!("{}/v1/completions", trial.callers(0));
+    let address = format!("{}/v1/completions", trial.callers_url(0));
     let answer = trial.client.post(address).json(&body).send().await;
     let _ = answer.expect("an answer").bytes().await;
 }
 
 async fn progress(trial: &Trial, entry: usize) -> Value {
-    let address = format!("{}/reports/moves", trial.operators(entry));
+    let address = format!("{}/reports/moves", trial.operators_url(entry));
     let answer = trial.client.get(address).send().await.expect("a report");
     let moves: Value = answer.json().await.expect("JSON");
     moves[0].clone()
@@ -165,8 +168,11 @@
 async fn a_veto_reaches_the_other_entry_without_the_store() {
     let mut trial = system().await;
     trial.entry("entry-1", "dc1").await.expect("an entry");
-    let revision = trial.put(1, "production", &document()).await.expect("put");
-    trial.ready(revision).await.expect("ready");
+    let revision = trial
+        .put_document(1, "production", &document())
+        .await
+        .expect("put");
+    trial.wait_ready(revision).await.expect("ready");
     let limit = Instant::now() + LIMIT;
     while progress(&trial, 1).await["permille"] == 0 {
         assert!(Instant::now() < limit, "the second entry takes no part");
@@ -228,7 +234,7 @@
 #[tokio::test]
 async fn a_host_that_runs_late_takes_no_good_version_back() {
     let trial = system().await;
-    let operators = trial.operators(0);
+    let operators = trial.operators_url(0);
     let client = trial.client.clone();
     let stalls = tokio::spawn(async move {
         loop {
@@ -258,8 +264,11 @@
         trial.entry(entry, "dc1").await.expect("an entry");
     }
     let before = trial.platform.counts().writes;
-    let revision = trial.put(0, "production", &document()).await.expect("put");
-    trial.ready(revision).await.expect("ready");
+    let revision = trial
+        .put_document(0, "production", &document())
+        .await
+        .expect("put");
+    trial.wait_ready(revision).await.expect("ready");
     let limit = Instant::now() + LIMIT;
     for entry in 0..3 {
         while progress(&trial, entry).await["state"] != "done" {
@@ -272,7 +281,7 @@
 }
 
 async fn report(trial: &Trial, what: &str) -> String {
-    let address = format!("{}/reports/{what}", trial.operators(0));
+    let address = format!("{}/reports/{what}", trial.operators_url(0));
     let answer = trial.client.get(address).send().await.expect("a report");
     answer.text().await.expect("text")
 }
--- a/components/trial/tests/pause.rs
+++ b/components/trial/tests/pause.rs
@@ -98,8 +98,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_link_that_falls_silent(#[case] arrived: bool, #[case] run: &str) {
     let mut trial = Desk::replicas(1, &Times::default()).await;
-    let relay = Relay::start(trial.address("ledger-0").unwrap()).await;
-    trial.readdress("ledger-0", relay.address);
+    let relay = Relay::start(trial.host_address("ledger-0").unwrap()).await;
+    trial.set_host_address("ledger-0", relay.address);
     let desk = Desk::entries(trial, Times::default()).await;
     desk.services(&slow(300));
     if !arrived {
--- a/components/trial/tests/poison.rs
+++ b/components/trial/tests/poison.rs
@@ -52,7 +52,7 @@
         let mut trial = Trial::start().await.unwrap();
         for number in 0..engines {
             let settings = engine::Settings {
-                between: Duration::from_millis(40),
+                token_interval: Duration::from_millis(40),
                 ..engine::Settings::default()
             };
             let name = format!("draft-{number}");
@@ -67,8 +67,8 @@
         for name in ["entry-a", "entry-b"] {
             trial.entry(name, "dc1").await.unwrap();
         }
-        let revision = trial.put(0, "production", DOCUMENT).await.unwrap();
-        trial.ready(revision).await.unwrap();
+        let revision = trial.put_document(0, "production", DOCUMENT).await.unwrap();
+        trial.wait_ready(revision).await.unwrap();
         Self(trial)
     }
 
@@ -78,7 +78,7 @@
         prompt: &str,
         max_tokens: u64,
     ) -> JoinHandle<(StatusCode, Value)> {
-        let address = format!("{}/v1/completions", self.0.callers(entry));
+        let address = format!("{}/v1/completions", self.0.callers_url(entry));
         let body = json!({"model": "m", "prompt": prompt, "max_tokens": max_tokens, "seed": 7});
         let request = self.0.client.post(address).json(&body);
         tokio::spawn(async move {
@@ -163,7 +163,7 @@
     }
     let mut told = Vec::new();
     for send in 0..SENDS {
-        let address = format!("{}/svc/ledger/deposits", desk.0.callers(send % 2));
+        let address = format!("{}/svc/ledger/deposits", desk.0.callers_url(send % 2));
         let request = desk
             .0
             .client
--- a/components/trial/tests/shutdown.rs
+++ b/components/trial/tests/shutdown.rs
@@ -32,7 +32,7 @@
     let body = json!({
         "model": "m", "prompt": PROMPT, "max_tokens": TOKENS, "seed": SEED, "stream": true,
     });
-    let address = format!("{}/v1/completions", trial.callers(0));
+    let address = format!("{}/v1/completions", trial.callers_url(0));
     let request = trial.client.post(address).json(&body);
     request.send().await.expect("an answer")
 }
--- a/components/trial/tests/support/letter.rs
+++ b/components/trial/tests/support/letter.rs
@@ -42,7 +42,7 @@
     let body = json!({
         "model": "m", "prompt": "p", "max_tokens": super::LENGTH, "seed": seed, "stream": true,
     });
-    let address = format!("{}/v1/completions", trial.callers(entry));
+    let address = format!("{}/v1/completions", trial.callers_url(entry));
     // A connection a request: a caller that goes away closes its own, nobody else's.
     let client = reqwest::Client::builder().build().expect("a client");
     let request = client.post(address).json(&body);
--- a/components/trial/tests/support/mod.rs
+++ b/components/trial/tests/support/mod.rs
@@ -47,8 +47,8 @@
     let mut trial = Trial::start().await.expect("a platform");
     for number in 0..engines {
         let settings = Settings {
-            between: Duration::from_millis(10),
-            first: Duration::from_millis(10),
+            token_interval: Duration::from_millis(10),
+            first_token: Duration::from_millis(10),
             ..Settings::default()
         };
         let name = format!("draft-{number}");
@@ -61,8 +61,11 @@
         trial.entry(&name, "dc1").await.expect("an entry");
     }
     if entries > 0 {
-        let revision = trial.put(0, "production", document).await.expect("put");
-        trial.ready(revision).await.expect("ready");
+        let revision = trial
+            .put_document(0, "production", document)
+            .await
+            .expect("put");
+        trial.wait_ready(revision).await.expect("ready");
     }
     trial
 }
@@ -72,8 +75,8 @@
     let mut trial = Trial::start().await.expect("a platform");
     for number in 0..engines {
         let settings = Settings {
-            between: Duration::from_millis(2),
-            first: Duration::from_millis(2),
+            token_interval: Duration::from_millis(2),
+            first_token: Duration::from_millis(2),
             ..Settings::default()
         };
         let name = format!("draft-{number}");
@@ -84,8 +87,11 @@
             .expect("an engine");
     }
     trial.entry("entry-0", "dc1").await.expect("an entry");
-    let revision = trial.put(0, "production", DOCUMENT).await.expect("put");
-    trial.ready(revision).await.expect("ready");
+    let revision = trial
+        .put_document(0, "production", DOCUMENT)
+        .await
+        .expect("put");
+    trial.wait_ready(revision).await.expect("ready");
     trial
 }
 
--- a/components/trial/tests/timeouts.rs
+++ b/components/trial/tests/timeouts.rs
@@ -41,7 +41,7 @@
     settings.times.header = HEADER;
     settings.times.idle = IDLE;
     trial.entry_with(settings).await.expect("an entry");
-    let address = trial.callers(0).replace("http://", "");
+    let address = trial.callers_url(0).replace("http://", "");
     // The entry measures from the moment at which it accepts the connection.
     let begun = Instant::now();
     let mut connection = TcpStream::connect(address).await.expect("a connection");
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -83,7 +83,7 @@
     let mut trial = Trial::start().await?;
     for name in ["draft-a", "draft-b"] {
         let settings = Settings {
-            between: BETWEEN,
+            token_interval: BETWEEN,
             version: "v1".into(),
             model: "m".into(),
             ..Settings::default()
@@ -91,8 +91,8 @@
         trial.engine(name, "dc1", settings).await?;
     }
     trial.entry("entry-a", "dc1").await?;
-    let revision = trial.put(0, "production", DOCUMENT).await?;
-    trial.ready(revision).await?;
+    let revision = trial.put_document(0, "production", DOCUMENT).await?;
+    trial.wait_ready(revision).await?;
     Ok(trial)
 }
 
@@ -100,7 +100,7 @@
     let body = json!({
         "model": "m", "prompt": PROMPT, "max_tokens": tokens, "seed": SEED, "stream": true,
     });
-    let address = format!("{}/v1/completions", trial.callers(0));
+    let address = format!("{}/v1/completions", trial.callers_url(0));
     let response = trial.client.post(address).json(&body).send().await?;
     let mut stream = Stream::new(response);
     let mut seen = Seen {
--- a/tests/env.rs
+++ b/tests/env.rs
@@ -84,7 +84,7 @@
     let folder = folder();
     let mut trial = Trial::start().await.expect("a platform");
     trial.entry("entry-a", "dc1").await.expect("an entry");
-    let entry = trial.operators(0);
+    let entry = trial.operators_url(0);
     let mut seen = String::new();
     for line in [
         "put one.yaml --operator ana --edit e1",
@@ -100,7 +100,7 @@
         seen += &env(folder.path(), &entry, line).await;
     }
     trial
-        .ready(4)
+        .wait_ready(4)
         .await
         .expect("the promoted document is in force");
     seen += &env(folder.path(), &entry, "status").await;
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -152,7 +152,7 @@
 
     async fn sidecar(&mut self, number: usize) {
         let settings = engine::Settings {
-            between: Duration::from_millis(20),
+            token_interval: Duration::from_millis(20),
             ..engine::Settings::default()
         };
         let engine = Engine::start(settings).await.expect("an engine");
