--- a/components/fakes/src/engine.rs
+++ b/components/fakes/src/engine.rs
@@ -123,9 +123,10 @@
         let process = Process::new(settings.exit_on_death);
         let address = settings.address;
         let core = Arc::new(Core::new(settings, Arc::clone(&process)));
-        let answering = Arc::clone(&core);
-        let respond = Box::new(move |call| answer(Arc::clone(&answering), call).boxed());
-        let address = server::start(address, process, respond).await?;
+        let handler_core = Arc::clone(&core);
+        let responder =
+            Box::new(move |request| respond(Arc::clone(&handler_core), request).boxed());
+        let address = server::start(address, process, responder).await?;
         Ok(Engine { address, core })
     }
 
@@ -286,7 +287,7 @@
             order::Outcome::Old { highest } => {
                 Response::json(409, &serde_json::json!({ "highest": highest }))
             }
-            order::Outcome::Wrong(error) => Response::bad(&error),
+            order::Outcome::Wrong(error) => Response::bad_request(&error),
         }
     }
 
@@ -310,45 +311,45 @@
     }
 }
 
-async fn answer(core: Arc<Core>, call: Request) -> Response {
-    match (call.method.as_str(), call.path.as_str()) {
+async fn respond(core: Arc<Core>, request: Request) -> Response {
+    match (request.method.as_str(), request.path.as_str()) {
         // What steers the stand-in works also while it is paused or silent.
         ("POST", "/fault") => {
-            return match call.json::<Fault>() {
+            return match request.json::<Fault>() {
                 Ok(fault) => {
                     core.fault(&fault);
                     Response::json(200, &serde_json::json!({}))
                 }
-                Err(answer) => answer,
+                Err(response) => response,
             };
         }
         ("GET", "/runs") => return Response::json(200, &lock(&core.state).runs),
-        _ => core.process.wait_responsive(call.connection).await,
+        _ => core.process.wait_responsive(request.connection).await,
     }
-    match (call.method.as_str(), call.path.as_str()) {
-        ("POST", "/generate") => match call.json() {
-            Ok(ask) => run::start(&core, ask, call.connection),
-            Err(answer) => answer,
+    match (request.method.as_str(), request.path.as_str()) {
+        ("POST", "/generate") => match request.json() {
+            Ok(body) => run::start(&core, body, request.connection),
+            Err(response) => response,
         },
-        ("POST", "/cancel") => match call.json::<Cancel>() {
+        ("POST", "/cancel") => match request.json::<Cancel>() {
             Ok(cancel) => {
                 core.cancel(&cancel.id);
                 Response::json(200, &serde_json::json!({}))
             }
-            Err(answer) => answer,
+            Err(response) => response,
         },
         ("GET", "/load") => Response::json(200, &core.load()),
-        ("GET", "/cache-events") => match call.number("after") {
+        ("GET", "/cache-events") => match request.number("after") {
             Ok(after) => {
                 let lag = core.settings.report_lag;
                 let events = lock(&core.state).cache.events(after.unwrap_or(0), lag);
                 Response::json(200, &serde_json::json!({ "events": events }))
             }
-            Err(answer) => answer,
+            Err(response) => response,
         },
-        ("POST", "/orders") => match call.json() {
+        ("POST", "/orders") => match request.json() {
             Ok(order) => core.order(&order),
-            Err(answer) => answer,
+            Err(response) => response,
         },
         ("GET", "/health") => core.health(),
         _ => Response::error(404, "no such call"),
--- a/components/fakes/src/engine/run.rs
+++ b/components/fakes/src/engine/run.rs
@@ -33,7 +33,7 @@
 
 /// Body of `POST /generate`.
 #[derive(Clone, Debug, Deserialize)]
-pub(super) struct Ask {
+pub(super) struct Body {
     id: String,
     model: String,
     version: String,
@@ -90,15 +90,15 @@
     completion_tokens: u64,
 }
 
-/// A run in progress. Dropping it frees its place.
-struct Place {
+/// A run in progress. Dropping it frees its slot.
+struct Slot {
     core: Arc<Core>,
     number: usize,
     id: String,
     state: State,
 }
 
-impl Place {
+impl Slot {
     /// Ends the run and frees its place; only the first end counts.
     fn finish(&mut self, end: State) {
         if self.state != State::Running {
@@ -115,7 +115,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         let dead = self.core.process.dead().is_cancelled();
         self.finish(if dead {
@@ -128,7 +128,7 @@
 
 /// What a run's stream needs.
 struct Plan {
-    ask: Ask,
+    body: Body,
     connection: Connection,
     cancel: CancellationToken,
     /// Number of the answer's text.
@@ -141,54 +141,54 @@
 }
 
 /// Starts a run, or refuses it.
-pub(super) fn start(core: &Arc<Core>, ask: Ask, connection: Connection) -> Response {
-    if let Err(answer) = check(core, &ask) {
-        return answer;
+pub(super) fn start(core: &Arc<Core>, body: Body, connection: Connection) -> Response {
+    if let Err(response) = check(core, &body) {
+        return response;
     }
-    let (place, plan) = match admit(core, ask, connection) {
+    let (slot, plan) = match admit(core, body, connection) {
         Ok(admitted) => admitted,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
-    Response::Lines(lines(place, plan).boxed())
+    Response::Lines(lines(slot, plan).boxed())
 }
 
-fn check(core: &Core, ask: &Ask) -> Result<(), Response> {
-    if ask.max_tokens == 0 {
-        return Err(Response::bad("max_tokens must be at least 1"));
+fn check(core: &Core, body: &Body) -> Result<(), Response> {
+    if body.max_tokens == 0 {
+        return Err(Response::bad_request("max_tokens must be at least 1"));
     }
-    if !ask.temperature.is_finite() || ask.temperature < 0.0 {
-        return Err(Response::bad("temperature must be 0 or more"));
+    if !body.temperature.is_finite() || body.temperature < 0.0 {
+        return Err(Response::bad_request("temperature must be 0 or more"));
     }
     let state = lock(&core.state);
-    if ask.model != core.settings.model {
+    if body.model != core.settings.model {
         return Err(Response::error(409, "model not loaded"));
     }
-    match state.orders.loaded(&ask.version, Instant::now()) {
+    match state.orders.loaded(&body.version, Instant::now()) {
         Loaded::Yes => {}
         Loaded::Loading => return Err(Response::error(503, "version is loading")),
         Loaded::No => return Err(Response::error(409, "version not loaded")),
     }
-    if state.faults.now.no_continue && !ask.continue_from.is_empty() {
-        return Err(Response::bad("continue_from isn't known here"));
+    if state.faults.now.no_continue && !body.continue_from.is_empty() {
+        return Err(Response::bad_request("continue_from isn't known here"));
     }
     Ok(())
 }
 
 fn admit(
     core: &Arc<Core>,
-    mut ask: Ask,
+    mut body: Body,
     connection: Connection,
-) -> Result<(Place, Plan), Response> {
+) -> Result<(Slot, Plan), Response> {
     let mut state = lock(&core.state);
     if state.running.len() >= core.max_runs() {
-        return Err(Response::busy(1));
+        return Err(Response::too_many_requests(1));
     }
     let number = state.runs.len();
-    let from = ask.continue_from.len() as u64;
+    let from = body.continue_from.len() as u64;
     let (fail, broken) = (state.faults.now.fail_share, state.faults.now.break_share);
     let failed = fail.is_some_and(|share| state.rng.random_bool(share.clamp(0.0, 1.0)));
     state.runs.push(Run {
-        id: ask.id.clone(),
+        id: body.id.clone(),
         from,
         sent: 0,
         state: if failed {
@@ -200,85 +200,85 @@
     if failed {
         return Err(Response::error(500, "the run failed"));
     }
-    let length = text::length(&ask.prompt, ask.seed, ask.max_tokens);
+    let length = text::length(&body.prompt, body.seed, body.max_tokens);
     let breaks = broken.is_some_and(|share| state.rng.random_bool(share.clamp(0.0, 1.0)));
     let break_at = breaks.then(|| from + length.saturating_sub(from) / 2);
     let cancel = CancellationToken::new();
-    state.running.insert(number, ask.priority);
-    let cancels = state.cancels.entry(ask.id.clone()).or_default();
+    state.running.insert(number, body.priority);
+    let cancels = state.cancels.entry(body.id.clone()).or_default();
     cancels.push(cancel.clone());
     state.note_load();
-    let cached_tokens = state.cache.read(&ask.prompt);
+    let cached_tokens = state.cache.read(&body.prompt);
     // The tokens' text is not needed any more, only their number.
-    for token in &mut ask.continue_from {
+    for token in &mut body.continue_from {
         token.clear();
     }
     let plan = Plan {
-        answer: text::answer(&ask.prompt, ask.seed, &ask.version),
+        answer: text::answer(&body.prompt, body.seed, &body.version),
         length,
-        prompt_tokens: text::prompt_tokens(&ask.prompt),
+        prompt_tokens: text::prompt_tokens(&body.prompt),
         cached_tokens,
         break_at,
         connection,
         cancel,
-        ask,
+        body,
     };
-    let place = Place {
+    let slot = Slot {
         core: Arc::clone(core),
         number,
-        id: plan.ask.id.clone(),
+        id: plan.body.id.clone(),
         state: State::Running,
     };
-    Ok((place, plan))
+    Ok((slot, plan))
 }
 
 /// The lines of a run, as they are due.
-fn lines(mut place: Place, plan: Plan) -> impl futures_util::Stream<Item = io::Result<Bytes>> {
+fn lines(mut slot: Slot, plan: Plan) -> impl futures_util::Stream<Item = io::Result<Bytes>> {
     async_stream::stream! {
-        let from = plan.ask.continue_from.len() as u64;
+        let from = plan.body.continue_from.len() as u64;
         let mut sent = 0;
         let mut index = from;
         while index < plan.length {
-            let time = place.time(&plan, index == from);
-            if place.wait(&plan, time).await.is_none() {
-                place.finish(State::Cancelled);
+            let time = slot.time(&plan, index == from);
+            if slot.wait(&plan, time).await.is_none() {
+                slot.finish(State::Cancelled);
                 return;
             }
             if plan.break_at == Some(index) {
-                place.finish(State::Broken);
+                slot.finish(State::Broken);
                 yield Err(io::Error::other("broken off by a fault"));
                 return;
             }
-            place.strike(&plan, sent);
+            slot.apply_faults(&plan, sent);
             // A fault that is due now may have paused or ended the process.
-            if place.wait(&plan, Duration::ZERO).await.is_none() {
-                place.finish(State::Cancelled);
+            if slot.wait(&plan, Duration::ZERO).await.is_none() {
+                slot.finish(State::Cancelled);
                 return;
             }
-            for line in place.due(&plan, index) {
-                place.count();
+            for line in slot.due(&plan, index) {
+                slot.count();
                 yield Ok(line);
             }
             sent += 1;
             index += 1;
         }
-        if place.wait(&plan, Duration::ZERO).await.is_none() {
-            place.finish(State::Cancelled);
+        if slot.wait(&plan, Duration::ZERO).await.is_none() {
+            slot.finish(State::Cancelled);
             return;
         }
-        place.finish(State::Ended);
+        slot.finish(State::Ended);
         yield Ok(end(&plan, sent));
     }
 }
 
-impl Place {
+impl Slot {
     /// Time until the next token, by the cost model.
     fn time(&self, plan: &Plan, first: bool) -> Duration {
         let settings = &self.core.settings;
         let state = lock(&self.core.state);
         let mut ahead = 0;
         for priority in state.running.values() {
-            if *priority >= plan.ask.priority {
+            if *priority >= plan.body.priority {
                 ahead += 1;
             }
         }
@@ -287,7 +287,7 @@
         if !first {
             return settings.token_interval.mul_f64(load) + Duration::from_millis(slow.between_ms);
         }
-        let continued = plan.ask.continue_from.len() as u64;
+        let continued = plan.body.continue_from.len() as u64;
         let unread = plan.prompt_tokens.saturating_sub(plan.cached_tokens) + continued;
         let size = (unread as f64 / 1000.0).max(1.0);
         settings.first_token.mul_f64(size * load) + Duration::from_millis(slow.first_ms)
@@ -308,7 +308,7 @@
     }
 
     /// Applies the faults that are due before this token.
-    fn strike(&self, plan: &Plan, sent: u64) {
+    fn apply_faults(&self, plan: &Plan, sent: u64) {
         let due = lock(&self.core.state).faults.count();
         for fault in due {
             self.core.fault(&fault);
@@ -317,8 +317,8 @@
         let Some(crash) = crash else {
             return;
         };
-        let last = plan.length - plan.ask.continue_from.len() as u64 - 1;
-        if sent == last.min(2) && plan.ask.prompt.contains(&crash) {
+        let last = plan.length - plan.body.continue_from.len() as u64 - 1;
+        if sent == last.min(2) && plan.body.prompt.contains(&crash) {
             self.core.process.die();
         }
     }
@@ -328,7 +328,7 @@
         let faults = lock(&self.core.state).faults.now.clone();
         let mut token = text::token_of(plan.answer, index);
         if faults.vary {
-            token = format!("{token}-{}", plan.ask.id);
+            token = format!("{token}-{}", plan.body.id);
         }
         let line = line(&Token { index, token });
         let mut lines = VecDeque::new();
@@ -350,7 +350,7 @@
 }
 
 fn end(plan: &Plan, sent: u64) -> Bytes {
-    let whole = plan.length == plan.ask.max_tokens;
+    let whole = plan.length == plan.body.max_tokens;
     line(&End {
         end: if whole { "length" } else { "stop" },
         prompt_tokens: plan.prompt_tokens,
--- a/components/fakes/src/lib.rs
+++ b/components/fakes/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for tests and trials: model engine, plain service, platform.
+//! Stand-ins for tests and trials: model engine, plain service and platform.
 //!
-//! Each keeps the contract of its page under `docs/interfaces/` and takes the faults listed there,
-//! by HTTP or by a call when it is embedded in a test process.
+//! Each implements the contract of its page under `docs/interfaces/` and the faults listed there.
+//! Faults are set over HTTP, or by a method call on a stand-in embedded in a test process.
 
 pub mod engine;
 pub mod platform;
--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -158,9 +158,10 @@
                 hosts: hosts::List::new(settings.hosts),
             }),
         });
-        let answering = Arc::clone(&core);
-        let respond = Box::new(move |call| answer(Arc::clone(&answering), call).boxed());
-        let address = server::start(settings.address, process, respond).await?;
+        let handler_core = Arc::clone(&core);
+        let responder =
+            Box::new(move |request| respond(Arc::clone(&handler_core), request).boxed());
+        let address = server::start(settings.address, process, responder).await?;
         tokio::spawn(expire(Arc::clone(&core)));
         Ok(Platform { address, core })
     }
@@ -264,7 +265,7 @@
         let mut state = lock(&self.state);
         let rate = state.fault.weights_per_s;
         if let Some(seconds) = state.weights.refuse(rate, Instant::now()) {
-            return Response::busy(seconds);
+            return Response::too_many_requests(seconds);
         }
         let bytes = weights(path, WEIGHTS);
         Response::bytes(200, "application/octet-stream", bytes)
@@ -297,19 +298,19 @@
     }
 }
 
-async fn answer(core: Arc<Core>, call: Request) -> Response {
-    match (call.method.as_str(), call.path.as_str()) {
-        ("POST", "/fault") => match call.json::<Fault>() {
+async fn respond(core: Arc<Core>, request: Request) -> Response {
+    match (request.method.as_str(), request.path.as_str()) {
+        ("POST", "/fault") => match request.json::<Fault>() {
             Ok(fault) => {
                 core.fault(&fault);
                 Response::json(200, &serde_json::json!({}))
             }
-            Err(answer) => answer,
+            Err(response) => response,
         },
         ("GET", "/counts") => Response::json(200, &core.counts()),
-        (_, "/hosts") => hosts::answer(&core, &call),
+        (_, "/hosts") => hosts::respond(&core, &request),
         ("GET", path) if path.starts_with("/weights/") => core.weights(path),
-        _ => kv::answer(core, call).await,
+        _ => kv::respond(core, request).await,
     }
 }
 
--- a/components/fakes/src/platform/hosts.rs
+++ b/components/fakes/src/platform/hosts.rs
@@ -127,34 +127,34 @@
     }
 }
 
-pub(super) fn answer(core: &Core, call: &Request) -> Response {
+pub(super) fn respond(core: &Core, request: &Request) -> Response {
     let mut state = lock(&core.state);
-    match call.method.as_str() {
+    match request.method.as_str() {
         "GET" if state.fault.hosts_empty => Response::json(200, &Body { hosts: Vec::new() }),
         "GET" => {
             let hosts = state.hosts.read(state.fault.hosts_lag_ms);
             Response::json(200, &Body { hosts })
         }
-        "PUT" => match call.json::<Body>() {
+        "PUT" => match request.json::<Body>() {
             Ok(body) => {
                 state.hosts.set(body.hosts);
                 done()
             }
-            Err(answer) => answer,
+            Err(response) => response,
         },
-        "POST" => match call.json::<Host>() {
+        "POST" => match request.json::<Host>() {
             Ok(host) => {
                 state.hosts.replace(host);
                 done()
             }
-            Err(answer) => answer,
+            Err(response) => response,
         },
-        "DELETE" => match call.query.get("name") {
+        "DELETE" => match request.query.get("name") {
             Some(name) => {
                 state.hosts.remove(name);
                 done()
             }
-            None => Response::bad("name is missing"),
+            None => Response::bad_request("name is missing"),
         },
         _ => Response::error(405, "no such call"),
     }
--- a/components/fakes/src/platform/kv.rs
+++ b/components/fakes/src/platform/kv.rs
@@ -62,12 +62,12 @@
     Watch,
 }
 
-pub(super) async fn answer(core: Arc<Core>, call: Request) -> Response {
-    let Some(kind) = kind(&call) else {
+pub(super) async fn respond(core: Arc<Core>, request: Request) -> Response {
+    let Some(kind) = kind(&request) else {
         return Response::error(404, "no such call");
     };
-    if let Some(answer) = admit(&core, kind) {
-        return answer;
+    if let Some(response) = admit(&core, kind) {
+        return response;
     }
     let slow = lock(&core.state).fault.slow_ms;
     if let Some(slow) = slow {
@@ -81,15 +81,15 @@
         }
     }
     match kind {
-        Kind::Watch => watch(&core, &call).await,
-        Kind::Write => write(&core, &call),
-        Kind::Read => done(read(&core, &call)),
-        Kind::Lease => done(lease(&core, &call)),
+        Kind::Watch => watch(&core, &request).await,
+        Kind::Write => write(&core, &request),
+        Kind::Read => done(read(&core, &request)),
+        Kind::Lease => done(lease(&core, &request)),
     }
 }
 
-fn kind(call: &Request) -> Option<Kind> {
-    match (call.method.as_str(), call.path.as_str()) {
+fn kind(request: &Request) -> Option<Kind> {
+    match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/kv") => Some(Kind::Read),
         ("PUT" | "DELETE", "/kv") => Some(Kind::Write),
         ("POST", "/lease" | "/lease/keep" | "/lease/drop") => Some(Kind::Lease),
@@ -119,47 +119,47 @@
         Kind::Read | Kind::Watch => state.reads.refuse(state.fault.reads_per_s, now),
         Kind::Write | Kind::Lease => state.writes.refuse(state.fault.writes_per_s, now),
     };
-    refused.map(Response::busy)
+    refused.map(Response::too_many_requests)
 }
 
-fn done(answer: Result<Response, Response>) -> Response {
-    answer.unwrap_or_else(|answer| answer)
+fn done(result: Result<Response, Response>) -> Response {
+    result.unwrap_or_else(|response| response)
 }
 
-fn read(core: &Core, call: &Request) -> Result<Response, Response> {
+fn read(core: &Core, request: &Request) -> Result<Response, Response> {
     let state = lock(&core.state);
     let revision = state.store.revision();
-    if let Some(key) = call.query.get("key") {
-        let answer = match state.store.get(key) {
+    if let Some(key) = request.query.get("key") {
+        let response = match state.store.get(key) {
             Some(entry) => Response::json(200, entry),
             None => Response::json(404, &serde_json::json!({ "revision": revision })),
         };
-        return Ok(answer);
+        return Ok(response);
     }
-    let Some(prefix) = call.query.get("prefix") else {
-        return Err(Response::bad("key or prefix is missing"));
+    let Some(prefix) = request.query.get("prefix") else {
+        return Err(Response::bad_request("key or prefix is missing"));
     };
-    let after = call.query.get("after").map_or("", String::as_str);
-    let limit = call.number("limit")?.unwrap_or(PAGE).min(PAGE);
+    let after = request.query.get("after").map_or("", String::as_str);
+    let limit = request.number("limit")?.unwrap_or(PAGE).min(PAGE);
     let entries = state.store.list(prefix, after, limit as usize);
     let body = serde_json::json!({ "entries": entries, "revision": revision });
     Ok(Response::json(200, &body))
 }
 
 /// Writes a key, unless a fault loses the write or its answer.
-fn write(core: &Core, call: &Request) -> Response {
+fn write(core: &Core, request: &Request) -> Response {
     {
         let mut state = lock(&core.state);
         if take(&mut state.fault.lose_writes) {
             return Response::Close;
         }
     }
-    let answer = done(apply(core, call));
+    let response = done(apply(core, request));
     let lost = take(&mut lock(&core.state).fault.lose_answers);
     if lost {
         return Response::Close;
     }
-    answer
+    response
 }
 
 /// Takes one from a fault's count.
@@ -173,22 +173,22 @@
     }
 }
 
-fn apply(core: &Core, call: &Request) -> Result<Response, Response> {
-    let written = if call.method == "PUT" {
-        let put: Put = call.json()?;
+fn apply(core: &Core, request: &Request) -> Result<Response, Response> {
+    let written = if request.method == "PUT" {
+        let put: Put = request.json()?;
         if put.value.len() > VALUE {
             return Err(Response::error(413, "value over 1 MiB"));
         }
         let mut state = lock(&core.state);
         state.store.put(&put.key, &put.value, put.expect, put.lease)
     } else {
-        let Some(key) = call.query.get("key") else {
-            return Err(Response::bad("key is missing"));
+        let Some(key) = request.query.get("key") else {
+            return Err(Response::bad_request("key is missing"));
         };
-        let expect = call.number("expect")?;
+        let expect = request.number("expect")?;
         lock(&core.state).store.delete(key, expect)
     };
-    let answer = match written {
+    let response = match written {
         Ok(revision) => Response::json(200, &serde_json::json!({ "revision": revision })),
         Err(Refusal::Conflict(entry)) => {
             Response::json(409, &serde_json::json!({ "entry": entry }))
@@ -196,21 +196,21 @@
         Err(Refusal::UnknownLease) => Response::error(404, "lease"),
     };
     wake(core);
-    Ok(answer)
+    Ok(response)
 }
 
-fn lease(core: &Core, call: &Request) -> Result<Response, Response> {
+fn lease(core: &Core, request: &Request) -> Result<Response, Response> {
     let now = Instant::now();
-    let answer = match call.path.as_str() {
+    let response = match request.path.as_str() {
         "/lease" => {
-            let grant: Grant = call.json()?;
+            let grant: Grant = request.json()?;
             let ttl = Duration::from_millis(grant.ttl_ms);
             let lease = lock(&core.state).store.grant(ttl, now);
             let body = serde_json::json!({ "lease": lease, "ttl_ms": grant.ttl_ms });
             Response::json(200, &body)
         }
         "/lease/keep" => {
-            let lease: Lease = call.json()?;
+            let lease: Lease = request.json()?;
             if lock(&core.state).store.keep(lease.lease, now) {
                 Response::json(200, &serde_json::json!({}))
             } else {
@@ -218,13 +218,13 @@
             }
         }
         _ => {
-            let lease: Lease = call.json()?;
+            let lease: Lease = request.json()?;
             lock(&core.state).store.drop_lease(lease.lease);
             wake(core);
             Response::json(200, &serde_json::json!({}))
         }
     };
-    Ok(answer)
+    Ok(response)
 }
 
 fn wake(core: &Core) {
@@ -248,12 +248,12 @@
     }
 }
 
-async fn watch(core: &Core, call: &Request) -> Response {
-    let (after, wait) = match (call.number("after"), call.number("wait_ms")) {
+async fn watch(core: &Core, request: &Request) -> Response {
+    let (after, wait) = match (request.number("after"), request.number("wait_ms")) {
         (Ok(after), Ok(wait)) => (after.unwrap_or(0), wait.unwrap_or(0)),
-        (Err(answer), _) | (_, Err(answer)) => return answer,
+        (Err(response), _) | (_, Err(response)) => return response,
     };
-    let prefix = call.query.get("prefix").map_or("", String::as_str);
+    let prefix = request.query.get("prefix").map_or("", String::as_str);
     let end = Instant::now() + Duration::from_millis(wait).min(WAIT);
     let mut changed = core.changed.subscribe();
     let silences = lock(&core.state).silences;
@@ -266,8 +266,8 @@
             if state.silences > silences || state.fault.silence {
                 return Response::Hang;
             }
-            if let Some(answer) = look(&state, prefix, after, late) {
-                return answer;
+            if let Some(response) = look(&state, prefix, after, late) {
+                return response;
             }
         }
         // The end of the wait is noticed at the loop's start.
--- a/components/fakes/src/server.rs
+++ b/components/fakes/src/server.rs
@@ -1,5 +1,5 @@
-//! The HTTP side that the stand-ins share: one handler a process, and faults of the process as a
-//! whole (death, pause, silent connections).
+//! HTTP server shared by the stand-ins: one handler per process, and faults that affect the whole
+//! process (death, pause, silent connections).
 
 use std::{
     collections::HashMap,
@@ -61,169 +61,178 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Largest body that a stand-in reads, in bytes.
-const BODY: usize = 64 << 20;
+/// Largest request body that a stand-in reads, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Content type of most answers.
-const JSON: &str = "application/json";
+/// Content type of most responses.
+const JSON_CONTENT_TYPE: &str = "application/json";
 
-/// Locks state whose every change is a single step, so a panic of another holder leaves it whole.
+/// Locks a mutex and ignores poisoning.
+///
+/// Only for state that each holder changes in a single step, so that a panic of another holder
+/// leaves it consistent.
 pub fn lock<T>(state: &Mutex<T>) -> MutexGuard<'_, T> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One call as a stand-in sees it.
+/// HTTP request, read whole, as the stand-in's handler receives it.
 pub struct Request {
-    /// Method.
+    /// HTTP method.
     pub method: String,
     /// Path, without the query.
     pub path: String,
-    /// Values of the query; of several with one name the last.
+    /// Query parameters. If a name occurs more than once, its last value counts.
     pub query: HashMap<String, String>,
-    /// Headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Body, whole.
+    /// Request body.
     pub body: Bytes,
-    /// The connection it came on.
+    /// Connection on which the request arrived.
     pub connection: Connection,
 }
 
 impl Request {
-    /// Reads the body as JSON, or gives the 400 that says why it can't be.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// The answer to give.
+    /// Returns a 400 response with the parse error.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Response> {
-        serde_json::from_slice(&self.body).map_err(|error| Response::bad(&error.to_string()))
+        serde_json::from_slice(&self.body)
+            .map_err(|error| Response::bad_request(&error.to_string()))
     }
 
-    /// Reads a number from the query; 400 when it is there and no number.
+    /// Returns a query parameter as a number, or `None` if it is absent.
     ///
     /// # Errors
     ///
-    /// The answer to give.
+    /// Returns a 400 response if the parameter isn't a number.
     pub fn number(&self, name: &str) -> Result<Option<u64>, Response> {
         let Some(text) = self.query.get(name) else {
             return Ok(None);
         };
         match text.parse() {
             Ok(number) => Ok(Some(number)),
-            Err(_) => Err(Response::bad(&format!("{name} isn't a number"))),
+            Err(_) => Err(Response::bad_request(&format!("{name} isn't a number"))),
         }
     }
 
-    /// The header's text, when it is there and readable.
+    /// Returns a header's value, or `None` if it is absent or not text.
     pub fn header(&self, name: &str) -> Option<String> {
         let value = self.headers.get(name)?;
         Some(value.to_str().ok()?.to_string())
     }
 }
 
-/// Tells connections from before a silence from those after it.
+/// Number of silence faults that had occurred when the connection was accepted.
 pub type Connection = u64;
 
-/// What becomes of a call.
+/// How the stand-in responds to a request.
 pub enum Response {
-    /// Status, content type and body.
-    Whole {
+    /// A response whose body is known from the start.
+    Full {
         /// Status code.
         status: u16,
         /// Content type.
-        kind: String,
-        /// Body.
+        content_type: String,
+        /// Response body.
         body: Bytes,
-        /// Seconds after which to come back.
+        /// Value of the `Retry-After` header, in seconds.
         retry_after: Option<u64>,
     },
-    /// Status 200 with lines that come over time; an error closes the connection midway.
+    /// Status 200 with newline-delimited JSON that is produced over time; an error closes the
+    /// connection midway.
     Lines(BoxStream<'static, io::Result<Bytes>>),
-    /// An answer with headers of its own, whose body comes over time; an error closes the
+    /// A response with its own headers, whose body is produced over time; an error closes the
     /// connection midway.
     Stream {
         /// Status code.
         status: u16,
-        /// Headers.
+        /// Response headers.
         headers: HeaderMap,
-        /// Body.
+        /// Stream of body chunks.
         body: BoxStream<'static, io::Result<Bytes>>,
     },
-    /// The connection closes unanswered.
+    /// Closes the connection without a response.
     Close,
-    /// The connection stays open, unanswered.
+    /// Keeps the connection open and never responds.
     Hang,
 }
 
 impl Response {
-    /// An answer in JSON.
+    /// Creates a JSON response.
     pub fn json(status: u16, body: &impl Serialize) -> Response {
-        let body = serde_json::to_vec(body).expect("plain data turns into JSON");
-        Response::bytes(status, JSON, body)
+        let body = serde_json::to_vec(body).expect("response bodies serialize to JSON");
+        Response::bytes(status, JSON_CONTENT_TYPE, body)
     }
 
-    /// An answer of any content type.
-    pub fn bytes(status: u16, kind: &str, body: impl Into<Bytes>) -> Response {
-        Response::Whole {
+    /// Creates a response of the given content type.
+    pub fn bytes(status: u16, content_type: &str, body: impl Into<Bytes>) -> Response {
+        Response::Full {
             status,
-            kind: kind.to_string(),
+            content_type: content_type.to_string(),
             body: body.into(),
             retry_after: None,
         }
     }
 
-    /// An error in JSON.
+    /// Creates a JSON error response.
     pub fn error(status: u16, error: &str) -> Response {
         Response::json(status, &serde_json::json!({ "error": error }))
     }
 
-    /// A 400.
-    pub fn bad(error: &str) -> Response {
+    /// Creates a 400 response.
+    pub fn bad_request(error: &str) -> Response {
         Response::error(400, error)
     }
 
-    /// A 429 with the seconds to wait.
-    pub fn busy(seconds: u64) -> Response {
+    /// Creates a 429 response with a `Retry-After` header in seconds.
+    pub fn too_many_requests(seconds: u64) -> Response {
         let body = serde_json::json!({ "error": "busy" }).to_string();
-        Response::Whole {
+        Response::Full {
             status: 429,
-            kind: JSON.to_string(),
+            content_type: JSON_CONTENT_TYPE.to_string(),
             body: body.into(),
             retry_after: Some(seconds),
         }
     }
 }
 
-/// Faults of a stand-in's process as a whole, and its end.
+/// State of a stand-in's process: death, pause and silent connections.
 pub struct Process {
-    /// Ends the program's process on death; an embedded stand-in only drops its sockets.
-    exit: bool,
+    /// Whether death exits the operating system process; an embedded stand-in only drops its
+    /// sockets.
+    exit_on_death: bool,
     dead: CancellationToken,
-    paused: Mutex<Option<Instant>>,
+    paused_until: Mutex<Option<Instant>>,
+    /// Number of silence faults so far.
     silences: AtomicU64,
+    /// Accept loop.
     server: OnceLock<tokio::task::AbortHandle>,
 }
 
 impl Process {
-    /// A process that lives.
-    pub fn new(exit: bool) -> Arc<Process> {
+    /// Creates a process without faults.
+    pub fn new(exit_on_death: bool) -> Arc<Process> {
         Arc::new(Process {
-            exit,
+            exit_on_death,
             dead: CancellationToken::new(),
-            paused: Mutex::new(None),
+            paused_until: Mutex::new(None),
             silences: AtomicU64::new(0),
             server: OnceLock::new(),
         })
     }
 
-    /// Ends the stand-in at once: the listener and all connections drop, tasks in flight end.
+    /// Kills the stand-in at once: drops the listener and all connections and cancels the tasks in
+    /// flight. Exits the operating system process if so configured.
     pub fn die(&self) {
-        if self.exit {
+        if self.exit_on_death {
             std::process::exit(1);
         }
         self.stop();
     }
 
-    /// Like [`Process::die`], but never ends the operating system's process.
+    /// Like [`Process::die`], but never exits the operating system process.
     pub fn stop(&self) {
         self.dead.cancel();
         if let Some(server) = self.server.get() {
@@ -231,35 +240,36 @@
         }
     }
 
-    /// Cancelled once the stand-in is dead.
+    /// Returns the token that is cancelled once the stand-in is dead.
     pub fn dead(&self) -> &CancellationToken {
         &self.dead
     }
 
-    /// Nothing is answered or sent until this time has passed.
-    pub fn pause(&self, time: Duration) {
-        *lock(&self.paused) = Some(Instant::now() + time);
+    /// Pauses the process: it sends nothing until `duration` has passed.
+    pub fn pause(&self, duration: Duration) {
+        *lock(&self.paused_until) = Some(Instant::now() + duration);
     }
 
-    /// Connections that are open now never carry anything again.
+    /// Silences all connections that are open now: they stay open but never carry data again.
     pub fn silence(&self) {
         self.silences.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Takes back pause and silence; connections that fell silent stay so.
+    /// Ends a pause. Connections that fell silent stay silent.
     pub fn clear(&self) {
-        *lock(&self.paused) = None;
+        *lock(&self.paused_until) = None;
     }
 
-    /// Whether the connection was open when a silence began.
-    pub fn silent(&self, connection: Connection) -> bool {
+    /// Returns whether the connection was open when a silence began.
+    pub fn is_silent(&self, connection: Connection) -> bool {
         connection < self.silences.load(Ordering::SeqCst)
     }
 
-    /// Waits while the process is paused, and for ever on a silent connection or once it is dead.
+    /// Waits while the process is paused; never returns on a silent connection or once the process
+    /// is dead.
     pub async fn wait_responsive(&self, connection: Connection) {
         self.wait_resumed().await;
-        if self.silent(connection) || self.dead.is_cancelled() {
+        if self.is_silent(connection) || self.dead.is_cancelled() {
             std::future::pending::<()>().await;
         }
     }
@@ -267,7 +277,7 @@
     /// Waits while the process is paused.
     pub async fn wait_resumed(&self) {
         loop {
-            let until = *lock(&self.paused);
+            let until = *lock(&self.paused_until);
             let Some(until) = until else {
                 return;
             };
@@ -279,64 +289,67 @@
     }
 }
 
-/// Answers calls.
-pub type Respond = Box<dyn Fn(Request) -> BoxFuture<'static, Response> + Send + Sync>;
+/// Function that turns a request into a response.
+pub type Responder = Box<dyn Fn(Request) -> BoxFuture<'static, Response> + Send + Sync>;
 
-/// Which silence, if any, a peer's connection came after.
+/// Accepted connections by peer address.
 type Connections = Arc<Mutex<HashMap<SocketAddr, Connection>>>;
 
-struct Door {
+/// Salvo handler that passes every request to the stand-in's responder.
+struct Dispatcher {
     process: Arc<Process>,
     connections: Connections,
-    respond: Respond,
+    respond: Responder,
 }
 
-/// Binds the address and serves until the process dies.
+/// Binds the address, serves in the background until the process dies, and returns the bound
+/// address.
 ///
 /// # Errors
 ///
-/// Gives the error of binding the address.
+/// Returns the I/O error if the address can't be bound.
 pub async fn start(
     address: SocketAddr,
     process: Arc<Process>,
-    respond: Respond,
+    respond: Responder,
 ) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
     let acceptor = TcpAcceptor::try_from(listener)?;
     let connections = Connections::default();
-    let (known, silences) = (Arc::clone(&connections), Arc::clone(&process));
+    let (accepted, faults) = (Arc::clone(&connections), Arc::clone(&process));
     let policy = move |info: &FuseInfo| {
         if let Some(peer) = info.remote_addr.clone().into_std() {
-            let since = silences.silences.load(Ordering::SeqCst);
-            lock(&known).insert(peer, since);
+            let connection = faults.silences.load(Ordering::SeqCst);
+            lock(&accepted).insert(peer, connection);
         }
         FuseAction::Accept(FuseConfig::default())
     };
-    let door = Door {
+    let dispatcher = Dispatcher {
         process: Arc::clone(&process),
         connections,
         respond,
     };
-    let router = Router::with_path("{**rest}").goal(door);
+    let router = Router::with_path("{**rest}").goal(dispatcher);
     let server = Server::new(acceptor).fuse_policy(policy);
     let task = tokio::spawn(async move {
-        // The accept loop only ends with the task.
+        // The accept loop runs until this task is aborted.
         let _ = server.try_serve(router).await;
     });
     let handle = task.abort_handle();
     process
         .server
         .set(handle)
-        .expect("a process starts its server once");
+        .expect("the server of a process is started once");
     Ok(address)
 }
 
-impl Door {
-    async fn call(&self, request: &mut HttpRequest) -> Result<Request, Response> {
-        let body = match request.payload_with_max_size(BODY).await {
+impl Dispatcher {
+    /// Reads the whole request.
+    async fn read(&self, request: &mut HttpRequest) -> Result<Request, Response> {
+        let body = match request.payload_with_max_size(MAX_BODY_BYTES).await {
             Ok(body) => body.clone(),
-            Err(error) => return Err(Response::bad(&error.to_string())),
+            Err(error) => return Err(Response::bad_request(&error.to_string())),
         };
         let mut query = HashMap::new();
         for (name, value) in request.queries().iter() {
@@ -357,20 +370,21 @@
         })
     }
 
-    /// Answers in a task of its own: a caller that goes away doesn't undo what a process began.
-    async fn answer(&self, call: Request) -> Response {
+    /// Runs the responder in its own task, so that work that has begun goes on when the client
+    /// disconnects.
+    async fn respond(&self, request: Request) -> Response {
         let dead = self.process.dead().clone();
-        let future = (self.respond)(call);
+        let future = (self.respond)(request);
         let task = tokio::spawn(async move { dead.run_until_cancelled(future).await });
         match task.await {
-            Ok(Some(answer)) => answer,
+            Ok(Some(response)) => response,
             Ok(None) | Err(_) => Response::Close,
         }
     }
 }
 
 #[salvo::async_trait]
-impl Handler for Door {
+impl Handler for Dispatcher {
     async fn handle(
         &self,
         request: &mut HttpRequest,
@@ -378,33 +392,35 @@
         response: &mut HttpResponse,
         control: &mut FlowCtrl,
     ) {
-        let answer = match self.call(request).await {
-            Ok(call) => self.answer(call).await,
-            Err(answer) => answer,
+        let reply = match self.read(request).await {
+            Ok(request) => self.respond(request).await,
+            Err(reply) => reply,
         };
-        match answer {
-            Response::Whole {
+        match reply {
+            Response::Full {
                 status,
-                kind,
+                content_type,
                 body,
                 retry_after,
             } => {
-                let status = StatusCode::from_u16(status).expect("stand-ins give valid statuses");
+                let status =
+                    StatusCode::from_u16(status).expect("stand-ins use valid status codes");
                 response.status_code(status);
-                let kind = HeaderValue::from_str(&kind).expect("content types are plain text");
-                response.headers_mut().insert(CONTENT_TYPE, kind);
+                let content_type =
+                    HeaderValue::from_str(&content_type).expect("content types are visible ASCII");
+                response.headers_mut().insert(CONTENT_TYPE, content_type);
                 if let Some(seconds) = retry_after {
                     response
                         .headers_mut()
                         .insert(RETRY_AFTER, HeaderValue::from(seconds));
                 }
-                // An empty body would be replaced by an error page of the library.
+                // Set the body even if it is empty: Salvo replaces a missing one with an error page.
                 response.body(body);
             }
             Response::Lines(lines) => {
-                let kind = HeaderValue::from_static("application/x-ndjson");
+                let content_type = HeaderValue::from_static("application/x-ndjson");
                 response.status_code(StatusCode::OK);
-                response.headers_mut().insert(CONTENT_TYPE, kind);
+                response.headers_mut().insert(CONTENT_TYPE, content_type);
                 response.stream(lines);
             }
             Response::Stream {
@@ -412,7 +428,8 @@
                 headers,
                 body,
             } => {
-                let status = StatusCode::from_u16(status).expect("stand-ins give valid statuses");
+                let status =
+                    StatusCode::from_u16(status).expect("stand-ins use valid status codes");
                 response.status_code(status);
                 response.headers_mut().extend(headers);
                 response.stream(body);
--- a/components/fakes/src/service.rs
+++ b/components/fakes/src/service.rs
@@ -121,9 +121,10 @@
                 rng: StdRng::seed_from_u64(settings.seed),
             }),
         });
-        let answering = Arc::clone(&core);
-        let respond = Box::new(move |call| answer(Arc::clone(&answering), call).boxed());
-        let address = server::start(settings.address, process, respond).await?;
+        let handler_core = Arc::clone(&core);
+        let responder =
+            Box::new(move |request| respond(Arc::clone(&handler_core), request).boxed());
+        let address = server::start(settings.address, process, responder).await?;
         Ok(Service { address, core })
     }
 
@@ -227,20 +228,20 @@
         }
     }
 
-    fn note(&self, call: &Request) {
+    fn note(&self, request: &Request) {
         lock(&self.state).calls.push(Call {
-            method: call.method.clone(),
-            path: call.path.clone(),
-            key: call.header("idempotency-key"),
-            team: call.header("x-medlarhatch-team"),
+            method: request.method.clone(),
+            path: request.path.clone(),
+            key: request.header("idempotency-key"),
+            team: request.header("x-medlarhatch-team"),
         });
     }
 
-    /// Dies or fails, if a fault says so for this call.
-    fn strike(&self, call: &Request) -> Option<Response> {
+    /// Dies or fails, if a fault says so for this request.
+    fn strike(&self, request: &Request) -> Option<Response> {
         let mut state = lock(&self.state);
         let crash = state.fault.crash_on.clone();
-        if crash.is_some_and(|text| holds(&call.body, &text)) {
+        if crash.is_some_and(|text| holds(&request.body, &text)) {
             drop(state);
             self.process.die();
             return Some(Response::Hang);
@@ -252,10 +253,10 @@
         None
     }
 
-    fn deposit(&self, call: &Request) -> Response {
-        let deposit: Deposit = match call.json() {
+    fn deposit(&self, request: &Request) -> Response {
+        let deposit: Deposit = match request.json() {
             Ok(deposit) => deposit,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         let mut state = lock(&self.state);
         if state.fault.die_before_take {
@@ -263,9 +264,9 @@
             self.process.die();
             return Response::Hang;
         }
-        let key = call.header("idempotency-key");
-        if let Some(answer) = state.repeat(key.as_deref()) {
-            return answer;
+        let key = request.header("idempotency-key");
+        if let Some(response) = state.repeat(key.as_deref()) {
+            return response;
         }
         state.deposits += 1;
         let number = state.deposits;
@@ -328,35 +329,35 @@
     String::from_utf8_lossy(body).contains(text)
 }
 
-async fn answer(core: Arc<Core>, call: Request) -> Response {
-    match (call.method.as_str(), call.path.as_str()) {
+async fn respond(core: Arc<Core>, request: Request) -> Response {
+    match (request.method.as_str(), request.path.as_str()) {
         // What steers the stand-in works also while it is paused or silent.
         ("POST", "/fault") => {
-            return match call.json::<Fault>() {
+            return match request.json::<Fault>() {
                 Ok(fault) => {
                     core.fault(&fault);
                     Response::json(200, &serde_json::json!({}))
                 }
-                Err(answer) => answer,
+                Err(response) => response,
             };
         }
         ("GET", "/calls") => return Response::json(200, &lock(&core.state).calls),
-        _ => core.process.wait_responsive(call.connection).await,
+        _ => core.process.wait_responsive(request.connection).await,
     }
-    if (call.method.as_str(), call.path.as_str()) == ("GET", "/health") {
+    if (request.method.as_str(), request.path.as_str()) == ("GET", "/health") {
         return Response::json(200, &serde_json::json!({ "ok": true }));
     }
-    core.note(&call);
+    core.note(&request);
     let slow = lock(&core.state).fault.slow_ms;
     if let Some(slow) = slow {
         sleep(Duration::from_millis(slow)).await;
-        core.process.wait_responsive(call.connection).await;
+        core.process.wait_responsive(request.connection).await;
     }
-    if let Some(answer) = core.strike(&call) {
-        return answer;
+    if let Some(response) = core.strike(&request) {
+        return response;
     }
-    match (call.method.as_str(), call.path.as_str()) {
-        ("POST", "/deposits") => core.deposit(&call),
+    match (request.method.as_str(), request.path.as_str()) {
+        ("POST", "/deposits") => core.deposit(&request),
         ("GET", path) => match path.split_at_checked(8) {
             Some(("/status/", id)) => core.status(id, false),
             _ => match path.strip_prefix("/accounts/") {
