--- a/components/fakes/src/engine.rs
+++ b/components/fakes/src/engine.rs
@@ -54,8 +54,8 @@
     State, //
 };
 pub use text::{
-    length,
-    prefix,
+    answer_length,
+    prefix_hash,
     token, //
 };
 
--- a/components/fakes/src/engine/cache.rs
+++ b/components/fakes/src/engine/cache.rs
@@ -56,7 +56,7 @@
 
     /// Stores the prompt and gives how many of its tokens were cached.
     pub(super) fn read(&mut self, prompt: &str) -> u64 {
-        let prefix = text::prefix(prompt);
+        let prefix = text::prefix_hash(prompt);
         let bytes = &prompt.as_bytes()[..prompt.len().min(KEPT)];
         let place = self.prompts.iter().position(|(known, _)| *known == prefix);
         let known = place.and_then(|place| self.prompts.remove(place));
--- a/components/fakes/src/engine/run.rs
+++ b/components/fakes/src/engine/run.rs
@@ -200,7 +200,7 @@
     if failed {
         return Err(Response::error(500, "the run failed"));
     }
-    let length = text::length(&body.prompt, body.seed, body.max_tokens);
+    let length = text::answer_length(&body.prompt, body.seed, body.max_tokens);
     let breaks = broken.is_some_and(|share| state.rng.random_bool(share.clamp(0.0, 1.0)));
     let break_at = breaks.then(|| from + length.saturating_sub(from) / 2);
     let cancel = CancellationToken::new();
--- a/components/fakes/src/engine/text.rs
+++ b/components/fakes/src/engine/text.rs
@@ -51,7 +51,7 @@
 }
 
 /// Number of tokens of the answer. Most reach `max_tokens`; one in eight ends earlier.
-pub fn length(prompt: &str, seed: u64, max_tokens: u64) -> u64 {
+pub fn answer_length(prompt: &str, seed: u64, max_tokens: u64) -> u64 {
     let number = digest(&[prompt], &[seed]);
     if !number.is_multiple_of(EARLY) || max_tokens < 2 {
         return max_tokens;
@@ -61,7 +61,7 @@
 }
 
 /// Hash of a prompt's first 256 bytes, as cache events give it.
-pub fn prefix(prompt: &str) -> u64 {
+pub fn prefix_hash(prompt: &str) -> u64 {
     let bytes = prompt.as_bytes();
     xxh3_64(&bytes[..bytes.len().min(256)])
 }
--- a/components/fakes/tests/engine.rs
+++ b/components/fakes/tests/engine.rs
@@ -127,7 +127,10 @@
 async fn whole_answer_is_the_known_text() {
     let engine = engine(quick()).await;
     let answer = run(&engine, &ask("r/1/1", 40)).await;
-    assert_eq!(answer.tokens.len() as u64, engine::length(PROMPT, 3, 40));
+    assert_eq!(
+        answer.tokens.len() as u64,
+        engine::answer_length(PROMPT, 3, 40)
+    );
     for (index, token) in &answer.tokens {
         assert_eq!(*token, engine::token(PROMPT, 3, "v1", *index));
     }
@@ -157,7 +160,7 @@
             engine::token(PROMPT, seed, "v1", index + 1),
         );
         assert_ne!(one, next);
-        if engine::length(PROMPT, seed, 100) == 100 {
+        if engine::answer_length(PROMPT, seed, 100) == 100 {
             long += 1;
         }
     }
@@ -434,7 +437,7 @@
     let events = events["events"].as_array().expect("a list").clone();
     let seqs: Vec<u64> = events.iter().map(|e| e["seq"].as_u64().unwrap()).collect();
     assert!(!seqs.contains(&7) && seqs.contains(&8) && !seqs.contains(&1));
-    let stored = format!("{:016x}", engine::prefix(&format!("11 {PROMPT}")));
+    let stored = format!("{:016x}", engine::prefix_hash(&format!("11 {PROMPT}")));
     assert!(
         events
             .iter()
--- a/components/trial/tests/callers.rs
+++ b/components/trial/tests/callers.rs
@@ -141,7 +141,7 @@
     let prompt = "user: When is my turn?\nassistant:";
     let text = known(prompt, 3, 5).concat();
     assert_eq!(body["choices"][0]["message"]["content"], text);
-    let length = engine::length(prompt, 3, 5);
+    let length = engine::answer_length(prompt, 3, 5);
     assert_eq!(body["usage"]["completion_tokens"], length);
 }
 
--- a/components/trial/tests/poison.rs
+++ b/components/trial/tests/poison.rs
@@ -144,7 +144,7 @@
     for (prompt, answer) in prompts.iter().zip(answers) {
         let (status, body) = answer.await.unwrap();
         assert_eq!(status, StatusCode::OK, "{prompt}: {body}");
-        let tokens = 0..engine::length(prompt, 7, length);
+        let tokens = 0..engine::answer_length(prompt, 7, length);
         let whole: String = tokens.map(|i| engine::token(prompt, 7, "v1", i)).collect();
         assert_eq!(body["choices"][0]["text"], whole, "{prompt}");
     }
--- a/components/trial/tests/support/mod.rs
+++ b/components/trial/tests/support/mod.rs
@@ -37,7 +37,7 @@
 /// A seed whose letter has [`LENGTH`] tokens, and its text.
 pub fn whole_letter(from: u64) -> (u64, Vec<String>) {
     let mut seeds = from..;
-    let seed = seeds.find(|seed| engine::length("p", *seed, LENGTH) == LENGTH);
+    let seed = seeds.find(|seed| engine::answer_length("p", *seed, LENGTH) == LENGTH);
     let seed = seed.expect("most letters are whole");
     (seed, known("p", seed, LENGTH))
 }
@@ -97,7 +97,7 @@
 
 /// The stand-in's text for a request.
 pub fn known(prompt: &str, seed: u64, max_tokens: u64) -> Vec<String> {
-    (0..engine::length(prompt, seed, max_tokens))
+    (0..engine::answer_length(prompt, seed, max_tokens))
         .map(|index| engine::token(prompt, seed, "v1", index))
         .collect()
 }
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -45,7 +45,7 @@
     let trial = start().await.map_err(failed)?;
     println!("Two engines, a sidecar beside each, one entry. The answer streams:\n");
     let seen = stream(&trial, args.tokens).await.map_err(failed)?;
-    let length = engine::length(PROMPT, SEED, args.tokens);
+    let length = engine::answer_length(PROMPT, SEED, args.tokens);
     let known: Vec<String> = (0..length)
         .map(|index| engine::token(PROMPT, SEED, "v1", index))
         .collect();
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -282,7 +282,7 @@
 
 fn letter() -> (u64, Vec<String>) {
     let mut seeds = 1..;
-    let seed = seeds.find(|seed| engine::length("p", *seed, LENGTH) == LENGTH);
+    let seed = seeds.find(|seed| engine::answer_length("p", *seed, LENGTH) == LENGTH);
     let seed = seed.expect("most letters are whole");
     let tokens = (0..LENGTH).map(|index| engine::token("p", seed, "v1", index));
     (seed, tokens.collect())
