--- a/components/fakes/src/engine.rs
+++ b/components/fakes/src/engine.rs
@@ -1,10 +1,11 @@
-//! The model engine's stand-in. The contract is `docs/interfaces/engine.md`.
+//! Stand-in for the model engine. The contract is `docs/interfaces/engine.md`.
 //!
-//! Its cost model is that of continuous batching, kept small. Reading the prompt takes
-//! `first` for the first thousand tokens that are not cached and as much again for each further
-//! thousand, in proportion. Tokens then come `between` apart. Beyond `capacity` runs at a time
-//! both times grow in proportion to the number of runs that go before or beside a run by
-//! priority. At `full` runs new ones are refused.
+//! It simulates continuous batching with a simple cost model. Prefill takes
+//! [`first_token`](Settings::first_token) for up to a thousand uncached prompt tokens and grows in
+//! proportion beyond that. Tokens then follow every [`token_interval`](Settings::token_interval).
+//! With more than [`capacity`](Settings::capacity) runs, both times grow in proportion to the
+//! number of runs of the same or a higher priority. At [`max_runs`](Settings::max_runs) the engine
+//! refuses new runs.
 
 use std::{
     collections::{
@@ -59,32 +60,32 @@
     token, //
 };
 
-/// How the engine behaves when nothing is wrong.
+/// Configuration of an engine without faults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 picks a free port.
     pub address: SocketAddr,
-    /// Model that it serves.
+    /// Model that the engine serves.
     pub model: String,
-    /// Version that is loaded at the start.
+    /// Version that is loaded at startup.
     pub version: String,
-    /// Runs at full speed.
+    /// Number of concurrent runs at full speed.
     pub capacity: u32,
-    /// Runs at which new ones are refused with 429; `None` is four times `capacity`.
+    /// Number of concurrent runs from which new ones get 429; `None` means four times `capacity`.
     pub max_runs: Option<u32>,
     /// Time to the first token of a prompt of up to a thousand tokens.
     pub first_token: Duration,
     /// Time between tokens.
     pub token_interval: Duration,
-    /// How late load readings and cache events are.
+    /// Delay of load reports and cache events.
     pub report_lag: Duration,
-    /// How long loading a version takes.
+    /// Time that loading a version takes.
     pub load_time: Duration,
-    /// Prompts that the prefix cache holds.
+    /// Capacity of the prefix cache in prompts.
     pub cached_prompts: usize,
-    /// Seed of the draws for shares of runs that fail.
+    /// Seed of the random choice of runs that fail.
     pub seed: u64,
-    /// Ends the operating system's process on death. For the program only.
+    /// Whether death exits the operating system process. Only the stand-in program sets it.
     pub exit_on_death: bool,
 }
 
@@ -107,7 +108,7 @@
     }
 }
 
-/// A running stand-in engine. Dropping it stops it.
+/// Running stand-in engine, stopped on drop.
 pub struct Engine {
     address: SocketAddr,
     core: Arc<Core>,
@@ -118,7 +119,7 @@
     ///
     /// # Errors
     ///
-    /// Gives the error of binding the address.
+    /// Returns the I/O error if the address can't be bound.
     pub async fn start(settings: Settings) -> io::Result<Engine> {
         let process = Process::new(settings.exit_on_death);
         let address = settings.address;
@@ -130,7 +131,7 @@
         Ok(Engine { address, core })
     }
 
-    /// Address that it listens on.
+    /// Returns the address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -140,12 +141,12 @@
         self.core.fault(&fault);
     }
 
-    /// Every run so far, oldest first.
+    /// Returns all runs so far, oldest first.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.core.state).runs.clone()
     }
 
-    /// Drops the listener and all connections at once, as a process's death does.
+    /// Drops the listener and all connections at once, as the death of a process does.
     pub fn stop(&self) {
         self.core.process.stop();
     }
@@ -162,7 +163,7 @@
     }
 }
 
-/// What the engine does; shared by its handlers and runs.
+/// Engine state shared by request handlers and runs.
 struct Core {
     settings: Settings,
     process: Arc<Process>,
@@ -172,17 +173,18 @@
 struct Inner {
     faults: fault::Faults,
     runs: Vec<Run>,
-    /// Runs in progress with their priority.
+    /// Priorities of the runs in progress, by index in `runs`.
     running: BTreeMap<usize, i64>,
+    /// Tokens that cancel the runs of a request id.
     cancels: BTreeMap<String, Vec<tokio_util::sync::CancellationToken>>,
     cache: cache::Cache,
     orders: order::Orders,
-    /// Number of runs over time, for readings that lag.
+    /// Past numbers of running runs, from which delayed load reports are made.
     load: VecDeque<(Instant, usize)>,
     rng: StdRng,
 }
 
-/// Answer of `GET /load`.
+/// Response body of `GET /load`.
 #[derive(Serialize)]
 struct Load {
     running: u64,
@@ -195,6 +197,7 @@
     age_ms: u64,
 }
 
+/// Request body of `POST /cancel`.
 #[derive(Deserialize)]
 struct Cancel {
     id: String,
@@ -250,15 +253,15 @@
         let mut state = lock(&self.state);
         let now = Instant::now();
         let lag = self.settings.report_lag;
-        // The reading is the last one that is old enough; those before it are of no use.
+        // Reports the newest sample that is at least `lag` old and drops older ones.
         while state.load.len() > 1 && now.duration_since(state.load[1].0) >= lag {
             state.load.pop_front();
         }
-        let seen = state.load[0].1 as u64;
-        let running = seen.min(u64::from(self.settings.capacity));
+        let runs = state.load[0].1 as u64;
+        let running = runs.min(u64::from(self.settings.capacity));
         Load {
             running,
-            queued: seen - running,
+            queued: runs - running,
             capacity: self.settings.capacity,
             kv_used: state.cache.used(),
             model: self.settings.model.clone(),
@@ -277,17 +280,17 @@
 
     fn order(&self, order: &order::Order) -> Response {
         let mut state = lock(&self.state);
-        let ignore = state.faults.now.ignore_fence;
+        let ignore_fence = state.faults.active.ignore_fence;
         let ready = Instant::now() + self.settings.load_time;
         match state
             .orders
-            .take(order, ignore, &self.settings.model, ready)
+            .apply(order, ignore_fence, &self.settings.model, ready)
         {
             order::Outcome::Applied => Response::json(200, &serde_json::json!({ "applied": true })),
-            order::Outcome::Old { highest } => {
+            order::Outcome::Stale { highest } => {
                 Response::json(409, &serde_json::json!({ "highest": highest }))
             }
-            order::Outcome::Wrong(error) => Response::bad_request(&error),
+            order::Outcome::Invalid(error) => Response::bad_request(&error),
         }
     }
 
@@ -301,10 +304,10 @@
 }
 
 impl Inner {
-    fn note_load(&mut self) {
+    fn record_load(&mut self) {
         let running = self.running.len();
         self.load.push_back((Instant::now(), running));
-        // Nobody may ask for the load for long; the oldest readings go first.
+        // Bounds the memory if no load report is requested for long; evicts the oldest samples.
         if self.load.len() > 10_000 {
             self.load.pop_front();
         }
@@ -313,7 +316,7 @@
 
 async fn respond(core: Arc<Core>, request: Request) -> Response {
     match (request.method.as_str(), request.path.as_str()) {
-        // What steers the stand-in works also while it is paused or silent.
+        // Control requests are served also while the stand-in is paused or silent.
         ("POST", "/fault") => {
             return match request.json::<Fault>() {
                 Ok(fault) => {
--- a/components/fakes/src/engine/fault.rs
+++ b/components/fakes/src/engine/fault.rs
@@ -1,66 +1,67 @@
-//! Faults of the engine.
+//! Fault injection for the engine.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// Time added to tokens, in milliseconds.
+/// Additional latency of tokens, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Slow {
-    /// Added before the first token.
+    /// Delay added before the first token.
     pub first_ms: u64,
-    /// Added between tokens.
+    /// Delay added between tokens.
     pub between_ms: u64,
 }
 
-/// What goes wrong from now on; fields that are not set leave earlier faults as they are.
+/// Faults to inject from now on, the request body of `POST /fault`.
 ///
-/// The body of `POST /fault`; `docs/interfaces/engine.md` says what each does.
+/// Unset fields leave earlier faults unchanged. `docs/interfaces/engine.md` describes each fault.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Takes all faults back, before the other fields act.
+    /// Clears all faults before the other fields apply.
     pub clear: bool,
-    /// The fault only acts once the engine has sent this many more tokens.
+    /// Delays the fault until the engine has sent this many more tokens.
     pub after_tokens: Option<u64>,
-    /// The process ends at once.
+    /// Ends the process at once.
     pub die: bool,
-    /// Nothing is answered or sent for this time, in milliseconds.
+    /// Stops all responses and streams for this time, in milliseconds.
     pub pause_ms: Option<u64>,
-    /// Connections that are open now carry nothing any more.
+    /// Silences the connections that are open now for good, without closing them.
     pub silence: bool,
-    /// Tokens take longer.
+    /// Delays tokens.
     pub slow: Option<Slow>,
-    /// The token at this index is sent twice.
+    /// Sends the token at this index twice.
     pub repeat_at: Option<u64>,
-    /// The token at this index is left out.
+    /// Skips the token at this index.
     pub skip_at: Option<u64>,
-    /// Share of runs that answer 500.
+    /// Share of runs that fail with 500.
     pub fail_share: Option<f64>,
-    /// Share of runs that close midway.
+    /// Share of runs whose connection breaks midway.
     pub break_share: Option<f64>,
-    /// A prompt that holds this text ends the process at its run's third token.
+    /// Ends the process at the third token of a run whose prompt contains this text.
     pub crash_on: Option<String>,
-    /// Orders with an old number are taken.
+    /// Accepts orders with an outdated fencing token.
     pub ignore_fence: bool,
-    /// A request that continues an answer gets 400.
+    /// Refuses requests that continue an answer with 400.
     pub no_continue: bool,
-    /// Each run has a text of its own.
+    /// Makes the text of each run different.
     pub vary: bool,
 }
 
-/// Faults in force.
+/// Active and pending faults.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Faults {
-    pub(super) now: Fault,
-    /// Faults that wait until so many tokens were sent.
+    pub(super) active: Fault,
+    /// Faults with the number of tokens to be sent before they apply.
     pending: Vec<(u64, Fault)>,
 }
 
 impl Faults {
-    /// Takes a fault that waits for tokens; `false` if it acts now.
+    /// Queues a fault that applies after a number of tokens. Returns `false`, without effect, if
+    /// it applies at once.
     pub(super) fn defer(&mut self, fault: &Fault) -> bool {
         let Some(tokens) = fault.after_tokens else {
             return false;
@@ -76,35 +77,35 @@
         true
     }
 
-    /// Counts a token that is about to be sent; gives the faults that act before it.
-    pub(super) fn count(&mut self) -> Vec<Fault> {
+    /// Counts a token that is about to be sent and returns the faults that apply before it.
+    pub(super) fn count_token(&mut self) -> Vec<Fault> {
         let mut due = Vec::new();
-        let mut later = Vec::new();
-        for (left, fault) in self.pending.drain(..) {
-            if left == 0 {
+        let mut pending = Vec::new();
+        for (remaining, fault) in self.pending.drain(..) {
+            if remaining == 0 {
                 due.push(fault);
             } else {
-                later.push((left - 1, fault));
+                pending.push((remaining - 1, fault));
             }
         }
-        self.pending = later;
+        self.pending = pending;
         due
     }
 
-    /// Adds a fault to those in force.
+    /// Adds a fault to the active ones.
     pub(super) fn add(&mut self, fault: &Fault) {
         if fault.clear {
             *self = Faults::default();
         }
-        let now = &mut self.now;
-        now.slow = fault.slow.or(now.slow);
-        now.repeat_at = fault.repeat_at.or(now.repeat_at);
-        now.skip_at = fault.skip_at.or(now.skip_at);
-        now.fail_share = fault.fail_share.or(now.fail_share);
-        now.break_share = fault.break_share.or(now.break_share);
-        now.crash_on = fault.crash_on.clone().or(now.crash_on.take());
-        now.ignore_fence |= fault.ignore_fence;
-        now.no_continue |= fault.no_continue;
-        now.vary |= fault.vary;
+        let active = &mut self.active;
+        active.slow = fault.slow.or(active.slow);
+        active.repeat_at = fault.repeat_at.or(active.repeat_at);
+        active.skip_at = fault.skip_at.or(active.skip_at);
+        active.fail_share = fault.fail_share.or(active.fail_share);
+        active.break_share = fault.break_share.or(active.break_share);
+        active.crash_on = fault.crash_on.clone().or(active.crash_on.take());
+        active.ignore_fence |= fault.ignore_fence;
+        active.no_continue |= fault.no_continue;
+        active.vary |= fault.vary;
     }
 }
--- a/components/fakes/src/engine/order.rs
+++ b/components/fakes/src/engine/order.rs
@@ -1,4 +1,4 @@
-//! Orders: load, unload, role; and the fencing token.
+//! Orders to load or unload a version or to change the role, protected by a fencing token.
 
 use std::collections::BTreeMap;
 
@@ -32,22 +32,27 @@
 
 pub(super) enum Outcome {
     Applied,
-    Old { highest: u64 },
-    Wrong(String),
+    /// The order's fencing token is lower than the highest one seen.
+    Stale {
+        highest: u64,
+    },
+    Invalid(String),
 }
 
-/// Whether a version can serve.
+/// Load state of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Loaded {
-    Yes,
+pub(super) enum Status {
+    Loaded,
     Loading,
-    No,
+    Absent,
 }
 
+/// State that results from the orders applied so far.
 pub(super) struct Orders {
+    /// Highest fencing token seen.
     highest: u64,
     role: String,
-    /// Versions and since when each can serve.
+    /// Versions and the time from which each can serve.
     versions: BTreeMap<String, Instant>,
 }
 
@@ -60,7 +65,8 @@
         }
     }
 
-    pub(super) fn take(
+    /// Applies an order, unless its fencing token is outdated or the order is invalid.
+    pub(super) fn apply(
         &mut self,
         order: &Order,
         ignore_fence: bool,
@@ -68,13 +74,13 @@
         ready: Instant,
     ) -> Outcome {
         if order.fence < self.highest && !ignore_fence {
-            return Outcome::Old {
+            return Outcome::Stale {
                 highest: self.highest,
             };
         }
         match &order.order {
             Kind::Load(version) | Kind::Unload(version) if version.model != model => {
-                return Outcome::Wrong(format!("the model here is {model}"));
+                return Outcome::Invalid(format!("the model here is {model}"));
             }
             Kind::Load(version) => {
                 self.versions
@@ -86,7 +92,7 @@
             }
             Kind::Role(role) => match role.role.as_str() {
                 "prefill" | "decode" | "both" => self.role.clone_from(&role.role),
-                other => return Outcome::Wrong(format!("unknown role {other}")),
+                other => return Outcome::Invalid(format!("unknown role {other}")),
             },
         }
         self.highest = self.highest.max(order.fence);
@@ -97,14 +103,15 @@
         &self.role
     }
 
-    pub(super) fn loaded(&self, version: &str, now: Instant) -> Loaded {
+    pub(super) fn status(&self, version: &str, now: Instant) -> Status {
         match self.versions.get(version) {
-            Some(ready) if *ready <= now => Loaded::Yes,
-            Some(_) => Loaded::Loading,
-            None => Loaded::No,
+            Some(ready) if *ready <= now => Status::Loaded,
+            Some(_) => Status::Loading,
+            None => Status::Absent,
         }
     }
 
+    /// Returns the versions that can serve.
     pub(super) fn versions(&self, now: Instant) -> Vec<String> {
         let mut loaded = Vec::new();
         for (version, ready) in &self.versions {
--- a/components/fakes/src/engine/run.rs
+++ b/components/fakes/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! Runs: one request's way through the engine.
+//! Generation runs and their token streams.
 
 use std::{
     collections::VecDeque,
@@ -22,7 +22,7 @@
 
 use super::{
     Core,
-    order::Loaded,
+    order::Status,
     text, //
 };
 use crate::server::{
@@ -31,7 +31,7 @@
     lock, //
 };
 
-/// Body of `POST /generate`.
+/// Request body of `POST /generate`.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct Body {
     id: String,
@@ -49,7 +49,7 @@
     continue_from: Vec<String>,
 }
 
-/// How a run stands.
+/// State of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
@@ -57,31 +57,33 @@
     Running,
     /// Ended with an end line.
     Ended,
-    /// Cancelled, by a call or because its connection closed.
+    /// Cancelled by a request or because its connection closed.
     Cancelled,
-    /// Broken off by a fault.
+    /// Aborted by a fault.
     Broken,
 }
 
-/// A run as `GET /runs` shows it.
+/// A run as reported by `GET /runs`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// The request's `id`.
+    /// Request `id`.
     pub id: String,
-    /// Index that the run began at.
+    /// Index of the run's first token.
     pub from: u64,
-    /// Tokens that it sent.
+    /// Number of tokens sent.
     pub sent: u64,
-    /// How it stands.
+    /// State of the run.
     pub state: State,
 }
 
+/// Line of the stream that carries a token.
 #[derive(Serialize)]
 struct Token {
     index: u64,
     token: String,
 }
 
+/// Last line of the stream.
 #[derive(Serialize)]
 struct End {
     end: &'static str,
@@ -90,28 +92,29 @@
     completion_tokens: u64,
 }
 
-/// A run in progress. Dropping it frees its slot.
+/// Slot of a run in progress, freed on drop.
 struct Slot {
     core: Arc<Core>,
-    number: usize,
+    /// Index of the run in [`Inner::runs`](super::Inner::runs).
+    index: usize,
     id: String,
     state: State,
 }
 
 impl Slot {
-    /// Ends the run and frees its place; only the first end counts.
-    fn finish(&mut self, end: State) {
+    /// Ends the run and frees its slot. Has no effect on a run that has ended.
+    fn finish(&mut self, outcome: State) {
         if self.state != State::Running {
             return;
         }
-        self.state = end;
+        self.state = outcome;
         let mut state = lock(&self.core.state);
-        if let Some(run) = state.runs.get_mut(self.number) {
-            run.state = end;
+        if let Some(run) = state.runs.get_mut(self.index) {
+            run.state = outcome;
         }
-        state.running.remove(&self.number);
+        state.running.remove(&self.index);
         state.cancels.remove(&self.id);
-        state.note_load();
+        state.record_load();
     }
 }
 
@@ -126,21 +129,22 @@
     }
 }
 
-/// What a run's stream needs.
+/// Parameters of a run's token stream.
 struct Plan {
     body: Body,
     connection: Connection,
     cancel: CancellationToken,
-    /// Number of the answer's text.
-    answer: u64,
+    /// Hash from which the tokens are derived.
+    answer_hash: u64,
+    /// Length of the whole answer in tokens.
     length: u64,
     prompt_tokens: u64,
     cached_tokens: u64,
-    /// Index before which the connection breaks.
+    /// Index of the token before which the connection is broken.
     break_at: Option<u64>,
 }
 
-/// Starts a run, or refuses it.
+/// Starts a run and returns its token stream, or an error response if the run is refused.
 pub(super) fn start(core: &Arc<Core>, body: Body, connection: Connection) -> Response {
     if let Err(response) = check(core, &body) {
         return response;
@@ -163,12 +167,12 @@
     if body.model != core.settings.model {
         return Err(Response::error(409, "model not loaded"));
     }
-    match state.orders.loaded(&body.version, Instant::now()) {
-        Loaded::Yes => {}
-        Loaded::Loading => return Err(Response::error(503, "version is loading")),
-        Loaded::No => return Err(Response::error(409, "version not loaded")),
+    match state.orders.status(&body.version, Instant::now()) {
+        Status::Loaded => {}
+        Status::Loading => return Err(Response::error(503, "version is loading")),
+        Status::Absent => return Err(Response::error(409, "version not loaded")),
     }
-    if state.faults.now.no_continue && !body.continue_from.is_empty() {
+    if state.faults.active.no_continue && !body.continue_from.is_empty() {
         return Err(Response::bad_request("continue_from isn't known here"));
     }
     Ok(())
@@ -183,10 +187,13 @@
     if state.running.len() >= core.max_runs() {
         return Err(Response::too_many_requests(1));
     }
-    let number = state.runs.len();
+    let index = state.runs.len();
     let from = body.continue_from.len() as u64;
-    let (fail, broken) = (state.faults.now.fail_share, state.faults.now.break_share);
-    let failed = fail.is_some_and(|share| state.rng.random_bool(share.clamp(0.0, 1.0)));
+    let (fail_share, break_share) = (
+        state.faults.active.fail_share,
+        state.faults.active.break_share,
+    );
+    let failed = fail_share.is_some_and(|share| state.rng.random_bool(share.clamp(0.0, 1.0)));
     state.runs.push(Run {
         id: body.id.clone(),
         from,
@@ -201,20 +208,20 @@
         return Err(Response::error(500, "the run failed"));
     }
     let length = text::answer_length(&body.prompt, body.seed, body.max_tokens);
-    let breaks = broken.is_some_and(|share| state.rng.random_bool(share.clamp(0.0, 1.0)));
+    let breaks = break_share.is_some_and(|share| state.rng.random_bool(share.clamp(0.0, 1.0)));
     let break_at = breaks.then(|| from + length.saturating_sub(from) / 2);
     let cancel = CancellationToken::new();
-    state.running.insert(number, body.priority);
+    state.running.insert(index, body.priority);
     let cancels = state.cancels.entry(body.id.clone()).or_default();
     cancels.push(cancel.clone());
-    state.note_load();
-    let cached_tokens = state.cache.read(&body.prompt);
-    // The tokens' text is not needed any more, only their number.
+    state.record_load();
+    let cached_tokens = state.cache.insert(&body.prompt);
+    // Only the number of continued tokens is needed from here on; frees their text.
     for token in &mut body.continue_from {
         token.clear();
     }
     let plan = Plan {
-        answer: text::answer(&body.prompt, body.seed, &body.version),
+        answer_hash: text::answer_hash(&body.prompt, body.seed, &body.version),
         length,
         prompt_tokens: text::prompt_tokens(&body.prompt),
         cached_tokens,
@@ -225,22 +232,22 @@
     };
     let slot = Slot {
         core: Arc::clone(core),
-        number,
+        index,
         id: plan.body.id.clone(),
         state: State::Running,
     };
     Ok((slot, plan))
 }
 
-/// The lines of a run, as they are due.
+/// Streams the lines of a run as they become due.
 fn lines(mut slot: Slot, plan: Plan) -> impl futures_util::Stream<Item = io::Result<Bytes>> {
     async_stream::stream! {
         let from = plan.body.continue_from.len() as u64;
         let mut sent = 0;
         let mut index = from;
         while index < plan.length {
-            let time = slot.time(&plan, index == from);
-            if slot.wait(&plan, time).await.is_none() {
+            let delay = slot.token_delay(&plan, index == from);
+            if slot.wait(&plan, delay).await.is_none() {
                 slot.finish(State::Cancelled);
                 return;
             }
@@ -250,13 +257,13 @@
                 return;
             }
             slot.apply_faults(&plan, sent);
-            // A fault that is due now may have paused or ended the process.
+            // A fault applied just now may have paused or ended the process.
             if slot.wait(&plan, Duration::ZERO).await.is_none() {
                 slot.finish(State::Cancelled);
                 return;
             }
-            for line in slot.due(&plan, index) {
-                slot.count();
+            for line in slot.token_lines(&plan, index) {
+                slot.count_sent();
                 yield Ok(line);
             }
             sent += 1;
@@ -272,61 +279,63 @@
 }
 
 impl Slot {
-    /// Time until the next token, by the cost model.
-    fn time(&self, plan: &Plan, first: bool) -> Duration {
+    /// Returns the time until the next token by the cost model.
+    fn token_delay(&self, plan: &Plan, first: bool) -> Duration {
         let settings = &self.core.settings;
         let state = lock(&self.core.state);
-        let mut ahead = 0;
+        let mut competing = 0;
         for priority in state.running.values() {
             if *priority >= plan.body.priority {
-                ahead += 1;
+                competing += 1;
             }
         }
-        let load = (f64::from(ahead) / f64::from(settings.capacity.max(1))).max(1.0);
-        let slow = state.faults.now.slow.unwrap_or_default();
+        let slowdown = (f64::from(competing) / f64::from(settings.capacity.max(1))).max(1.0);
+        let slow = state.faults.active.slow.unwrap_or_default();
         if !first {
-            return settings.token_interval.mul_f64(load) + Duration::from_millis(slow.between_ms);
+            return settings.token_interval.mul_f64(slowdown)
+                + Duration::from_millis(slow.between_ms);
         }
         let continued = plan.body.continue_from.len() as u64;
-        let unread = plan.prompt_tokens.saturating_sub(plan.cached_tokens) + continued;
-        let size = (unread as f64 / 1000.0).max(1.0);
-        settings.first_token.mul_f64(size * load) + Duration::from_millis(slow.first_ms)
+        let prefill = plan.prompt_tokens.saturating_sub(plan.cached_tokens) + continued;
+        let kilotokens = (prefill as f64 / 1000.0).max(1.0);
+        settings.first_token.mul_f64(kilotokens * slowdown) + Duration::from_millis(slow.first_ms)
     }
 
-    /// Waits for the time and while the process is paused; `None` when the run was cancelled.
-    async fn wait(&self, plan: &Plan, time: Duration) -> Option<()> {
+    /// Waits for `delay` and then until the process can send. Returns `None` if the run is
+    /// cancelled meanwhile.
+    async fn wait(&self, plan: &Plan, delay: Duration) -> Option<()> {
         let process = &self.core.process;
         let wait = async {
-            if !time.is_zero() {
-                sleep(time).await;
+            if !delay.is_zero() {
+                sleep(delay).await;
             }
             process.wait_responsive(plan.connection).await;
         };
-        // The sender of a silent connection doesn't learn that it was closed at the other end,
-        // nor can it be told; a cancel still ends the run.
+        // The sender on a silent connection can't see that the peer closed it; only a cancel
+        // request ends the run.
         plan.cancel.run_until_cancelled(wait).await
     }
 
-    /// Applies the faults that are due before this token.
+    /// Applies the faults that are due before the next token.
     fn apply_faults(&self, plan: &Plan, sent: u64) {
-        let due = lock(&self.core.state).faults.count();
+        let due = lock(&self.core.state).faults.count_token();
         for fault in due {
             self.core.fault(&fault);
         }
-        let crash = lock(&self.core.state).faults.now.crash_on.clone();
-        let Some(crash) = crash else {
+        let crash_text = lock(&self.core.state).faults.active.crash_on.clone();
+        let Some(crash_text) = crash_text else {
             return;
         };
         let last = plan.length - plan.body.continue_from.len() as u64 - 1;
-        if sent == last.min(2) && plan.body.prompt.contains(&crash) {
+        if sent == last.min(2) && plan.body.prompt.contains(&crash_text) {
             self.core.process.die();
         }
     }
 
-    /// The lines for one index: one, or by fault none or two.
-    fn due(&self, plan: &Plan, index: u64) -> VecDeque<Bytes> {
-        let faults = lock(&self.core.state).faults.now.clone();
-        let mut token = text::token_of(plan.answer, index);
+    /// Returns the lines for the token at `index`: one, or none or two by fault.
+    fn token_lines(&self, plan: &Plan, index: u64) -> VecDeque<Bytes> {
+        let faults = lock(&self.core.state).faults.active.clone();
+        let mut token = text::token_at(plan.answer_hash, index);
         if faults.vary {
             token = format!("{token}-{}", plan.body.id);
         }
@@ -342,17 +351,17 @@
         lines
     }
 
-    fn count(&self) {
-        if let Some(run) = lock(&self.core.state).runs.get_mut(self.number) {
+    fn count_sent(&self) {
+        if let Some(run) = lock(&self.core.state).runs.get_mut(self.index) {
             run.sent += 1;
         }
     }
 }
 
 fn end(plan: &Plan, sent: u64) -> Bytes {
-    let whole = plan.length == plan.body.max_tokens;
+    let reached_limit = plan.length == plan.body.max_tokens;
     line(&End {
-        end: if whole { "length" } else { "stop" },
+        end: if reached_limit { "length" } else { "stop" },
         prompt_tokens: plan.prompt_tokens,
         cached_tokens: plan.cached_tokens,
         completion_tokens: sent,
@@ -360,7 +369,7 @@
 }
 
 fn line(value: &impl Serialize) -> Bytes {
-    let mut line = serde_json::to_vec(value).expect("plain data turns into JSON");
+    let mut line = serde_json::to_vec(value).expect("stream lines serialize to JSON");
     line.push(b'\n');
     Bytes::from(line)
 }
--- a/components/fakes/src/main.rs
+++ b/components/fakes/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as a program, one a process.
+//! Program that runs one stand-in per process.
 
 use std::{
     error::Error,
@@ -21,12 +21,12 @@
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum Command {
     Engine(Engine),
     Service(Service),
     Platform(Platform),
@@ -42,20 +42,28 @@
     /// model's name (default m)
     #[argh(option, default = "String::from(\"m\")")]
     model: String,
-    /// version that is loaded (default v1)
+    /// version that is loaded at startup (default v1)
     #[argh(option, default = "String::from(\"v1\")")]
     version: String,
     /// time to the first token (default 20ms)
-    #[argh(option, default = "Duration::from_millis(20)", from_str_fn(duration))]
+    #[argh(
+        option,
+        default = "Duration::from_millis(20)",
+        from_str_fn(parse_duration)
+    )]
     first: Duration,
     /// time between tokens (default 5ms)
-    #[argh(option, default = "Duration::from_millis(5)", from_str_fn(duration))]
+    #[argh(
+        option,
+        default = "Duration::from_millis(5)",
+        from_str_fn(parse_duration)
+    )]
     between: Duration,
-    /// runs at full speed (default 32)
+    /// number of concurrent runs at full speed (default 32)
     #[argh(option, default = "32")]
     capacity: u32,
     /// time that loading a version takes (default 0s)
-    #[argh(option, default = "Duration::ZERO", from_str_fn(duration))]
+    #[argh(option, default = "Duration::ZERO", from_str_fn(parse_duration))]
     load: Duration,
 }
 
@@ -75,13 +83,14 @@
     /// address to listen on (default 127.0.0.1:0)
     #[argh(option, default = "any()")]
     address: SocketAddr,
-    /// file with the host list in JSON, as GET /hosts gives it
+    /// file with the host list in JSON, in the format of GET /hosts
     #[argh(option)]
     hosts: Option<PathBuf>,
 }
 
+/// Format of the host list file.
 #[derive(serde::Deserialize)]
-struct Hosts {
+struct HostList {
     hosts: Vec<platform::Host>,
 }
 
@@ -89,23 +98,23 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn duration(text: &str) -> Result<Duration, String> {
+fn parse_duration(text: &str) -> Result<Duration, String> {
     humantime::parse_duration(text)
-        .map_err(|error| format!("{text} is no duration such as 20ms or 1s: {error}"))
+        .map_err(|error| format!("{text} isn't a duration such as 20ms or 1s: {error}"))
 }
 
 #[tokio::main]
 async fn main() {
     let args: Args = argh::from_env();
-    if let Err(error) = run(args.what).await {
+    if let Err(error) = run(args.command).await {
         eprintln!("medlarhatch-fakes: {error}");
         std::process::exit(1);
     }
 }
 
-async fn run(what: What) -> Result<(), Box<dyn Error>> {
-    match what {
-        What::Engine(args) => {
+async fn run(command: Command) -> Result<(), Box<dyn Error>> {
+    match command {
+        Command::Engine(args) => {
             let engine = engine::Engine::start(engine::Settings {
                 address: args.address,
                 model: args.model,
@@ -120,7 +129,7 @@
             .await?;
             serve(engine.address()).await
         }
-        What::Service(args) => {
+        Command::Service(args) => {
             let service = service::Service::start(service::Settings {
                 address: args.address,
                 exit_on_death: true,
@@ -129,9 +138,9 @@
             .await?;
             serve(service.address()).await
         }
-        What::Platform(args) => {
+        Command::Platform(args) => {
             let hosts = match &args.hosts {
-                Some(path) => read(path)?,
+                Some(path) => read_hosts(path)?,
                 None => Vec::new(),
             };
             let platform = platform::Platform::start(platform::Settings {
@@ -146,15 +155,16 @@
     }
 }
 
-fn read(path: &PathBuf) -> Result<Vec<platform::Host>, Box<dyn Error>> {
+fn read_hosts(path: &PathBuf) -> Result<Vec<platform::Host>, Box<dyn Error>> {
     let text = std::fs::read_to_string(path)
-        .map_err(|error| format!("{} can't be read: {error}", path.display()))?;
-    let hosts: Hosts =
+        .map_err(|error| format!("can't read {}: {error}", path.display()))?;
+    let list: HostList =
         serde_json::from_str(&text).map_err(|error| format!("{}: {error}", path.display()))?;
-    Ok(hosts.hosts)
+    Ok(list.hosts)
 }
 
-/// Says where the stand-in listens, and runs until it is ended from outside or by a fault.
+/// Prints the address that the stand-in listens on, and runs until the process is killed or a fault
+/// ends it.
 async fn serve(address: SocketAddr) -> Result<(), Box<dyn Error>> {
     let mut output = std::io::stdout();
     writeln!(output, "listening on {address}")?;
--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: key-value service, host list and weight store on one address. The
+//! Stand-in for the platform: key-value service, host list and weight store on one address. The
 //! contracts are `docs/interfaces/store.md` and `docs/interfaces/hosts.md`.
 
 use std::{
@@ -46,22 +46,22 @@
     State, //
 };
 
-/// How often leases are looked at.
-const TICK: Duration = Duration::from_millis(10);
+/// Interval at which leases are checked for expiry.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Bytes of a weight file.
-const WEIGHTS: usize = 64 << 10;
+/// Size of a weight file in bytes.
+const WEIGHT_FILE_BYTES: usize = 64 << 10;
 
-/// How the platform behaves when nothing is wrong.
+/// Configuration of a platform without faults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 picks a free port.
     pub address: SocketAddr,
-    /// Host list at the start.
+    /// Host list at startup.
     pub hosts: Vec<Host>,
-    /// Changes that watches can go back to.
+    /// Number of changes retained for watches.
     pub retained_changes: usize,
-    /// Ends the operating system's process on death. For the program only.
+    /// Whether death exits the operating system process. Only the stand-in program sets it.
     pub exit_on_death: bool,
 }
 
@@ -76,59 +76,59 @@
     }
 }
 
-/// What goes wrong from now on; fields that are not set leave earlier faults as they are.
+/// Faults to inject from now on, the request body of `POST /fault`.
 ///
-/// The body of `POST /fault`; `docs/interfaces/store.md` and `docs/interfaces/hosts.md` say what
-/// each does.
+/// Unset fields leave earlier faults unchanged. `docs/interfaces/store.md` and
+/// `docs/interfaces/hosts.md` describe each fault.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Takes all faults back, before the other fields act.
+    /// Clears all faults before the other fields apply.
     pub clear: bool,
-    /// Store calls answer 503.
+    /// Fails store requests with 503.
     pub outage: bool,
-    /// Store calls answer 503 for this time, in milliseconds.
+    /// Fails store requests with 503 for this time, in milliseconds.
     pub outage_ms: Option<u64>,
-    /// Store calls are never answered.
+    /// Never responds to store requests.
     pub silence: bool,
-    /// Time before each store call is worked on, in milliseconds.
+    /// Delay before each store request is processed, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// Writes that take effect but get no answer.
+    /// Number of writes that take effect but get no response.
     pub lose_answers: Option<u64>,
-    /// Writes that neither take effect nor get an answer.
+    /// Number of writes that neither take effect nor get a response.
     pub lose_writes: Option<u64>,
-    /// Watches that wait now are never answered.
+    /// Never responds to the watches that are waiting now.
     pub silent_watches: bool,
-    /// Writes a second beyond which 429 is the answer.
+    /// Writes per second above which requests get 429.
     pub writes_per_s: Option<f64>,
-    /// Reads a second, watches included, beyond which 429 is the answer.
+    /// Reads per second, watches included, above which requests get 429.
     pub reads_per_s: Option<f64>,
-    /// How late the host list is, in milliseconds.
+    /// Delay of the host list, in milliseconds.
     pub hosts_lag_ms: Option<u64>,
-    /// The host list stops changing for its readers.
+    /// Freezes the host list as readers see it.
     pub hosts_stale: bool,
-    /// The host list reads as empty.
+    /// Returns an empty host list.
     pub hosts_empty: bool,
-    /// Weight reads a second beyond which 429 is the answer.
+    /// Reads of weight files per second above which requests get 429.
     pub weights_per_s: Option<f64>,
 }
 
-/// Store calls since the start, and what stands now.
+/// Numbers of store requests since the start, and of current watches and leases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Gets and listings.
+    /// Get and list requests.
     pub reads: u64,
-    /// Puts, deletes and lease calls.
+    /// Put, delete and lease requests.
     pub writes: u64,
-    /// Watches.
+    /// Watch requests.
     pub watches: u64,
-    /// Watches that wait now.
+    /// Watches that are waiting now.
     pub watching: u64,
-    /// Leases that stand now.
+    /// Leases that are live now.
     pub leases: u64,
 }
 
-/// A running stand-in platform. Dropping it stops it.
+/// Running stand-in platform, stopped on drop.
 pub struct Platform {
     address: SocketAddr,
     core: Arc<Core>,
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     ///
-    /// Gives the error of binding the address.
+    /// Returns the I/O error if the address can't be bound.
     pub async fn start(settings: Settings) -> io::Result<Platform> {
         let process = Process::new(settings.exit_on_death);
         let (changed, _) = watch::channel(0);
@@ -148,9 +148,9 @@
             changed,
             state: Mutex::new(Inner {
                 fault: Fault::default(),
-                outage: None,
+                outage_until: None,
                 counts: Counts::default(),
-                silences: 0,
+                watch_silences: 0,
                 reads: bucket::Bucket::default(),
                 writes: bucket::Bucket::default(),
                 weights: bucket::Bucket::default(),
@@ -162,11 +162,11 @@
         let responder =
             Box::new(move |request| respond(Arc::clone(&handler_core), request).boxed());
         let address = server::start(settings.address, process, responder).await?;
-        tokio::spawn(expire(Arc::clone(&core)));
+        tokio::spawn(expire_leases(Arc::clone(&core)));
         Ok(Platform { address, core })
     }
 
-    /// Address that it listens on.
+    /// Returns the address that the platform listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -176,12 +176,12 @@
         self.core.fault(&fault);
     }
 
-    /// Store calls since the start, and what stands now.
+    /// Returns the numbers of store requests since the start, and of current watches and leases.
     pub fn counts(&self) -> Counts {
         self.core.counts()
     }
 
-    /// Sets the whole host list, as `PUT /hosts` does.
+    /// Replaces the host list, as `PUT /hosts` does.
     pub fn set_hosts(&self, hosts: Vec<Host>) {
         lock(&self.core.state).hosts.set(hosts);
     }
@@ -200,18 +200,18 @@
 
 struct Core {
     process: Arc<Process>,
-    /// Wakes waiting watches: the store's revision, or the same again when faults changed.
+    /// Wakes waiting watches when the store's revision or the faults change.
     changed: watch::Sender<u64>,
     state: Mutex<Inner>,
 }
 
 struct Inner {
     fault: Fault,
-    /// End of an outage that has one.
-    outage: Option<Instant>,
+    /// End of an outage of limited duration.
+    outage_until: Option<Instant>,
     counts: Counts,
-    /// Number of silences of watches so far.
-    silences: u64,
+    /// Number of `silent_watches` faults so far.
+    watch_silences: u64,
     reads: bucket::Bucket,
     writes: bucket::Bucket,
     weights: bucket::Bucket,
@@ -224,32 +224,32 @@
         let mut state = lock(&self.state);
         if fault.clear {
             state.fault = Fault::default();
-            state.outage = None;
+            state.outage_until = None;
             state.hosts.thaw();
         }
-        let now = &mut state.fault;
-        now.outage |= fault.outage;
-        now.silence |= fault.silence;
-        now.slow_ms = fault.slow_ms.or(now.slow_ms);
-        now.lose_answers = fault.lose_answers.or(now.lose_answers);
-        now.lose_writes = fault.lose_writes.or(now.lose_writes);
-        now.writes_per_s = fault.writes_per_s.or(now.writes_per_s);
-        now.reads_per_s = fault.reads_per_s.or(now.reads_per_s);
-        now.hosts_lag_ms = fault.hosts_lag_ms.or(now.hosts_lag_ms);
-        now.hosts_empty |= fault.hosts_empty;
-        now.weights_per_s = fault.weights_per_s.or(now.weights_per_s);
-        if let Some(time) = fault.outage_ms {
-            state.outage = Some(Instant::now() + Duration::from_millis(time));
+        let active = &mut state.fault;
+        active.outage |= fault.outage;
+        active.silence |= fault.silence;
+        active.slow_ms = fault.slow_ms.or(active.slow_ms);
+        active.lose_answers = fault.lose_answers.or(active.lose_answers);
+        active.lose_writes = fault.lose_writes.or(active.lose_writes);
+        active.writes_per_s = fault.writes_per_s.or(active.writes_per_s);
+        active.reads_per_s = fault.reads_per_s.or(active.reads_per_s);
+        active.hosts_lag_ms = fault.hosts_lag_ms.or(active.hosts_lag_ms);
+        active.hosts_empty |= fault.hosts_empty;
+        active.weights_per_s = fault.weights_per_s.or(active.weights_per_s);
+        if let Some(outage) = fault.outage_ms {
+            state.outage_until = Some(Instant::now() + Duration::from_millis(outage));
         }
         if fault.hosts_stale {
             let lag = state.fault.hosts_lag_ms;
             state.hosts.freeze(lag);
         }
         if fault.silent_watches {
-            state.silences += 1;
+            state.watch_silences += 1;
         }
         drop(state);
-        // Waiting watches look at the faults again.
+        // Wakes waiting watches, which then check the faults again.
         self.changed.send_modify(|_| {});
     }
 
@@ -264,22 +264,22 @@
     fn weights(&self, path: &str) -> Response {
         let mut state = lock(&self.state);
         let rate = state.fault.weights_per_s;
-        if let Some(seconds) = state.weights.refuse(rate, Instant::now()) {
+        if let Some(seconds) = state.weights.limit(rate, Instant::now()) {
             return Response::too_many_requests(seconds);
         }
-        let bytes = weights(path, WEIGHTS);
+        let bytes = weight_file(path, WEIGHT_FILE_BYTES);
         Response::bytes(200, "application/octet-stream", bytes)
     }
 }
 
 impl Inner {
-    fn out(&self) -> bool {
-        self.fault.outage || self.outage.is_some_and(|end| Instant::now() < end)
+    fn is_unavailable(&self) -> bool {
+        self.fault.outage || self.outage_until.is_some_and(|end| Instant::now() < end)
     }
 }
 
-/// Lets leases lapse, also while nobody calls.
-async fn expire(core: Arc<Core>) {
+/// Expires leases in the background, also without requests.
+async fn expire_leases(core: Arc<Core>) {
     loop {
         if core.process.dead().is_cancelled() {
             return;
@@ -294,7 +294,7 @@
             *known = revision;
             newer
         });
-        sleep(TICK).await;
+        sleep(EXPIRY_INTERVAL).await;
     }
 }
 
@@ -314,8 +314,8 @@
     }
 }
 
-/// Bytes derived from a name.
-fn weights(name: &str, size: usize) -> Vec<u8> {
+/// Returns the content of a weight file, derived from its name.
+fn weight_file(name: &str, size: usize) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(size);
     let mut block = 0;
     while bytes.len() < size {
--- a/components/fakes/src/platform/bucket.rs
+++ b/components/fakes/src/platform/bucket.rs
@@ -1,28 +1,30 @@
-//! Rates: a token bucket that holds one second's worth.
+//! Rate limiting by a token bucket that holds one second's worth of requests.
 
 use tokio::time::Instant;
 
+/// Token bucket; starts full.
 #[derive(Default)]
 pub(super) struct Bucket {
-    /// Calls that may still come, and when that was worked out.
-    left: Option<(f64, Instant)>,
+    /// Remaining requests and the time of the last update; `None` until a rate is set.
+    remaining: Option<(f64, Instant)>,
 }
 
 impl Bucket {
-    /// Takes one call at this rate a second; else gives the seconds to wait.
-    pub(super) fn refuse(&mut self, rate: Option<f64>, now: Instant) -> Option<u64> {
+    /// Admits one request if `rate`, in requests per second, allows it; without a rate there is no
+    /// limit. Returns the seconds to wait if the request exceeds the rate.
+    pub(super) fn limit(&mut self, rate: Option<f64>, now: Instant) -> Option<u64> {
         let Some(rate) = rate else {
-            self.left = None;
+            self.remaining = None;
             return None;
         };
-        let (left, since) = self.left.unwrap_or((rate, now));
-        let passed = now.duration_since(since).as_secs_f64();
-        let left = (left + passed * rate).min(rate);
-        if left < 1.0 {
-            self.left = Some((left, now));
+        let (remaining, since) = self.remaining.unwrap_or((rate, now));
+        let elapsed = now.duration_since(since).as_secs_f64();
+        let remaining = (remaining + elapsed * rate).min(rate);
+        if remaining < 1.0 {
+            self.remaining = Some((remaining, now));
             return Some(1);
         }
-        self.left = Some((left - 1.0, now));
+        self.remaining = Some((remaining - 1.0, now));
         None
     }
 }
--- a/components/fakes/src/platform/hosts.rs
+++ b/components/fakes/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list.
+//! Host list and its HTTP interface.
 
 use std::{
     collections::VecDeque,
@@ -19,52 +19,53 @@
     lock, //
 };
 
-/// Changes of the list that readers with a lag can see.
-const KEPT: usize = 10_000;
+/// Past versions of the list that are retained for delayed reads.
+const MAX_VERSIONS: usize = 10_000;
 
-/// What runs on a host.
+/// Role of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// An entry.
+    /// Runs an entry.
     Entry,
-    /// A sidecar beside a backend server.
+    /// Runs a sidecar next to a backend server.
     Sidecar,
 }
 
-/// Whether a host stays.
+/// Lifecycle state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     /// In service.
     Live,
-    /// About to go.
+    /// Shutting down.
     Leaving,
 }
 
-/// A host as the list shows it.
+/// Entry of the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     /// Unique name.
     pub name: String,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: String,
-    /// Its region.
+    /// Region of the host.
     pub region: String,
-    /// What runs there.
+    /// Role of the host.
     pub role: Role,
     /// QUIC address.
     pub address: SocketAddr,
-    /// Whether it stays.
+    /// Lifecycle state.
     pub state: State,
 }
 
+/// Response body of `GET /hosts` and request body of `PUT /hosts`.
 #[derive(Serialize, Deserialize)]
 struct Body {
     hosts: Vec<Host>,
 }
 
-/// The list over time.
+/// Host list with its past versions.
 pub(super) struct List {
     versions: VecDeque<(Instant, Vec<Host>)>,
     frozen: Option<Vec<Host>>,
@@ -80,12 +81,12 @@
 
     pub(super) fn set(&mut self, hosts: Vec<Host>) {
         self.versions.push_back((Instant::now(), hosts));
-        if self.versions.len() > KEPT {
+        if self.versions.len() > MAX_VERSIONS {
             self.versions.pop_front();
         }
     }
 
-    /// Shows the list as it is read now from here on.
+    /// Freezes the list in the state in which it reads now.
     pub(super) fn freeze(&mut self, lag: Option<u64>) {
         self.frozen = Some(self.read(lag));
     }
@@ -95,7 +96,7 @@
     }
 
     fn current(&self) -> Vec<Host> {
-        let (_, hosts) = self.versions.back().expect("the first version stays");
+        let (_, hosts) = self.versions.back().expect("there is always a version");
         hosts.clone()
     }
 
@@ -104,25 +105,25 @@
             return frozen.clone();
         }
         let lag = Duration::from_millis(lag.unwrap_or(0));
-        let mut seen = &self.versions[0].1;
+        let mut visible = &self.versions[0].1;
         for (at, hosts) in &self.versions {
             if at.elapsed() >= lag {
-                seen = hosts;
+                visible = hosts;
             }
         }
-        seen.clone()
+        visible.clone()
     }
 
     fn replace(&mut self, host: Host) {
         let mut hosts = self.current();
-        hosts.retain(|known| known.name != host.name);
+        hosts.retain(|other| other.name != host.name);
         hosts.push(host);
         self.set(hosts);
     }
 
     fn remove(&mut self, name: &str) {
         let mut hosts = self.current();
-        hosts.retain(|known| known.name != name);
+        hosts.retain(|other| other.name != name);
         self.set(hosts);
     }
 }
@@ -138,21 +139,21 @@
         "PUT" => match request.json::<Body>() {
             Ok(body) => {
                 state.hosts.set(body.hosts);
-                done()
+                empty_response()
             }
             Err(response) => response,
         },
         "POST" => match request.json::<Host>() {
             Ok(host) => {
                 state.hosts.replace(host);
-                done()
+                empty_response()
             }
             Err(response) => response,
         },
         "DELETE" => match request.query.get("name") {
             Some(name) => {
                 state.hosts.remove(name);
-                done()
+                empty_response()
             }
             None => Response::bad_request("name is missing"),
         },
@@ -160,6 +161,6 @@
     }
 }
 
-fn done() -> Response {
+fn empty_response() -> Response {
     Response::json(200, &serde_json::json!({}))
 }
--- a/components/fakes/src/platform/kv.rs
+++ b/components/fakes/src/platform/kv.rs
@@ -1,4 +1,4 @@
-//! The key-value service's calls.
+//! HTTP interface of the key-value service.
 
 use std::{
     sync::Arc,
@@ -26,14 +26,15 @@
 };
 
 /// Largest value, in bytes.
-const VALUE: usize = 1 << 20;
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Entries of a listing when the call names no limit, and at most.
-const PAGE: u64 = 1000;
+/// Default and largest number of entries in a listing.
+const MAX_PAGE_ENTRIES: u64 = 1000;
 
 /// Longest wait of a watch.
-const WAIT: Duration = Duration::from_secs(300);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(300);
 
+/// Request body of `PUT /kv`.
 #[derive(Deserialize)]
 struct Put {
     key: String,
@@ -44,11 +45,13 @@
     lease: Option<u64>,
 }
 
+/// Request body of `POST /lease`.
 #[derive(Deserialize)]
 struct Grant {
     ttl_ms: u64,
 }
 
+/// Request body of `POST /lease/keep` and `POST /lease/drop`.
 #[derive(Deserialize)]
 struct Lease {
     lease: u64,
@@ -69,22 +72,22 @@
     if let Some(response) = admit(&core, kind) {
         return response;
     }
-    let slow = lock(&core.state).fault.slow_ms;
-    if let Some(slow) = slow {
-        // The call takes effect after the wait, also when its caller has given up by then.
-        sleep(Duration::from_millis(slow)).await;
+    let delay_ms = lock(&core.state).fault.slow_ms;
+    if let Some(delay_ms) = delay_ms {
+        // The request takes effect after the delay even if its client has given up by then.
+        sleep(Duration::from_millis(delay_ms)).await;
         if lock(&core.state).fault.silence {
             return Response::Hang;
         }
-        if lock(&core.state).out() {
+        if lock(&core.state).is_unavailable() {
             return Response::error(503, "out of service");
         }
     }
     match kind {
         Kind::Watch => watch(&core, &request).await,
         Kind::Write => write(&core, &request),
-        Kind::Read => done(read(&core, &request)),
-        Kind::Lease => done(lease(&core, &request)),
+        Kind::Read => flatten(read(&core, &request)),
+        Kind::Lease => flatten(lease(&core, &request)),
     }
 }
 
@@ -98,7 +101,7 @@
     }
 }
 
-/// Counts the call; gives its answer when a fault or a rate forbids it.
+/// Counts the request and returns its response if a fault or a rate limit rejects it.
 fn admit(core: &Core, kind: Kind) -> Option<Response> {
     let mut guard = lock(&core.state);
     let state = &mut *guard;
@@ -112,17 +115,17 @@
     if state.fault.silence {
         return Some(Response::Hang);
     }
-    if state.out() {
+    if state.is_unavailable() {
         return Some(Response::error(503, "out of service"));
     }
-    let refused = match kind {
-        Kind::Read | Kind::Watch => state.reads.refuse(state.fault.reads_per_s, now),
-        Kind::Write | Kind::Lease => state.writes.refuse(state.fault.writes_per_s, now),
+    let retry_after = match kind {
+        Kind::Read | Kind::Watch => state.reads.limit(state.fault.reads_per_s, now),
+        Kind::Write | Kind::Lease => state.writes.limit(state.fault.writes_per_s, now),
     };
-    refused.map(Response::too_many_requests)
+    retry_after.map(Response::too_many_requests)
 }
 
-fn done(result: Result<Response, Response>) -> Response {
+fn flatten(result: Result<Response, Response>) -> Response {
     result.unwrap_or_else(|response| response)
 }
 
@@ -140,33 +143,36 @@
         return Err(Response::bad_request("key or prefix is missing"));
     };
     let after = request.query.get("after").map_or("", String::as_str);
-    let limit = request.number("limit")?.unwrap_or(PAGE).min(PAGE);
+    let limit = request
+        .number("limit")?
+        .unwrap_or(MAX_PAGE_ENTRIES)
+        .min(MAX_PAGE_ENTRIES);
     let entries = state.store.list(prefix, after, limit as usize);
     let body = serde_json::json!({ "entries": entries, "revision": revision });
     Ok(Response::json(200, &body))
 }
 
-/// Writes a key, unless a fault loses the write or its answer.
+/// Writes or deletes a key, unless a fault loses the write or its response.
 fn write(core: &Core, request: &Request) -> Response {
     {
         let mut state = lock(&core.state);
-        if take(&mut state.fault.lose_writes) {
+        if consume(&mut state.fault.lose_writes) {
             return Response::Close;
         }
     }
-    let response = done(apply(core, request));
-    let lost = take(&mut lock(&core.state).fault.lose_answers);
+    let response = flatten(apply(core, request));
+    let lost = consume(&mut lock(&core.state).fault.lose_answers);
     if lost {
         return Response::Close;
     }
     response
 }
 
-/// Takes one from a fault's count.
-fn take(count: &mut Option<u64>) -> bool {
+/// Decrements the remaining count of a fault. Returns whether the fault applies.
+fn consume(count: &mut Option<u64>) -> bool {
     match count {
-        Some(left) if *left > 0 => {
-            *left -= 1;
+        Some(remaining) if *remaining > 0 => {
+            *remaining -= 1;
             true
         }
         _ => false,
@@ -176,7 +182,7 @@
 fn apply(core: &Core, request: &Request) -> Result<Response, Response> {
     let written = if request.method == "PUT" {
         let put: Put = request.json()?;
-        if put.value.len() > VALUE {
+        if put.value.len() > MAX_VALUE_BYTES {
             return Err(Response::error(413, "value over 1 MiB"));
         }
         let mut state = lock(&core.state);
@@ -232,7 +238,7 @@
     core.changed.send_modify(|known| *known = revision);
 }
 
-/// A watch that waits; counted for as long as it does.
+/// Counts a waiting watch until it is dropped.
 struct Waiting<'a>(&'a Core);
 
 impl<'a> Waiting<'a> {
@@ -254,30 +260,30 @@
         (Err(response), _) | (_, Err(response)) => return response,
     };
     let prefix = request.query.get("prefix").map_or("", String::as_str);
-    let end = Instant::now() + Duration::from_millis(wait).min(WAIT);
+    let end = Instant::now() + Duration::from_millis(wait).min(MAX_WATCH_WAIT);
     let mut changed = core.changed.subscribe();
-    let silences = lock(&core.state).silences;
+    let watch_silences = lock(&core.state).watch_silences;
     let _waiting = Waiting::new(core);
     loop {
         changed.borrow_and_update();
-        let late = Instant::now() >= end;
+        let timed_out = Instant::now() >= end;
         {
             let state = lock(&core.state);
-            if state.silences > silences || state.fault.silence {
+            if state.watch_silences > watch_silences || state.fault.silence {
                 return Response::Hang;
             }
-            if let Some(response) = look(&state, prefix, after, late) {
+            if let Some(response) = poll(&state, prefix, after, timed_out) {
                 return response;
             }
         }
-        // The end of the wait is noticed at the loop's start.
+        // On a timeout, the next iteration sees that the wait is over.
         let _ = timeout_at(end, changed.changed()).await;
     }
 }
 
-/// The answer to a watch, if there is one by now.
-fn look(state: &Inner, prefix: &str, after: u64, late: bool) -> Option<Response> {
-    if state.out() {
+/// Returns the response to a watch, or `None` if it has to keep waiting.
+fn poll(state: &Inner, prefix: &str, after: u64, timed_out: bool) -> Option<Response> {
+    if state.is_unavailable() {
         return Some(Response::error(503, "out of service"));
     }
     let revision = state.store.revision();
@@ -287,7 +293,7 @@
             &serde_json::json!({ "revision": revision }),
         ));
     };
-    if events.is_empty() && !late {
+    if events.is_empty() && !timed_out {
         return None;
     }
     let body = serde_json::json!({ "events": events, "revision": revision.max(after) });
--- a/components/fakes/src/service.rs
+++ b/components/fakes/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service's stand-in: a ledger of deposits. The contract is
+//! Stand-in for a plain service: a ledger of deposits. The contract is
 //! `docs/interfaces/service.md`.
 
 use std::{
@@ -33,14 +33,14 @@
     lock, //
 };
 
-/// How the service behaves when nothing is wrong.
+/// Configuration of a service without faults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 picks a free port.
     pub address: SocketAddr,
-    /// Seed of the draws for shares of calls that fail.
+    /// Seed of the random choice of calls that fail.
     pub seed: u64,
-    /// Ends the operating system's process on death. For the program only.
+    /// Whether death exits the operating system process. Only the stand-in program sets it.
     pub exit_on_death: bool,
 }
 
@@ -54,48 +54,48 @@
     }
 }
 
-/// What goes wrong from now on; fields that are not set leave earlier faults as they are.
+/// Faults to inject from now on, the request body of `POST /fault`.
 ///
-/// The body of `POST /fault`; `docs/interfaces/service.md` says what each does.
+/// Unset fields leave earlier faults unchanged. `docs/interfaces/service.md` describes each fault.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Takes all faults back, before the other fields act.
+    /// Clears all faults before the other fields apply.
     pub clear: bool,
-    /// The process ends at once.
+    /// Ends the process at once.
     pub die: bool,
-    /// The next deposit is taken; then the process ends, unanswered.
+    /// Ends the process after it has applied the next deposit and before it responds.
     pub die_after_take: bool,
-    /// The next deposit ends the process before it is taken.
+    /// Ends the process at the next deposit, before it is applied.
     pub die_before_take: bool,
-    /// Nothing is answered for this time, in milliseconds.
+    /// Stops all responses for this time, in milliseconds.
     pub pause_ms: Option<u64>,
-    /// Connections that are open now carry nothing any more.
+    /// Silences the connections that are open now for good, without closing them.
     pub silence: bool,
-    /// Time before each call is worked on, in milliseconds.
+    /// Delay before each call is processed, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// Share of calls that answer 500, with nothing taken.
+    /// Share of calls that fail with 500 and have no effect.
     pub fail_share: Option<f64>,
-    /// A second call with a key gets the first one's answer.
+    /// Deduplicates by idempotency key: a repeated call gets the first one's response.
     pub drop_repeats: bool,
-    /// A body that holds this text ends the process before anything is taken.
+    /// Ends the process at a call whose body contains this text, before it has an effect.
     pub crash_on: Option<String>,
 }
 
-/// A call that reached the service.
+/// Call that reached the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
     /// HTTP method.
     pub method: String,
     /// Path, without the query.
     pub path: String,
-    /// `Idempotency-Key`.
+    /// `Idempotency-Key` header.
     pub key: Option<String>,
-    /// `X-Medlarhatch-Team`.
+    /// `X-Medlarhatch-Team` header.
     pub team: Option<String>,
 }
 
-/// A running stand-in service. Dropping it stops it.
+/// Running stand-in service, stopped on drop.
 pub struct Service {
     address: SocketAddr,
     core: Arc<Core>,
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// Gives the error of binding the address.
+    /// Returns the I/O error if the address can't be bound.
     pub async fn start(settings: Settings) -> io::Result<Service> {
         let process = Process::new(settings.exit_on_death);
         let core = Arc::new(Core {
@@ -117,7 +117,7 @@
                 accounts: HashMap::new(),
                 deposits: 0,
                 statuses: HashMap::new(),
-                answers: HashMap::new(),
+                responses: HashMap::new(),
                 rng: StdRng::seed_from_u64(settings.seed),
             }),
         });
@@ -128,7 +128,7 @@
         Ok(Service { address, core })
     }
 
-    /// Address that it listens on.
+    /// Returns the address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -138,19 +138,19 @@
         self.core.fault(&fault);
     }
 
-    /// Every call that reached the service, in order.
+    /// Returns all calls that reached the service, in order of arrival.
     pub fn calls(&self) -> Vec<Call> {
         lock(&self.core.state).calls.clone()
     }
 
-    /// Balance of an account and the number of deposits that were taken from it.
+    /// Returns the balance of an account and the number of deposits applied to it.
     pub fn account(&self, name: &str) -> (i64, u64) {
         let state = lock(&self.core.state);
         let account = state.accounts.get(name).cloned().unwrap_or_default();
         (account.balance, account.deposits)
     }
 
-    /// Drops the listener and all connections at once, as a process's death does.
+    /// Drops the listener and all connections at once, as the death of a process does.
     pub fn stop(&self) {
         self.core.process.stop();
     }
@@ -178,8 +178,8 @@
     accounts: HashMap<String, Account>,
     deposits: u64,
     statuses: HashMap<String, Status>,
-    /// Answers by key, for a service that drops repeats.
-    answers: HashMap<String, (u16, Bytes)>,
+    /// Responses by idempotency key, for the fault `drop_repeats`.
+    responses: HashMap<String, (u16, Bytes)>,
     rng: StdRng,
 }
 
@@ -195,6 +195,7 @@
     version: u64,
 }
 
+/// Request body of `POST /deposits`.
 #[derive(Deserialize)]
 struct Deposit {
     account: String,
@@ -209,13 +210,13 @@
                 state.fault = Fault::default();
                 self.process.clear();
             }
-            let now = &mut state.fault;
-            now.die_after_take |= fault.die_after_take;
-            now.die_before_take |= fault.die_before_take;
-            now.slow_ms = fault.slow_ms.or(now.slow_ms);
-            now.fail_share = fault.fail_share.or(now.fail_share);
-            now.drop_repeats |= fault.drop_repeats;
-            now.crash_on = fault.crash_on.clone().or(now.crash_on.take());
+            let active = &mut state.fault;
+            active.die_after_take |= fault.die_after_take;
+            active.die_before_take |= fault.die_before_take;
+            active.slow_ms = fault.slow_ms.or(active.slow_ms);
+            active.fail_share = fault.fail_share.or(active.fail_share);
+            active.drop_repeats |= fault.drop_repeats;
+            active.crash_on = fault.crash_on.clone().or(active.crash_on.take());
         }
         if let Some(pause) = fault.pause_ms {
             self.process.pause(Duration::from_millis(pause));
@@ -228,7 +229,7 @@
         }
     }
 
-    fn note(&self, request: &Request) {
+    fn record_call(&self, request: &Request) {
         lock(&self.state).calls.push(Call {
             method: request.method.clone(),
             path: request.path.clone(),
@@ -237,11 +238,12 @@
         });
     }
 
-    /// Dies or fails, if a fault says so for this request.
-    fn strike(&self, request: &Request) -> Option<Response> {
+    /// Applies the faults `crash_on` and `fail_share`; returns a response if one of them hits the
+    /// request.
+    fn apply_faults(&self, request: &Request) -> Option<Response> {
         let mut state = lock(&self.state);
-        let crash = state.fault.crash_on.clone();
-        if crash.is_some_and(|text| holds(&request.body, &text)) {
+        let crash_text = state.fault.crash_on.clone();
+        if crash_text.is_some_and(|text| contains(&request.body, &text)) {
             drop(state);
             self.process.die();
             return Some(Response::Hang);
@@ -265,7 +267,7 @@
             return Response::Hang;
         }
         let key = request.header("idempotency-key");
-        if let Some(response) = state.repeat(key.as_deref()) {
+        if let Some(response) = state.recorded_response(key.as_deref()) {
             return response;
         }
         state.deposits += 1;
@@ -278,7 +280,7 @@
         });
         let body = Bytes::from(body.to_string());
         if let Some(key) = key {
-            state.answers.insert(key, (201, body.clone()));
+            state.responses.insert(key, (201, body.clone()));
         }
         if state.fault.die_after_take {
             drop(state);
@@ -315,23 +317,23 @@
 }
 
 impl Inner {
-    /// The first answer to this key, when the service drops repeats.
-    fn repeat(&self, key: Option<&str>) -> Option<Response> {
+    /// Returns the first response to this key if the service deduplicates calls.
+    fn recorded_response(&self, key: Option<&str>) -> Option<Response> {
         if !self.fault.drop_repeats {
             return None;
         }
-        let (status, body) = self.answers.get(key?)?;
+        let (status, body) = self.responses.get(key?)?;
         Some(Response::bytes(*status, "application/json", body.clone()))
     }
 }
 
-fn holds(body: &[u8], text: &str) -> bool {
+fn contains(body: &[u8], text: &str) -> bool {
     String::from_utf8_lossy(body).contains(text)
 }
 
 async fn respond(core: Arc<Core>, request: Request) -> Response {
     match (request.method.as_str(), request.path.as_str()) {
-        // What steers the stand-in works also while it is paused or silent.
+        // Control requests are served also while the stand-in is paused or silent.
         ("POST", "/fault") => {
             return match request.json::<Fault>() {
                 Ok(fault) => {
@@ -347,13 +349,13 @@
     if (request.method.as_str(), request.path.as_str()) == ("GET", "/health") {
         return Response::json(200, &serde_json::json!({ "ok": true }));
     }
-    core.note(&request);
-    let slow = lock(&core.state).fault.slow_ms;
-    if let Some(slow) = slow {
-        sleep(Duration::from_millis(slow)).await;
+    core.record_call(&request);
+    let delay_ms = lock(&core.state).fault.slow_ms;
+    if let Some(delay_ms) = delay_ms {
+        sleep(Duration::from_millis(delay_ms)).await;
         core.process.wait_responsive(request.connection).await;
     }
-    if let Some(response) = core.strike(&request) {
+    if let Some(response) = core.apply_faults(&request) {
         return response;
     }
     match (request.method.as_str(), request.path.as_str()) {
--- a/components/fakes/src/store.rs
+++ b/components/fakes/src/store.rs
@@ -1,4 +1,4 @@
-//! Keys, revisions, leases and the log of changes.
+//! In-memory key-value store with revisions, leases and a log of changes.
 
 use std::{
     collections::{
@@ -11,25 +11,25 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// A key as it stands.
+/// Key with its current value.
 #[derive(Clone, Debug, Serialize)]
 pub struct Entry {
-    /// Its name.
+    /// Key.
     pub key: String,
-    /// Its value.
+    /// Current value.
     pub value: String,
-    /// Revision of its last change.
+    /// Revision of the last change.
     pub revision: u64,
-    /// Lease with which it ends.
+    /// Lease with which the key expires.
     pub lease: Option<u64>,
 }
 
-/// A change of a key.
+/// Change of a key.
 #[derive(Clone, Debug, Serialize)]
 pub struct Event {
-    /// Name of the key.
+    /// Key.
     pub key: String,
-    /// Its value; none when it was deleted.
+    /// New value; `None` if the key was deleted.
     pub value: Option<String>,
     /// Revision of the change.
     pub revision: u64,
@@ -40,28 +40,28 @@
     end: Instant,
 }
 
-/// Why a write didn't take effect.
+/// Reason for which a write had no effect.
 pub enum Refusal {
-    /// The key isn't at the revision that was expected; as it stands.
+    /// The key isn't at the expected revision; holds its current entry, if any.
     Conflict(Option<Entry>),
-    /// The lease has ended.
+    /// The lease doesn't exist or has expired.
     UnknownLease,
 }
 
-/// Keys with revisions, leases, and a log of bounded length.
+/// Key-value store with leases and a change log of bounded length.
 pub struct Store {
     retained_changes: usize,
     revision: u64,
     entries: BTreeMap<String, Entry>,
     log: VecDeque<Event>,
-    /// Highest revision that is no longer in the log.
+    /// Highest revision that was removed from the log.
     compacted: u64,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
 }
 
 impl Store {
-    /// An empty store that keeps a number of changes.
+    /// Creates an empty store whose log retains the given number of changes.
     pub fn new(retained_changes: usize) -> Store {
         Store {
             retained_changes,
@@ -74,42 +74,43 @@
         }
     }
 
-    /// Revision of the last change.
+    /// Returns the revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Leases that stand.
+    /// Returns the number of live leases.
     pub fn leases(&self) -> u64 {
         self.leases.len() as u64
     }
 
-    /// A key as it stands.
+    /// Returns the entry of a key.
     pub fn get(&self, key: &str) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// Keys under a prefix, behind the one named, up to a number.
+    /// Returns up to `limit` entries whose keys start with `prefix` and sort behind `after`.
     pub fn list(&self, prefix: &str, after: &str, limit: usize) -> Vec<Entry> {
-        let mut found = Vec::new();
+        let mut entries = Vec::new();
         let start = if after > prefix { after } else { prefix };
         for (key, entry) in self.entries.range(start.to_string()..) {
-            if !key.starts_with(prefix) || found.len() >= limit {
+            if !key.starts_with(prefix) || entries.len() >= limit {
                 break;
             }
             if key.as_str() <= after {
                 continue;
             }
-            found.push(entry.clone());
+            entries.push(entry.clone());
         }
-        found
+        entries
     }
 
-    /// Writes a key, if it is at the revision that is expected (0: it doesn't exist).
+    /// Writes a key if it is at the expected revision, where 0 means that it doesn't exist.
+    /// Returns the new revision.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] when nothing was written.
+    /// Returns a [`Refusal`] if nothing was written.
     pub fn put(
         &mut self,
         key: &str,
@@ -120,8 +121,8 @@
         if lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
             return Err(Refusal::UnknownLease);
         }
-        self.check(key, expect)?;
-        let revision = self.note(key, Some(value));
+        self.check_revision(key, expect)?;
+        let revision = self.append(key, Some(value));
         let entry = Entry {
             key: key.to_string(),
             value: value.to_string(),
@@ -132,32 +133,33 @@
         Ok(revision)
     }
 
-    /// Deletes a key, if it is at the revision that is expected.
+    /// Deletes a key if it is at the expected revision. Returns the store's new revision.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] when nothing was deleted.
+    /// Returns a [`Refusal`] if nothing was deleted.
     pub fn delete(&mut self, key: &str, expect: Option<u64>) -> Result<u64, Refusal> {
-        self.check(key, expect)?;
+        self.check_revision(key, expect)?;
         if self.entries.remove(key).is_none() {
             return Ok(self.revision);
         }
-        Ok(self.note(key, None))
+        Ok(self.append(key, None))
     }
 
-    fn check(&self, key: &str, expect: Option<u64>) -> Result<(), Refusal> {
+    fn check_revision(&self, key: &str, expect: Option<u64>) -> Result<(), Refusal> {
         let Some(expect) = expect else {
             return Ok(());
         };
         let entry = self.entries.get(key);
-        let stands = entry.map_or(0, |entry| entry.revision);
-        if stands == expect {
+        let current = entry.map_or(0, |entry| entry.revision);
+        if current == expect {
             return Ok(());
         }
         Err(Refusal::Conflict(entry.cloned()))
     }
 
-    fn note(&mut self, key: &str, value: Option<&str>) -> u64 {
+    /// Appends a change to the log and returns its revision.
+    fn append(&mut self, key: &str, value: Option<&str>) -> u64 {
         self.revision += 1;
         self.log.push_back(Event {
             key: key.to_string(),
@@ -172,13 +174,14 @@
         self.revision
     }
 
-    /// Forgets all changes so far.
+    /// Removes all changes from the log.
     pub fn compact(&mut self) {
         self.log.clear();
         self.compacted = self.revision;
     }
 
-    /// Changes under the prefix after a revision; `None` when they are no longer kept.
+    /// Returns the changes after a revision to keys that start with `prefix`, or `None` if the log
+    /// no longer holds all of them.
     pub fn changes(&self, prefix: &str, after: u64) -> Option<Vec<Event>> {
         if after < self.compacted {
             return None;
@@ -192,7 +195,7 @@
         Some(events)
     }
 
-    /// Grants a lease.
+    /// Grants a lease and returns its id.
     pub fn grant(&mut self, ttl: Duration, now: Instant) -> u64 {
         self.last_lease += 1;
         let lease = Lease {
@@ -203,7 +206,7 @@
         self.last_lease
     }
 
-    /// Prolongs a lease; `false` when it has lapsed.
+    /// Renews a lease. Returns `false` if it has expired.
     pub fn keep(&mut self, id: u64, now: Instant) -> bool {
         let Some(lease) = self.leases.get_mut(&id) else {
             return false;
@@ -212,30 +215,30 @@
         true
     }
 
-    /// Ends a lease and deletes its keys.
+    /// Revokes a lease and deletes its keys.
     pub fn drop_lease(&mut self, id: u64) {
         self.leases.remove(&id);
-        let mut gone = Vec::new();
+        let mut keys = Vec::new();
         for (key, entry) in &self.entries {
             if entry.lease == Some(id) {
-                gone.push(key.clone());
+                keys.push(key.clone());
             }
         }
-        for key in gone {
+        for key in keys {
             self.entries.remove(&key);
-            self.note(&key, None);
+            self.append(&key, None);
         }
     }
 
-    /// Ends the leases that have lapsed.
+    /// Revokes the leases that have expired.
     pub fn expire(&mut self, now: Instant) {
-        let mut lapsed = Vec::new();
+        let mut expired = Vec::new();
         for (id, lease) in &self.leases {
             if lease.end <= now {
-                lapsed.push(*id);
+                expired.push(*id);
             }
         }
-        for id in lapsed {
+        for id in expired {
             self.drop_lease(id);
         }
     }
