--- a/components/fakes/tests/service.rs
+++ b/components/fakes/tests/service.rs
@@ -1,4 +1,4 @@
-//! The plain service's contract, case by case, over HTTP.
+//! Tests of the plain service's contract over HTTP.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
     timeout, //
 };
 
-/// Far beyond what any step takes on a busy machine.
-const LONG: Duration = Duration::from_secs(30);
+/// Time limit of a step, far beyond what any step takes on a busy machine.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
 async fn start() -> Service {
     Service::start(Settings::default())
@@ -44,15 +44,19 @@
 }
 
 async fn get(service: &Service, path: &str) -> Value {
-    let response = reqwest::get(url(service, path)).await.expect("an answer");
+    let response = reqwest::get(url(service, path))
+        .await
+        .expect("the service responds");
     response.json().await.expect("the body is JSON")
 }
 
 #[tokio::test]
-async fn each_deposit_is_taken_once_more() {
+async fn every_deposit_is_applied() {
     let service = start().await;
     for number in 1..=3 {
-        let (status, body) = deposit(&service, Some("k")).await.expect("an answer");
+        let (status, body) = deposit(&service, Some("k"))
+            .await
+            .expect("the service responds");
         assert_eq!(status, 201);
         assert_eq!(
             body,
@@ -73,33 +77,35 @@
 }
 
 #[tokio::test]
-async fn status_versions_grow_with_posts() {
+async fn status_version_counts_posts() {
     let service = start().await;
     reqwest::Client::new()
         .post(url(&service, "/status/7"))
         .send()
         .await
-        .expect("an answer");
+        .expect("the service responds");
     let status = get(&service, "/status/7").await;
     assert_eq!(status, json!({"id": "7", "reads": 1, "version": 1}));
     assert_eq!(get(&service, "/health").await, json!({"ok": true}));
 }
 
-// The booking desk dies right before or right after it took a deposit, or on a request that it
-// can't bear. Its caller sees the same in each case: a closed connection.
+// The service dies right before or right after it applies a deposit, or on a request that crashes
+// it. The client sees the same in each case: a closed connection.
 #[rstest]
 #[case::before(Fault { die_before_take: true, ..Fault::default() }, 0)]
 #[case::after(Fault { die_after_take: true, ..Fault::default() }, 1)]
 #[case::at_once(Fault { die: true, ..Fault::default() }, 0)]
 #[case::crash(Fault { crash_on: Some("account".to_string()), ..Fault::default() }, 0)]
 #[tokio::test]
-async fn deaths(#[case] fault: Fault, #[case] taken: u64) {
+async fn death_closes_the_connection(#[case] fault: Fault, #[case] deposits: u64) {
     let service = start().await;
     service.fault(fault);
-    let answer = deposit(&service, None).await;
-    assert!(answer.is_err(), "{answer:?}");
-    timeout(LONG, service.dead()).await.expect("it is dead");
-    assert_eq!(service.account("a").1, taken);
+    let response = deposit(&service, None).await;
+    assert!(response.is_err(), "{response:?}");
+    timeout(STEP_TIMEOUT, service.dead())
+        .await
+        .expect("the service is dead");
+    assert_eq!(service.account("a").1, deposits);
 }
 
 #[rstest]
@@ -107,48 +113,54 @@
 #[case::drops_repeats(Fault { drop_repeats: true, ..Fault::default() }, 201, 1)]
 #[case::clear(Fault { clear: true, ..Fault::default() }, 201, 2)]
 #[tokio::test]
-async fn faults_of_answers(#[case] fault: Fault, #[case] status: u16, #[case] taken: u64) {
+async fn response_faults(#[case] fault: Fault, #[case] status: u16, #[case] deposits: u64) {
     let service = start().await;
     service.fault(fault);
     for _ in 0..2 {
-        let (answered, _) = deposit(&service, Some("k")).await.expect("an answer");
-        assert_eq!(answered, status);
+        let (actual, _) = deposit(&service, Some("k"))
+            .await
+            .expect("the service responds");
+        assert_eq!(actual, status);
     }
-    assert_eq!(service.account("a").1, taken);
+    assert_eq!(service.account("a").1, deposits);
 }
 
-// The desk's process stands still while it has a deposit before it; its caller gives up, and the
-// desk takes the money when it wakes. A caller that was told "not run" would pay twice.
+// The process pauses with a deposit in flight. The client gives up, and the service applies the
+// deposit when it resumes. A client that was told `not_run` would send it again and pay twice.
 #[rstest]
 #[case::pause(Fault { pause_ms: Some(300), ..Fault::default() })]
 #[case::slow(Fault { slow_ms: Some(300), ..Fault::default() })]
 #[tokio::test]
-async fn deposit_lands_after_its_caller_gave_up(#[case] fault: Fault) {
+async fn deposit_is_applied_after_the_client_gave_up(#[case] fault: Fault) {
     let service = start().await;
     service.fault(fault);
-    let gave_up = timeout(Duration::from_millis(100), deposit(&service, None)).await;
-    assert!(gave_up.is_err());
-    let end = Instant::now() + LONG;
+    let response = timeout(Duration::from_millis(100), deposit(&service, None)).await;
+    assert!(response.is_err());
+    let end = Instant::now() + STEP_TIMEOUT;
     while service.account("a").1 == 0 {
-        assert!(Instant::now() < end, "the deposit lands");
+        assert!(Instant::now() < end, "the deposit is applied");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-// A kept connection goes silent for good; the next call on it is never answered, one on a new
-// connection is.
+// A keep-alive connection falls silent for good. The next request on it never gets a response; one
+// on a new connection does.
 #[tokio::test]
-async fn silence_holds_open_connections() {
+async fn silence_affects_only_open_connections() {
     let service = start().await;
     let client = reqwest::Client::new();
     let health = url(&service, "/health");
-    let first = client.get(&health).send().await.expect("an answer");
-    first.bytes().await.expect("a body");
+    let first = client
+        .get(&health)
+        .send()
+        .await
+        .expect("the service responds");
+    first.bytes().await.expect("the body is read");
     service.fault(Fault {
         silence: true,
         ..Fault::default()
     });
-    let kept = timeout(Duration::from_millis(150), client.get(&health).send()).await;
-    assert!(kept.is_err(), "the kept connection is silent");
+    let second = timeout(Duration::from_millis(150), client.get(&health).send()).await;
+    assert!(second.is_err(), "the keep-alive connection is silent");
     assert_eq!(get(&service, "/health").await, json!({"ok": true}));
 }
