--- a/components/measure/src/calls/desk.rs
+++ b/components/measure/src/calls/desk.rs
@@ -52,11 +52,11 @@
         for number in 0..REPLICAS {
             let name = format!("ledger-{number}");
             let settings = service::Settings::default();
-            let started = trial.service(&name, "dc1", "ledger", settings).await;
+            let started = trial.start_service(&name, "dc1", "ledger", settings).await;
             started.expect("a service starts");
         }
         for name in ["entry-a", "entry-b"] {
-            let started = trial.entry(name, "dc1").await;
+            let started = trial.start_entry(name, "dc1").await;
             started.expect("an entry starts");
         }
         let revision = trial.put_document(0, "production", DOCUMENT).await;
--- a/components/measure/src/load.rs
+++ b/components/measure/src/load.rs
@@ -117,11 +117,11 @@
             ..Settings::default()
         };
         trial
-            .engine(&format!("draft-{number}"), "dc1", settings)
+            .start_engine(&format!("draft-{number}"), "dc1", settings)
             .await?;
     }
     for name in ["entry-a", "entry-b"] {
-        trial.entry(name, "dc1").await?;
+        trial.start_entry(name, "dc1").await?;
     }
     let revision = trial.put_document(0, "production", DOCUMENT).await?;
     trial.wait_ready(revision).await?;
--- a/components/trial/src/trial.rs
+++ b/components/trial/src/trial.rs
@@ -76,7 +76,7 @@
     }
 
     /// Starts an engine of service `draft` and the sidecar beside it.
-    pub async fn engine(
+    pub async fn start_engine(
         &mut self,
         name: &str,
         data_centre: &str,
@@ -90,11 +90,11 @@
         settings.server.version = version;
         settings.server.model = model;
         self.engines.push(engine);
-        self.sidecar(settings).await
+        self.start_sidecar(settings).await
     }
 
     /// Starts an engine of service `draft` with sidecar settings changed by `change`.
-    pub async fn engine_with(
+    pub async fn start_engine_with(
         &mut self,
         engine: engine::Settings,
         change: impl FnOnce(&mut settings::Sidecar),
@@ -105,7 +105,7 @@
         settings.server.address = format!("http://{}", engine.address());
         change(&mut settings);
         self.engines.push(engine);
-        self.sidecar(settings).await
+        self.start_sidecar(settings).await
     }
 
     /// Address of a sidecar's links.
@@ -126,7 +126,7 @@
     }
 
     /// Starts a plain service, replica of `service`, and the sidecar beside it.
-    pub async fn service(
+    pub async fn start_service(
         &mut self,
         name: &str,
         data_centre: &str,
@@ -139,11 +139,11 @@
         settings.server.kind = Kind::Plain;
         settings.server.service = service.into();
         self.services.push(stand_in);
-        self.sidecar(settings).await
+        self.start_sidecar(settings).await
     }
 
     /// Starts a sidecar with settings of one's own.
-    pub async fn sidecar(&mut self, settings: settings::Sidecar) -> Result<(), Error> {
+    pub async fn start_sidecar(&mut self, settings: settings::Sidecar) -> Result<(), Error> {
         let name = settings.name.clone();
         let data_centre = settings.data_centre.clone();
         let server = settings.server.name.clone();
@@ -160,13 +160,13 @@
     }
 
     /// Starts an entry.
-    pub async fn entry(&mut self, name: &str, data_centre: &str) -> Result<(), Error> {
+    pub async fn start_entry(&mut self, name: &str, data_centre: &str) -> Result<(), Error> {
         let settings = entry_settings(name, data_centre, self.platform.address());
-        self.entry_with(settings).await
+        self.start_entry_with(settings).await
     }
 
     /// Starts an entry with settings of one's own.
-    pub async fn entry_with(&mut self, settings: settings::Entry) -> Result<(), Error> {
+    pub async fn start_entry_with(&mut self, settings: settings::Entry) -> Result<(), Error> {
         let name = settings.name.clone();
         let data_centre = settings.data_centre.clone();
         let keys = self.authority.issue(&name)?;
--- a/components/trial/tests/answers.rs
+++ b/components/trial/tests/answers.rs
@@ -246,7 +246,7 @@
     // Heartbeats alone would tell only after this time.
     let mut settings = entry_settings("entry-0", "dc1", trial.platform.address());
     settings.times.silence = Duration::from_secs(20);
-    trial.entry_with(settings).await.expect("an entry");
+    trial.start_entry_with(settings).await.expect("an entry");
     let revision = trial
         .put_document(0, "production", DOCUMENT)
         .await
@@ -369,10 +369,10 @@
         ..fakes::engine::Settings::default()
     };
     trial
-        .engine_with(slow, |settings| settings.times.grace = grace)
+        .start_engine_with(slow, |settings| settings.times.grace = grace)
         .await
         .expect("an engine");
-    trial.entry("entry-0", "dc1").await.expect("an entry");
+    trial.start_entry("entry-0", "dc1").await.expect("an entry");
     let revision = trial
         .put_document(0, "production", DOCUMENT)
         .await
@@ -399,10 +399,10 @@
         ..fakes::engine::Settings::default()
     };
     trial
-        .engine_with(quick, |settings| settings.limits.log = 1024)
+        .start_engine_with(quick, |settings| settings.limits.log = 1024)
         .await
         .expect("an engine");
-    trial.entry("entry-0", "dc1").await.expect("an entry");
+    trial.start_entry("entry-0", "dc1").await.expect("an entry");
     let revision = trial
         .put_document(0, "production", DOCUMENT)
         .await
--- a/components/trial/tests/desk/mod.rs
+++ b/components/trial/tests/desk/mod.rs
@@ -106,7 +106,7 @@
             settings.server.service = "ledger".into();
             settings.times.call = times.sidecar;
             trial.services.push(service);
-            trial.sidecar(settings).await.unwrap();
+            trial.start_sidecar(settings).await.unwrap();
         }
         trial
     }
@@ -116,7 +116,7 @@
         for name in ["entry-a", "entry-b"] {
             let mut settings = entry_settings(name, "dc1", trial.platform.address());
             settings.times.call = times.entry;
-            trial.entry_with(settings).await.unwrap();
+            trial.start_entry_with(settings).await.unwrap();
         }
         let revision = trial.put_document(0, "production", DOCUMENT).await.unwrap();
         trial.wait_ready(revision).await.unwrap();
--- a/components/trial/tests/documents.rs
+++ b/components/trial/tests/documents.rs
@@ -49,7 +49,10 @@
         for number in 0..each {
             let name = format!("entry-{data_centre}-{number}");
             let data_centre = format!("dc{data_centre}");
-            trial.entry(&name, &data_centre).await.expect("an entry");
+            trial
+                .start_entry(&name, &data_centre)
+                .await
+                .expect("an entry");
         }
     }
     let revision = trial
@@ -323,7 +326,10 @@
     holds(&trial, revision).await;
     fault(&trial, outage());
     trial.entries[2].kill();
-    trial.entry("entry-0-2", "dc0").await.expect("an entry");
+    trial
+        .start_entry("entry-0-2", "dc0")
+        .await
+        .expect("an entry");
     entry_holds(&trial, 3, revision).await;
 }
 
@@ -334,7 +340,10 @@
     let (mut trial, revision) = system(1, 1).await;
     fault(&trial, outage());
     trial.entries[0].kill();
-    trial.entry("entry-0-0", "dc0").await.expect("an entry");
+    trial
+        .start_entry("entry-0-0", "dc0")
+        .await
+        .expect("an entry");
     let address = format!("{}/svc/ledger/x", trial.callers_url(1));
     let answer = trial.client.get(address).send().await.expect("an answer");
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
--- a/components/trial/tests/failing.rs
+++ b/components/trial/tests/failing.rs
@@ -30,10 +30,10 @@
     for number in 0..3 {
         let settings = service::Settings::default();
         let name = format!("ledger-{number}");
-        let started = trial.service(&name, "dc1", "ledger", settings);
+        let started = trial.start_service(&name, "dc1", "ledger", settings);
         started.await.unwrap();
     }
-    trial.entry("entry-a", "dc1").await.unwrap();
+    trial.start_entry("entry-a", "dc1").await.unwrap();
     let revision = trial.put_document(0, "production", DOCUMENT).await.unwrap();
     trial.wait_ready(revision).await.unwrap();
     trial.services[0].fault(fault);
--- a/components/trial/tests/moves.rs
+++ b/components/trial/tests/moves.rs
@@ -71,7 +71,7 @@
             ..Settings::default()
         };
         trial
-            .engine(name, "dc1", settings)
+            .start_engine(name, "dc1", settings)
             .await
             .expect("an engine");
     }
@@ -80,7 +80,7 @@
 
 async fn system() -> Trial {
     let mut trial = engines().await;
-    trial.entry("entry-0", "dc1").await.expect("an entry");
+    trial.start_entry("entry-0", "dc1").await.expect("an entry");
     let revision = trial
         .put_document(0, "production", &document())
         .await
@@ -167,7 +167,7 @@
 #[tokio::test]
 async fn a_veto_reaches_the_other_entry_without_the_store() {
     let mut trial = system().await;
-    trial.entry("entry-1", "dc1").await.expect("an entry");
+    trial.start_entry("entry-1", "dc1").await.expect("an entry");
     let revision = trial
         .put_document(1, "production", &document())
         .await
@@ -261,7 +261,7 @@
 async fn three_entries_write_a_move_twice() {
     let mut trial = engines().await;
     for entry in ["entry-0", "entry-1", "entry-2"] {
-        trial.entry(entry, "dc1").await.expect("an entry");
+        trial.start_entry(entry, "dc1").await.expect("an entry");
     }
     let before = trial.platform.counts().writes;
     let revision = trial
--- a/components/trial/tests/orders.rs
+++ b/components/trial/tests/orders.rs
@@ -66,7 +66,7 @@
         settings.server.address = format!("http://{engine}");
         settings.server.checks_fence = self.checks;
         settings.times.settle = Duration::from_millis(200);
-        self.trial.sidecar(settings).await.unwrap();
+        self.trial.start_sidecar(settings).await.unwrap();
     }
 
     async fn order(&self, version: &str) -> u64 {
--- a/components/trial/tests/poison.rs
+++ b/components/trial/tests/poison.rs
@@ -56,16 +56,16 @@
                 ..engine::Settings::default()
             };
             let name = format!("draft-{number}");
-            trial.engine(&name, "dc1", settings).await.unwrap();
+            trial.start_engine(&name, "dc1", settings).await.unwrap();
         }
         for number in 0..services {
             let name = format!("ledger-{number}");
             let settings = service::Settings::default();
-            let started = trial.service(&name, "dc1", "ledger", settings);
+            let started = trial.start_service(&name, "dc1", "ledger", settings);
             started.await.unwrap();
         }
         for name in ["entry-a", "entry-b"] {
-            trial.entry(name, "dc1").await.unwrap();
+            trial.start_entry(name, "dc1").await.unwrap();
         }
         let revision = trial.put_document(0, "production", DOCUMENT).await.unwrap();
         trial.wait_ready(revision).await.unwrap();
--- a/components/trial/tests/support/mod.rs
+++ b/components/trial/tests/support/mod.rs
@@ -53,12 +53,12 @@
         };
         let name = format!("draft-{number}");
         let data_centre = format!("dc{}", number % 3 + 1);
-        let engine = trial.engine(&name, &data_centre, settings);
+        let engine = trial.start_engine(&name, &data_centre, settings);
         engine.await.expect("an engine");
     }
     for number in 0..entries {
         let name = format!("entry-{number}");
-        trial.entry(&name, "dc1").await.expect("an entry");
+        trial.start_entry(&name, "dc1").await.expect("an entry");
     }
     if entries > 0 {
         let revision = trial
@@ -82,11 +82,11 @@
         let name = format!("draft-{number}");
         let data_centre = format!("dc{}", number % 3 + 1);
         trial
-            .engine(&name, &data_centre, settings)
+            .start_engine(&name, &data_centre, settings)
             .await
             .expect("an engine");
     }
-    trial.entry("entry-0", "dc1").await.expect("an entry");
+    trial.start_entry("entry-0", "dc1").await.expect("an entry");
     let revision = trial
         .put_document(0, "production", DOCUMENT)
         .await
--- a/components/trial/tests/timeouts.rs
+++ b/components/trial/tests/timeouts.rs
@@ -40,7 +40,7 @@
     let mut settings = entry_settings("entry-0", "dc1", trial.platform.address());
     settings.times.header = HEADER;
     settings.times.idle = IDLE;
-    trial.entry_with(settings).await.expect("an entry");
+    trial.start_entry_with(settings).await.expect("an entry");
     let address = trial.callers_url(0).replace("http://", "");
     // The entry measures from the moment at which it accepts the connection.
     let begun = Instant::now();
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -88,9 +88,9 @@
             model: "m".into(),
             ..Settings::default()
         };
-        trial.engine(name, "dc1", settings).await?;
+        trial.start_engine(name, "dc1", settings).await?;
     }
-    trial.entry("entry-a", "dc1").await?;
+    trial.start_entry("entry-a", "dc1").await?;
     let revision = trial.put_document(0, "production", DOCUMENT).await?;
     trial.wait_ready(revision).await?;
     Ok(trial)
--- a/tests/env.rs
+++ b/tests/env.rs
@@ -83,7 +83,7 @@
 async fn documents_are_put_promoted_and_shown() {
     let folder = folder();
     let mut trial = Trial::start().await.expect("a platform");
-    trial.entry("entry-a", "dc1").await.expect("an entry");
+    trial.start_entry("entry-a", "dc1").await.expect("an entry");
     let entry = trial.operators_url(0);
     let mut seen = String::new();
     for line in [
