--- a/components/fakes/src/engine.rs
+++ b/components/fakes/src/engine.rs
@@ -137,8 +137,8 @@
     }
 
     /// Sets a fault, as `POST /fault` does.
-    pub fn fault(&self, fault: Fault) {
-        self.core.fault(&fault);
+    pub fn inject_fault(&self, fault: Fault) {
+        self.core.inject_fault(&fault);
     }
 
     /// Returns all runs so far, oldest first.
@@ -227,7 +227,7 @@
         max_runs.unwrap_or(4 * self.settings.capacity) as usize
     }
 
-    fn fault(&self, fault: &Fault) {
+    fn inject_fault(&self, fault: &Fault) {
         if fault.clear {
             self.process.clear();
         }
@@ -320,7 +320,7 @@
         ("POST", "/fault") => {
             return match request.json::<Fault>() {
                 Ok(fault) => {
-                    core.fault(&fault);
+                    core.inject_fault(&fault);
                     Response::json(200, &serde_json::json!({}))
                 }
                 Err(response) => response,
--- a/components/fakes/src/engine/run.rs
+++ b/components/fakes/src/engine/run.rs
@@ -320,7 +320,7 @@
     fn apply_faults(&self, plan: &Plan, sent: u64) {
         let due = lock(&self.core.state).faults.count_token();
         for fault in due {
-            self.core.fault(&fault);
+            self.core.inject_fault(&fault);
         }
         let crash_text = lock(&self.core.state).faults.active.crash_on.clone();
         let Some(crash_text) = crash_text else {
--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -172,8 +172,8 @@
     }
 
     /// Sets a fault, as `POST /fault` does.
-    pub fn fault(&self, fault: Fault) {
-        self.core.fault(&fault);
+    pub fn inject_fault(&self, fault: Fault) {
+        self.core.inject_fault(&fault);
     }
 
     /// Returns the numbers of store requests since the start, and of current watches and leases.
@@ -220,7 +220,7 @@
 }
 
 impl Core {
-    fn fault(&self, fault: &Fault) {
+    fn inject_fault(&self, fault: &Fault) {
         let mut state = lock(&self.state);
         if fault.clear {
             state.fault = Fault::default();
@@ -302,7 +302,7 @@
     match (request.method.as_str(), request.path.as_str()) {
         ("POST", "/fault") => match request.json::<Fault>() {
             Ok(fault) => {
-                core.fault(&fault);
+                core.inject_fault(&fault);
                 Response::json(200, &serde_json::json!({}))
             }
             Err(response) => response,
--- a/components/fakes/src/service.rs
+++ b/components/fakes/src/service.rs
@@ -134,8 +134,8 @@
     }
 
     /// Sets a fault, as `POST /fault` does.
-    pub fn fault(&self, fault: Fault) {
-        self.core.fault(&fault);
+    pub fn inject_fault(&self, fault: Fault) {
+        self.core.inject_fault(&fault);
     }
 
     /// Returns all calls that reached the service, in order of arrival.
@@ -203,7 +203,7 @@
 }
 
 impl Core {
-    fn fault(&self, fault: &Fault) {
+    fn inject_fault(&self, fault: &Fault) {
         {
             let mut state = lock(&self.state);
             if fault.clear {
@@ -337,7 +337,7 @@
         ("POST", "/fault") => {
             return match request.json::<Fault>() {
                 Ok(fault) => {
-                    core.fault(&fault);
+                    core.inject_fault(&fault);
                     Response::json(200, &serde_json::json!({}))
                 }
                 Err(response) => response,
--- a/components/fakes/tests/engine.rs
+++ b/components/fakes/tests/engine.rs
@@ -200,7 +200,7 @@
 #[tokio::test]
 async fn faults_of_token_indices(#[case] fault: Fault, #[case] indices: Vec<u64>) {
     let engine = start_engine(fast_settings()).await;
-    engine.fault(fault);
+    engine.inject_fault(fault);
     assert_eq!(
         run(&engine, &generate_body("r/1/1", 5)).await.indices(),
         indices
@@ -305,7 +305,7 @@
     let mut body = response.bytes_stream();
     let first = timeout(STEP_TIMEOUT, body.next()).await;
     assert_matches!(first, Ok(Some(Ok(_))));
-    engine.fault(Fault {
+    engine.inject_fault(Fault {
         silence: true,
         ..Fault::default()
     });
@@ -331,7 +331,7 @@
 #[tokio::test]
 async fn pause_delays_the_answer() {
     let engine = start_engine(fast_settings()).await;
-    engine.fault(Fault {
+    engine.inject_fault(Fault {
         pause_ms: Some(300),
         ..Fault::default()
     });
@@ -344,7 +344,7 @@
 #[tokio::test]
 async fn slow_delays_tokens() {
     let engine = start_engine(fast_settings()).await;
-    engine.fault(Fault {
+    engine.inject_fault(Fault {
         slow: Some(Slow {
             first_ms: 100,
             between_ms: 20,
@@ -361,7 +361,7 @@
 #[tokio::test]
 async fn vary_makes_the_text_depend_on_the_run() {
     let engine = start_engine(fast_settings()).await;
-    engine.fault(Fault {
+    engine.inject_fault(Fault {
         vary: true,
         ..Fault::default()
     });
@@ -488,7 +488,7 @@
 #[tokio::test]
 async fn orders_are_fenced(#[case] ignore: bool, #[case] status: u16) {
     let engine = start_engine(fast_settings()).await;
-    engine.fault(Fault {
+    engine.inject_fault(Fault {
         ignore_fence: ignore,
         ..Fault::default()
     });
--- a/components/fakes/tests/service.rs
+++ b/components/fakes/tests/service.rs
@@ -99,7 +99,7 @@
 #[tokio::test]
 async fn death_closes_the_connection(#[case] fault: Fault, #[case] deposits: u64) {
     let service = start().await;
-    service.fault(fault);
+    service.inject_fault(fault);
     let response = deposit(&service, None).await;
     assert!(response.is_err(), "{response:?}");
     timeout(STEP_TIMEOUT, service.dead())
@@ -115,7 +115,7 @@
 #[tokio::test]
 async fn response_faults(#[case] fault: Fault, #[case] status: u16, #[case] deposits: u64) {
     let service = start().await;
-    service.fault(fault);
+    service.inject_fault(fault);
     for _ in 0..2 {
         let (actual, _) = deposit(&service, Some("k"))
             .await
@@ -133,7 +133,7 @@
 #[tokio::test]
 async fn deposit_is_applied_after_the_client_gave_up(#[case] fault: Fault) {
     let service = start().await;
-    service.fault(fault);
+    service.inject_fault(fault);
     let response = timeout(Duration::from_millis(100), deposit(&service, None)).await;
     assert!(response.is_err());
     let end = Instant::now() + STEP_TIMEOUT;
@@ -156,7 +156,7 @@
         .await
         .expect("the service responds");
     first.bytes().await.expect("the body is read");
-    service.fault(Fault {
+    service.inject_fault(Fault {
         silence: true,
         ..Fault::default()
     });
--- a/components/measure/src/calls/desk.rs
+++ b/components/measure/src/calls/desk.rs
@@ -93,7 +93,7 @@
     }
 
     pub(super) fn store(&self, fault: platform::Fault) {
-        self.0.platform.fault(fault);
+        self.0.platform.inject_fault(fault);
     }
 
     /// Waits until a service was handed a call; gives its number.
--- a/components/measure/src/calls/faults.rs
+++ b/components/measure/src/calls/faults.rs
@@ -228,6 +228,6 @@
 
 fn strike_services(desk: &Desk, fault: &service::Fault) {
     for service in &desk.0.services {
-        service.fault(fault.clone());
+        service.inject_fault(fault.clone());
     }
 }
--- a/components/store/tests/hosts.rs
+++ b/components/store/tests/hosts.rs
@@ -88,10 +88,10 @@
 #[tokio::test]
 async fn faults_of_the_list(#[case] fault: Fault, #[case] seen: &[&str]) {
     let (platform, client) = start().await;
-    platform.fault(fault);
+    platform.inject_fault(fault);
     platform.set_hosts(vec![host("b")]);
     assert_eq!(names(&client).await, seen);
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         clear: true,
         ..Fault::default()
     });
@@ -112,7 +112,7 @@
 #[tokio::test]
 async fn weights_are_rate_limited() {
     let (platform, client) = start().await;
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         weights_per_s: Some(0.5),
         ..Fault::default()
     });
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -67,7 +67,7 @@
         revision(&client, "before").await;
     }
     let before = platform.counts().writes;
-    platform.fault(lose(answers, writes));
+    platform.inject_fault(lose(answers, writes));
     let settled = client.settle("k", "nonce-1", expect, None).await;
     assert_matches!(settled, Ok(Settled::Won { .. }));
     assert_eq!(platform.counts().writes - before, attempts);
@@ -82,7 +82,7 @@
 async fn other_creator_wins(#[case] fault: Fault) {
     let (platform, client) = start().await;
     revision(&client, "other").await;
-    platform.fault(fault);
+    platform.inject_fault(fault);
     let settled = client.settle("k", "nonce-1", Expect::Absent, None).await;
     let Ok(Settled::Lost { entry }) = settled else {
         panic!("the other's key stands: {settled:?}");
@@ -96,7 +96,7 @@
 async fn overwritten_write_is_still_won() {
     let (platform, client) = start().await;
     let first = revision(&client, "before").await;
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         lose_answers: Some(1),
         ..Fault::default()
     });
@@ -118,7 +118,7 @@
     let (platform, client) = start().await;
     let first = revision(&client, "before").await;
     revision(&client, "other").await;
-    platform.fault(lose(0, 1));
+    platform.inject_fault(lose(0, 1));
     let settled = client.settle("k", "nonce-1", Expect::Revision(first), None);
     assert_matches!(settled.await, Ok(Settled::Lost { entry: Some(_) }));
 }
@@ -147,7 +147,7 @@
 async fn outage_after_the_write_is_unknown() {
     let (platform, client) = start().await;
     let client = client.with_patience(Duration::from_millis(200));
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         slow_ms: Some(50),
         lose_answers: Some(1),
         ..Fault::default()
@@ -159,7 +159,7 @@
         assert!(Instant::now() < end, "the write is read back");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         outage: true,
         ..Fault::default()
     });
@@ -175,7 +175,7 @@
     let base = format!("http://{}", platform.address());
     let client = Client::new(&base, Duration::from_millis(100));
     let client = client.expect("the base is a URL").with_patience(LONG);
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         slow_ms: Some(400),
         ..Fault::default()
     });
@@ -186,7 +186,7 @@
         assert!(Instant::now() < end, "the write is read back");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         clear: true,
         ..Fault::default()
     });
@@ -210,7 +210,7 @@
 #[tokio::test]
 async fn refused_writes_had_no_effect(#[case] fault: Fault, #[case] error: Error) {
     let (platform, client) = start().await;
-    platform.fault(fault);
+    platform.inject_fault(fault);
     let settled = client.settle("k", "nonce-1", Expect::Absent, None).await;
     assert_eq!(settled, Err(error));
     assert_eq!(platform.counts().writes, 1);
@@ -219,7 +219,7 @@
 #[tokio::test]
 async fn unconditional_write_is_not_repeated() {
     let (platform, client) = start().await;
-    platform.fault(lose(0, 1));
+    platform.inject_fault(lose(0, 1));
     let settled = client.settle("k", "nonce-1", Expect::Any, None).await;
     assert_eq!(settled, Ok(Settled::Unknown));
     assert_eq!(platform.counts().writes, 1);
@@ -229,13 +229,13 @@
 #[tokio::test]
 async fn reads_are_retried_until_their_deadline() {
     let (platform, client) = start().await;
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         outage_ms: Some(100),
         ..Fault::default()
     });
     let read = client.get_within("k", Instant::now() + LONG).await;
     assert_eq!(read, Ok(None));
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         outage: true,
         ..Fault::default()
     });
--- a/components/store/tests/store.rs
+++ b/components/store/tests/store.rs
@@ -217,10 +217,10 @@
     let platform = start(Settings::default()).await;
     let client = client(&platform, SHORT);
     let landed = fault.lose_answers.is_some();
-    platform.fault(fault);
+    platform.inject_fault(fault);
     let put = client.put("k", "a", Expect::Absent, None).await;
     assert_eq!(put, Err(error));
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         clear: true,
         ..Fault::default()
     });
@@ -238,7 +238,7 @@
 async fn faults_of_reads(#[case] fault: Fault, #[case] error: Error) {
     let platform = start(Settings::default()).await;
     let client = client(&platform, SHORT);
-    platform.fault(fault);
+    platform.inject_fault(fault);
     assert_eq!(client.get("k").await, Err(error.clone()));
     assert_eq!(client.list("k").await, Err(error.clone()));
     assert_eq!(client.watch("k", 0, Duration::ZERO).await, Err(error));
@@ -269,7 +269,7 @@
     let watching = client.clone();
     let waiting = tokio::spawn(async move { watching.watch("k", 0, SHORT).await });
     wait_for(|| platform.counts().watching == 1).await;
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         silent_watches: true,
         ..Fault::default()
     });
@@ -290,7 +290,7 @@
     let watching = client.clone();
     let waiting = tokio::spawn(async move { watching.watch("k", 0, LONG).await });
     wait_for(|| platform.counts().watching == 1).await;
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         outage: true,
         ..Fault::default()
     });
--- a/components/trial/tests/answers.rs
+++ b/components/trial/tests/answers.rs
@@ -52,7 +52,7 @@
 /// Sets a fault at every engine.
 fn everywhere(trial: &Trial, fault: Fault) {
     for engine in &trial.engines {
-        engine.fault(fault.clone());
+        engine.inject_fault(fault.clone());
     }
 }
 
@@ -67,7 +67,7 @@
 impl Loss {
     fn strike(&self, trial: &mut Trial, number: usize) {
         match self {
-            Loss::Engine(fault) => trial.engines[number].fault(fault.clone()),
+            Loss::Engine(fault) => trial.engines[number].inject_fault(fault.clone()),
             Loss::Sidecar => trial.sidecars[number].kill(),
             Loss::Host => {
                 trial.sidecars[number].kill();
@@ -132,7 +132,7 @@
     let (seed, text) = whole_letter(1);
     let mut letter = Letter::open(request(&trial, 0, seed, None)).await;
     letter.read(3).await;
-    trial.engines[running(&trial)].fault(fault);
+    trial.engines[running(&trial)].inject_fault(fault);
     letter.rest().await;
     assert_eq!(letter.tokens, text);
     assert_eq!(letter.error, None);
@@ -152,13 +152,13 @@
         pause_ms: Some(20_000),
         ..Fault::default()
     };
-    trial.engines[first].fault(pause);
+    trial.engines[first].inject_fault(pause);
     letter.read(16).await;
     let others = (0..3).filter(|number| *number != first);
     for number in others {
         let mut runs = trial.engines[number].runs().into_iter();
         if runs.any(|run| run.state == State::Running) {
-            trial.engines[number].fault(Fault {
+            trial.engines[number].inject_fault(Fault {
                 die: true,
                 ..Fault::default()
             });
@@ -222,7 +222,7 @@
     let (seed, text) = whole_letter(1);
     let mut letter = Letter::open(request(&trial, 0, seed, None)).await;
     letter.read(8).await;
-    trial.engines[running(&trial)].fault(Fault {
+    trial.engines[running(&trial)].inject_fault(Fault {
         die: true,
         ..Fault::default()
     });
@@ -344,7 +344,7 @@
     }
     until("runs", || runs(&trial) >= 16).await;
     let begun = Instant::now();
-    trial.engines[0].fault(Fault {
+    trial.engines[0].inject_fault(Fault {
         pause_ms: Some(20_000),
         ..Fault::default()
     });
--- a/components/trial/tests/calls.rs
+++ b/components/trial/tests/calls.rs
@@ -65,7 +65,7 @@
         outage: true,
         ..platform::Fault::default()
     };
-    desk.0.platform.fault(outage);
+    desk.0.platform.inject_fault(outage);
     let told = desk.deposit(0, Some("k")).await;
     assert_eq!(
         (told.run(), told.retry_after),
@@ -91,7 +91,7 @@
         silence: true,
         ..platform::Fault::default()
     };
-    desk.0.platform.fault(silence);
+    desk.0.platform.inject_fault(silence);
     let told = desk.deposit(0, Some("k")).await;
     assert_eq!(
         (told.run(), told.retry_after),
@@ -113,7 +113,7 @@
         slow_ms: Some(2500),
         ..platform::Fault::default()
     };
-    desk.0.platform.fault(slow);
+    desk.0.platform.inject_fault(slow);
     let told = desk.deposit(0, Some("k")).await;
     assert_eq!(told.run(), "not_run", "{told:?}");
     assert!(told.took < AT_ONCE);
@@ -132,12 +132,12 @@
         lose_answers: Some(1),
         ..platform::Fault::default()
     };
-    desk.0.platform.fault(lose);
+    desk.0.platform.inject_fault(lose);
     let told = desk.deposit(0, Some("k")).await;
     assert_eq!(told.status, StatusCode::CREATED, "{told:?}");
     assert_eq!(desk.taken(), 2);
     // The same for the record of the outcome.
-    desk.0.platform.fault(platform::Fault {
+    desk.0.platform.inject_fault(platform::Fault {
         lose_answers: Some(2),
         ..platform::Fault::default()
     });
@@ -153,7 +153,7 @@
     let mut desk = Desk::open(1).await;
     let before = desk.0.platform.counts().writes;
     // The first write is the lease; its answer never comes, so no record is asked for.
-    desk.0.platform.fault(platform::Fault {
+    desk.0.platform.inject_fault(platform::Fault {
         slow_ms: Some(700),
         ..platform::Fault::default()
     });
--- a/components/trial/tests/calls_service.rs
+++ b/components/trial/tests/calls_service.rs
@@ -85,7 +85,7 @@
     let running = desk.send(0, Some("k"), 5);
     desk.handed().await;
     let before = desk.0.platform.counts().writes;
-    desk.0.platform.fault(platform::Fault {
+    desk.0.platform.inject_fault(platform::Fault {
         outage: true,
         ..platform::Fault::default()
     });
--- a/components/trial/tests/desk/mod.rs
+++ b/components/trial/tests/desk/mod.rs
@@ -176,7 +176,7 @@
 
     pub fn services(&self, fault: &service::Fault) {
         for service in &self.0.services {
-            service.fault(fault.clone());
+            service.inject_fault(fault.clone());
         }
     }
 
@@ -207,7 +207,7 @@
 }
 
 pub fn clear(desk: &Desk) {
-    desk.0.platform.fault(platform::Fault {
+    desk.0.platform.inject_fault(platform::Fault {
         clear: true,
         ..platform::Fault::default()
     });
--- a/components/trial/tests/documents.rs
+++ b/components/trial/tests/documents.rs
@@ -124,7 +124,7 @@
 }
 
 fn fault(trial: &Trial, fault: Fault) {
-    trial.platform.fault(fault);
+    trial.platform.inject_fault(fault);
 }
 
 fn outage() -> Fault {
--- a/components/trial/tests/failing.rs
+++ b/components/trial/tests/failing.rs
@@ -36,7 +36,7 @@
     trial.start_entry("entry-a", "dc1").await.unwrap();
     let revision = trial.put_document(0, "production", DOCUMENT).await.unwrap();
     trial.wait_ready(revision).await.unwrap();
-    trial.services[0].fault(fault);
+    trial.services[0].inject_fault(fault);
     let mut failed = 0;
     for number in 0..CALLS {
         let address = format!("{}/svc/ledger/deposits", trial.callers_url(0));
--- a/components/trial/tests/moves.rs
+++ b/components/trial/tests/moves.rs
@@ -141,7 +141,7 @@
 async fn a_bad_version_is_taken_back(#[case] fault: Fault) {
     let trial = system().await;
     for engine in &trial.engines[2..] {
-        engine.fault(fault.clone());
+        engine.inject_fault(fault.clone());
     }
     let seen = ended(&trial).await;
     assert_eq!(seen["permille"], 0, "{seen}");
@@ -178,12 +178,12 @@
         assert!(Instant::now() < limit, "the second entry takes no part");
         sleep(Duration::from_millis(50)).await;
     }
-    trial.platform.fault(platform::Fault {
+    trial.platform.inject_fault(platform::Fault {
         outage: true,
         ..platform::Fault::default()
     });
     for engine in &trial.engines[2..] {
-        engine.fault(Fault {
+        engine.inject_fault(Fault {
             skip_at: Some(1),
             ..Fault::default()
         });
@@ -196,7 +196,7 @@
         sleep(Duration::from_millis(50)).await;
     }
     assert_eq!(progress(&trial, 1).await["permille"], 0);
-    trial.platform.fault(platform::Fault {
+    trial.platform.inject_fault(platform::Fault {
         clear: true,
         ..platform::Fault::default()
     });
--- a/components/trial/tests/orders.rs
+++ b/components/trial/tests/orders.rs
@@ -41,7 +41,7 @@
         let mut trial = Trial::start().await.unwrap();
         let engine = Engine::start(engine::Settings::default()).await.unwrap();
         if !checks {
-            engine.fault(engine::Fault {
+            engine.inject_fault(engine::Fault {
                 ignore_fence: true,
                 ..engine::Fault::default()
             });
@@ -126,7 +126,7 @@
     bench.loaded("v2").await;
     bench.trial.sidecars[0].kill();
     bench.order("v3").await;
-    bench.trial.platform.fault(platform::Fault {
+    bench.trial.platform.inject_fault(platform::Fault {
         outage: true,
         ..platform::Fault::default()
     });
@@ -138,7 +138,7 @@
         sleep(Duration::from_millis(10)).await;
     }
     assert!(!bench.versions().await.contains(&"v3".to_string()));
-    bench.trial.platform.fault(platform::Fault {
+    bench.trial.platform.inject_fault(platform::Fault {
         clear: true,
         ..platform::Fault::default()
     });
--- a/components/trial/tests/pause.rs
+++ b/components/trial/tests/pause.rs
@@ -53,7 +53,7 @@
     let earlier = desk.taken();
     let told = match step {
         Step::BeforeRecord | Step::BetweenRecordAndHandOver => {
-            desk.0.platform.fault(platform::Fault {
+            desk.0.platform.inject_fault(platform::Fault {
                 slow_ms: Some(300),
                 ..platform::Fault::default()
             });
--- a/components/trial/tests/poison.rs
+++ b/components/trial/tests/poison.rs
@@ -114,7 +114,7 @@
 async fn a_poison_costs_two_engines_and_no_answer(#[values(1, 8, 30)] innocents: usize) {
     let desk = Desk::open(ENGINES, 0).await;
     for engine in &desk.0.engines {
-        engine.fault(engine::Fault {
+        engine.inject_fault(engine::Fault {
             crash_on: Some("poison".into()),
             ..engine::Fault::default()
         });
@@ -156,7 +156,7 @@
 async fn a_poisonous_call_costs_two_services() {
     let desk = Desk::open(0, 3).await;
     for service in &desk.0.services {
-        service.fault(service::Fault {
+        service.inject_fault(service::Fault {
             crash_on: Some("poison".into()),
             ..service::Fault::default()
         });
--- a/tests/env.rs
+++ b/tests/env.rs
@@ -105,7 +105,7 @@
         .expect("the promoted document is in force");
     seen += &env(folder.path(), &entry, "status").await;
     seen += &env(folder.path(), &entry, "status --format json").await;
-    trial.platform.fault(fakes::platform::Fault {
+    trial.platform.inject_fault(fakes::platform::Fault {
         outage: true,
         ..Default::default()
     });
