--- a/components/measure/src/load.rs
+++ b/components/measure/src/load.rs
@@ -189,7 +189,7 @@
     let mut arrivals = Vec::new();
     let mut whole = false;
     while let Ok(Some(event)) = stream.next().await {
-        whole = whole || event.finish().is_some();
+        whole = whole || event.finish_reason().is_some();
         if event.token().is_some() {
             arrivals.extend(event.received_at);
         }
--- a/components/trial/src/host.rs
+++ b/components/trial/src/host.rs
@@ -1,4 +1,4 @@
-//! A daemon with a runtime of its own.
+//! Host that runs one daemon on its own Tokio runtime.
 
 use std::{
     future::Future,
@@ -13,12 +13,12 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Threads of one daemon.
-const THREADS: usize = 2;
+/// Worker threads of one daemon's runtime.
+const WORKER_THREADS: usize = 2;
 
-/// A daemon that runs on its own runtime.
+/// Daemon on its own runtime, killed on drop.
 pub struct Host<T> {
-    /// The daemon; none once it was told to stop.
+    /// Handle of the daemon.
     pub daemon: Option<T>,
     stop: CancellationToken,
     runtime: Option<Runtime>,
@@ -28,14 +28,18 @@
 where
     T: Send + 'static,
 {
-    /// Starts a daemon; `start` gets the token that stops it.
+    /// Starts a daemon on a new runtime. `start` receives the token that stops the daemon.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the runtime can't be built, or the error of `start`.
     pub async fn start<F, E>(start: impl FnOnce(CancellationToken) -> F) -> Result<Self, E>
     where
         F: Future<Output = Result<T, E>> + Send + 'static,
         E: From<io::Error> + Send + 'static,
     {
         let runtime = Builder::new_multi_thread()
-            .worker_threads(THREADS)
+            .worker_threads(WORKER_THREADS)
             .enable_all()
             .build()?;
         let stop = CancellationToken::new();
@@ -48,25 +52,25 @@
         })
     }
 
-    /// Kills the daemon: nothing is finished, nobody is told.
+    /// Kills the daemon at once: its tasks and sockets are dropped, and its peers aren't notified.
     pub fn kill(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
         }
     }
 
-    /// Stops everything that the daemon does for a time, as a stopped process or machine would: each
-    /// thread of its runtime is blocked. Its sockets stay, and its peers hear nothing.
-    pub fn pause(&self, time: Duration) {
+    /// Pauses the daemon for `duration`, as a stopped process or machine, by blocking all worker
+    /// threads of its runtime. Its sockets stay open, and its peers receive nothing.
+    pub fn pause(&self, duration: Duration) {
         let Some(runtime) = &self.runtime else {
             return;
         };
-        for _ in 0..THREADS {
-            runtime.spawn(async move { thread::sleep(time) });
+        for _ in 0..WORKER_THREADS {
+            runtime.spawn(async move { thread::sleep(duration) });
         }
     }
 
-    /// Tells the daemon to stop, as the platform's signal does.
+    /// Asks the daemon to shut down gracefully, as the platform's signal does.
     pub fn stop(&self) {
         self.stop.cancel();
     }
@@ -74,7 +78,7 @@
 
 impl<T> Drop for Host<T> {
     fn drop(&mut self) {
-        // A runtime may not be dropped inside another one's task.
+        // Tokio panics if a runtime is dropped in an asynchronous context.
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
         }
--- a/components/trial/src/lib.rs
+++ b/components/trial/src/lib.rs
@@ -1,7 +1,7 @@
-//! A whole system on stand-ins in one process, for the demo, tests and measurements.
+//! Whole system on stand-ins in one process, for the demo, tests and measurements.
 //!
-//! Each daemon has a runtime of its own, so that it can be killed: its tasks and sockets are gone
-//! at once and nobody is told.
+//! Each daemon has its own runtime, so that it can be killed: its tasks and sockets are dropped at
+//! once, and its peers aren't notified.
 
 pub mod host;
 pub mod stream;
@@ -9,25 +9,25 @@
 
 pub use trial::Trial;
 
-/// Why a trial failed to do what was asked.
+/// Error of a trial.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A stand-in or a runtime can't start.
+    /// A stand-in or a runtime failed to start.
     #[error("can't start: {0}")]
     Start(#[from] std::io::Error),
-    /// A daemon can't start.
+    /// A daemon failed to start.
     #[error(transparent)]
     Daemon(#[from] daemon::Error),
-    /// Keys can't be made.
+    /// Keys couldn't be generated.
     #[error(transparent)]
     Keys(#[from] keys::Error),
-    /// HTTP failed.
+    /// An HTTP request failed.
     #[error("{0}")]
     Http(#[from] reqwest::Error),
-    /// Something was refused.
+    /// An entry refused a request; holds the response body.
     #[error("refused: {0}")]
     Refused(String),
-    /// Something didn't come about in time.
-    #[error("not in time: {0}")]
+    /// A condition wasn't met in time.
+    #[error("timed out waiting for {0}")]
     Timeout(String),
 }
--- a/components/trial/src/stream.rs
+++ b/components/trial/src/stream.rs
@@ -1,4 +1,4 @@
-//! A caller that reads a streamed answer.
+//! Client side of a streamed answer.
 
 use std::time::Duration;
 
@@ -11,60 +11,65 @@
 use crate::Error;
 
 /// Longest wait for the next event.
-const LIMIT: Duration = Duration::from_secs(30);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One server-sent event of an answer.
+/// Server-sent event of an answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Event {
-    /// Its `id:`.
+    /// Value of the `id:` field.
     pub id: String,
-    /// Its `event:`.
+    /// Value of the `event:` field.
     pub name: String,
-    /// Its `data:`.
+    /// Value of the `data:` field.
     pub data: String,
-    /// When it came.
+    /// Time of arrival.
     pub received_at: Option<Instant>,
 }
 
-/// A streamed answer as its caller sees it.
+/// Streamed answer.
 pub struct Stream {
     response: reqwest::Response,
-    text: String,
+    /// Received text that isn't parsed yet.
+    buffer: String,
 }
 
 impl Stream {
-    /// Reads the events of a response.
+    /// Creates a stream of the events of a response.
     pub fn new(response: reqwest::Response) -> Self {
         Self {
             response,
-            text: String::new(),
+            buffer: String::new(),
         }
     }
 
-    /// The next event; none at the end of the response.
+    /// Returns the next event, or `None` at the end of the response.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection breaks or no event arrives in time.
     pub async fn next(&mut self) -> Result<Option<Event>, Error> {
         loop {
-            if let Some(end) = self.text.find("\n\n") {
-                let block: String = self.text.drain(..end + 2).collect();
+            if let Some(end) = self.buffer.find("\n\n") {
+                let block: String = self.buffer.drain(..end + 2).collect();
                 let event = parse(&block);
                 if event.data.is_empty() && event.name.is_empty() {
                     continue;
                 }
                 return Ok(Some(event));
             }
-            let chunk = timeout(LIMIT, self.response.chunk())
+            let chunk = timeout(EVENT_TIMEOUT, self.response.chunk())
                 .await
                 .map_err(|_| Error::Timeout("an event of the answer".into()))??;
             let Some(chunk) = chunk else {
                 return Ok(None);
             };
-            self.text.push_str(&String::from_utf8_lossy(&chunk));
+            self.buffer.push_str(&String::from_utf8_lossy(&chunk));
         }
     }
 }
 
 impl Event {
-    /// The token of a completion's event; none when it carries none.
+    /// Returns the token of a completion event, or `None` if the event carries no token.
     pub fn token(&self) -> Option<String> {
         if self.id.is_empty() {
             return None;
@@ -73,8 +78,8 @@
         body["choices"][0]["text"].as_str().map(str::to_string)
     }
 
-    /// How the answer ended, when this event says so.
-    pub fn finish(&self) -> Option<String> {
+    /// Returns the `finish_reason` if the event carries one.
+    pub fn finish_reason(&self) -> Option<String> {
         let body: Value = serde_json::from_str(&self.data).ok()?;
         let reason = body["choices"][0]["finish_reason"].as_str();
         reason.map(str::to_string)
--- a/components/trial/src/trial.rs
+++ b/components/trial/src/trial.rs
@@ -1,4 +1,4 @@
-//! Start of a trial, and its conditions.
+//! Start and control of a whole system in one process.
 
 use std::{
     net::SocketAddr,
@@ -34,33 +34,39 @@
     host::Host, //
 };
 
-/// Longest wait for a condition.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Longest wait for an entry to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pace at which conditions are looked at.
-const PACE: Duration = Duration::from_millis(10);
+/// Interval at which the status of an entry is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A whole system on stand-ins.
+/// System of a platform, entries, sidecars and backend servers, all on stand-ins.
 pub struct Trial {
-    /// The stand-in platform.
+    /// Stand-in platform.
     pub platform: Platform,
-    /// Engines, in the order of their start.
+    /// Engines in start order.
     pub engines: Vec<Engine>,
-    /// Plain services, in the order of their start.
+    /// Plain services in start order.
     pub services: Vec<Service>,
-    /// Sidecars, in the order of their start.
+    /// Sidecars in start order.
     pub sidecars: Vec<Host<Sidecar>>,
-    /// Entries, in the order of their start.
+    /// Entries in start order.
     pub entries: Vec<Host<Entry>>,
-    /// Client for what the trial itself asks.
+    /// HTTP client for requests to the system.
     pub client: reqwest::Client,
     authority: Authority,
+    /// Host list as last set at the platform.
     hosts: Vec<platform::Host>,
+    /// Names of the backend servers.
     servers: Vec<String>,
 }
 
 impl Trial {
-    /// Starts the platform.
+    /// Starts a system that consists of the platform only.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the platform can't start or the key authority can't be created.
     pub async fn start() -> Result<Self, Error> {
         Ok(Self {
             platform: Platform::start(platform::Settings::default()).await?,
@@ -75,7 +81,11 @@
         })
     }
 
-    /// Starts an engine of service `draft` and the sidecar beside it.
+    /// Starts an engine of service `draft` and its sidecar.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the engine or the sidecar can't start.
     pub async fn start_engine(
         &mut self,
         name: &str,
@@ -93,7 +103,11 @@
         self.start_sidecar(settings).await
     }
 
-    /// Starts an engine of service `draft` with sidecar settings changed by `change`.
+    /// Starts an engine of service `draft` and its sidecar, whose settings `change` may modify.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the engine or the sidecar can't start.
     pub async fn start_engine_with(
         &mut self,
         engine: engine::Settings,
@@ -108,24 +122,29 @@
         self.start_sidecar(settings).await
     }
 
-    /// Address of a sidecar's links.
+    /// Returns the address on which a sidecar accepts links.
     pub fn link_address(&self, sidecar: usize) -> SocketAddr {
         let daemon = self.sidecars[sidecar].daemon.as_ref();
-        daemon.map_or_else(any, |daemon| daemon.links)
+        daemon.map_or_else(loopback, |daemon| daemon.links)
     }
 
-    /// Lists a sidecar under another address, of something that stands before it.
+    /// Sets the address of a sidecar in the platform's host list, such as that of a relay in front
+    /// of it.
     pub fn set_sidecar_address(&mut self, sidecar: usize, address: SocketAddr) {
-        let links = self.link_address(sidecar);
+        let link_address = self.link_address(sidecar);
         for host in &mut self.hosts {
-            if host.address == links {
+            if host.address == link_address {
                 host.address = address;
             }
         }
         self.platform.set_hosts(self.hosts.clone());
     }
 
-    /// Starts a plain service, replica of `service`, and the sidecar beside it.
+    /// Starts a plain service, as a replica of `service`, and its sidecar.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the service or the sidecar can't start.
     pub async fn start_service(
         &mut self,
         name: &str,
@@ -142,7 +161,11 @@
         self.start_sidecar(settings).await
     }
 
-    /// Starts a sidecar with settings of one's own.
+    /// Starts a sidecar with the given settings and adds it to the host list.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if its keys can't be issued or the sidecar can't start.
     pub async fn start_sidecar(&mut self, settings: settings::Sidecar) -> Result<(), Error> {
         let name = settings.name.clone();
         let data_centre = settings.data_centre.clone();
@@ -155,17 +178,25 @@
         let address = sidecar.daemon.as_ref().map(|daemon| daemon.links);
         self.sidecars.push(sidecar);
         self.servers.push(server);
-        self.list(&name, &data_centre, platform::Role::Sidecar, address);
+        self.register(&name, &data_centre, platform::Role::Sidecar, address);
         Ok(())
     }
 
-    /// Starts an entry.
+    /// Starts an entry with default settings.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if its keys can't be issued or the entry can't start.
     pub async fn start_entry(&mut self, name: &str, data_centre: &str) -> Result<(), Error> {
         let settings = entry_settings(name, data_centre, self.platform.address());
         self.start_entry_with(settings).await
     }
 
-    /// Starts an entry with settings of one's own.
+    /// Starts an entry with the given settings and adds it to the host list.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if its keys can't be issued or the entry can't start.
     pub async fn start_entry_with(&mut self, settings: settings::Entry) -> Result<(), Error> {
         let name = settings.name.clone();
         let data_centre = settings.data_centre.clone();
@@ -176,17 +207,17 @@
         .await?;
         let address = entry.daemon.as_ref().map(|daemon| daemon.links);
         self.entries.push(entry);
-        self.list(&name, &data_centre, platform::Role::Entry, address);
+        self.register(&name, &data_centre, platform::Role::Entry, address);
         Ok(())
     }
 
-    /// Address of a host's links, as the platform's list has it.
+    /// Returns the link address of a host as given in the platform's host list.
     pub fn host_address(&self, name: &str) -> Option<SocketAddr> {
         let host = self.hosts.iter().find(|host| host.name == name);
         host.map(|host| host.address)
     }
 
-    /// Makes the platform's list give another address for a host, such as that of a relay.
+    /// Sets the address of a host in the platform's host list, such as that of a relay.
     pub fn set_host_address(&mut self, name: &str, address: SocketAddr) {
         for host in &mut self.hosts {
             if host.name == name {
@@ -196,7 +227,7 @@
         self.platform.set_hosts(self.hosts.clone());
     }
 
-    /// Callers' base address of an entry.
+    /// Returns the base URL of an entry's interface for callers.
     pub fn callers_url(&self, entry: usize) -> String {
         let daemon = self.entries[entry].daemon.as_ref();
         daemon
@@ -204,7 +235,7 @@
             .unwrap_or_default()
     }
 
-    /// Operators' base address of an entry.
+    /// Returns the base URL of an entry's interface for operators.
     pub fn operators_url(&self, entry: usize) -> String {
         let daemon = self.entries[entry].daemon.as_ref();
         daemon
@@ -212,60 +243,70 @@
             .unwrap_or_default()
     }
 
-    /// Puts a document through an entry.
+    /// Puts a document through an entry and returns its revision.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the request fails or the entry refuses the document.
     pub async fn put_document(
         &self,
         entry: usize,
         environment: &str,
         text: &str,
     ) -> Result<u64, Error> {
-        let address = format!("{}/environments/{environment}", self.operators_url(entry));
-        let answer = self
-            .client
-            .put(address)
-            .body(text.to_string())
-            .send()
-            .await?;
-        let good = answer.status().is_success();
-        let body: Value = answer.json().await?;
-        if !good {
+        let url = format!("{}/environments/{environment}", self.operators_url(entry));
+        let response = self.client.put(url).body(text.to_string()).send().await?;
+        let accepted = response.status().is_success();
+        let body: Value = response.json().await?;
+        if !accepted {
             return Err(Error::Refused(body.to_string()));
         }
         Ok(body["revision"].as_u64().unwrap_or_default())
     }
 
-    /// An entry's status.
+    /// Returns the status of an entry.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the request fails.
     pub async fn status(&self, entry: usize) -> Result<Value, Error> {
-        let address = format!("{}/status", self.operators_url(entry));
-        Ok(self.client.get(address).send().await?.json().await?)
+        let url = format!("{}/status", self.operators_url(entry));
+        Ok(self.client.get(url).send().await?.json().await?)
     }
 
-    /// Waits until every entry holds a revision and has a link to every backend server.
+    /// Waits until every entry holds at least `revision` and is linked to every backend server.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a request fails or the entries aren't ready in time.
     pub async fn wait_ready(&self, revision: u64) -> Result<(), Error> {
         for entry in 0..self.entries.len() {
-            let begun = Instant::now();
+            let started = Instant::now();
             loop {
                 let status = self.status(entry).await?;
-                if status["revision"].as_u64() >= Some(revision) && self.all_up(&status) {
+                if status["revision"].as_u64() >= Some(revision) && self.has_all_servers(&status) {
                     break;
                 }
-                if begun.elapsed() > LIMIT {
-                    return Err(Error::Timeout(format!("entry {entry}: {status}")));
+                if started.elapsed() > READY_TIMEOUT {
+                    return Err(Error::Timeout(format!(
+                        "entry {entry}, whose status is {status}"
+                    )));
                 }
-                sleep(PACE).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    fn all_up(&self, status: &Value) -> bool {
-        let up = status["servers"].as_array().cloned().unwrap_or_default();
+    fn has_all_servers(&self, status: &Value) -> bool {
+        let linked = status["servers"].as_array().cloned().unwrap_or_default();
         self.servers
             .iter()
-            .all(|server| up.iter().any(|name| name.as_str() == Some(server)))
+            .all(|server| linked.iter().any(|name| name.as_str() == Some(server)))
     }
 
-    fn list(
+    /// Adds a host to the platform's host list.
+    fn register(
         &mut self,
         name: &str,
         data_centre: &str,
@@ -288,15 +329,15 @@
     }
 }
 
-/// Settings of an entry for trials: any ports.
+/// Returns settings of an entry on free ports.
 pub fn entry_settings(name: &str, data_centre: &str, platform: SocketAddr) -> settings::Entry {
     settings::Entry {
         name: name.into(),
         data_centre: data_centre.into(),
         environment: "production".into(),
-        callers: any(),
-        operators: any(),
-        links: any(),
+        callers: loopback(),
+        operators: loopback(),
+        links: loopback(),
         platform: format!("http://{platform}"),
         limits: settings::entry::Limits::default(),
         times: settings::entry::Times {
@@ -307,13 +348,13 @@
     }
 }
 
-/// Settings of a sidecar for trials: any ports, an engine of service `draft`.
+/// Returns settings of a sidecar on free ports, for an engine of service `draft`.
 pub fn sidecar_settings(name: &str, data_centre: &str, platform: SocketAddr) -> settings::Sidecar {
     settings::Sidecar {
         name: name.into(),
         data_centre: data_centre.into(),
-        links: any(),
-        operators: any(),
+        links: loopback(),
+        operators: loopback(),
         platform: format!("http://{platform}"),
         server: settings::sidecar::Backend {
             name: format!("{name}-server"),
@@ -332,6 +373,6 @@
     }
 }
 
-fn any() -> SocketAddr {
+fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/components/trial/tests/answers.rs
+++ b/components/trial/tests/answers.rs
@@ -1,4 +1,5 @@
-//! Answers fault by fault, with real daemons over loopback: token by token the engines' known text.
+//! Streamed answers under faults, with real daemons over loopback. Each answer is compared token by
+//! token with the engines' expected text.
 
 mod support;
 
@@ -12,18 +13,18 @@
 use rstest::rstest;
 use support::{
     DOCUMENT,
-    LENGTH,
-    desk,
-    letter::{
-        Letter,
+    MAX_TOKENS,
+    full_length_answer, //
+    reader::{
+        Reader,
         request,
-        until, //
+        wait_for, //
     },
     relay::{
         Cut,
         Relay, //
     },
-    whole_letter, //
+    start_system,
 };
 use tokio::time::Instant;
 use trial::{
@@ -31,32 +32,32 @@
     trial::entry_settings, //
 };
 
-/// Output goes on within this time of a loss.
-const SOON: Duration = Duration::from_secs(3);
+/// Time after a loss within which the stream must continue.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The engine that runs a generation now.
-fn running(trial: &Trial) -> usize {
-    let runs = |number: &usize| {
+/// Returns the number of the first engine with a run in progress.
+fn running_engine(trial: &Trial) -> usize {
+    let is_running = |number: &usize| {
         let runs = trial.engines[*number].runs();
         runs.iter().any(|run| run.state == State::Running)
     };
     let mut numbers = 0..trial.engines.len();
-    numbers.find(runs).expect("an engine runs the answer")
+    numbers.find(is_running).expect("an engine runs the answer")
 }
 
-/// Runs of all engines so far.
-fn runs(trial: &Trial) -> usize {
+/// Returns the number of runs of all engines so far.
+fn total_runs(trial: &Trial) -> usize {
     trial.engines.iter().map(|engine| engine.runs().len()).sum()
 }
 
-/// Sets a fault at every engine.
-fn everywhere(trial: &Trial, fault: Fault) {
+/// Injects a fault into every engine.
+fn inject_into_all_engines(trial: &Trial, fault: Fault) {
     for engine in &trial.engines {
         engine.inject_fault(fault.clone());
     }
 }
 
-/// What happens to the engine, the sidecar or both that run an answer.
+/// Component that is lost while it runs an answer.
 #[derive(Clone, Debug)]
 enum Loss {
     Engine(Fault),
@@ -65,7 +66,7 @@
 }
 
 impl Loss {
-    fn strike(&self, trial: &mut Trial, number: usize) {
+    fn apply(&self, trial: &mut Trial, number: usize) {
         match self {
             Loss::Engine(fault) => trial.engines[number].inject_fault(fault.clone()),
             Loss::Sidecar => trial.sidecars[number].kill(),
@@ -77,8 +78,8 @@
     }
 }
 
-/// An engine, its sidecar or the whole host fails while a letter is being written. The caller
-/// notices a pause; without the next epoch the letter would stop there.
+/// An engine, its sidecar or the whole host fails during an answer. The caller sees a pause, and the
+/// answer must continue in a new epoch instead of ending there.
 #[rstest]
 #[case::engine_dies(Loss::Engine(Fault { die: true, ..Fault::default() }))]
 #[case::engine_stops_and_wakes(Loss::Engine(Fault { pause_ms: Some(6000), ..Fault::default() }))]
@@ -86,15 +87,18 @@
 #[case::sidecar_dies(Loss::Sidecar)]
 #[case::host_is_gone(Loss::Host)]
 #[tokio::test]
-async fn an_answer_goes_on_after_a_loss(#[case] loss: Loss, #[values(0, 12)] before: usize) {
-    let mut trial = desk(1, 2, DOCUMENT).await;
-    let (seed, text) = whole_letter(1);
-    if before == 0 {
+async fn an_answer_continues_after_a_loss(
+    #[case] loss: Loss,
+    #[values(0, 12)] tokens_before: usize,
+) {
+    let mut trial = start_system(1, 2, DOCUMENT).await;
+    let (seed, text) = full_length_answer(1);
+    if tokens_before == 0 {
         let slow = Slow {
             first_ms: 300,
             between_ms: 0,
         };
-        everywhere(
+        inject_into_all_engines(
             &trial,
             Fault {
                 slow: Some(slow),
@@ -102,58 +106,72 @@
             },
         );
     }
-    let sent = request(&trial, 0, seed, None);
-    let reader = tokio::spawn(async move {
-        let mut letter = Letter::open(sent).await;
-        letter.rest().await;
-        letter
+    let request = request(&trial, 0, seed, None);
+    let task = tokio::spawn(async move {
+        let mut reader = Reader::open(request).await;
+        reader.read_to_end().await;
+        reader
     });
-    until("a run", || {
+    wait_for("a run to send enough tokens", || {
         let mut engines = trial.engines.iter();
-        engines.any(|engine| engine.runs().iter().any(|run| run.sent >= before as u64))
+        engines.any(|engine| {
+            engine
+                .runs()
+                .iter()
+                .any(|run| run.sent >= tokens_before as u64)
+        })
     })
     .await;
-    let number = running(&trial);
-    loss.strike(&mut trial, number);
-    let letter = reader.await.expect("the reader ends");
-    assert_eq!(letter.tokens, text);
-    assert_eq!((letter.restarts, letter.error), (0, None));
-    assert!(letter.finish.is_some());
-    assert!(letter.gap < SOON, "{:?}", letter.gap);
+    let number = running_engine(&trial);
+    loss.apply(&mut trial, number);
+    let reader = task.await.expect("the reader completes");
+    assert_eq!(reader.tokens, text);
+    assert_eq!((reader.restarts, reader.error), (0, None));
+    assert!(reader.finish_reason.is_some());
+    assert!(
+        reader.longest_gap < RECOVERY_TIMEOUT,
+        "{:?}",
+        reader.longest_gap
+    );
 }
 
-/// An engine sends a token twice, or leaves one out. A caller would read a word twice, or miss one.
+/// An engine sends a token twice or skips one. The sidecar must abandon the stream before the
+/// caller sees the error.
 #[rstest]
 #[case::repeats(Fault { repeat_at: Some(20), ..Fault::default() })]
 #[case::skips(Fault { skip_at: Some(20), ..Fault::default() })]
 #[tokio::test]
-async fn a_wrong_stream_is_left_before_its_error_shows(#[case] fault: Fault) {
-    let trial = desk(1, 2, DOCUMENT).await;
-    let (seed, text) = whole_letter(1);
-    let mut letter = Letter::open(request(&trial, 0, seed, None)).await;
-    letter.read(3).await;
-    trial.engines[running(&trial)].inject_fault(fault);
-    letter.rest().await;
-    assert_eq!(letter.tokens, text);
-    assert_eq!(letter.error, None);
-    assert_eq!(runs(&trial), 2, "the wrong stream was left");
+async fn an_inconsistent_stream_is_abandoned_before_the_caller_sees_it(#[case] fault: Fault) {
+    let trial = start_system(1, 2, DOCUMENT).await;
+    let (seed, text) = full_length_answer(1);
+    let mut reader = Reader::open(request(&trial, 0, seed, None)).await;
+    reader.read(3).await;
+    trial.engines[running_engine(&trial)].inject_fault(fault);
+    reader.read_to_end().await;
+    assert_eq!(reader.tokens, text);
+    assert_eq!(reader.error, None);
+    assert_eq!(
+        total_runs(&trial),
+        2,
+        "the inconsistent stream was abandoned"
+    );
 }
 
-/// An engine stops, the answer moves, the next engine dies. Each loss alone is mended; both
-/// together must be as well.
+/// An engine pauses, the answer moves to another engine, and that engine dies. The answer must
+/// survive both losses.
 #[tokio::test]
-async fn two_faults_in_one_answer_are_mended() {
-    let trial = desk(1, 3, DOCUMENT).await;
-    let (seed, text) = whole_letter(1);
-    let mut letter = Letter::open(request(&trial, 0, seed, None)).await;
-    letter.read(8).await;
-    let first = running(&trial);
+async fn an_answer_survives_two_losses() {
+    let trial = start_system(1, 3, DOCUMENT).await;
+    let (seed, text) = full_length_answer(1);
+    let mut reader = Reader::open(request(&trial, 0, seed, None)).await;
+    reader.read(8).await;
+    let first = running_engine(&trial);
     let pause = Fault {
         pause_ms: Some(20_000),
         ..Fault::default()
     };
     trial.engines[first].inject_fault(pause);
-    letter.read(16).await;
+    reader.read(16).await;
     let others = (0..3).filter(|number| *number != first);
     for number in others {
         let mut runs = trial.engines[number].runs().into_iter();
@@ -165,159 +183,179 @@
         }
     }
     let died = Instant::now();
-    letter.read(17).await;
-    assert!(died.elapsed() < SOON, "{:?}", died.elapsed());
-    letter.rest().await;
-    assert_eq!(letter.tokens, text);
-    assert_eq!(letter.error, None);
-    // Operators see it as one answer, whose tokens another engine had to read in once more.
+    reader.read(17).await;
+    assert!(died.elapsed() < RECOVERY_TIMEOUT, "{:?}", died.elapsed());
+    reader.read_to_end().await;
+    assert_eq!(reader.tokens, text);
+    assert_eq!(reader.error, None);
+    // The report shows one answer, whose tokens another engine had to recompute.
     let address = format!("{}/reports/resumes?format=json", trial.operators_url(0));
-    let report = trial.client.get(address).send().await.expect("a report");
-    let rows: serde_json::Value = report.json().await.expect("JSON");
+    let report = trial
+        .client
+        .get(address)
+        .send()
+        .await
+        .expect("the entry responds");
+    let rows: serde_json::Value = report.json().await.expect("the report is JSON");
     assert_eq!(rows[0]["answers"], 1, "{rows}");
     assert!(rows[0]["suspicion"].as_u64() >= Some(1), "{rows}");
     assert!(rows[0]["recomputed"].as_u64() >= Some(8), "{rows}");
     assert!(rows[0]["median_ms"].as_u64() >= Some(1), "{rows}");
 }
 
-/// All replicas are gone. A caller that is held to its deadline waits for nothing; it must be told
-/// at once, and when to come back.
+/// All replicas die during an answer. The caller must get an error with a retry time at once instead
+/// of waiting until its deadline.
 #[tokio::test]
-async fn without_replicas_the_answer_ends_at_once_with_a_time_to_come_back() {
-    let trial = desk(1, 2, DOCUMENT).await;
-    let (seed, text) = whole_letter(1);
-    let mut letter = Letter::open(request(&trial, 0, seed, None)).await;
-    letter.read(8).await;
-    everywhere(
+async fn an_answer_without_replicas_ends_at_once_with_retry_after() {
+    let trial = start_system(1, 2, DOCUMENT).await;
+    let (seed, text) = full_length_answer(1);
+    let mut reader = Reader::open(request(&trial, 0, seed, None)).await;
+    reader.read(8).await;
+    inject_into_all_engines(
         &trial,
         Fault {
             die: true,
             ..Fault::default()
         },
     );
-    letter.rest().await;
-    assert!(letter.tokens.len() < text.len());
-    assert_eq!(letter.tokens, text[..letter.tokens.len()]);
-    let error = letter.error.expect("a typed end");
+    reader.read_to_end().await;
+    assert!(reader.tokens.len() < text.len());
+    assert_eq!(reader.tokens, text[..reader.tokens.len()]);
+    let error = reader.error.expect("the stream ends with an error event");
     assert!(error.contains("retry_after"), "{error}");
-    assert!(letter.gap < SOON, "{:?}", letter.gap);
+    assert!(
+        reader.longest_gap < RECOVERY_TIMEOUT,
+        "{:?}",
+        reader.longest_gap
+    );
 }
 
-/// An engine that can't go on from given tokens dies midway. A second text must not be spliced on.
+/// An engine that can't continue from given tokens dies midway. The answer must end with an error;
+/// a second text must not be appended to the first.
 #[tokio::test]
-async fn without_continuation_a_begun_letter_ends_typed() {
+async fn an_answer_that_cannot_be_continued_ends_with_an_error() {
     let document = DOCUMENT.replacen(
         "    model: m\n",
         "    model: m\n    contract: {continues: false}\n",
         1,
     );
-    let trial = desk(1, 2, &document).await;
-    everywhere(
+    let trial = start_system(1, 2, &document).await;
+    inject_into_all_engines(
         &trial,
         Fault {
             no_continue: true,
             ..Fault::default()
         },
     );
-    let (seed, text) = whole_letter(1);
-    let mut letter = Letter::open(request(&trial, 0, seed, None)).await;
-    letter.read(8).await;
-    trial.engines[running(&trial)].inject_fault(Fault {
+    let (seed, text) = full_length_answer(1);
+    let mut reader = Reader::open(request(&trial, 0, seed, None)).await;
+    reader.read(8).await;
+    trial.engines[running_engine(&trial)].inject_fault(Fault {
         die: true,
         ..Fault::default()
     });
-    letter.rest().await;
-    assert_eq!(letter.tokens, text[..letter.tokens.len()]);
-    assert!(letter.error.is_some());
+    reader.read_to_end().await;
+    assert_eq!(reader.tokens, text[..reader.tokens.len()]);
+    assert!(reader.error.is_some());
 }
 
-/// Something between entry and sidecar loses track of the connection: it stays open and carries
-/// nothing, one way or both, while new connections work. The engine goes on, so no token may be
-/// made twice, and the caller must not wait for the connection's time-out.
+/// A middlebox between entry and sidecar loses the state of their connection: it stays open and
+/// carries nothing in one or both directions, while new connections work. The engine continues, so
+/// no token may be generated twice, and the caller must not wait for the connection's timeout.
 #[rstest]
 #[case::both_ways(Cut::Both)]
 #[case::to_the_entry(Cut::ToEntry)]
 #[case::to_the_sidecar(Cut::ToSidecar)]
 #[tokio::test]
-async fn a_silent_link_is_read_anew(#[case] cut: Cut) {
-    let mut trial = desk(0, 1, DOCUMENT).await;
+async fn an_answer_continues_on_a_new_link_if_its_link_is_silent(#[case] cut: Cut) {
+    let mut trial = start_system(0, 1, DOCUMENT).await;
     let relay = Relay::start(trial.link_address(0)).await;
     trial.set_sidecar_address(0, relay.address);
-    // Heartbeats alone would tell only after this time.
+    // Heartbeats alone would detect the silence only after this time.
     let mut settings = entry_settings("entry-0", "dc1", trial.platform.address());
     settings.times.silence = Duration::from_secs(20);
-    trial.start_entry_with(settings).await.expect("an entry");
+    trial
+        .start_entry_with(settings)
+        .await
+        .expect("the entry starts");
     let revision = trial
         .put_document(0, "production", DOCUMENT)
         .await
-        .expect("put");
-    trial.wait_ready(revision).await.expect("ready");
-    let (seed, text) = whole_letter(1);
-    let mut letter = Letter::open(request(&trial, 0, seed, None)).await;
-    letter.read(8).await;
-    relay.forget(cut);
-    letter.rest().await;
-    assert_eq!(letter.tokens, text);
-    assert_eq!((letter.restarts, letter.error), (0, None));
-    assert!(letter.gap < SOON, "{:?}", letter.gap);
-    assert_eq!(runs(&trial), 1, "no second run");
+        .expect("the document is accepted");
+    trial
+        .wait_ready(revision)
+        .await
+        .expect("the system becomes ready");
+    let (seed, text) = full_length_answer(1);
+    let mut reader = Reader::open(request(&trial, 0, seed, None)).await;
+    reader.read(8).await;
+    relay.cut_flows(cut);
+    reader.read_to_end().await;
+    assert_eq!(reader.tokens, text);
+    assert_eq!((reader.restarts, reader.error), (0, None));
+    assert!(
+        reader.longest_gap < RECOVERY_TIMEOUT,
+        "{:?}",
+        reader.longest_gap
+    );
+    assert_eq!(total_runs(&trial), 1, "no second run");
 }
 
-/// The entry dies, or still lives and doesn't know that its caller is gone. The caller comes back
-/// through the other entry, and gets the rest of the same text, though no two runs of these engines
-/// give the same one.
+/// The entry dies, or is alive and doesn't know that its caller is gone. The caller retries through
+/// the other entry and must get the rest of the same text, although no two runs of these engines
+/// return the same text.
 #[rstest]
 #[case::entry_dies(true)]
 #[case::entry_lives(false)]
 #[tokio::test]
 async fn a_retry_through_the_other_entry_gets_the_rest(#[case] dies: bool) {
-    let mut trial = desk(2, 3, DOCUMENT).await;
-    everywhere(
+    let mut trial = start_system(2, 3, DOCUMENT).await;
+    inject_into_all_engines(
         &trial,
         Fault {
             vary: true,
             ..Fault::default()
         },
     );
-    let (seed, text) = whole_letter(1);
-    let mut first = Letter::open(request(&trial, 0, seed, Some("letter-1"))).await;
+    let (seed, text) = full_length_answer(1);
+    let mut first = Reader::open(request(&trial, 0, seed, Some("letter-1"))).await;
     first.read(10).await;
     if dies {
         trial.entries[0].kill();
     }
-    let again = request(&trial, 1, seed, Some("letter-1"));
-    let mut second = Letter::resume(again, &first).await;
-    second.rest().await;
+    let retry = request(&trial, 1, seed, Some("letter-1"));
+    let mut second = Reader::resume(retry, &first).await;
+    second.read_to_end().await;
     assert_eq!(second.tokens.len(), text.len());
     assert_eq!((second.restarts, second.error), (0, None));
-    assert_eq!(runs(&trial), 1, "no second run");
+    assert_eq!(total_runs(&trial), 1, "no second run");
     if !dies {
-        first.rest().await;
+        first.read_to_end().await;
         assert_eq!(first.tokens, second.tokens);
     }
 }
 
-/// The pointer is lost with its holders. The answer begins again as a whole; when the text differs
-/// the caller is told to drop what it has, and never gets two texts mixed.
+/// No entry knows the pointer to the run. The retry starts the whole answer again; if its text
+/// differs, the caller gets a `restart` event and never sees a mix of two texts.
 #[rstest]
 #[case::same_text(false)]
 #[case::other_text(true)]
 #[tokio::test]
-async fn without_a_pointer_a_retry_is_whole(#[case] vary: bool) {
-    let trial = desk(2, 2, DOCUMENT).await;
-    everywhere(
+async fn a_retry_without_a_pointer_restarts_the_answer(#[case] vary: bool) {
+    let trial = start_system(2, 2, DOCUMENT).await;
+    inject_into_all_engines(
         &trial,
         Fault {
             vary,
             ..Fault::default()
         },
     );
-    let (seed, text) = whole_letter(1);
-    // Without a key no pointer is kept.
-    let mut first = Letter::open(request(&trial, 0, seed, None)).await;
+    let (seed, text) = full_length_answer(1);
+    // Without an idempotency key no pointer is stored.
+    let mut first = Reader::open(request(&trial, 0, seed, None)).await;
     first.read(10).await;
-    let mut second = Letter::resume(request(&trial, 1, seed, None), &first).await;
-    second.rest().await;
+    let mut second = Reader::resume(request(&trial, 1, seed, None), &first).await;
+    second.read_to_end().await;
     assert_eq!(second.tokens.len(), text.len());
     assert_eq!(second.restarts, usize::from(vary));
     if vary {
@@ -327,90 +365,110 @@
     }
 }
 
-/// Many callers write at once and the engine under them stops. Each must get its own letter, not
-/// another one's, and none may wait because the retry budget was spent on the others.
+/// An engine pauses while it serves many callers. Each must get its own answer and not another
+/// one's, and none may wait because the others have spent the retry budget.
 #[tokio::test]
-async fn crossed_callers_get_their_own_letters() {
-    let trial = desk(1, 3, DOCUMENT).await;
-    let mut readers = Vec::new();
+async fn concurrent_callers_get_their_own_answers() {
+    let trial = start_system(1, 3, DOCUMENT).await;
+    let mut tasks = Vec::new();
     for number in 0..16 {
-        let (seed, text) = whole_letter(number * 100);
-        let sent = request(&trial, 0, seed, None);
-        readers.push(tokio::spawn(async move {
-            let mut letter = Letter::open(sent).await;
-            letter.rest().await;
-            (letter, text)
+        let (seed, text) = full_length_answer(number * 100);
+        let request = request(&trial, 0, seed, None);
+        tasks.push(tokio::spawn(async move {
+            let mut reader = Reader::open(request).await;
+            reader.read_to_end().await;
+            (reader, text)
         }));
     }
-    until("runs", || runs(&trial) >= 16).await;
-    let begun = Instant::now();
+    wait_for("all runs to start", || total_runs(&trial) >= 16).await;
+    let paused = Instant::now();
     trial.engines[0].inject_fault(Fault {
         pause_ms: Some(20_000),
         ..Fault::default()
     });
-    for reader in readers {
-        let (letter, text) = reader.await.expect("the reader ends");
-        assert_eq!(letter.tokens, text);
-        assert_eq!(letter.error, None);
-        assert!(letter.gap < SOON, "{:?}", letter.gap);
+    for task in tasks {
+        let (reader, text) = task.await.expect("the reader completes");
+        assert_eq!(reader.tokens, text);
+        assert_eq!(reader.error, None);
+        assert!(
+            reader.longest_gap < RECOVERY_TIMEOUT,
+            "{:?}",
+            reader.longest_gap
+        );
     }
-    assert!(begun.elapsed() < Duration::from_secs(15), "no letter waits");
+    assert!(
+        paused.elapsed() < Duration::from_secs(15),
+        "no answer is delayed"
+    );
 }
 
-/// A caller goes away for good. What runs for it must end, or engines would write for nobody.
+/// A caller disconnects for good. Its run must end, or engines would waste capacity.
 #[rstest]
 #[case::without_a_key(None, Duration::from_secs(60))]
 #[case::after_the_grace_time(Some("letter-1"), Duration::from_millis(600))]
 #[tokio::test]
-async fn nothing_runs_for_nobody(#[case] key: Option<&str>, #[case] grace: Duration) {
-    let mut trial = Trial::start().await.expect("a platform");
-    let slow = fakes::engine::Settings {
+async fn a_run_without_a_caller_is_cancelled(#[case] key: Option<&str>, #[case] grace: Duration) {
+    let mut trial = Trial::start().await.expect("the platform starts");
+    let settings = fakes::engine::Settings {
         token_interval: Duration::from_millis(200),
         ..fakes::engine::Settings::default()
     };
     trial
-        .start_engine_with(slow, |settings| settings.times.grace = grace)
+        .start_engine_with(settings, |sidecar| sidecar.times.grace = grace)
+        .await
+        .expect("the engine starts");
+    trial
+        .start_entry("entry-0", "dc1")
         .await
-        .expect("an engine");
-    trial.start_entry("entry-0", "dc1").await.expect("an entry");
+        .expect("the entry starts");
     let revision = trial
         .put_document(0, "production", DOCUMENT)
         .await
-        .expect("put");
-    trial.wait_ready(revision).await.expect("ready");
-    let (seed, _) = whole_letter(1);
-    let mut letter = Letter::open(request(&trial, 0, seed, key)).await;
-    letter.read(2).await;
-    drop(letter);
-    until("the run's end", || {
+        .expect("the document is accepted");
+    trial
+        .wait_ready(revision)
+        .await
+        .expect("the system becomes ready");
+    let (seed, _) = full_length_answer(1);
+    let mut reader = Reader::open(request(&trial, 0, seed, key)).await;
+    reader.read(2).await;
+    drop(reader);
+    wait_for("the run to be cancelled", || {
         let runs = trial.engines[0].runs();
         runs.iter().all(|run| run.state == State::Cancelled)
     })
     .await;
-    assert!(trial.engines[0].runs()[0].sent < LENGTH);
+    assert!(trial.engines[0].runs()[0].sent < MAX_TOKENS);
 }
 
-/// A letter is longer than its log may be. What the caller has makes room; the letter goes on.
+/// An answer is longer than the sidecar's log of it may be. Tokens that the caller has received are
+/// removed from the log, and the answer continues.
 #[tokio::test]
-async fn a_letter_may_be_longer_than_its_log() {
-    let mut trial = Trial::start().await.expect("a platform");
-    let quick = fakes::engine::Settings {
+async fn an_answer_may_be_longer_than_its_log() {
+    let mut trial = Trial::start().await.expect("the platform starts");
+    let settings = fakes::engine::Settings {
         token_interval: Duration::from_millis(2),
         ..fakes::engine::Settings::default()
     };
     trial
-        .start_engine_with(quick, |settings| settings.limits.log = 1024)
+        .start_engine_with(settings, |sidecar| sidecar.limits.log = 1024)
         .await
-        .expect("an engine");
-    trial.start_entry("entry-0", "dc1").await.expect("an entry");
+        .expect("the engine starts");
+    trial
+        .start_entry("entry-0", "dc1")
+        .await
+        .expect("the entry starts");
     let revision = trial
         .put_document(0, "production", DOCUMENT)
         .await
-        .expect("put");
-    trial.wait_ready(revision).await.expect("ready");
-    let (seed, text) = whole_letter(1);
-    let mut letter = Letter::open(request(&trial, 0, seed, None)).await;
-    letter.rest().await;
-    assert_eq!(letter.tokens, text);
-    assert_eq!(runs(&trial), 1, "no second run");
+        .expect("the document is accepted");
+    trial
+        .wait_ready(revision)
+        .await
+        .expect("the system becomes ready");
+    let (seed, text) = full_length_answer(1);
+    let mut reader = Reader::open(request(&trial, 0, seed, None)).await;
+    reader.read_to_end().await;
+    assert_eq!(reader.tokens, text);
+    assert_eq!(total_runs(&trial), 1, "no second run");
 }
--- a/components/trial/tests/callers.rs
+++ b/components/trial/tests/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' interface, over a whole system: what is refused, how, and that it loses nothing.
+//! Callers' interface of a whole system: refusals and complete answers.
 
 mod support;
 
@@ -11,24 +11,24 @@
     json, //
 };
 use support::{
-    known,
-    system, //
+    expected_tokens,
+    start_single_entry, //
 };
 use tokio::time::Instant;
 use trial::stream::Stream;
 
-/// Time within which an answer counts as given at once; well below any deadline.
-const AT_ONCE: Duration = Duration::from_secs(1);
+/// Time limit of an immediate refusal, well below any deadline.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A refusal as the snapshot shows it.
-async fn refusal(response: reqwest::Response) -> String {
+/// Formats a refusal for a snapshot.
+async fn format_refusal(response: reqwest::Response) -> String {
     let status = response.status();
     let retry = response
         .headers()
         .get("retry-after")
         .and_then(|value| value.to_str().ok())
         .map(str::to_string);
-    let body: Value = response.json().await.expect("a typed refusal");
+    let body: Value = response.json().await.expect("the refusal is JSON");
     format!("{status}\nretry-after: {retry:?}\n{body:#}")
 }
 
@@ -43,11 +43,14 @@
 )]
 #[case::unknown("unknown", "{\"model\":\"m\",\"prompt\":\"p\",\"stop\":[\".\"]}")]
 #[case::two_answers("two_answers", "{\"model\":\"m\",\"prompt\":\"p\",\"n\":2}")]
-#[case::too_hot("too_hot", "{\"model\":\"m\",\"prompt\":\"p\",\"temperature\":9}")]
+#[case::temperature("temperature", "{\"model\":\"m\",\"prompt\":\"p\",\"temperature\":9}")]
 #[case::other_model("other_model", "{\"model\":\"nobody\",\"prompt\":\"p\"}")]
 #[tokio::test]
-async fn a_bad_body_is_refused_by_the_name_of_its_field(#[case] name: &str, #[case] body: &str) {
-    let trial = system(1).await;
+async fn an_invalid_body_is_refused_with_the_name_of_its_field(
+    #[case] name: &str,
+    #[case] body: &str,
+) {
+    let trial = start_single_entry(1).await;
     let address = format!("{}/v1/completions", trial.callers_url(0));
     let response = trial
         .client
@@ -55,45 +58,45 @@
         .body(body.to_string())
         .send()
         .await;
-    let seen = refusal(response.expect("an answer")).await;
-    insta::assert_snapshot!(format!("bad_body_{name}"), seen);
+    let refusal = format_refusal(response.expect("the entry responds")).await;
+    insta::assert_snapshot!(format!("bad_body_{name}"), refusal);
 }
 
 #[tokio::test]
-async fn paths_headers_and_sizes_are_refused_by_name() {
-    let trial = system(1).await;
+async fn invalid_paths_headers_and_sizes_are_refused() {
+    let trial = start_single_entry(1).await;
     let base = trial.callers_url(0);
     let post = |path: &str, body: String| trial.client.post(format!("{base}{path}")).body(body);
-    let good = "{\"model\":\"m\",\"prompt\":\"p\",\"max_tokens\":2}";
+    let valid = "{\"model\":\"m\",\"prompt\":\"p\",\"max_tokens\":2}";
 
-    let nowhere = post("/v2/completions", String::new())
+    let unknown_path = post("/v2/completions", String::new())
         .send()
         .await
-        .expect("an answer");
-    insta::assert_snapshot!("bad_path", refusal(nowhere).await);
+        .expect("the entry responds");
+    insta::assert_snapshot!("bad_path", format_refusal(unknown_path).await);
 
-    let mark = post("/v1/completions", good.into()).header("last-event-id", "seven");
+    let event_id = post("/v1/completions", valid.into()).header("last-event-id", "seven");
     insta::assert_snapshot!(
-        "bad_mark",
-        refusal(mark.send().await.expect("an answer")).await
+        "bad_last_event_id",
+        format_refusal(event_id.send().await.expect("the entry responds")).await
     );
 
-    let service = post("/svc/nobody/x", String::new())
+    let unknown_service = post("/svc/nobody/x", String::new())
         .send()
         .await
-        .expect("an answer");
-    insta::assert_snapshot!("bad_service", refusal(service).await);
+        .expect("the entry responds");
+    insta::assert_snapshot!("bad_service", format_refusal(unknown_service).await);
 
-    let large = post("/v1/completions", "x".repeat((4 << 20) + 1));
+    let too_large = post("/v1/completions", "x".repeat((4 << 20) + 1));
     insta::assert_snapshot!(
         "too_large",
-        refusal(large.send().await.expect("an answer")).await
+        format_refusal(too_large.send().await.expect("the entry responds")).await
     );
 }
 
 #[tokio::test]
-async fn a_streamed_answer_is_whole_and_its_ids_count_its_tokens() {
-    let trial = system(1).await;
+async fn a_streamed_answer_is_complete_and_its_event_ids_count_tokens() {
+    let trial = start_single_entry(1).await;
     let body = json!({"model": "m", "prompt": "p", "max_tokens": 12, "seed": 3, "stream": true});
     let address = format!("{}/v1/completions", trial.callers_url(0));
     let response = trial
@@ -102,12 +105,12 @@
         .json(&body)
         .send()
         .await
-        .expect("an answer");
+        .expect("the entry responds");
     let mut stream = Stream::new(response);
     let mut tokens = Vec::new();
-    let mut finish = None;
-    while let Some(event) = stream.next().await.expect("the stream goes on") {
-        finish = event.finish().or(finish);
+    let mut finish_reason = None;
+    while let Some(event) = stream.next().await.expect("the stream continues") {
+        finish_reason = event.finish_reason().or(finish_reason);
         let Some(token) = event.token() else {
             continue;
         };
@@ -118,13 +121,13 @@
         );
         tokens.push(token);
     }
-    assert_eq!(tokens, known("p", 3, 12));
-    assert!(finish.is_some());
+    assert_eq!(tokens, expected_tokens("p", 3, 12));
+    assert!(finish_reason.is_some());
 }
 
 #[tokio::test]
-async fn a_chat_is_answered_whole_with_its_usage() {
-    let trial = system(1).await;
+async fn a_chat_answer_is_complete_and_reports_usage() {
+    let trial = start_single_entry(1).await;
     let body = json!({
         "model": "m", "max_tokens": 5, "seed": 3,
         "messages": [{"role": "user", "content": "When is my turn?"}],
@@ -136,42 +139,43 @@
         .json(&body)
         .send()
         .await
-        .expect("an answer");
-    let body: Value = response.json().await.expect("a body");
+        .expect("the entry responds");
+    let body: Value = response.json().await.expect("the body is JSON");
     let prompt = "user: When is my turn?\nassistant:";
-    let text = known(prompt, 3, 5).concat();
+    let text = expected_tokens(prompt, 3, 5).concat();
     assert_eq!(body["choices"][0]["message"]["content"], text);
     let length = engine::answer_length(prompt, 3, 5);
     assert_eq!(body["usage"]["completion_tokens"], length);
 }
 
-/// Every replica of the version is gone. The caller must not be held until its deadline: it is
-/// told at once that nothing was run, and when to come back.
+/// The version has no replica. The caller must not wait until its deadline: it gets `not_run` and a
+/// `Retry-After` at once.
 #[tokio::test]
-async fn without_a_replica_the_refusal_comes_at_once_with_a_time_to_come_back() {
-    let trial = system(0).await;
+async fn without_a_replica_a_request_is_refused_at_once_with_retry_after() {
+    let trial = start_single_entry(0).await;
     let address = format!("{}/v1/completions", trial.callers_url(0));
     let body = json!({"model": "m", "prompt": "p", "stream": true});
-    let begun = Instant::now();
+    let started = Instant::now();
     let response = trial
         .client
         .post(address)
         .json(&body)
         .send()
         .await
-        .expect("an answer");
-    assert!(begun.elapsed() < AT_ONCE);
+        .expect("the entry responds");
+    assert!(started.elapsed() < REFUSAL_TIMEOUT);
     let retry = response.headers().get("retry-after");
     let seconds: u64 = retry
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok())
-        .expect("a time to come back in seconds");
+        .expect("Retry-After is a number of seconds");
     assert!((1..=30).contains(&seconds), "{seconds}");
-    let seen = refusal(response).await;
-    // The time is spread at random, so that refused callers don't come back together.
-    let kept: Vec<&str> = seen
+    let refusal = format_refusal(response).await;
+    // The retry time is randomized, so that refused callers don't retry at the same moment. The
+    // snapshot leaves it out.
+    let lines: Vec<&str> = refusal
         .lines()
         .filter(|line| !line.contains("retry"))
         .collect();
-    insta::assert_snapshot!("no_replica", kept.join("\n"));
+    insta::assert_snapshot!("no_replica", lines.join("\n"));
 }
--- a/components/trial/tests/calls.rs
+++ b/components/trial/tests/calls.rs
@@ -1,229 +1,233 @@
-//! Calls that run at most once, with real daemons and stand-ins over loopback: faults of the store,
-//! of sidecars and of entries.
+//! At-most-once calls with real daemons and stand-ins over loopback: faults of the store, of
+//! sidecars and of entries.
 
-mod desk;
+mod ledger;
 
-use desk::{
-    AT_ONCE,
-    Desk,
-    clear,
-    recorded,
-    runs_in_the_end,
-    slow,
-    until, //
-};
 use fakes::platform;
+use ledger::{
+    Ledger,
+    REFUSAL_TIMEOUT,
+    clear_platform_faults,
+    retry_until_run,
+    slow_fault,
+    wait_for, //
+    wait_until_recorded,
+};
 use reqwest::StatusCode;
 
-/// A clerk books a deposit, loses the connection and books it again at another entry. Were it
-/// taken again, an account would be charged twice.
+/// A caller sends a deposit, loses the connection and repeats it at another entry. If the call ran
+/// again, the deposit would be booked twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_retry_gets_the_same_answer_from_any_entry() {
-    let desk = Desk::open(2).await;
-    let first = desk.deposit(0, Some("k")).await;
+    let ledger = Ledger::start(2).await;
+    let first = ledger.deposit(0, Some("k")).await;
     assert_eq!(first.status, StatusCode::CREATED, "{first:?}");
     assert!(!first.replayed);
-    let again = until("the outcome is recorded", async || {
-        let again = desk.deposit(1, Some("k")).await;
+    let again = wait_for("the outcome to be recorded", async || {
+        let again = ledger.deposit(1, Some("k")).await;
         (again.run() == "ran").then_some(again)
     })
     .await;
     assert!(again.replayed);
     assert_eq!(again.body, first.body);
-    assert_eq!(desk.taken(), 1);
-    let other = desk.send(1, Some("k"), 6).await.unwrap();
-    assert_eq!(other.status, StatusCode::UNPROCESSABLE_ENTITY);
-    assert_eq!(other.body["error"]["code"], "key_reused");
-    let asked = desk.ask(1, "/v1/calls/k").await;
-    assert_eq!(asked["outcome"], "ran");
+    assert_eq!(ledger.deposits(), 1);
+    let changed = ledger.send(1, Some("k"), 6).await.unwrap();
+    assert_eq!(changed.status, StatusCode::UNPROCESSABLE_ENTITY);
+    assert_eq!(changed.body["error"]["code"], "key_reused");
+    let outcome = ledger.get(1, "/v1/calls/k").await;
+    assert_eq!(outcome["outcome"], "ran");
 }
 
-/// Two entries get the same key at the same time, many times over.
+/// Two entries receive calls with the same key at the same time, in 20 rounds. Only one call of
+/// each round may run, and neither entry may report `not_run`.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_key_at_two_entries_at_once_runs_once() {
-    let desk = Desk::open(2).await;
+async fn concurrent_calls_with_one_key_at_two_entries_run_once() {
+    let ledger = Ledger::start(2).await;
     for round in 0..20 {
         let key = format!("k{round}");
-        let (one, other) = (desk.send(0, Some(&key), 5), desk.send(1, Some(&key), 5));
-        let told = [one.await.unwrap(), other.await.unwrap()];
-        let ran = told
+        let (first, second) = (ledger.send(0, Some(&key), 5), ledger.send(1, Some(&key), 5));
+        let replies = [first.await.unwrap(), second.await.unwrap()];
+        let ran = replies
             .iter()
-            .filter(|told| told.status == StatusCode::CREATED);
-        assert!(ran.count() >= 1, "{told:?}");
-        let denied = told.iter().any(|told| told.run() == "not_run");
-        assert!(!denied, "the call was run: {told:?}");
-        assert_eq!(desk.taken(), round + 1);
+            .filter(|reply| reply.status == StatusCode::CREATED);
+        assert!(ran.count() >= 1, "{replies:?}");
+        let denied = replies.iter().any(|reply| reply.run() == "not_run");
+        assert!(!denied, "the call was run: {replies:?}");
+        assert_eq!(ledger.deposits(), round + 1);
     }
 }
 
-/// The store goes out before a call. Its caller is told at once that nothing was run, and when to
-/// come back; the same key then runs.
+/// The store fails before a call. The caller must get `not_run` and a `Retry-After` at once, and the
+/// same key must run after the outage.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_is_out_refuses_at_once() {
-    let desk = Desk::open(1).await;
+async fn a_store_outage_refuses_calls_at_once() {
+    let ledger = Ledger::start(1).await;
     let outage = platform::Fault {
         outage: true,
         ..platform::Fault::default()
     };
-    desk.0.platform.inject_fault(outage);
-    let told = desk.deposit(0, Some("k")).await;
+    ledger.0.platform.inject_fault(outage);
+    let reply = ledger.deposit(0, Some("k")).await;
     assert_eq!(
-        (told.run(), told.retry_after),
+        (reply.run(), reply.retry_after),
         ("not_run", true),
-        "{told:?}"
+        "{reply:?}"
     );
-    assert!(told.took < AT_ONCE);
-    assert_eq!(desk.taken(), 0);
-    let asked = desk.ask(0, "/v1/calls/k?service=ledger").await;
-    assert_eq!(asked["error"]["run"], "unknown");
-    // Calls that need no record go on.
-    assert_eq!(desk.deposit(0, None).await.status, StatusCode::CREATED);
-    clear(&desk);
-    runs_in_the_end(&desk, "k", 2).await;
+    assert!(reply.elapsed < REFUSAL_TIMEOUT);
+    assert_eq!(ledger.deposits(), 0);
+    let outcome = ledger.get(0, "/v1/calls/k?service=ledger").await;
+    assert_eq!(outcome["error"]["run"], "unknown");
+    // Calls without a key need no record and still run.
+    assert_eq!(ledger.deposit(0, None).await.status, StatusCode::CREATED);
+    clear_platform_faults(&ledger);
+    retry_until_run(&ledger, "k", 2).await;
 }
 
-/// The store takes writes and never answers; later it comes back. Whatever became of the write
-/// that wasn't answered, `not_run` was said, and the key must run when it is sent again.
+/// The store receives writes and never responds; later it recovers. The caller was told `not_run`,
+/// so the key must run when the call is repeated, whether or not the unanswered write took effect.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_is_silent_refuses_and_the_key_stays_usable() {
-    let desk = Desk::open(1).await;
+async fn a_silent_store_refuses_calls_and_the_key_stays_usable() {
+    let ledger = Ledger::start(1).await;
     let silence = platform::Fault {
         silence: true,
         ..platform::Fault::default()
     };
-    desk.0.platform.inject_fault(silence);
-    let told = desk.deposit(0, Some("k")).await;
+    ledger.0.platform.inject_fault(silence);
+    let reply = ledger.deposit(0, Some("k")).await;
     assert_eq!(
-        (told.run(), told.retry_after),
+        (reply.run(), reply.retry_after),
         ("not_run", true),
-        "{told:?}"
+        "{reply:?}"
     );
-    assert!(told.took < AT_ONCE);
-    clear(&desk);
-    runs_in_the_end(&desk, "k", 1).await;
+    assert!(reply.elapsed < REFUSAL_TIMEOUT);
+    clear_platform_faults(&ledger);
+    retry_until_run(&ledger, "k", 1).await;
 }
 
-/// The store's writes time out and take effect only afterwards. The caller was told `not_run`, so
-/// nothing may run, and the late record must not make the key unusable.
+/// Writes to the store take effect only after they have timed out. The caller was told `not_run`,
+/// so nothing may run, and the late record must not make the key unusable.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_record_written_after_its_timeout_runs_nothing() {
-    let desk = Desk::open(1).await;
-    desk.deposit(0, Some("first")).await;
-    let slow = platform::Fault {
+    let ledger = Ledger::start(1).await;
+    ledger.deposit(0, Some("first")).await;
+    let slow_writes = platform::Fault {
         slow_ms: Some(2500),
         ..platform::Fault::default()
     };
-    desk.0.platform.inject_fault(slow);
-    let told = desk.deposit(0, Some("k")).await;
-    assert_eq!(told.run(), "not_run", "{told:?}");
-    assert!(told.took < AT_ONCE);
-    assert_eq!(desk.taken(), 1);
-    clear(&desk);
-    runs_in_the_end(&desk, "k", 2).await;
+    ledger.0.platform.inject_fault(slow_writes);
+    let reply = ledger.deposit(0, Some("k")).await;
+    assert_eq!(reply.run(), "not_run", "{reply:?}");
+    assert!(reply.elapsed < REFUSAL_TIMEOUT);
+    assert_eq!(ledger.deposits(), 1);
+    clear_platform_faults(&ledger);
+    retry_until_run(&ledger, "k", 2).await;
 }
 
-/// The store's answer to a record is lost after the write. Reading it back shows whose it is.
+/// The store's response to the write of a record is lost. Reading the record back shows that the
+/// write took effect.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_of_the_store_is_read_back() {
-    let desk = Desk::open(1).await;
-    desk.deposit(0, Some("first")).await;
-    recorded(&desk, "first").await;
+async fn a_record_with_a_lost_response_is_read_back() {
+    let ledger = Ledger::start(1).await;
+    ledger.deposit(0, Some("first")).await;
+    wait_until_recorded(&ledger, "first").await;
     let lose = platform::Fault {
         lose_answers: Some(1),
         ..platform::Fault::default()
     };
-    desk.0.platform.inject_fault(lose);
-    let told = desk.deposit(0, Some("k")).await;
-    assert_eq!(told.status, StatusCode::CREATED, "{told:?}");
-    assert_eq!(desk.taken(), 2);
-    // The same for the record of the outcome.
-    desk.0.platform.inject_fault(platform::Fault {
+    ledger.0.platform.inject_fault(lose);
+    let reply = ledger.deposit(0, Some("k")).await;
+    assert_eq!(reply.status, StatusCode::CREATED, "{reply:?}");
+    assert_eq!(ledger.deposits(), 2);
+    // The same holds for the record of the outcome.
+    ledger.0.platform.inject_fault(platform::Fault {
         lose_answers: Some(2),
         ..platform::Fault::default()
     });
-    desk.deposit(0, Some("l")).await;
-    recorded(&desk, "l").await;
-    assert_eq!(desk.taken(), 3);
+    ledger.deposit(0, Some("l")).await;
+    wait_until_recorded(&ledger, "l").await;
+    assert_eq!(ledger.deposits(), 3);
 }
 
-/// A sidecar is killed while it still waits for the store. The entry proves that the call can't
-/// run any more, so that the buyer can go to another desk.
+/// A sidecar is killed while it waits for the store. The entry proves that the call can't run any
+/// more, so that the caller may send it elsewhere.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sidecar_killed_before_the_record_is_proven_not_run() {
-    let mut desk = Desk::open(1).await;
-    let before = desk.0.platform.counts().writes;
-    // The first write is the lease; its answer never comes, so no record is asked for.
-    desk.0.platform.inject_fault(platform::Fault {
+async fn a_call_is_not_run_if_the_sidecar_is_killed_before_the_record() {
+    let mut ledger = Ledger::start(1).await;
+    let before = ledger.0.platform.counts().writes;
+    // The first write grants the lease. The sidecar is killed before the store responds to it and
+    // so never writes a record.
+    ledger.0.platform.inject_fault(platform::Fault {
         slow_ms: Some(700),
         ..platform::Fault::default()
     });
-    let told = desk.send(0, Some("k"), 5);
-    desk.store_writes(before).await;
-    desk.0.sidecars[0].kill();
-    clear(&desk);
-    let told = told.await.unwrap();
+    let reply = ledger.send(0, Some("k"), 5);
+    ledger.wait_for_store_write(before).await;
+    ledger.0.sidecars[0].kill();
+    clear_platform_faults(&ledger);
+    let reply = reply.await.unwrap();
     assert_eq!(
-        (told.run(), told.retry_after),
+        (reply.run(), reply.retry_after),
         ("not_run", true),
-        "{told:?}"
+        "{reply:?}"
     );
-    assert!(told.took < AT_ONCE);
-    assert_eq!(desk.taken(), 0);
+    assert!(reply.elapsed < REFUSAL_TIMEOUT);
+    assert_eq!(ledger.deposits(), 0);
 }
 
-/// A sidecar is killed after its record is written and before the service answers. Nobody can
-/// tell whether the service took the money, so nobody says `not_run`, and no retry runs it again.
+/// A sidecar is killed after it has written its record and before the service responds. Whether the
+/// deposit was applied can't be known, so no reply says `not_run`, and no retry runs the call again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sidecar_killed_after_the_hand_over_is_unknown_and_never_runs_again() {
-    let mut desk = Desk::open(2).await;
-    desk.services(&slow(300));
-    let told = desk.send(0, Some("k"), 5);
-    let replica = desk.handed().await;
-    desk.0.sidecars[replica].kill();
-    let told = told.await.unwrap();
-    assert_eq!(told.run(), "unknown", "{told:?}");
-    assert!(told.took < AT_ONCE);
-    let path = told.body["error"]["ask"].as_str().unwrap().to_string();
-    assert_eq!(desk.ask(1, &path).await["outcome"], "unknown");
-    let again = desk.deposit(1, Some("k")).await;
+async fn a_call_is_unknown_and_not_repeated_if_the_sidecar_is_killed_after_the_hand_over() {
+    let mut ledger = Ledger::start(2).await;
+    ledger.inject_service_fault(&slow_fault(300));
+    let reply = ledger.send(0, Some("k"), 5);
+    let replica = ledger.wait_for_hand_over().await;
+    ledger.0.sidecars[replica].kill();
+    let reply = reply.await.unwrap();
+    assert_eq!(reply.run(), "unknown", "{reply:?}");
+    assert!(reply.elapsed < REFUSAL_TIMEOUT);
+    let path = reply.body["error"]["ask"].as_str().unwrap().to_string();
+    assert_eq!(ledger.get(1, &path).await["outcome"], "unknown");
+    let again = ledger.deposit(1, Some("k")).await;
     assert_eq!(again.run(), "unknown", "{again:?}");
-    let calls: usize = desk.0.services.iter().map(|s| s.calls().len()).sum();
-    assert_eq!(calls, 1, "hand-overs");
+    let calls: usize = ledger.0.services.iter().map(|s| s.calls().len()).sum();
+    assert_eq!(calls, 1, "calls handed over");
 }
 
-/// A sidecar is killed after the answer was recorded. Every entry still knows it.
+/// A sidecar is killed after the outcome was recorded. Every entry still replays it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sidecar_killed_after_the_answer_changes_nothing() {
-    let mut desk = Desk::open(2).await;
-    let told = desk.deposit(0, Some("k")).await;
-    recorded(&desk, "k").await;
-    let replica = desk.handed().await;
-    desk.0.sidecars[replica].kill();
-    let again = until("another replica answers", async || {
-        let again = desk.deposit(1, Some("k")).await;
+async fn a_recorded_outcome_survives_its_sidecar() {
+    let mut ledger = Ledger::start(2).await;
+    let reply = ledger.deposit(0, Some("k")).await;
+    wait_until_recorded(&ledger, "k").await;
+    let replica = ledger.wait_for_hand_over().await;
+    ledger.0.sidecars[replica].kill();
+    let again = wait_for("a reply by another replica", async || {
+        let again = ledger.deposit(1, Some("k")).await;
         (again.run() == "ran").then_some(again)
     })
     .await;
-    assert_eq!(again.body, told.body);
-    assert_eq!(desk.taken(), 1);
+    assert_eq!(again.body, reply.body);
+    assert_eq!(ledger.deposits(), 1);
 }
 
-/// An entry is killed mid-call, and the caller repeats the call at the other one.
+/// An entry is killed mid-call, and the caller repeats the call at the other entry, which must reply
+/// with the outcome of the first run.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_killed_mid_call_leaves_the_answer_to_the_other() {
-    let mut desk = Desk::open(2).await;
-    desk.services(&slow(400));
-    let lost = desk.send(0, Some("k"), 5);
-    desk.handed().await;
-    desk.0.entries[0].kill();
-    lost.abort();
-    let at_once = desk.deposit(1, Some("k")).await;
-    assert_ne!(at_once.run(), "not_run", "{at_once:?}");
-    let later = until("the answer is there", async || {
-        let later = desk.deposit(1, Some("k")).await;
-        (later.run() == "ran").then_some(later)
+async fn the_other_entry_replies_if_an_entry_is_killed_mid_call() {
+    let mut ledger = Ledger::start(2).await;
+    ledger.inject_service_fault(&slow_fault(400));
+    let aborted = ledger.send(0, Some("k"), 5);
+    ledger.wait_for_hand_over().await;
+    ledger.0.entries[0].kill();
+    aborted.abort();
+    let first_retry = ledger.deposit(1, Some("k")).await;
+    assert_ne!(first_retry.run(), "not_run", "{first_retry:?}");
+    let last_retry = wait_for("the outcome of the call", async || {
+        let last_retry = ledger.deposit(1, Some("k")).await;
+        (last_retry.run() == "ran").then_some(last_retry)
     })
     .await;
-    assert_eq!(later.status, StatusCode::CREATED);
-    assert_eq!(desk.taken(), 1);
+    assert_eq!(last_retry.status, StatusCode::CREATED);
+    assert_eq!(ledger.deposits(), 1);
 }
--- a/components/trial/tests/documents.rs
+++ b/components/trial/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents with real daemons over loopback: put, promote, races, outages, restarts.
+//! Documents with real daemons over loopback: put, promotion, races, outages and restarts.
 
 use std::time::Duration;
 
@@ -18,14 +18,14 @@
 };
 use trial::Trial;
 
-/// Time within which an accepted document must be in force everywhere, with room for a busy
+/// Time within which an accepted document must take effect at all entries, with a margin for a busy
 /// machine.
-const BOUND: Duration = Duration::from_secs(25);
+const SPREAD_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Pace at which conditions are looked at.
-const PACE: Duration = Duration::from_millis(20);
+/// Interval at which conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A document whose text differs by a number.
+/// Returns a document that contains a given number, to tell documents apart.
 fn document(environment: &str, number: u32) -> String {
     format!(
         "environment: {environment}
@@ -42,50 +42,51 @@
     )
 }
 
-/// So many entries in each of the data centres, all with the first document.
-async fn system(data_centres: usize, each: usize) -> (Trial, u64) {
-    let mut trial = Trial::start().await.expect("a platform");
+/// Starts `entries` entries in each data centre and puts the first document. Returns its revision
+/// once all entries hold it.
+async fn start_system(data_centres: usize, entries: usize) -> (Trial, u64) {
+    let mut trial = Trial::start().await.expect("the platform starts");
     for data_centre in 0..data_centres {
-        for number in 0..each {
+        for number in 0..entries {
             let name = format!("entry-{data_centre}-{number}");
             let data_centre = format!("dc{data_centre}");
             trial
                 .start_entry(&name, &data_centre)
                 .await
-                .expect("an entry");
+                .expect("the entry starts");
         }
     }
     let revision = trial
         .put_document(0, "production", &document("production", 1))
         .await;
     let revision = revision.expect("the first document is accepted");
-    holds(&trial, revision).await;
+    wait_for_revision(&trial, revision).await;
     (trial, revision)
 }
 
-/// Waits until all entries are ready with a revision.
-async fn holds(trial: &Trial, revision: u64) {
+/// Waits until all entries are ready and hold at least `revision`.
+async fn wait_for_revision(trial: &Trial, revision: u64) {
     for entry in 0..trial.entries.len() {
-        entry_holds(trial, entry, revision).await;
+        wait_for_entry_revision(trial, entry, revision).await;
     }
 }
 
-async fn entry_holds(trial: &Trial, entry: usize, revision: u64) {
-    let begun = Instant::now();
+async fn wait_for_entry_revision(trial: &Trial, entry: usize, revision: u64) {
+    let started = Instant::now();
     loop {
-        let status = trial.status(entry).await.expect("a status");
+        let status = trial.status(entry).await.expect("the entry responds");
         if status["revision"].as_u64() >= Some(revision) && status["ready"] == true {
             return;
         }
         assert!(
-            begun.elapsed() < BOUND,
-            "entry {entry}: {status}, not {revision}"
+            started.elapsed() < SPREAD_TIMEOUT,
+            "entry {entry} doesn't hold revision {revision}: {status}"
         );
-        sleep(PACE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Puts with a query; gives the status and the body.
+/// Puts a document with the given query parameters. Returns the status and body of the response.
 async fn put(trial: &Trial, entry: usize, query: &str, text: String) -> (StatusCode, Value) {
     let address = format!(
         "{}/environments/production?{query}",
@@ -107,23 +108,23 @@
     read(trial.client.get(address).send().await).await
 }
 
-async fn read(answer: Result<Response, reqwest::Error>) -> (StatusCode, Value) {
-    let answer = answer.expect("an answer");
-    let status = answer.status();
-    (status, answer.json().await.expect("JSON"))
+async fn read(response: Result<Response, reqwest::Error>) -> (StatusCode, Value) {
+    let response = response.expect("the entry responds");
+    let status = response.status();
+    (status, response.json().await.expect("the body is JSON"))
 }
 
-/// Writes to the store beside the entries, as their watches must tell them of it.
-async fn write(trial: &Trial, number: u32) -> u64 {
+/// Writes a document to the store directly, so that entries learn of it by their watches only.
+async fn write_to_store(trial: &Trial, number: u32) -> u64 {
     let address = format!("http://{}/kv", trial.platform.address());
     let body =
         json!({"key": "env/production", "value": document("production", number), "expect": null});
     let (status, body) = read(trial.client.put(address).json(&body).send().await).await;
     assert_eq!(status, StatusCode::OK, "{body}");
-    body["revision"].as_u64().expect("a revision")
+    body["revision"].as_u64().expect("the body has a revision")
 }
 
-fn fault(trial: &Trial, fault: Fault) {
+fn inject_fault(trial: &Trial, fault: Fault) {
     trial.platform.inject_fault(fault);
 }
 
@@ -134,7 +135,7 @@
     }
 }
 
-fn clear() -> Fault {
+fn clear_faults() -> Fault {
     Fault {
         clear: true,
         ..Fault::default()
@@ -142,65 +143,75 @@
 }
 
 #[tokio::test]
-async fn a_document_reaches_all_entries_and_two_a_data_centre_watch() {
-    let (trial, _) = system(2, 3).await;
+async fn a_document_reaches_all_entries_and_two_entries_per_data_centre_watch() {
+    let (trial, _) = start_system(2, 3).await;
     let revision = trial
         .put_document(4, "production", &document("production", 2))
         .await;
-    holds(&trial, revision.expect("accepted")).await;
-    let begun = Instant::now();
+    wait_for_revision(&trial, revision.expect("the document is accepted")).await;
+    let started = Instant::now();
     while trial.platform.counts().watching != 4 {
-        assert!(begun.elapsed() < BOUND, "{:?}", trial.platform.counts());
-        sleep(PACE).await;
+        assert!(
+            started.elapsed() < SPREAD_TIMEOUT,
+            "{:?}",
+            trial.platform.counts()
+        );
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-// Every watch that waits went silent for good, while new ones work, and a document is written.
+// All waiting watches fall silent for good while new ones work. The entries must still learn of a
+// document that is written then.
 #[tokio::test]
 async fn silent_watches_do_not_hide_a_document() {
-    let (trial, _) = system(1, 2).await;
-    let begun = Instant::now();
+    let (trial, _) = start_system(1, 2).await;
+    let started = Instant::now();
     while trial.platform.counts().watching != 2 {
-        assert!(begun.elapsed() < BOUND, "{:?}", trial.platform.counts());
-        sleep(PACE).await;
+        assert!(
+            started.elapsed() < SPREAD_TIMEOUT,
+            "{:?}",
+            trial.platform.counts()
+        );
+        sleep(POLL_INTERVAL).await;
     }
     let silent = Fault {
         silent_watches: true,
         ..Fault::default()
     };
-    fault(&trial, silent);
-    let revision = write(&trial, 2).await;
-    holds(&trial, revision).await;
+    inject_fault(&trial, silent);
+    let revision = write_to_store(&trial, 2).await;
+    wait_for_revision(&trial, revision).await;
 }
 
-// The hosts that hold the watches die. Nobody would hear of the next document.
+// The hosts that hold the watches die. Another entry must take over the watch, or none would learn
+// of the next document.
 #[tokio::test]
-async fn the_last_entry_takes_over_from_dead_readers() {
-    let (mut trial, _) = system(1, 3).await;
+async fn the_last_entry_takes_over_the_watch_from_dead_entries() {
+    let (mut trial, _) = start_system(1, 3).await;
     trial.entries[0].kill();
     trial.entries[1].kill();
-    let revision = write(&trial, 2).await;
-    entry_holds(&trial, 2, revision).await;
+    let revision = write_to_store(&trial, 2).await;
+    wait_for_entry_revision(&trial, 2, revision).await;
 }
 
-// The store takes a put and its answer is lost. An operator who is told "no" puts it again, over
-// what somebody else has done since.
+// The store applies a put and its response is lost. An operator who gets an error would repeat the
+// put and overwrite what another operator has done since.
 #[tokio::test]
-async fn a_put_whose_answer_is_lost_is_known_as_accepted() {
-    let (trial, base) = system(1, 1).await;
+async fn a_put_with_a_lost_store_response_is_accepted() {
+    let (trial, base) = start_system(1, 1).await;
     let lose = Fault {
         lose_answers: Some(1),
         ..Fault::default()
     };
-    fault(&trial, lose);
+    inject_fault(&trial, lose);
     let query = format!("base={base}&edit=e1&operator=ana");
     let (status, body) = put(&trial, 0, &query, document("production", 2)).await;
     assert_eq!(status, StatusCode::OK, "{body}");
-    let (_, kept) = get(&trial, "production").await;
-    assert_eq!(kept["revision"], body["revision"]);
-    assert_eq!(kept["edit"]["id"], "e1");
-    assert_eq!(kept["history"].as_array().map(Vec::len), Some(1));
-    // The operator didn't see that answer either, and repeats the same edit.
+    let (_, stored) = get(&trial, "production").await;
+    assert_eq!(stored["revision"], body["revision"]);
+    assert_eq!(stored["edit"]["id"], "e1");
+    assert_eq!(stored["history"].as_array().map(Vec::len), Some(1));
+    // The operator doesn't receive this response either and repeats the same edit.
     let (status, again) = put(&trial, 0, &query, document("production", 2)).await;
     assert_eq!(
         (status, &again["revision"]),
@@ -208,10 +219,11 @@
     );
 }
 
-// Two operators start from the same document; the second must learn of the first, by name.
+// Two operators edit the same document. The second must get a conflict that names the first
+// operator's edit.
 #[tokio::test]
-async fn the_second_of_two_racing_operators_is_refused_and_told_why() {
-    let (trial, base) = system(1, 1).await;
+async fn the_second_of_two_conflicting_edits_is_refused_with_the_reason() {
+    let (trial, base) = start_system(1, 1).await;
     let query = format!("base={base}&edit=e1&operator=ana");
     let (status, _) = put(&trial, 0, &query, document("production", 2)).await;
     assert_eq!(status, StatusCode::OK);
@@ -220,15 +232,15 @@
     assert_eq!(status, StatusCode::CONFLICT);
     let message = body["error"]["message"].as_str().unwrap_or_default();
     assert!(message.contains("edit e1 of ana"), "{message}");
-    let (_, kept) = get(&trial, "production").await;
-    assert_eq!(kept["edit"]["id"], "e1");
+    let (_, stored) = get(&trial, "production").await;
+    assert_eq!(stored["edit"]["id"], "e1");
 }
 
-// Several operators press the button at the same moment, at different entries. All but one must be
-// told that they came too late; otherwise somebody's edit is gone without a word.
+// Several operators put edits at the same moment through different entries. All but one must get a
+// conflict; otherwise an edit would be lost silently.
 #[tokio::test]
-async fn of_many_edits_at_once_one_is_accepted() {
-    let (trial, base) = system(1, 2).await;
+async fn one_of_many_concurrent_edits_is_accepted() {
+    let (trial, base) = start_system(1, 2).await;
     let edits = (0..16).map(|number| {
         let query = format!("base={base}&edit=e{number}&operator=o{number}");
         let address = format!(
@@ -241,7 +253,7 @@
     let edits: Vec<_> = edits.collect();
     let mut accepted = 0;
     for edit in edits {
-        match edit.await.expect("an edit ends") {
+        match edit.await.expect("the edit completes") {
             StatusCode::OK => accepted += 1,
             status => assert_eq!(status, StatusCode::CONFLICT),
         }
@@ -249,121 +261,131 @@
     assert_eq!(accepted, 1);
 }
 
-// The store is out. The operator must get a clear no, soon, with nothing half done; entries go on.
+// During a store outage, a put must fail soon with `not_run` and have no effect, and the entries
+// must keep serving.
 #[tokio::test]
-async fn a_put_in_an_outage_is_a_clear_no() {
-    let (trial, base) = system(1, 2).await;
-    fault(&trial, outage());
-    let begun = Instant::now();
+async fn a_put_during_an_outage_is_refused() {
+    let (trial, base) = start_system(1, 2).await;
+    inject_fault(&trial, outage());
+    let started = Instant::now();
     let query = format!("base={base}&edit=e1&operator=ana");
     let (status, body) = put(&trial, 0, &query, document("production", 2)).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(body["error"]["run"], "not_run");
     assert!(body["error"]["retry_after_ms"].is_u64(), "{body}");
-    assert!(begun.elapsed() < Duration::from_secs(10));
-    holds(&trial, base).await;
-    fault(&trial, clear());
-    let (_, kept) = get(&trial, "production").await;
-    assert_eq!(kept["revision"].as_u64(), Some(base));
+    assert!(started.elapsed() < Duration::from_secs(10));
+    wait_for_revision(&trial, base).await;
+    inject_fault(&trial, clear_faults());
+    let (_, stored) = get(&trial, "production").await;
+    assert_eq!(stored["revision"].as_u64(), Some(base));
 }
 
 #[tokio::test]
-async fn a_document_past_a_megabyte_is_refused() {
-    let (trial, base) = system(1, 1).await;
+async fn a_document_over_a_megabyte_is_refused() {
+    let (trial, base) = start_system(1, 1).await;
     let text = document("production", 2) + "# " + &"x".repeat(1 << 20) + "\n";
     let (status, body) = put(&trial, 0, &format!("base={base}"), text).await;
     assert_eq!(status, StatusCode::PAYLOAD_TOO_LARGE, "{body}");
-    holds(&trial, base).await;
+    wait_for_revision(&trial, base).await;
 }
 
-// A trial is promoted as it was tried; once somebody has changed it, it isn't.
+// A trial may be promoted only in the revision that was tried; a promotion fails after the trial has
+// changed.
 #[tokio::test]
-async fn a_trial_is_promoted_only_as_it_was_tried() {
-    let (trial, base) = system(1, 1).await;
+async fn only_the_tried_revision_of_a_trial_is_promoted() {
+    let (trial, base) = start_system(1, 1).await;
     let tried = trial
         .put_document(0, "trial", &document("trial", 7))
         .await
-        .expect("a trial");
-    let (_, kept) = get(&trial, "trial").await;
-    let digest = kept["edit"]["digest"].as_u64().expect("a digest");
-    let pin = |edit: &str, base: u64, digest: u64| {
+        .expect("the trial is accepted");
+    let (_, stored) = get(&trial, "trial").await;
+    let digest = stored["edit"]["digest"]
+        .as_u64()
+        .expect("the edit has a digest");
+    let query = |edit: &str, base: u64, digest: u64| {
         format!(
             "from=trial&revision={tried}&digest={digest:x}&base={base}&edit={edit}&operator=ana"
         )
     };
-    let (status, body) = promote(&trial, &pin("p0", base, digest ^ 1)).await;
+    let (status, body) = promote(&trial, &query("p0", base, digest ^ 1)).await;
     assert_eq!(status, StatusCode::CONFLICT, "{body}");
-    let (status, body) = promote(&trial, &pin("p1", base, digest)).await;
+    let (status, body) = promote(&trial, &query("p1", base, digest)).await;
     assert_eq!(status, StatusCode::OK, "{body}");
-    let promoted = body["revision"].as_u64().expect("a revision");
-    holds(&trial, promoted).await;
-    let (_, kept) = get(&trial, "production").await;
-    assert_eq!(kept["text"], document("production", 7));
-    assert_eq!(kept["edit"]["trial"]["revision"].as_u64(), Some(tried));
+    let promoted = body["revision"].as_u64().expect("the body has a revision");
+    wait_for_revision(&trial, promoted).await;
+    let (_, stored) = get(&trial, "production").await;
+    assert_eq!(stored["text"], document("production", 7));
+    assert_eq!(stored["edit"]["trial"]["revision"].as_u64(), Some(tried));
     trial
         .put_document(0, "trial", &document("trial", 8))
         .await
-        .expect("a changed trial");
-    let (status, body) = promote(&trial, &pin("p2", promoted, digest)).await;
+        .expect("the changed trial is accepted");
+    let (status, body) = promote(&trial, &query("p2", promoted, digest)).await;
     assert_eq!(status, StatusCode::CONFLICT, "{body}");
-    // The first promotion's answer was lost on the way; the repeat must not be told "changed".
-    let (status, body) = promote(&trial, &pin("p1", base, digest)).await;
+    // If the response to the first promotion was lost, its repetition must not get a conflict.
+    let (status, body) = promote(&trial, &query("p1", base, digest)).await;
     assert_eq!(
         (status, body["revision"].as_u64()),
         (StatusCode::OK, Some(promoted))
     );
 }
 
-// An entry's host is replaced while the store is out: it must serve, and by nothing older than its
-// neighbours do.
+// An entry's host is replaced during a store outage. The new entry must serve, with a document at
+// least as new as that of the other entries.
 #[tokio::test]
-async fn an_entry_started_in_an_outage_takes_its_neighbours_document() {
-    let (mut trial, _) = system(1, 3).await;
+async fn an_entry_started_during_an_outage_gets_the_document_from_other_entries() {
+    let (mut trial, _) = start_system(1, 3).await;
     let revision = trial
         .put_document(0, "production", &document("production", 2))
         .await;
-    let revision = revision.expect("accepted");
-    holds(&trial, revision).await;
-    fault(&trial, outage());
+    let revision = revision.expect("the document is accepted");
+    wait_for_revision(&trial, revision).await;
+    inject_fault(&trial, outage());
     trial.entries[2].kill();
     trial
         .start_entry("entry-0-2", "dc0")
         .await
-        .expect("an entry");
-    entry_holds(&trial, 3, revision).await;
+        .expect("the entry starts");
+    wait_for_entry_revision(&trial, 3, revision).await;
 }
 
-// The only entry is replaced while the store is out. It knows nothing and can ask nobody: serving
-// would be guessing. Callers are told at once, and it serves as soon as the store is back.
+// The only entry is replaced during a store outage, so it can't get a document from anywhere. It must
+// refuse callers at once, and serve as soon as the store is available again.
 #[tokio::test]
-async fn a_lone_entry_started_in_an_outage_waits_for_the_store() {
-    let (mut trial, revision) = system(1, 1).await;
-    fault(&trial, outage());
+async fn a_lone_entry_started_during_an_outage_waits_for_the_store() {
+    let (mut trial, revision) = start_system(1, 1).await;
+    inject_fault(&trial, outage());
     trial.entries[0].kill();
     trial
         .start_entry("entry-0-0", "dc0")
         .await
-        .expect("an entry");
+        .expect("the entry starts");
     let address = format!("{}/svc/ledger/x", trial.callers_url(1));
-    let answer = trial.client.get(address).send().await.expect("an answer");
+    let answer = trial
+        .client
+        .get(address)
+        .send()
+        .await
+        .expect("the entry responds");
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers().contains_key("retry-after"));
     sleep(Duration::from_secs(4)).await;
-    let status = trial.status(1).await.expect("a status");
+    let status = trial.status(1).await.expect("the entry responds");
     assert_eq!(
         (&status["ready"], &status["revision"]),
         (&json!(false), &json!(0))
     );
-    fault(&trial, clear());
-    entry_holds(&trial, 1, revision).await;
+    inject_fault(&trial, clear_faults());
+    wait_for_entry_revision(&trial, 1, revision).await;
 }
 
-// An operator wants to know whether a document is in force everywhere, and where it isn't.
+// The status of an environment shows an operator which hosts hold a document and which don't
+// respond.
 #[tokio::test]
 async fn a_survey_names_the_hosts_of_all_data_centres() {
-    let (mut trial, revision) = system(2, 2).await;
-    let begun = Instant::now();
-    let told = async |trial: &Trial| {
+    let (mut trial, revision) = start_system(2, 2).await;
+    let started = Instant::now();
+    let survey = async |trial: &Trial| {
         let (_, body) = get(trial, "production/status").await;
         assert_eq!(body["revision"].as_u64(), Some(revision));
         let mut holding = Vec::new();
@@ -387,11 +409,19 @@
         }
         (holding.len(), silent)
     };
-    while told(&trial).await.0 != 4 {
-        assert!(begun.elapsed() < BOUND, "{:?}", told(&trial).await);
+    while survey(&trial).await.0 != 4 {
+        assert!(
+            started.elapsed() < SPREAD_TIMEOUT,
+            "{:?}",
+            survey(&trial).await
+        );
     }
     trial.entries[1].kill();
-    while told(&trial).await != (3, vec![json!("entry-0-1")]) {
-        assert!(begun.elapsed() < 2 * BOUND, "{:?}", told(&trial).await);
+    while survey(&trial).await != (3, vec![json!("entry-0-1")]) {
+        assert!(
+            started.elapsed() < 2 * SPREAD_TIMEOUT,
+            "{:?}",
+            survey(&trial).await
+        );
     }
 }
--- a/components/trial/tests/failing.rs
+++ b/components/trial/tests/failing.rs
@@ -1,4 +1,4 @@
-//! Backend servers that fail at once, with real daemons over loopback.
+//! Load balancing around backend servers that fail fast, with real daemons over loopback.
 
 use fakes::service;
 use reqwest::StatusCode;
@@ -18,20 +18,20 @@
 
 const CALLS: usize = 100;
 
-// One of three ledgers fails each call at once, or is dead and refuses connections while its
-// sidecar lives. It always looks idle and quick; taken for the best, it would fail a third of the
-// calls or more.
+// One of three replicas fails each call at once, or is dead and refuses connections while its
+// sidecar is alive. Such a replica always looks idle and fast; a balancer that preferred it would
+// fail a third of the calls or more.
 #[rstest]
 #[case::fails(service::Fault { fail_share: Some(1.0), ..service::Fault::default() })]
 #[case::dead(service::Fault { die: true, ..service::Fault::default() })]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_service_that_fails_at_once_is_left_alone(#[case] fault: service::Fault) {
+async fn a_replica_that_fails_fast_is_avoided(#[case] fault: service::Fault) {
     let mut trial = Trial::start().await.unwrap();
     for number in 0..3 {
         let settings = service::Settings::default();
         let name = format!("ledger-{number}");
-        let started = trial.start_service(&name, "dc1", "ledger", settings);
-        started.await.unwrap();
+        let replica = trial.start_service(&name, "dc1", "ledger", settings);
+        replica.await.unwrap();
     }
     trial.start_entry("entry-a", "dc1").await.unwrap();
     let revision = trial.put_document(0, "production", DOCUMENT).await.unwrap();
@@ -48,6 +48,6 @@
         let answer = request.send().await.unwrap();
         failed += usize::from(answer.status() != StatusCode::CREATED);
     }
-    // Five in a row bring it out; a trial may follow.
+    // Five failures in a row eject the replica; a few probes may follow.
     assert!(failed <= 8, "{failed} of {CALLS} calls failed");
 }
--- a/components/trial/tests/desk/mod.rs
+++ b/components/trial/tests/ledger/mod.rs
@@ -1,6 +1,6 @@
-//! A desk on stand-ins over loopback, for the tests of calls that run at most once.
+//! System with a ledger service on stand-ins, for the tests of at-most-once calls.
 
-// Each test file uses a part of it.
+// Each test file uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -42,18 +42,18 @@
 ";
 
 /// Longest wait for a condition.
-pub const LIMIT: Duration = Duration::from_secs(20);
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A refusal must come long before a caller's deadline.
-pub const AT_ONCE: Duration = Duration::from_secs(8);
+/// Time limit of a refusal, long before the caller's deadline.
+pub const REFUSAL_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Longest times of a call.
-pub struct Times {
+/// Call timeouts of entries and sidecars.
+pub struct Timeouts {
     pub entry: Duration,
     pub sidecar: Duration,
 }
 
-impl Default for Times {
+impl Default for Timeouts {
     fn default() -> Self {
         Self {
             entry: Duration::from_secs(30),
@@ -62,20 +62,21 @@
     }
 }
 
-/// Two entries, and replicas of the ledger that share no state.
-pub struct Desk(pub Trial);
+/// System with two entries, and replicas of the ledger that share no state.
+pub struct Ledger(pub Trial);
 
-/// What a caller got.
+/// Response to a call.
 #[derive(Debug)]
-pub struct Told {
+pub struct Reply {
     pub status: StatusCode,
     pub body: Value,
     pub replayed: bool,
     pub retry_after: bool,
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
-impl Told {
+impl Reply {
+    /// Returns the error's `run` field, or `ran` if there is none.
     pub fn run(&self) -> &str {
         match self.body["error"]["run"].as_str() {
             Some(run) => run,
@@ -84,18 +85,18 @@
     }
 }
 
-impl Desk {
-    pub async fn open(replicas: usize) -> Self {
-        Self::open_with(replicas, Times::default()).await
+impl Ledger {
+    pub async fn start(replicas: usize) -> Self {
+        Self::start_with(replicas, Timeouts::default()).await
     }
 
-    pub async fn open_with(replicas: usize, times: Times) -> Self {
-        let trial = Self::replicas(replicas, &times).await;
-        Self::entries(trial, times).await
+    pub async fn start_with(replicas: usize, timeouts: Timeouts) -> Self {
+        let trial = Self::start_replicas(replicas, &timeouts).await;
+        Self::start_entries(trial, timeouts).await
     }
 
-    /// A trial with its services and no entry yet.
-    pub async fn replicas(replicas: usize, times: &Times) -> Trial {
+    /// Starts a trial with replicas and without entries.
+    pub async fn start_replicas(replicas: usize, timeouts: &Timeouts) -> Trial {
         let mut trial = Trial::start().await.unwrap();
         for number in 0..replicas {
             let name = format!("ledger-{number}");
@@ -104,18 +105,18 @@
             settings.server.address = format!("http://{}", service.address());
             settings.server.kind = Kind::Plain;
             settings.server.service = "ledger".into();
-            settings.times.call = times.sidecar;
+            settings.times.call = timeouts.sidecar;
             trial.services.push(service);
             trial.start_sidecar(settings).await.unwrap();
         }
         trial
     }
 
-    /// Adds the entries to a trial that has its services.
-    pub async fn entries(mut trial: Trial, times: Times) -> Self {
+    /// Starts the entries of a trial that has its replicas.
+    pub async fn start_entries(mut trial: Trial, timeouts: Timeouts) -> Self {
         for name in ["entry-a", "entry-b"] {
             let mut settings = entry_settings(name, "dc1", trial.platform.address());
-            settings.times.call = times.entry;
+            settings.times.call = timeouts.entry;
             trial.start_entry_with(settings).await.unwrap();
         }
         let revision = trial.put_document(0, "production", DOCUMENT).await.unwrap();
@@ -123,13 +124,13 @@
         Self(trial)
     }
 
-    /// Sends a deposit; the returned task ends with what the caller was told.
+    /// Sends a deposit in a task that returns the reply.
     pub fn send(
         &self,
         entry: usize,
         key: Option<&str>,
         amount: i64,
-    ) -> tokio::task::JoinHandle<Told> {
+    ) -> tokio::task::JoinHandle<Reply> {
         let address = format!("{}/svc/ledger/deposits", self.0.callers_url(entry));
         let body = json!({"account": "a", "amount": amount}).to_string();
         let mut request = self.0.client.post(address).body(body);
@@ -137,98 +138,107 @@
             request = request.header("idempotency-key", key);
         }
         tokio::spawn(async move {
-            let begun = Instant::now();
+            let started = Instant::now();
             let response = request.send().await.unwrap();
-            Told {
+            Reply {
                 status: response.status(),
                 replayed: response.headers().contains_key("x-medlarhatch-replayed"),
                 retry_after: response.headers().contains_key("retry-after"),
                 body: response.json().await.unwrap(),
-                took: begun.elapsed(),
+                elapsed: started.elapsed(),
             }
         })
     }
 
-    pub async fn deposit(&self, entry: usize, key: Option<&str>) -> Told {
+    pub async fn deposit(&self, entry: usize, key: Option<&str>) -> Reply {
         self.send(entry, key, 5).await.unwrap()
     }
 
-    pub async fn ask(&self, entry: usize, path: &str) -> Value {
+    pub async fn get(&self, entry: usize, path: &str) -> Value {
         let address = format!("{}{path}", self.0.callers_url(entry));
         let answer = self.0.client.get(address).send().await.unwrap();
         answer.json().await.unwrap()
     }
 
-    /// Deposits that any replica took.
-    pub fn taken(&self) -> u64 {
+    /// Returns the number of deposits applied by all replicas.
+    pub fn deposits(&self) -> u64 {
         let services = self.0.services.iter();
         services.map(|service| service.account("a").1).sum()
     }
 
-    /// The replica that was handed a call, once there is one.
-    pub async fn handed(&self) -> usize {
-        until("a call reaches a service", async || {
+    /// Waits until a call reaches a service and returns the number of its replica.
+    pub async fn wait_for_hand_over(&self) -> usize {
+        wait_for("a call to reach a service", async || {
             let mut services = self.0.services.iter();
             services.position(|service| !service.calls().is_empty())
         })
         .await
     }
 
-    pub fn services(&self, fault: &service::Fault) {
+    /// Injects a fault into all replicas.
+    pub fn inject_service_fault(&self, fault: &service::Fault) {
         for service in &self.0.services {
             service.inject_fault(fault.clone());
         }
     }
 
-    pub async fn store_writes(&self, more_than: u64) {
-        until("the store is asked to write", async || {
+    /// Waits until the store has received more than the given number of writes.
+    pub async fn wait_for_store_write(&self, more_than: u64) {
+        wait_for("a write to the store", async || {
             (self.0.platform.counts().writes > more_than).then_some(())
         })
         .await;
     }
 }
 
-pub async fn until<T>(what: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+/// Polls a condition until it returns a value.
+pub async fn wait_for<T>(what: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> T {
+    let started = Instant::now();
     loop {
-        if let Some(found) = condition().await {
-            return found;
+        if let Some(value) = condition().await {
+            return value;
         }
-        assert!(begun.elapsed() < LIMIT, "not in time: {what}");
+        assert!(
+            started.elapsed() < CONDITION_TIMEOUT,
+            "timed out waiting for {what}"
+        );
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-pub fn slow(millis: u64) -> service::Fault {
+/// Returns a fault that delays calls to a service.
+pub fn slow_fault(millis: u64) -> service::Fault {
     service::Fault {
         slow_ms: Some(millis),
         ..service::Fault::default()
     }
 }
 
-pub fn clear(desk: &Desk) {
-    desk.0.platform.inject_fault(platform::Fault {
+/// Clears the platform's faults.
+pub fn clear_platform_faults(ledger: &Ledger) {
+    ledger.0.platform.inject_fault(platform::Fault {
         clear: true,
         ..platform::Fault::default()
     });
 }
 
-/// Sends a key again until it has run; nothing on the way may say `unknown` for good.
-pub async fn runs_in_the_end(desk: &Desk, key: &str, taken: u64) {
-    let told = until("the key runs", async || {
-        let told = desk.deposit(1, Some(key)).await;
-        (told.run() == "ran").then_some(told)
+/// Repeats a call until it has run, and checks the number of deposits. Fails if the call stays
+/// `unknown`.
+pub async fn retry_until_run(ledger: &Ledger, key: &str, deposits: u64) {
+    let reply = wait_for("the call to run", async || {
+        let reply = ledger.deposit(1, Some(key)).await;
+        (reply.run() == "ran").then_some(reply)
     })
     .await;
-    assert_eq!(told.status, StatusCode::CREATED);
-    assert_eq!(desk.taken(), taken);
+    assert_eq!(reply.status, StatusCode::CREATED);
+    assert_eq!(ledger.deposits(), deposits);
 }
 
 /// Waits until the outcome of a call is recorded.
-pub async fn recorded(desk: &Desk, key: &str) {
+pub async fn wait_until_recorded(ledger: &Ledger, key: &str) {
     let path = format!("/v1/calls/{key}?service=ledger");
-    until("the outcome is recorded", async || {
-        (desk.ask(1, &path).await["outcome"] == "ran").then_some(())
+    wait_for("the outcome to be recorded", async || {
+        (ledger.get(1, &path).await["outcome"] == "ran").then_some(())
     })
     .await;
 }
--- a/components/trial/tests/moves.rs
+++ b/components/trial/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Moves between versions over a whole system: entry, sidecars, stand-ins.
+//! Moves of traffic between versions, in a whole system of entries, sidecars and stand-ins.
 
 mod support;
 
@@ -23,17 +23,17 @@
 use trial::Trial;
 
 /// Longest wait for a move to end.
-const LIMIT: Duration = Duration::from_secs(120);
+const MOVE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Requests that callers have in progress at once.
-const CALLERS: u64 = 8;
+/// Number of concurrent requests.
+const CONCURRENT_REQUESTS: u64 = 8;
 
-/// A move that began a while ago and must be over soon, so that the test needn't wait for its
-/// ramp. It has no watch time.
+/// Returns a document with a move that started a while ago and must end soon, so that the test
+/// needn't wait for its ramp. Its watch time is short.
 fn document() -> String {
     let now = std::time::SystemTime::now();
     let start = now - Duration::from_secs(40);
-    let by = now + Duration::from_secs(30);
+    let deadline = now + Duration::from_secs(30);
     format!(
         "\
 environment: production
@@ -52,12 +52,12 @@
   - {{name: up, service: draft, from: v1, to: v2, start: {}, by: {}, watch: 1s}}
 ",
         humantime::format_rfc3339_seconds(start),
-        humantime::format_rfc3339_seconds(by)
+        humantime::format_rfc3339_seconds(deadline)
     )
 }
 
-async fn engines() -> Trial {
-    let mut trial = Trial::start().await.expect("a platform");
+async fn start_engines() -> Trial {
+    let mut trial = Trial::start().await.expect("the platform starts");
     for (name, version) in [
         ("old-0", "v1"),
         ("old-1", "v1"),
@@ -73,109 +73,129 @@
         trial
             .start_engine(name, "dc1", settings)
             .await
-            .expect("an engine");
+            .expect("the engine starts");
     }
     trial
 }
 
-async fn system() -> Trial {
-    let mut trial = engines().await;
-    trial.start_entry("entry-0", "dc1").await.expect("an entry");
+async fn start_system() -> Trial {
+    let mut trial = start_engines().await;
+    trial
+        .start_entry("entry-0", "dc1")
+        .await
+        .expect("the entry starts");
     let revision = trial
         .put_document(0, "production", &document())
         .await
-        .expect("put");
-    trial.wait_ready(revision).await.expect("ready");
+        .expect("the document is accepted");
+    trial
+        .wait_ready(revision)
+        .await
+        .expect("the system becomes ready");
     trial
 }
 
-async fn ask(trial: &Trial, number: u64) {
+async fn complete(trial: &Trial, number: u64) {
     let body = json!({
         "model": "m", "prompt": format!("letter {number}"), "max_tokens": 4, "seed": number,
     });
     let address = format!("{}/v1/completions", trial.callers_url(0));
     let answer = trial.client.post(address).json(&body).send().await;
-    let _ = answer.expect("an answer").bytes().await;
+    let _ = answer.expect("the entry responds").bytes().await;
 }
 
-async fn progress(trial: &Trial, entry: usize) -> Value {
+async fn move_status(trial: &Trial, entry: usize) -> Value {
     let address = format!("{}/reports/moves", trial.operators_url(entry));
-    let answer = trial.client.get(address).send().await.expect("a report");
-    let moves: Value = answer.json().await.expect("JSON");
+    let answer = trial
+        .client
+        .get(address)
+        .send()
+        .await
+        .expect("the entry responds");
+    let moves: Value = answer.json().await.expect("the report is JSON");
     moves[0].clone()
 }
 
-/// Runs of engines of the new version.
-fn runs(trial: &Trial) -> usize {
+/// Returns the number of runs on engines of the new version.
+fn new_version_runs(trial: &Trial) -> usize {
     trial.engines[2..]
         .iter()
         .map(|engine| engine.runs().len())
         .sum()
 }
 
-/// Sends requests until the move has ended; gives the move as operators see it.
-async fn ended(trial: &Trial) -> Value {
-    let limit = Instant::now() + LIMIT;
+/// Sends requests until the move has ended, and returns its status.
+async fn wait_for_move_end(trial: &Trial) -> Value {
+    let deadline = Instant::now() + MOVE_TIMEOUT;
     let mut number = 0;
-    while Instant::now() < limit {
+    while Instant::now() < deadline {
         for _ in 0..5 {
-            let requests = (0..CALLERS).map(|caller| ask(trial, number + caller));
+            let requests = (0..CONCURRENT_REQUESTS).map(|offset| complete(trial, number + offset));
             futures_util::future::join_all(requests).await;
-            number += CALLERS;
+            number += CONCURRENT_REQUESTS;
         }
-        let seen = progress(trial, 0).await;
-        if seen["state"] != "running" && !seen["state"].is_null() {
-            return seen;
+        let status = move_status(trial, 0).await;
+        if status["state"] != "running" && !status["state"].is_null() {
+            return status;
         }
         sleep(Duration::from_millis(20)).await;
     }
-    panic!("the move has not ended: {}", progress(trial, 0).await);
+    panic!("the move hasn't ended: {}", move_status(trial, 0).await);
 }
 
-/// The engines of a new version leave out a token, or answer nothing but errors. Callers get
-/// broken answers until the traffic goes back, which needs nobody's hand.
+/// The engines of a new version skip a token or return only errors. Callers get broken answers until
+/// the traffic returns to the old version, which must happen without an operator.
 #[rstest]
-#[case::a_token_left_out(Fault { skip_at: Some(1), ..Fault::default() })]
+#[case::skipped_token(Fault { skip_at: Some(1), ..Fault::default() })]
 #[case::errors(Fault { fail_share: Some(1.0), ..Fault::default() })]
 #[tokio::test]
-async fn a_bad_version_is_taken_back(#[case] fault: Fault) {
-    let trial = system().await;
+async fn a_bad_version_is_reverted(#[case] fault: Fault) {
+    let trial = start_system().await;
     for engine in &trial.engines[2..] {
         engine.inject_fault(fault.clone());
     }
-    let seen = ended(&trial).await;
-    assert_eq!(seen["permille"], 0, "{seen}");
-    let limit = Instant::now() + LIMIT;
-    while progress(&trial, 0).await["state"] != "reverted" {
-        assert!(Instant::now() < limit, "the outcome is not written");
+    let status = wait_for_move_end(&trial).await;
+    assert_eq!(status["permille"], 0, "{status}");
+    let deadline = Instant::now() + MOVE_TIMEOUT;
+    while move_status(&trial, 0).await["state"] != "reverted" {
+        assert!(Instant::now() < deadline, "the outcome isn't recorded");
         sleep(Duration::from_millis(50)).await;
     }
-    let before = runs(&trial);
+    let before = new_version_runs(&trial);
     for number in 0..50 {
-        ask(&trial, 1_000_000 + number).await;
+        complete(&trial, 1_000_000 + number).await;
     }
     assert_eq!(
-        runs(&trial),
+        new_version_runs(&trial),
         before,
-        "no request reaches a version taken back"
+        "no request reaches the reverted version"
     );
 }
 
-/// One entry gets all the requests of a bad version, and its neighbour none, while the store is
-/// out. The neighbour's first callers must not be the next to try the version, and the store's
-/// outage must not delay that.
+/// During a store outage, one entry gets all requests for a bad version, and another entry none. The
+/// other entry must learn of the veto before its first callers reach the version, and the outage
+/// must not delay the veto.
 #[tokio::test]
 async fn a_veto_reaches_the_other_entry_without_the_store() {
-    let mut trial = system().await;
-    trial.start_entry("entry-1", "dc1").await.expect("an entry");
+    let mut trial = start_system().await;
+    trial
+        .start_entry("entry-1", "dc1")
+        .await
+        .expect("the entry starts");
     let revision = trial
         .put_document(1, "production", &document())
         .await
-        .expect("put");
-    trial.wait_ready(revision).await.expect("ready");
-    let limit = Instant::now() + LIMIT;
-    while progress(&trial, 1).await["permille"] == 0 {
-        assert!(Instant::now() < limit, "the second entry takes no part");
+        .expect("the document is accepted");
+    trial
+        .wait_ready(revision)
+        .await
+        .expect("the system becomes ready");
+    let deadline = Instant::now() + MOVE_TIMEOUT;
+    while move_status(&trial, 1).await["permille"] == 0 {
+        assert!(
+            Instant::now() < deadline,
+            "the second entry doesn't start the move"
+        );
         sleep(Duration::from_millis(50)).await;
     }
     trial.platform.inject_fault(platform::Fault {
@@ -188,59 +208,67 @@
             ..Fault::default()
         });
     }
-    let seen = ended(&trial).await;
-    assert_eq!(seen["state"], "reverting", "{seen}");
-    let limit = Instant::now() + Duration::from_secs(15);
-    while progress(&trial, 1).await["state"] != "reverting" {
-        assert!(Instant::now() < limit, "the second entry hears nothing");
+    let status = wait_for_move_end(&trial).await;
+    assert_eq!(status["state"], "reverting", "{status}");
+    let deadline = Instant::now() + Duration::from_secs(15);
+    while move_status(&trial, 1).await["state"] != "reverting" {
+        assert!(
+            Instant::now() < deadline,
+            "the veto doesn't reach the second entry"
+        );
         sleep(Duration::from_millis(50)).await;
     }
-    assert_eq!(progress(&trial, 1).await["permille"], 0);
+    assert_eq!(move_status(&trial, 1).await["permille"], 0);
     trial.platform.inject_fault(platform::Fault {
         clear: true,
         ..platform::Fault::default()
     });
-    let limit = Instant::now() + LIMIT;
+    let deadline = Instant::now() + MOVE_TIMEOUT;
     for entry in 0..2 {
-        while progress(&trial, entry).await["state"] != "reverted" {
-            assert!(Instant::now() < limit, "the outcome is not written");
+        while move_status(&trial, entry).await["state"] != "reverted" {
+            assert!(Instant::now() < deadline, "the outcome isn't recorded");
             sleep(Duration::from_millis(50)).await;
         }
     }
 }
 
 #[tokio::test]
-async fn a_good_version_has_all_traffic_in_the_end() {
-    let trial = system().await;
-    let seen = ended(&trial).await;
-    assert_eq!(seen["state"], "done", "{seen}");
-    assert_eq!(seen["permille"], 1000);
-    let before = runs(&trial);
+async fn a_good_version_ends_up_with_all_traffic() {
+    let trial = start_system().await;
+    let status = wait_for_move_end(&trial).await;
+    assert_eq!(status["state"], "done", "{status}");
+    assert_eq!(status["permille"], 1000);
+    let before = new_version_runs(&trial);
     for number in 0..50 {
-        ask(&trial, 1_000_000 + number).await;
+        complete(&trial, 1_000_000 + number).await;
     }
-    assert_eq!(runs(&trial), before + 50);
-    let moves = report(&trial, "moves?format=text").await;
+    assert_eq!(new_version_runs(&trial), before + 50);
+    let moves = get_report(&trial, "moves?format=text").await;
     assert!(moves.contains("up: v1 -> v2, done, 100.0%"), "{moves}");
-    let burn = report(&trial, "burn?format=text").await;
+    let burn = get_report(&trial, "burn?format=text").await;
     assert!(burn.contains("version v2"), "{burn}");
-    let page = report(&trial, "burn?format=html").await;
+    let page = get_report(&trial, "burn?format=html").await;
     assert!(page.contains("<table>") && page.contains("route letters"));
 }
 
-/// The processor that all of this runs on is taken away for most of the time as soon as the new
-/// version has all the traffic. Every answer is slow then, and there is no old version beside it to
-/// show that the version isn't the cause.
+/// The host stalls most of the time as soon as the new version has all the traffic. All answers are
+/// slow then, and no traffic on the old version shows that the version isn't the cause. The move
+/// must not be reverted.
 #[tokio::test]
-async fn a_host_that_runs_late_takes_no_good_version_back() {
-    let trial = system().await;
+async fn a_stalled_host_does_not_revert_a_good_version() {
+    let trial = start_system().await;
     let operators = trial.operators_url(0);
     let client = trial.client.clone();
     let stalls = tokio::spawn(async move {
         loop {
-            let asked = client.get(format!("{operators}/reports/moves")).send();
-            let seen: Value = asked.await.expect("a report").json().await.expect("JSON");
-            if seen[0]["permille"] == 1000 {
+            let request = client.get(format!("{operators}/reports/moves")).send();
+            let status: Value = request
+                .await
+                .expect("the entry responds")
+                .json()
+                .await
+                .expect("the report is JSON");
+            if status[0]["permille"] == 1000 {
                 break;
             }
             sleep(Duration::from_millis(20)).await;
@@ -250,38 +278,52 @@
             sleep(Duration::from_millis(2)).await;
         }
     });
-    let seen = ended(&trial).await;
+    let status = wait_for_move_end(&trial).await;
     stalls.abort();
-    assert_eq!(seen["state"], "done", "{seen}");
+    assert_eq!(status["state"], "done", "{status}");
 }
 
-/// Every entry sees that a move has begun and that it has ended. If each wrote that to the store, a
-/// fleet of hundreds would take all its writes at once, and edits of documents would wait.
+/// Every entry sees the start and the end of a move. If each entry recorded them in the store, a
+/// fleet of hundreds would exhaust the store's write rate and delay edits of documents.
 #[tokio::test]
-async fn three_entries_write_a_move_twice() {
-    let mut trial = engines().await;
+async fn three_entries_record_a_move_with_two_writes() {
+    let mut trial = start_engines().await;
     for entry in ["entry-0", "entry-1", "entry-2"] {
-        trial.start_entry(entry, "dc1").await.expect("an entry");
+        trial
+            .start_entry(entry, "dc1")
+            .await
+            .expect("the entry starts");
     }
     let before = trial.platform.counts().writes;
     let revision = trial
         .put_document(0, "production", &document())
         .await
-        .expect("put");
-    trial.wait_ready(revision).await.expect("ready");
-    let limit = Instant::now() + LIMIT;
+        .expect("the document is accepted");
+    trial
+        .wait_ready(revision)
+        .await
+        .expect("the system becomes ready");
+    let deadline = Instant::now() + MOVE_TIMEOUT;
     for entry in 0..3 {
-        while progress(&trial, entry).await["state"] != "done" {
-            assert!(Instant::now() < limit, "the move doesn't end at {entry}");
+        while move_status(&trial, entry).await["state"] != "done" {
+            assert!(
+                Instant::now() < deadline,
+                "the move doesn't end at entry {entry}"
+            );
             sleep(Duration::from_millis(50)).await;
         }
     }
     let writes = trial.platform.counts().writes - before;
-    assert_eq!(writes, 3, "the document, the begin and the end");
+    assert_eq!(writes, 3, "writes of the document, the start and the end");
 }
 
-async fn report(trial: &Trial, what: &str) -> String {
-    let address = format!("{}/reports/{what}", trial.operators_url(0));
-    let answer = trial.client.get(address).send().await.expect("a report");
-    answer.text().await.expect("text")
+async fn get_report(trial: &Trial, path: &str) -> String {
+    let address = format!("{}/reports/{path}", trial.operators_url(0));
+    let answer = trial
+        .client
+        .get(address)
+        .send()
+        .await
+        .expect("the entry responds");
+    answer.text().await.expect("the report is text")
 }
--- a/components/trial/tests/orders.rs
+++ b/components/trial/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines through the store and the sidecar, with real daemons over loopback.
+//! Orders to engines by way of the store and the sidecar, with real daemons over loopback.
 
 use std::time::Duration;
 
@@ -28,19 +28,21 @@
 };
 
 /// Longest wait for a condition.
-const LIMIT: Duration = Duration::from_secs(20);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Bench {
+/// System of one engine and its sidecar, with a client of the store.
+struct System {
     trial: Trial,
     store: Client,
-    checks: bool,
+    /// Whether the engine checks fencing tokens.
+    checks_fence: bool,
 }
 
-impl Bench {
-    async fn open(checks: bool) -> Self {
+impl System {
+    async fn start(checks_fence: bool) -> Self {
         let mut trial = Trial::start().await.unwrap();
         let engine = Engine::start(engine::Settings::default()).await.unwrap();
-        if !checks {
+        if !checks_fence {
             engine.inject_fault(engine::Fault {
                 ignore_fence: true,
                 ..engine::Fault::default()
@@ -49,98 +51,111 @@
         trial.engines.push(engine);
         let address = format!("http://{}", trial.platform.address());
         let store = Client::new(&address, Duration::from_secs(2)).unwrap();
-        let mut bench = Self {
+        let mut system = Self {
             trial,
             store,
-            checks,
+            checks_fence,
         };
-        bench.sidecar().await;
-        bench
+        system.start_sidecar().await;
+        system
     }
 
-    /// Starts a sidecar beside the engine.
-    async fn sidecar(&mut self) {
+    /// Starts a sidecar of the engine.
+    async fn start_sidecar(&mut self) {
         let platform = self.trial.platform.address();
         let mut settings = sidecar_settings("draft-0", "dc1", platform);
         let engine = self.trial.engines[0].address();
         settings.server.address = format!("http://{engine}");
-        settings.server.checks_fence = self.checks;
+        settings.server.checks_fence = self.checks_fence;
         settings.times.settle = Duration::from_millis(200);
         self.trial.start_sidecar(settings).await.unwrap();
     }
 
-    async fn order(&self, version: &str) -> u64 {
+    /// Writes an order to load a version, and returns its revision.
+    async fn order_load(&self, version: &str) -> u64 {
         let order = Order::Load {
             model: "m".into(),
             version: version.into(),
         };
         let value = serde_json::to_string(&order).unwrap();
         let key = orders::key("draft-0-server");
-        let written = self.store.put(&key, &value, Expect::Any, None).await;
-        let Ok(Write::Done { revision }) = written else {
-            panic!("the order is written: {written:?}");
+        let result = self.store.put(&key, &value, Expect::Any, None).await;
+        let Ok(Write::Done { revision }) = result else {
+            panic!("the order isn't written: {result:?}");
         };
         revision
     }
 
-    async fn versions(&self) -> Vec<String> {
+    /// Returns the versions that the engine has loaded.
+    async fn loaded_versions(&self) -> Vec<String> {
         let address = format!("http://{}/load", self.trial.engines[0].address());
-        let answer = self.trial.client.get(address).send().await.unwrap();
-        let load: Value = answer.json().await.unwrap();
+        let response = self.trial.client.get(address).send().await.unwrap();
+        let load: Value = response.json().await.unwrap();
         let versions = load["versions"].as_array().cloned().unwrap_or_default();
         let names = versions.iter().filter_map(Value::as_str);
         names.map(str::to_string).collect()
     }
 
-    async fn loaded(&self, version: &str) {
-        let begun = Instant::now();
-        while !self.versions().await.iter().any(|loaded| loaded == version) {
-            assert!(begun.elapsed() < LIMIT, "{version} was not loaded in time");
+    async fn wait_until_loaded(&self, version: &str) {
+        let started = Instant::now();
+        while !self
+            .loaded_versions()
+            .await
+            .iter()
+            .any(|loaded| loaded == version)
+        {
+            assert!(
+                started.elapsed() < CONDITION_TIMEOUT,
+                "{version} was not loaded in time"
+            );
             sleep(Duration::from_millis(10)).await;
         }
     }
 }
 
-/// A version is ordered, then another; then the sidecar is replaced, and one more is ordered. Each
-/// reaches the engine, whether it checks numbers or not.
+/// Two versions are ordered one after the other, then a third after the sidecar was replaced. Each
+/// order must reach the engine, whether or not the engine checks fencing tokens.
 #[rstest::rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_reach_the_engine(#[values(true, false)] checks: bool) {
-    let mut bench = Bench::open(checks).await;
-    bench.order("v2").await;
-    bench.loaded("v2").await;
-    bench.order("v3").await;
-    bench.loaded("v3").await;
-    bench.trial.sidecars[0].kill();
-    bench.sidecar().await;
-    bench.order("v4").await;
-    bench.loaded("v4").await;
+async fn orders_reach_the_engine(#[values(true, false)] checks_fence: bool) {
+    let mut system = System::start(checks_fence).await;
+    system.order_load("v2").await;
+    system.wait_until_loaded("v2").await;
+    system.order_load("v3").await;
+    system.wait_until_loaded("v3").await;
+    system.trial.sidecars[0].kill();
+    system.start_sidecar().await;
+    system.order_load("v4").await;
+    system.wait_until_loaded("v4").await;
 }
 
-/// The sidecar is replaced while the store is out. It can't know the newest order, so it passes none
-/// on; once the store is back, the newest one takes effect.
+/// The sidecar is replaced during a store outage. It can't know the newest order, so it must not
+/// forward any; after the outage, the newest order takes effect.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sidecar_that_starts_without_the_store_passes_no_order_on() {
-    let mut bench = Bench::open(false).await;
-    bench.order("v2").await;
-    bench.loaded("v2").await;
-    bench.trial.sidecars[0].kill();
-    bench.order("v3").await;
-    bench.trial.platform.inject_fault(platform::Fault {
+async fn a_sidecar_that_starts_without_the_store_forwards_no_order() {
+    let mut system = System::start(false).await;
+    system.order_load("v2").await;
+    system.wait_until_loaded("v2").await;
+    system.trial.sidecars[0].kill();
+    system.order_load("v3").await;
+    system.trial.platform.inject_fault(platform::Fault {
         outage: true,
         ..platform::Fault::default()
     });
-    bench.sidecar().await;
-    let before = bench.trial.platform.counts();
-    let begun = Instant::now();
-    while bench.trial.platform.counts().reads < before.reads + 2 {
-        assert!(begun.elapsed() < LIMIT, "the sidecar asks the store again");
+    system.start_sidecar().await;
+    let before = system.trial.platform.counts();
+    let started = Instant::now();
+    while system.trial.platform.counts().reads < before.reads + 2 {
+        assert!(
+            started.elapsed() < CONDITION_TIMEOUT,
+            "the sidecar reads from the store again"
+        );
         sleep(Duration::from_millis(10)).await;
     }
-    assert!(!bench.versions().await.contains(&"v3".to_string()));
-    bench.trial.platform.inject_fault(platform::Fault {
+    assert!(!system.loaded_versions().await.contains(&"v3".to_string()));
+    system.trial.platform.inject_fault(platform::Fault {
         clear: true,
         ..platform::Fault::default()
     });
-    bench.loaded("v3").await;
+    system.wait_until_loaded("v3").await;
 }
--- a/components/trial/tests/pause.rs
+++ b/components/trial/tests/pause.rs
@@ -1,125 +1,125 @@
-//! Sidecars that are stopped for longer than their links live, and links that fall silent, at each
-//! step of a kept call.
+//! At-most-once calls during pauses of the sidecar beyond the lifetime of its links, and on links
+//! that fall silent.
 
-mod desk;
+mod ledger;
 mod relay;
 
 use std::time::Duration;
 
-use desk::{
-    AT_ONCE,
-    Desk,
-    Times,
-    clear,
-    recorded,
-    slow,
-    until, //
-};
 use fakes::platform;
+use ledger::{
+    Ledger,
+    REFUSAL_TIMEOUT,
+    Timeouts,
+    clear_platform_faults,
+    slow_fault,
+    wait_for, //
+    wait_until_recorded,
+};
 use relay::Relay;
 use reqwest::StatusCode;
 
-/// Where the sidecar is stopped.
+/// Step of the call at which the sidecar is paused.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// It waits for its lease; the record is not written.
+    /// The sidecar waits for its lease; the record isn't written yet.
     BeforeRecord,
-    /// The record is on its way; the answer comes while the sidecar is stopped.
+    /// The record is being written; the store responds while the sidecar is paused.
     BetweenRecordAndHandOver,
-    /// The service has the call.
+    /// The service has received the call.
     AfterHandOver,
 }
 
-/// A sidecar is stopped for some seconds and goes on as if nothing had been, long after its entry
-/// told the caller. Whatever it does then, the call runs at most once, and never after `not_run`.
-/// After the pause, the caller sends the call again with its key until it has an answer.
+/// A sidecar is paused for some seconds and resumes long after its entry has replied to the caller.
+/// The call must run at most once, and never after `not_run`. After the pause, the caller repeats
+/// the call with its key until it gets the outcome.
 #[rstest::rstest]
 #[case::before_record(Step::BeforeRecord, 3, "not_run")]
 #[case::before_hand_over(Step::BetweenRecordAndHandOver, 3, "unknown")]
 #[case::before_hand_over_too_long(Step::BetweenRecordAndHandOver, 7, "unknown")]
 #[case::after_hand_over(Step::AfterHandOver, 3, "unknown")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sidecar_stopped_and_continued(
+async fn a_paused_sidecar_runs_a_call_at_most_once(
     #[case] step: Step,
     #[case] seconds: u64,
     #[case] run: &str,
 ) {
-    let desk = Desk::open(1).await;
+    let ledger = Ledger::start(1).await;
     if !matches!(step, Step::BeforeRecord) {
-        desk.deposit(0, Some("first")).await;
-        recorded(&desk, "first").await;
+        ledger.deposit(0, Some("first")).await;
+        wait_until_recorded(&ledger, "first").await;
     }
-    let before = desk.0.platform.counts().writes;
-    let earlier = desk.taken();
-    let told = match step {
+    let before = ledger.0.platform.counts().writes;
+    let earlier_deposits = ledger.deposits();
+    let reply = match step {
         Step::BeforeRecord | Step::BetweenRecordAndHandOver => {
-            desk.0.platform.inject_fault(platform::Fault {
+            ledger.0.platform.inject_fault(platform::Fault {
                 slow_ms: Some(300),
                 ..platform::Fault::default()
             });
-            let told = desk.send(0, Some("k"), 5);
-            desk.store_writes(before).await;
-            told
+            let reply = ledger.send(0, Some("k"), 5);
+            ledger.wait_for_store_write(before).await;
+            reply
         }
         Step::AfterHandOver => {
-            desk.services(&slow(300));
-            let told = desk.send(0, Some("k"), 5);
-            until("the service has the call", async || {
-                let calls = desk.0.services[0].calls();
+            ledger.inject_service_fault(&slow_fault(300));
+            let reply = ledger.send(0, Some("k"), 5);
+            wait_for("the service to receive the call", async || {
+                let calls = ledger.0.services[0].calls();
                 calls
                     .iter()
                     .any(|call| call.key.as_deref() == Some("k"))
                     .then_some(())
             })
             .await;
-            told
+            reply
         }
     };
-    desk.0.sidecars[0].pause(Duration::from_secs(seconds));
-    let told = told.await.unwrap();
-    assert_eq!(told.run(), run, "{told:?}");
-    assert!(told.took < Duration::from_secs(seconds), "{told:?}");
-    clear(&desk);
-    let answer = until("the key has an answer", async || {
-        let again = desk.deposit(1, Some("k")).await;
+    ledger.0.sidecars[0].pause(Duration::from_secs(seconds));
+    let reply = reply.await.unwrap();
+    assert_eq!(reply.run(), run, "{reply:?}");
+    assert!(reply.elapsed < Duration::from_secs(seconds), "{reply:?}");
+    clear_platform_faults(&ledger);
+    let outcome = wait_for("the outcome of the call", async || {
+        let again = ledger.deposit(1, Some("k")).await;
         (again.run() == "ran").then_some(again)
     })
     .await;
-    assert_eq!(answer.status, StatusCode::CREATED);
-    assert_eq!(desk.taken(), earlier + 1);
+    assert_eq!(outcome.status, StatusCode::CREATED);
+    assert_eq!(ledger.deposits(), earlier_deposits + 1);
 }
 
-/// Something between entry and sidecar forgets their connection: nothing comes through any more, and
-/// both ends live. A call that was lost on the way is proven not run; one that the service answered
-/// meanwhile is answered from its record, which the entry meets when it tries to void it.
+/// A middlebox between entry and sidecar loses their connection: no datagram passes any more, and
+/// both ends are alive. A call that was lost is proven not run. For a call that the service has
+/// completed meanwhile, the entry finds the record when it tries to void it, and replies from it.
 #[rstest::rstest]
 #[case::before_the_call_arrives(false, "not_run")]
 #[case::after_the_call_arrived(true, "ran")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_link_that_falls_silent(#[case] arrived: bool, #[case] run: &str) {
-    let mut trial = Desk::replicas(1, &Times::default()).await;
+async fn a_call_on_a_silent_link_is_resolved(#[case] arrived: bool, #[case] run: &str) {
+    let mut trial = Ledger::start_replicas(1, &Timeouts::default()).await;
     let relay = Relay::start(trial.host_address("ledger-0").unwrap()).await;
     trial.set_host_address("ledger-0", relay.address);
-    let desk = Desk::entries(trial, Times::default()).await;
-    desk.services(&slow(300));
+    let ledger = Ledger::start_entries(trial, Timeouts::default()).await;
+    ledger.inject_service_fault(&slow_fault(300));
     if !arrived {
-        relay.cut(true);
+        relay.set_dropping(true);
     }
-    let told = desk.send(0, Some("k"), 5);
+    let reply = ledger.send(0, Some("k"), 5);
     if arrived {
-        desk.handed().await;
-        relay.cut(true);
+        ledger.wait_for_hand_over().await;
+        relay.set_dropping(true);
     }
-    let told = told.await.unwrap();
-    assert_eq!(told.run(), run, "{told:?}");
-    assert!(told.took < AT_ONCE);
-    assert_eq!(desk.taken(), u64::from(arrived));
-    relay.cut(false);
-    let answer = until("the key has an answer", async || {
-        let again = desk.deposit(1, Some("k")).await;
+    let reply = reply.await.unwrap();
+    assert_eq!(reply.run(), run, "{reply:?}");
+    assert!(reply.elapsed < REFUSAL_TIMEOUT);
+    assert_eq!(ledger.deposits(), u64::from(arrived));
+    relay.set_dropping(false);
+    let outcome = wait_for("the outcome of the call", async || {
+        let again = ledger.deposit(1, Some("k")).await;
         (again.run() == "ran").then_some(again)
     })
     .await;
-    assert_eq!(answer.replayed, arrived);
-    assert_eq!(desk.taken(), 1);
+    assert_eq!(outcome.replayed, arrived);
+    assert_eq!(ledger.deposits(), 1);
 }
--- a/components/trial/tests/poison.rs
+++ b/components/trial/tests/poison.rs
@@ -1,4 +1,5 @@
-//! Requests that crash each engine or service that runs them, with real daemons over loopback.
+//! Poisonous requests, which crash each engine or service that runs them, with real daemons over
+//! loopback.
 
 use std::{
     net::SocketAddr,
@@ -39,16 +40,17 @@
 
 const ENGINES: usize = 4;
 
-/// Times that a poisonous call is sent.
-const SENDS: usize = 12;
+/// Number of times that a poisonous call is sent.
+const POISONOUS_CALLS: usize = 12;
 
-/// Longest time that any answer may take.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Time limit of a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-struct Desk(Trial);
+/// System with two entries, and with engines or plain services.
+struct System(Trial);
 
-impl Desk {
-    async fn open(engines: usize, services: usize) -> Self {
+impl System {
+    async fn start(engines: usize, services: usize) -> Self {
         let mut trial = Trial::start().await.unwrap();
         for number in 0..engines {
             let settings = engine::Settings {
@@ -61,8 +63,8 @@
         for number in 0..services {
             let name = format!("ledger-{number}");
             let settings = service::Settings::default();
-            let started = trial.start_service(&name, "dc1", "ledger", settings);
-            started.await.unwrap();
+            let replica = trial.start_service(&name, "dc1", "ledger", settings);
+            replica.await.unwrap();
         }
         for name in ["entry-a", "entry-b"] {
             trial.start_entry(name, "dc1").await.unwrap();
@@ -82,22 +84,25 @@
         let body = json!({"model": "m", "prompt": prompt, "max_tokens": max_tokens, "seed": 7});
         let request = self.0.client.post(address).json(&body);
         tokio::spawn(async move {
-            let answer = timeout(LIMIT, request.send()).await.unwrap().unwrap();
+            let answer = timeout(RESPONSE_TIMEOUT, request.send())
+                .await
+                .unwrap()
+                .unwrap();
             (answer.status(), answer.json().await.unwrap_or_default())
         })
     }
 
     async fn dead_engines(&self) -> usize {
         let engines = self.0.engines.iter().map(engine::Engine::address);
-        self.dead(engines.collect()).await
+        self.count_dead(engines.collect()).await
     }
 
     async fn dead_services(&self) -> usize {
         let services = self.0.services.iter().map(service::Service::address);
-        self.dead(services.collect()).await
+        self.count_dead(services.collect()).await
     }
 
-    async fn dead(&self, addresses: Vec<SocketAddr>) -> usize {
+    async fn count_dead(&self, addresses: Vec<SocketAddr>) -> usize {
         let mut dead = 0;
         for address in addresses {
             let health = format!("http://{address}/health");
@@ -107,27 +112,30 @@
     }
 }
 
-/// A request crashes each engine that runs it, in the midst of others, and its caller sends it again
-/// through either entry. Every other caller must get its whole answer, and two engines may be lost.
+/// A request crashes each engine that runs it, while other requests are in progress, and its caller
+/// repeats it through both entries. Every other caller must get its whole answer, and only two
+/// engines may be lost.
 #[rstest::rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_poison_costs_two_engines_and_no_answer(#[values(1, 8, 30)] innocents: usize) {
-    let desk = Desk::open(ENGINES, 0).await;
-    for engine in &desk.0.engines {
+async fn a_poisonous_request_costs_two_engines_and_no_other_answer(
+    #[values(1, 8, 30)] normal_requests: usize,
+) {
+    let system = System::start(ENGINES, 0).await;
+    for engine in &system.0.engines {
         engine.inject_fault(engine::Fault {
             crash_on: Some("poison".into()),
             ..engine::Fault::default()
         });
     }
-    let prompts: Vec<String> = (0..innocents * ENGINES)
+    let prompts: Vec<String> = (0..normal_requests * ENGINES)
         .map(|n| format!("letter {n}"))
         .collect();
     let length = 60;
     let mut answers = Vec::new();
     for (number, prompt) in prompts.iter().enumerate() {
-        answers.push(desk.complete(number % 2, prompt, length));
+        answers.push(system.complete(number % 2, prompt, length));
         if number == prompts.len() / 2 {
-            answers.push(desk.complete(0, "poison", length));
+            answers.push(system.complete(0, "poison", length));
         }
     }
     let poison = answers.remove(prompts.len() / 2 + 1);
@@ -136,8 +144,11 @@
         status.is_client_error() || status.is_server_error(),
         "{body}"
     );
-    for again in 0..6 {
-        let (status, body) = desk.complete(again % 2, "poison", length).await.unwrap();
+    for attempt in 0..6 {
+        let (status, body) = system
+            .complete(attempt % 2, "poison", length)
+            .await
+            .unwrap();
         assert_eq!(status, StatusCode::UNPROCESSABLE_ENTITY, "{body}");
         assert_eq!(body["error"]["run"], "not_run");
     }
@@ -145,26 +156,27 @@
         let (status, body) = answer.await.unwrap();
         assert_eq!(status, StatusCode::OK, "{prompt}: {body}");
         let tokens = 0..engine::answer_length(prompt, 7, length);
-        let whole: String = tokens.map(|i| engine::token(prompt, 7, "v1", i)).collect();
-        assert_eq!(body["choices"][0]["text"], whole, "{prompt}");
+        let expected: String = tokens.map(|i| engine::token(prompt, 7, "v1", i)).collect();
+        assert_eq!(body["choices"][0]["text"], expected, "{prompt}");
     }
-    assert_eq!(desk.dead_engines().await, 2);
+    assert_eq!(system.dead_engines().await, 2);
 }
 
-/// A deposit crashes each ledger that takes it up, and its caller sends it again under new keys.
+/// A deposit crashes each service that runs it, and its caller repeats it with new keys. Only two
+/// services may be lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_poisonous_call_costs_two_services() {
-    let desk = Desk::open(0, 3).await;
-    for service in &desk.0.services {
+    let system = System::start(0, 3).await;
+    for service in &system.0.services {
         service.inject_fault(service::Fault {
             crash_on: Some("poison".into()),
             ..service::Fault::default()
         });
     }
-    let mut told = Vec::new();
-    for send in 0..SENDS {
-        let address = format!("{}/svc/ledger/deposits", desk.0.callers_url(send % 2));
-        let request = desk
+    let mut codes = Vec::new();
+    for send in 0..POISONOUS_CALLS {
+        let address = format!("{}/svc/ledger/deposits", system.0.callers_url(send % 2));
+        let request = system
             .0
             .client
             .post(address)
@@ -173,16 +185,16 @@
         let body: Value = request.send().await.unwrap().json().await.unwrap();
         let code = body["error"]["code"].as_str().unwrap_or("ran").to_string();
         let run = body["error"]["run"].as_str().unwrap_or("ran").to_string();
-        // An entry that has not heard of a death yet may choose the dead service: then nothing ran.
+        // An entry that doesn't know of a death yet may choose the dead service; nothing runs then.
         if code == "unavailable" {
             assert_eq!(run, "not_run", "{body}");
             continue;
         }
-        told.push(code);
+        codes.push(code);
     }
-    let lost = told.iter().take_while(|code| *code == "unknown").count();
-    assert_eq!(lost, 2, "{told:?}");
-    assert!(told.len() >= 6, "{told:?}");
-    assert!(told[2..].iter().all(|code| code == "refused"), "{told:?}");
-    assert_eq!(desk.dead_services().await, 2);
+    let unknown = codes.iter().take_while(|code| *code == "unknown").count();
+    assert_eq!(unknown, 2, "{codes:?}");
+    assert!(codes.len() >= 6, "{codes:?}");
+    assert!(codes[2..].iter().all(|code| code == "refused"), "{codes:?}");
+    assert_eq!(system.dead_services().await, 2);
 }
--- a/components/trial/tests/relay/mod.rs
+++ b/components/trial/tests/relay/mod.rs
@@ -1,4 +1,4 @@
-//! A relay for UDP that can stop passing anything on, as a middlebox that forgot a connection.
+//! UDP relay that can drop all traffic, like a middlebox that lost its connection state.
 
 use std::{
     collections::{
@@ -17,55 +17,65 @@
 
 use tokio::net::UdpSocket;
 
-/// Largest datagram.
-const DATAGRAM: usize = 65_536;
+/// Largest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// A relay in front of one address.
+/// Relay in front of one address.
 pub struct Relay {
-    /// Where it listens.
+    /// Address that the relay listens on.
     pub address: SocketAddr,
-    cut: Arc<AtomicBool>,
+    dropping: Arc<AtomicBool>,
 }
 
 impl Relay {
-    /// Starts a relay to an address.
-    pub async fn start(to: SocketAddr) -> Self {
+    /// Starts a relay to `target`.
+    pub async fn start(target: SocketAddr) -> Self {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
         let address = socket.local_addr().unwrap();
-        let cut = Arc::new(AtomicBool::new(false));
-        tokio::spawn(forward(socket, to, cut.clone()));
-        Self { address, cut }
+        let dropping = Arc::new(AtomicBool::new(false));
+        tokio::spawn(forward(socket, target, dropping.clone()));
+        Self { address, dropping }
     }
 
-    /// Drops everything from now on, or passes it on again.
-    pub fn cut(&self, cut: bool) {
-        self.cut.store(cut, Ordering::SeqCst);
+    /// Sets whether the relay drops all datagrams.
+    pub fn set_dropping(&self, dropping: bool) {
+        self.dropping.store(dropping, Ordering::SeqCst);
     }
 }
 
-async fn forward(socket: Arc<UdpSocket>, to: SocketAddr, cut: Arc<AtomicBool>) {
+async fn forward(socket: Arc<UdpSocket>, target: SocketAddr, dropping: Arc<AtomicBool>) {
     let mut peers = HashMap::<SocketAddr, Arc<UdpSocket>>::new();
-    let mut buffer = vec![0; DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
-        if cut.load(Ordering::SeqCst) {
+        if dropping.load(Ordering::SeqCst) {
             continue;
         }
         if let Entry::Vacant(vacant) = peers.entry(from) {
-            let own = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
-            own.connect(to).await.unwrap();
-            tokio::spawn(back(socket.clone(), own.clone(), from, cut.clone()));
-            vacant.insert(own);
+            let upstream = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
+            upstream.connect(target).await.unwrap();
+            tokio::spawn(backward(
+                socket.clone(),
+                upstream.clone(),
+                from,
+                dropping.clone(),
+            ));
+            vacant.insert(upstream);
         }
         let _ = peers[&from].send(&buffer[..length]).await;
     }
 }
 
-async fn back(socket: Arc<UdpSocket>, own: Arc<UdpSocket>, to: SocketAddr, cut: Arc<AtomicBool>) {
-    let mut buffer = vec![0; DATAGRAM];
-    while let Ok(length) = own.recv(&mut buffer).await {
-        if cut.load(Ordering::SeqCst) {
+async fn backward(
+    socket: Arc<UdpSocket>,
+    upstream: Arc<UdpSocket>,
+    peer: SocketAddr,
+    dropping: Arc<AtomicBool>,
+) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    while let Ok(length) = upstream.recv(&mut buffer).await {
+        if dropping.load(Ordering::SeqCst) {
             continue;
         }
-        let _ = socket.send_to(&buffer[..length], to).await;
+        let _ = socket.send_to(&buffer[..length], peer).await;
     }
 }
--- a/components/trial/tests/shutdown.rs
+++ b/components/trial/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdowns: what is in progress is finished, what is new is sent elsewhere.
+//! Graceful shutdown: requests in progress complete, and new ones are refused.
 
 mod support;
 
@@ -9,8 +9,8 @@
     json, //
 };
 use support::{
-    known,
-    system, //
+    expected_tokens,
+    start_single_entry, //
 };
 use trial::{
     Trial,
@@ -21,20 +21,20 @@
 const TOKENS: u64 = 200;
 const PROMPT: &str = "Write the rota statement.";
 
-/// Which process is told to stop while an answer is under way.
+/// Process that is stopped during an answer.
 #[derive(Clone, Copy, Debug)]
 enum Stopped {
     Entry,
     Sidecar,
 }
 
-async fn ask(trial: &Trial) -> reqwest::Response {
+async fn send_request(trial: &Trial) -> reqwest::Response {
     let body = json!({
         "model": "m", "prompt": PROMPT, "max_tokens": TOKENS, "seed": SEED, "stream": true,
     });
     let address = format!("{}/v1/completions", trial.callers_url(0));
     let request = trial.client.post(address).json(&body);
-    request.send().await.expect("an answer")
+    request.send().await.expect("the entry responds")
 }
 
 fn stop(trial: &Trial, stopped: Stopped) {
@@ -45,23 +45,23 @@
                 .engines
                 .iter()
                 .position(|engine| !engine.runs().is_empty());
-            trial.sidecars[busy.expect("an engine that runs")].stop();
+            trial.sidecars[busy.expect("an engine runs the answer")].stop();
         }
     }
 }
 
-/// A host is replaced while it works. A process that simply ended would cut the letter off; its
-/// caller would see a broken connection in the midst of a sentence.
+/// A host is replaced while it serves an answer. A process that exited at once would cut the answer
+/// off, and its caller would see a broken connection.
 #[rstest]
 #[case::entry(Stopped::Entry)]
 #[case::sidecar(Stopped::Sidecar)]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_in_progress_is_finished(#[case] stopped: Stopped) {
-    let trial = system(2).await;
-    let mut stream = Stream::new(ask(&trial).await);
+async fn an_answer_in_progress_completes(#[case] stopped: Stopped) {
+    let trial = start_single_entry(2).await;
+    let mut stream = Stream::new(send_request(&trial).await);
     let mut tokens = Vec::new();
     let mut done = false;
-    while let Some(event) = stream.next().await.expect("the stream goes on") {
+    while let Some(event) = stream.next().await.expect("the stream continues") {
         done = done || event.data == "[DONE]";
         tokens.extend(event.token());
         if tokens.len() == 5 {
@@ -69,29 +69,29 @@
         }
     }
     assert!(done);
-    assert_eq!(tokens, known(PROMPT, SEED, TOKENS));
-    // It was finished where it ran, and not begun again.
+    assert_eq!(tokens, expected_tokens(PROMPT, SEED, TOKENS));
+    // The answer completed in its first run.
     let runs: usize = trial.engines.iter().map(|engine| engine.runs().len()).sum();
     assert_eq!(runs, 1);
 }
 
-/// A caller comes to an entry that is leaving, before the balancer has noticed. It is told at once
-/// that nothing was run, so that it can go to another entry without fear of a second run.
+/// A caller reaches an entry that is shutting down, before the load balancer has noticed. It must get
+/// `not_run` at once, so that it can send the request to another entry without a second run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_entry_refuses_new_requests_at_once() {
-    let trial = system(1).await;
-    let mut under_way = Stream::new(ask(&trial).await);
-    under_way.next().await.expect("the stream goes on");
+async fn an_entry_that_shuts_down_refuses_new_requests_at_once() {
+    let trial = start_single_entry(1).await;
+    let mut in_progress = Stream::new(send_request(&trial).await);
+    in_progress.next().await.expect("the stream continues");
     stop(&trial, Stopped::Entry);
     let refused = loop {
-        let response = ask(&trial).await;
-        // The sign reaches the entry a moment after it is given.
+        let response = send_request(&trial).await;
+        // The entry handles the signal asynchronously.
         if response.status() != StatusCode::OK {
             break response;
         }
     };
     assert_eq!(refused.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert!(refused.headers().contains_key("retry-after"));
-    let body: Value = refused.json().await.expect("a typed refusal");
+    let body: Value = refused.json().await.expect("the refusal is JSON");
     assert_eq!(body["error"]["run"], "not_run");
 }
--- a/components/trial/tests/support/mod.rs
+++ b/components/trial/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests over a whole system share.
+//! Helpers shared by the tests of a whole system.
 
 #![allow(dead_code)]
 
-pub mod letter;
+pub mod reader;
 pub mod relay;
 
 use std::time::Duration;
@@ -13,7 +13,7 @@
 };
 use trial::Trial;
 
-/// The document of these tests: one model, one ledger.
+/// Document with one model and one ledger.
 pub const DOCUMENT: &str = "\
 environment: production
 services:
@@ -31,20 +31,22 @@
   - {name: payouts, match: {path: /svc/ledger}, service: ledger, version: v1}
 ";
 
-/// Tokens of a letter.
-pub const LENGTH: u64 = 40;
+/// Value of `max_tokens` in requests.
+pub const MAX_TOKENS: u64 = 40;
 
-/// A seed whose letter has [`LENGTH`] tokens, and its text.
-pub fn whole_letter(from: u64) -> (u64, Vec<String>) {
-    let mut seeds = from..;
-    let seed = seeds.find(|seed| engine::answer_length("p", *seed, LENGTH) == LENGTH);
-    let seed = seed.expect("most letters are whole");
-    (seed, known("p", seed, LENGTH))
+/// Returns the first seed from `first_seed` on whose answer has [`MAX_TOKENS`] tokens, and these
+/// tokens.
+pub fn full_length_answer(first_seed: u64) -> (u64, Vec<String>) {
+    let mut seeds = first_seed..;
+    let seed = seeds.find(|seed| engine::answer_length("p", *seed, MAX_TOKENS) == MAX_TOKENS);
+    let seed = seed.expect("most answers reach max_tokens");
+    (seed, expected_tokens("p", seed, MAX_TOKENS))
 }
 
-/// A system of entries and engines that take 10 ms a token, ready.
-pub async fn desk(entries: usize, engines: usize, document: &str) -> Trial {
-    let mut trial = Trial::start().await.expect("a platform");
+/// Starts a system of entries and engines that take 10 ms per token. If it has entries, puts the
+/// document and waits until the system is ready.
+pub async fn start_system(entries: usize, engines: usize, document: &str) -> Trial {
+    let mut trial = Trial::start().await.expect("the platform starts");
     for number in 0..engines {
         let settings = Settings {
             token_interval: Duration::from_millis(10),
@@ -54,25 +56,31 @@
         let name = format!("draft-{number}");
         let data_centre = format!("dc{}", number % 3 + 1);
         let engine = trial.start_engine(&name, &data_centre, settings);
-        engine.await.expect("an engine");
+        engine.await.expect("the engine starts");
     }
     for number in 0..entries {
         let name = format!("entry-{number}");
-        trial.start_entry(&name, "dc1").await.expect("an entry");
+        trial
+            .start_entry(&name, "dc1")
+            .await
+            .expect("the entry starts");
     }
     if entries > 0 {
         let revision = trial
             .put_document(0, "production", document)
             .await
-            .expect("put");
-        trial.wait_ready(revision).await.expect("ready");
+            .expect("the document is accepted");
+        trial
+            .wait_ready(revision)
+            .await
+            .expect("the system becomes ready");
     }
     trial
 }
 
-/// A system of one entry and some engines, ready.
-pub async fn system(engines: usize) -> Trial {
-    let mut trial = Trial::start().await.expect("a platform");
+/// Starts a system of one entry and engines that take 2 ms per token, and waits until it is ready.
+pub async fn start_single_entry(engines: usize) -> Trial {
+    let mut trial = Trial::start().await.expect("the platform starts");
     for number in 0..engines {
         let settings = Settings {
             token_interval: Duration::from_millis(2),
@@ -84,19 +92,25 @@
         trial
             .start_engine(&name, &data_centre, settings)
             .await
-            .expect("an engine");
+            .expect("the engine starts");
     }
-    trial.start_entry("entry-0", "dc1").await.expect("an entry");
+    trial
+        .start_entry("entry-0", "dc1")
+        .await
+        .expect("the entry starts");
     let revision = trial
         .put_document(0, "production", DOCUMENT)
         .await
-        .expect("put");
-    trial.wait_ready(revision).await.expect("ready");
+        .expect("the document is accepted");
+    trial
+        .wait_ready(revision)
+        .await
+        .expect("the system becomes ready");
     trial
 }
 
-/// The stand-in's text for a request.
-pub fn known(prompt: &str, seed: u64, max_tokens: u64) -> Vec<String> {
+/// Returns the tokens with which a stand-in engine answers a request.
+pub fn expected_tokens(prompt: &str, seed: u64, max_tokens: u64) -> Vec<String> {
     (0..engine::answer_length(prompt, seed, max_tokens))
         .map(|index| engine::token(prompt, seed, "v1", index))
         .collect()
--- a/components/trial/tests/support/relay.rs
+++ b/components/trial/tests/support/relay.rs
@@ -1,4 +1,4 @@
-//! Something between two ends that loses track of their connections.
+//! UDP relay that can lose its state of a flow, like a middlebox.
 
 use std::{
     collections::HashMap,
@@ -14,27 +14,28 @@
     task::JoinHandle, //
 };
 
-/// What becomes of the flows that are known.
+/// Directions in which a flow's datagrams are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// Nothing passes any more.
+    /// Both directions.
     Both,
-    /// Nothing of the sidecar's passes any more.
+    /// From the sidecar to the entry.
     ToEntry,
-    /// Nothing of the entry's passes any more.
+    /// From the entry to the sidecar.
     ToSidecar,
 }
 
-/// A UDP relay before one sidecar.
+/// UDP relay in front of one sidecar.
 pub struct Relay {
-    /// Address for entries.
+    /// Address that entries connect to.
     pub address: SocketAddr,
     flows: Arc<Mutex<HashMap<SocketAddr, Flow>>>,
     task: JoinHandle<()>,
 }
 
+/// Traffic of one entry.
 struct Flow {
-    out: Arc<UdpSocket>,
+    upstream: Arc<UdpSocket>,
     cut: Option<Cut>,
     task: JoinHandle<()>,
 }
@@ -42,7 +43,7 @@
 type Flows = Arc<Mutex<HashMap<SocketAddr, Flow>>>;
 
 impl Relay {
-    /// Starts a relay before `sidecar`.
+    /// Starts a relay in front of `sidecar`.
     pub async fn start(sidecar: SocketAddr) -> Relay {
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
         let address = socket.local_addr().expect("an address");
@@ -55,9 +56,9 @@
         }
     }
 
-    /// Loses track of every flow of now; new ones pass.
-    pub fn forget(&self, cut: Cut) {
-        let mut flows = self.flows.lock().expect("no panic while held");
+    /// Drops traffic of all current flows for good; new flows aren't affected.
+    pub fn cut_flows(&self, cut: Cut) {
+        let mut flows = self.flows.lock().expect("the mutex isn't poisoned");
         for flow in flows.values_mut() {
             flow.cut = Some(cut);
         }
@@ -69,42 +70,47 @@
     while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
         if !flows
             .lock()
-            .expect("no panic while held")
+            .expect("the mutex isn't poisoned")
             .contains_key(&from)
         {
-            let flow = flow(socket.clone(), from, sidecar, flows.clone()).await;
+            let flow = open_flow(socket.clone(), from, sidecar, flows.clone()).await;
             flows
                 .lock()
-                .expect("no panic while held")
+                .expect("the mutex isn't poisoned")
                 .insert(from, flow);
         }
-        let out = {
-            let flows = flows.lock().expect("no panic while held");
+        let upstream = {
+            let flows = flows.lock().expect("the mutex isn't poisoned");
             let flow = &flows[&from];
-            let passes = matches!(flow.cut, None | Some(Cut::ToEntry));
-            passes.then(|| flow.out.clone())
+            let forwards = matches!(flow.cut, None | Some(Cut::ToEntry));
+            forwards.then(|| flow.upstream.clone())
         };
-        if let Some(out) = out {
-            let _ = out.send(&buffer[..length]).await;
+        if let Some(upstream) = upstream {
+            let _ = upstream.send(&buffer[..length]).await;
         }
     }
 }
 
-async fn flow(socket: Arc<UdpSocket>, from: SocketAddr, sidecar: SocketAddr, flows: Flows) -> Flow {
-    let out = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a socket"));
-    out.connect(sidecar).await.expect("an address");
-    let back = out.clone();
+async fn open_flow(
+    socket: Arc<UdpSocket>,
+    from: SocketAddr,
+    sidecar: SocketAddr,
+    flows: Flows,
+) -> Flow {
+    let upstream = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a socket"));
+    upstream.connect(sidecar).await.expect("an address");
+    let replies = upstream.clone();
     let task = tokio::spawn(async move {
         let mut buffer = vec![0; 65536];
-        while let Ok(length) = back.recv(&mut buffer).await {
-            let cut = flows.lock().expect("no panic while held")[&from].cut;
+        while let Ok(length) = replies.recv(&mut buffer).await {
+            let cut = flows.lock().expect("the mutex isn't poisoned")[&from].cut;
             if matches!(cut, None | Some(Cut::ToSidecar)) {
                 let _ = socket.send_to(&buffer[..length], from).await;
             }
         }
     });
     Flow {
-        out,
+        upstream,
         cut: None,
         task,
     }
@@ -113,7 +119,12 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         self.task.abort();
-        for flow in self.flows.lock().expect("no panic while held").values() {
+        for flow in self
+            .flows
+            .lock()
+            .expect("the mutex isn't poisoned")
+            .values()
+        {
             flow.task.abort();
         }
     }
--- a/components/trial/tests/timeouts.rs
+++ b/components/trial/tests/timeouts.rs
@@ -1,4 +1,4 @@
-//! Connections that send too little are closed, so that they can't use up the entry's places.
+//! Timeouts of callers' connections, which keep idle connections from exhausting an entry's limit.
 
 mod support;
 
@@ -21,35 +21,47 @@
     trial::entry_settings, //
 };
 
-const HEADER: Duration = Duration::from_millis(300);
-const IDLE: Duration = Duration::from_millis(600);
+const HEADER_TIMEOUT: Duration = Duration::from_millis(300);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Longest wait for the entry to close a connection.
-const LIMIT: Duration = Duration::from_secs(10);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Callers hang in the midst of a header, or keep a connection that they don't use: on purpose, or
-/// because their network is gone. Each holds a place; without limits the entry would be full of them,
-/// and others would not get in.
+/// Callers stop in the middle of a header or keep an idle connection, on purpose or because their
+/// network failed. Each counts towards the entry's connection limit; without timeouts they would
+/// exhaust it and lock other callers out.
 #[rstest]
 #[case::nothing_sent("")]
-#[case::half_a_header("POST /v1/completions HTTP/1.1\r\nhost: a\r\ncontent-")]
+#[case::incomplete_header("POST /v1/completions HTTP/1.1\r\nhost: a\r\ncontent-")]
 #[case::idle_after_a_request("GET /nowhere HTTP/1.1\r\nhost: a\r\n\r\n")]
 #[tokio::test]
-async fn a_connection_that_sends_too_little_is_closed(#[case] sent: &str) {
-    let mut trial = Trial::start().await.expect("a platform");
+async fn an_idle_connection_is_closed(#[case] sent: &str) {
+    let mut trial = Trial::start().await.expect("the platform starts");
     let mut settings = entry_settings("entry-0", "dc1", trial.platform.address());
-    settings.times.header = HEADER;
-    settings.times.idle = IDLE;
-    trial.start_entry_with(settings).await.expect("an entry");
+    settings.times.header = HEADER_TIMEOUT;
+    settings.times.idle = IDLE_TIMEOUT;
+    trial
+        .start_entry_with(settings)
+        .await
+        .expect("the entry starts");
     let address = trial.callers_url(0).replace("http://", "");
-    // The entry measures from the moment at which it accepts the connection.
-    let begun = Instant::now();
-    let mut connection = TcpStream::connect(address).await.expect("a connection");
-    connection.write_all(sent.as_bytes()).await.expect("sent");
-    let mut seen = Vec::new();
-    // An answer may come first; then the connection ends, by a close or a reset.
-    let _ = timeout(LIMIT, connection.read_to_end(&mut seen))
+    // The entry's timeout starts when it accepts the connection.
+    let started = Instant::now();
+    let mut connection = TcpStream::connect(address)
+        .await
+        .expect("the entry accepts the connection");
+    connection
+        .write_all(sent.as_bytes())
+        .await
+        .expect("the bytes are sent");
+    let mut received = Vec::new();
+    // A response may arrive first; then the connection ends with a close or a reset.
+    let _ = timeout(CLOSE_TIMEOUT, connection.read_to_end(&mut received))
         .await
-        .expect("closed in time");
-    assert!(begun.elapsed() >= HEADER, "{:?}", begun.elapsed());
+        .expect("the entry closes the connection in time");
+    assert!(
+        started.elapsed() >= HEADER_TIMEOUT,
+        "{:?}",
+        started.elapsed()
+    );
 }
