--- a/components/fakes/src/engine.rs
+++ b/components/fakes/src/engine.rs
@@ -136,7 +136,7 @@
         self.address
     }
 
-    /// Sets a fault, as `POST /fault` does.
+    /// Injects a fault, as `POST /fault` does.
     pub fn inject_fault(&self, fault: Fault) {
         self.core.inject_fault(&fault);
     }
@@ -175,7 +175,7 @@
     runs: Vec<Run>,
     /// Priorities of the runs in progress, by index in `runs`.
     running: BTreeMap<usize, i64>,
-    /// Tokens that cancel the runs of a request id.
+    /// Cancellation tokens of the runs in progress, by request id.
     cancels: BTreeMap<String, Vec<tokio_util::sync::CancellationToken>>,
     cache: cache::Cache,
     orders: order::Orders,
--- a/components/fakes/src/engine/run.rs
+++ b/components/fakes/src/engine/run.rs
@@ -253,7 +253,7 @@
             }
             if plan.break_at == Some(index) {
                 slot.finish(State::Broken);
-                yield Err(io::Error::other("broken off by a fault"));
+                yield Err(io::Error::other("aborted by a fault"));
                 return;
             }
             slot.apply_faults(&plan, sent);
--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -171,7 +171,7 @@
         self.address
     }
 
-    /// Sets a fault, as `POST /fault` does.
+    /// Injects a fault, as `POST /fault` does.
     pub fn inject_fault(&self, fault: Fault) {
         self.core.inject_fault(&fault);
     }
--- a/components/fakes/src/platform/kv.rs
+++ b/components/fakes/src/platform/kv.rs
@@ -125,6 +125,7 @@
     retry_after.map(Response::too_many_requests)
 }
 
+/// Returns the response of either variant.
 fn flatten(result: Result<Response, Response>) -> Response {
     result.unwrap_or_else(|response| response)
 }
@@ -233,6 +234,7 @@
     Ok(response)
 }
 
+/// Wakes waiting watches.
 fn wake(core: &Core) {
     let revision = lock(&core.state).store.revision();
     core.changed.send_modify(|known| *known = revision);
--- a/components/fakes/src/service.rs
+++ b/components/fakes/src/service.rs
@@ -133,7 +133,7 @@
         self.address
     }
 
-    /// Sets a fault, as `POST /fault` does.
+    /// Injects a fault, as `POST /fault` does.
     pub fn inject_fault(&self, fault: Fault) {
         self.core.inject_fault(&fault);
     }
