--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -14,9 +14,9 @@
     Settings,
     Ticket,
     Verdict,
-    turn::{
+    wait::{
         self,
-        Turn, //
+        Wait, //
     }, //
 };
 use names::{
@@ -71,14 +71,14 @@
 impl Entry {
     pub(crate) fn new(setup: &Setup, policy: Policy, data_centre: String, place: usize) -> Entry {
         let mut placement = Placement::default();
-        placement.stand((place, setup.entries));
+        placement.set_position((place, setup.entries));
         let tokens = (setup.size.0 + setup.size.1 * setup.event as f64) as u64;
         Entry {
             data_centre,
             placement,
             gate: Gate::new(Settings {
-                first: setup.objective,
-                lowest: 1.0,
+                first_token_target: setup.objective,
+                min_factor: 1.0,
                 ..Settings::default()
             }),
             waiting: HashMap::new(),
@@ -96,15 +96,15 @@
     }
 
     fn report(&mut self, setup: &Setup, now: Clock, fresh: bool, rng: &mut SmallRng) {
-        let within = turn::engine(setup.objective);
+        let within = wait::engine_time(setup.objective);
         let service = service();
         let any = Versions::Any;
         let room = self.placement.room(now, &service, any, self.work, within);
         let room = match self.hurried.is_empty() && !fresh {
-            true => turn::behind(room, self.others),
+            true => wait::room_behind(room, self.others),
             false => room,
         };
-        let room = turn::share(room, setup.entries as u32, rng.random_range(0.0..1.0));
+        let room = wait::share(room, setup.entries as u32, rng.random_range(0.0..1.0));
         let running = self.gate.running();
         self.gate.report(Report {
             capacity: running.saturating_add(room),
@@ -119,7 +119,7 @@
         setup: &Setup,
         now: Clock,
         (id, team, cost): (Id, &Team, u64),
-        turn: &Turn,
+        turn: &Wait,
         rng: &mut SmallRng,
     ) -> Option<Gated> {
         self.report(setup, now, turn.in_time, rng);
@@ -127,7 +127,7 @@
             team,
             limit: turn.limit,
             cost,
-            patience: turn.patience,
+            max_wait: turn.max_wait,
             resume: false,
         };
         match self.gate.arrive(now, &arrival, rng) {
@@ -195,7 +195,7 @@
         let (service, home) = (service(), self.data_centre.clone());
         let request = Request {
             service: &service,
-            home: &home,
+            data_centre: &home,
             work,
             parts,
             avoid,
@@ -221,10 +221,10 @@
             return None;
         }
         let (service, home) = (service(), self.data_centre.clone());
-        let own = self.placement.facts(server)?.data_centre.clone();
+        let own = self.placement.spec(server)?.data_centre.clone();
         let request = Request {
             service: &service,
-            home: &home,
+            data_centre: &home,
             work: Work {
                 requests: 0,
                 unread: 0,
--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -33,9 +33,9 @@
 };
 use routing::Part;
 use spread::beacon::{
-    Number,
-    Read,
-    number, //
+    Id,
+    Prompt,
+    id, //
 };
 use tokio::{
     sync::{
@@ -160,7 +160,7 @@
         Some(lookup) => lookup,
         None => {
             if partitioned {
-                context.cache_lookup.send(Outgoing::Lookup(number(service)));
+                context.cache_lookup.send(Outgoing::Lookup(id(service)));
             }
             start_lookup(context, service)
         }
@@ -189,7 +189,7 @@
 /// Queries this gateway's partition of the engines when a peer asks for it.
 pub async fn serve_peers<P: Protocol + 'static>(
     context: Rc<Context<P>>,
-    mut requested: UnboundedReceiver<Number>,
+    mut requested: UnboundedReceiver<Id>,
 ) {
     while let Some(requested) = requested.recv().await {
         let Some(service) = service_by_number(&context, requested) else {
@@ -204,10 +204,10 @@
 }
 
 /// Returns the service with a number.
-fn service_by_number<P>(context: &Context<P>, requested: Number) -> Option<Service> {
+fn service_by_number<P>(context: &Context<P>, requested: Id) -> Option<Service> {
     let cache = context.document_cache.borrow();
     let services = &cache.snapshot()?.index.document().services;
-    let service = services.iter().find(|one| number(&one.name) == requested)?;
+    let service = services.iter().find(|one| id(&one.name) == requested)?;
     Some(service.name.clone())
 }
 
@@ -273,7 +273,7 @@
 }
 
 /// Sends cached prompt parts of this gateway's partition to its peers.
-fn send_cached<P>(context: &Context<P>, cached: Vec<Read>) {
+fn send_cached<P>(context: &Context<P>, cached: Vec<Prompt>) {
     if context.fleet.borrow().is_partitioned() && !cached.is_empty() {
         context.cache_lookup.send(Outgoing::Cached(cached));
     }
@@ -306,7 +306,7 @@
             .into_iter()
             .map(|engine| query_engine(&context, engine));
         let answers = stream::iter(calls).buffer_unordered(MAX_CONCURRENT_LOOKUPS);
-        let cached: Vec<Read> = answers.concat().await;
+        let cached: Vec<Prompt> = answers.concat().await;
         note!(
             direct::SURVEYED,
             service = service.as_str(),
@@ -322,7 +322,7 @@
 }
 
 /// Queries the contents of an engine's cache.
-async fn query_engine<P: Protocol>(context: &Context<P>, engine: Target) -> Vec<Read> {
+async fn query_engine<P: Protocol>(context: &Context<P>, engine: Target) -> Vec<Prompt> {
     let protocol = context.sender.protocol();
     let call = context.sender.call(
         &engine,
@@ -339,9 +339,9 @@
         .fleet
         .borrow_mut()
         .record_cached(&parts, &engine.server);
-    let server = number(&engine.server);
+    let server = id(&engine.server);
     parts
         .into_iter()
-        .map(|(part, _)| Read { part, server })
+        .map(|(hash, _)| Prompt { hash, server })
         .collect()
 }
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -29,15 +29,15 @@
     placement::{
         Choice,
         Request,
+        Score,
         Versions,
-        Why,
         Work, //
     }, //
 };
 use spread::beacon::{
     self,
-    Incarnation,
-    Number, //
+    Id,
+    Incarnation, //
 };
 use tokio::sync::Notify;
 
@@ -77,7 +77,7 @@
     /// Reverse index of `addresses`.
     servers_by_address: HashMap<SocketAddr, Server>,
     /// Servers by their numbers in beacons.
-    servers_by_number: HashMap<Number, Server>,
+    servers_by_number: HashMap<Id, Server>,
     /// Whether work changed since the last beacon.
     changed: bool,
     /// Servers whose work of this gateway changed since the last message to peers of the data
@@ -106,7 +106,7 @@
     /// Data centre.
     pub data_centre: DataCentre,
     /// Figures of the choice, for logs.
-    pub why: Why,
+    pub why: Score,
 }
 
 impl Fleet {
@@ -137,9 +137,9 @@
             leaving,
         } = registration;
         let same = self.addresses.get(&server) == Some(&address)
-            && self.placement.facts(&server) == Some(&facts)
-            && self.placement.open(&server) != leaving;
-        self.placement.heard(since, &server);
+            && self.placement.spec(&server) == Some(&facts)
+            && self.placement.accepts_work(&server) != leaving;
+        self.placement.record_heartbeat(since, &server);
         if same {
             return false;
         }
@@ -148,9 +148,9 @@
         if let Some(before) = before.filter(|before| *before != server) {
             self.mark_replaced(&before);
         }
-        self.placement.put(clock::now(), &server, facts, leaving);
+        self.placement.upsert(clock::now(), &server, facts, leaving);
         self.servers_by_number
-            .insert(beacon::number(&server), server.clone());
+            .insert(beacon::id(&server), server.clone());
         if let Some(moved) = self.addresses.insert(server.clone(), address) {
             self.servers_by_address.remove(&moved);
         }
@@ -176,7 +176,7 @@
     /// Removes a server and returns its address.
     pub fn remove(&mut self, server: &Server) -> Option<SocketAddr> {
         self.placement.remove(server);
-        self.servers_by_number.remove(&beacon::number(server));
+        self.servers_by_number.remove(&beacon::id(server));
         let address = self.addresses.remove(server)?;
         self.servers_by_address.remove(&address);
         Some(address)
@@ -185,7 +185,7 @@
     /// Returns the usable servers of a service.
     pub fn usable_servers(&self, service: &Service) -> Vec<Target> {
         let serves = |server: &&Server| {
-            let facts = self.placement.facts(server);
+            let facts = self.placement.spec(server);
             facts.is_some_and(|facts| facts.service == *service)
         };
         let servers = self.placement.servers().filter(serves);
@@ -198,7 +198,7 @@
     pub fn serves(&self, service: &Service) -> bool {
         let mut servers = self.placement.servers();
         servers.any(|server| {
-            let facts = self.placement.facts(server);
+            let facts = self.placement.spec(server);
             facts.is_some_and(|facts| facts.service == *service)
         })
     }
@@ -210,7 +210,7 @@
         }
         self.target(Choice {
             server: server.clone(),
-            why: Why::default(),
+            score: Score::default(),
         })
     }
 
@@ -229,7 +229,7 @@
 
     /// Returns the share of the memory of a service's servers that is in use.
     pub fn memory_use(&self, service: &Service) -> f64 {
-        self.placement.fill(clock::now(), service)
+        self.placement.memory_use(clock::now(), service)
     }
 
     /// Chooses a server for a request.
@@ -259,9 +259,9 @@
     }
 
     fn target(&self, choice: Choice) -> Option<Target> {
-        let Choice { server, why } = choice;
+        let Choice { server, score: why } = choice;
         let address = *self.addresses.get(&server)?;
-        let facts = self.placement.facts(&server)?;
+        let facts = self.placement.spec(&server)?;
         Some(Target {
             version: facts.version.clone(),
             data_centre: facts.data_centre.clone(),
@@ -273,32 +273,34 @@
 
     /// Returns the average time of a plain request of a service; 0 when there are no samples.
     pub fn average_time(&self, service: &Service) -> Duration {
-        self.placement.usual(service).unwrap_or_default()
+        self.placement.mean_time(service).unwrap_or_default()
     }
 
     /// Returns the usual time to the first event of work that was just sent; 0 when it is unknown.
     pub fn expected_first_event(&self, target: &Target) -> Duration {
-        self.placement.expected(&target.server).unwrap_or_default()
+        self.placement
+            .queued_read_time(&target.server)
+            .unwrap_or_default()
     }
 
     /// Returns the usual time to the first event at a server of the same service without other
     /// prompts to process; 0 when it is unknown.
     pub fn unloaded_first_event(&self, target: &Target, unread: u64) -> Duration {
         self.placement
-            .alone(&target.server, unread)
+            .idle_read_time(&target.server, unread)
             .unwrap_or_default()
     }
 
     /// Returns the number of tokens at the beginning of a prompt that a server is expected to have
     /// cached.
     pub fn cached_tokens(&self, parts: &[(Part, u32)], server: &Server) -> u64 {
-        self.placement.known(clock::now(), parts, server)
+        self.placement.cached_tokens(clock::now(), parts, server)
     }
 
     /// Records that a server processed a prompt and has it cached for a while.
     pub fn record_prompt(&mut self, parts: &[(Part, u32)], server: &Server) {
         let now = clock::now();
-        self.placement.has_read(now, parts, server);
+        self.placement.record_cached(now, parts, server);
         let Some((last, _)) = parts.last() else {
             return;
         };
@@ -314,39 +316,39 @@
     pub fn is_cached(&self, part: (Part, u32)) -> bool {
         let now = clock::now();
         let mut servers = self.placement.servers();
-        servers.any(|server| self.placement.known(now, &[part], server) > 0)
+        servers.any(|server| self.placement.cached_tokens(now, &[part], server) > 0)
     }
 
     /// Records the prompt parts that a server reported as cached.
     pub fn record_cached(&mut self, parts: &[(Part, u32)], server: &Server) {
-        self.placement.has_read(clock::now(), parts, server);
+        self.placement.record_cached(clock::now(), parts, server);
     }
 
     /// Records a failure of a server, which gets no new work for a while.
     pub fn suspect(&mut self, server: &Server, suspicion: Suspicion) {
-        self.placement.lost(clock::now(), server, suspicion);
+        self.placement.suspend(clock::now(), server, suspicion);
         self.changed = true;
     }
 
     /// Returns the time since a server or its data centre was last found unreachable.
     pub fn suspected_for(&self, server: &Server) -> Option<Duration> {
         let now = clock::now();
-        let at = self.placement.doubted(now, server)?;
+        let at = self.placement.suspected_since(now, server)?;
         Some(now.saturating_sub(at))
     }
 
     /// Records that a server answered.
     pub fn mark_alive(&mut self, server: &Server) {
-        self.placement.alive(clock::now(), server);
+        self.placement.mark_alive(clock::now(), server);
     }
 
     /// Returns whether a server accepts work according to its registration.
     pub fn accepts_work(&self, server: &Server) -> bool {
-        self.placement.open(server)
+        self.placement.accepts_work(server)
     }
 
     /// Returns whether a server accepts work and is not suspected to be unreachable.
     pub fn is_usable(&self, server: &Server) -> bool {
-        self.placement.usable(clock::now(), server)
+        self.placement.is_usable(clock::now(), server)
     }
 }
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -17,11 +17,11 @@
 use spread::beacon::{
     self,
     Beacon,
+    Failure,
     Incarnation,
     Load,
     Loads,
-    Loss,
-    Read, //
+    Prompt, //
 };
 use tokio::sync::Notify;
 
@@ -38,14 +38,14 @@
     /// Adds loads, prompts and lost servers to a beacon.
     pub fn fill_beacon(&mut self, beacon: &mut Beacon) {
         self.changed = false;
-        let own = self.placement.own();
+        let own = self.placement.own_loads();
         beacon
             .loads
             .extend(own.map(|(server, work)| load(server, work)));
         self.fill_prompts(beacon);
-        for (server, age, suspicion) in self.placement.losses(clock::now()) {
-            beacon.losses.push(Loss {
-                server: beacon::number(server),
+        for (server, age, suspicion) in self.placement.recent_losses(clock::now()) {
+            beacon.failures.push(Failure {
+                server: beacon::id(server),
                 age_ms: age.as_millis() as u32,
                 suspicion: to_beacon(suspicion),
             });
@@ -58,16 +58,16 @@
             if now.saturating_sub(*at) > MAX_PROMPT_AGE {
                 continue;
             }
-            beacon.prompts.push(Read {
-                part: *part,
-                server: beacon::number(server),
+            beacon.prompts.push(Prompt {
+                hash: *part,
+                server: beacon::id(server),
             });
         }
     }
 
     /// Sets the data centre of this gateway.
     pub fn set_home(&mut self, home: &DataCentre) {
-        self.placement.set_home(home);
+        self.placement.set_data_centre(home);
     }
 
     /// Returns the handle that is notified when this gateway's work changes.
@@ -112,11 +112,11 @@
     }
 
     /// Applies prompts that a peer found in the caches of engines.
-    pub fn apply_cached(&mut self, reads: &[Read]) {
+    pub fn apply_cached(&mut self, reads: &[Prompt]) {
         let now = clock::now();
         for read in reads {
             if let Some(server) = self.servers_by_number.get(&read.server) {
-                self.placement.has_read(now, &[(read.part, 0)], server);
+                self.placement.record_cached(now, &[(read.hash, 0)], server);
             }
         }
     }
@@ -130,38 +130,38 @@
             };
             loads.insert(server.clone(), work(load));
         }
-        self.placement.peer(beacon.incarnation, loads);
+        self.placement.set_peer_loads(beacon.incarnation, loads);
         self.apply_cached(&beacon.prompts);
         let now = clock::now();
-        for loss in &beacon.losses {
+        for loss in &beacon.failures {
             let Some(server) = self.servers_by_number.get(&loss.server) else {
                 continue;
             };
             let at = now.saturating_sub(Duration::from_millis(u64::from(loss.age_ms)));
             self.placement
-                .peer_lost(at, server, from_beacon(loss.suspicion));
+                .record_peer_loss(at, server, from_beacon(loss.suspicion));
         }
     }
 
     /// Removes the work of a peer that ended or stopped sending.
     pub fn remove_peer(&mut self, peer: Incarnation) {
         self.loads_sequences.remove(&peer);
-        self.placement.forget(peer);
+        self.placement.forget_peer(peer);
     }
 
     /// Sets the index of this gateway among all, and their number.
     pub fn set_position(&mut self, place: (usize, usize)) {
-        self.placement.stand(place);
+        self.placement.set_position(place);
     }
 
     /// Returns the index of this gateway among all, and their number.
     pub fn position(&self) -> (usize, usize) {
-        self.placement.place()
+        self.placement.position()
     }
 
     /// Returns whether there are so many gateways that each has a partition of the servers.
     pub fn is_partitioned(&self) -> bool {
-        self.placement.divided()
+        self.placement.is_partitioned()
     }
 
     /// Returns whether a server belongs to this gateway's partition.
@@ -177,7 +177,7 @@
 
 fn load(server: &Server, work: Work) -> Load {
     Load {
-        server: beacon::number(server),
+        server: beacon::id(server),
         requests: work.requests,
         tokens: work.tokens,
         unread: work.unread,
--- a/components/gateway/src/fleet/in_flight.rs
+++ b/components/gateway/src/fleet/in_flight.rs
@@ -34,7 +34,7 @@
         let mut inner = fleet.borrow_mut();
         inner.placement.sent(clock::now(), server, work);
         inner.mark_changed(server);
-        let ahead = inner.placement.unread(server);
+        let ahead = inner.placement.unread_tokens(server);
         drop(inner);
         InFlight {
             fleet: fleet.clone(),
@@ -52,7 +52,7 @@
         fleet.mark_changed(&self.server);
         fleet
             .placement
-            .read(clock::now(), &self.server, unread, self.ahead, time);
+            .record_read(clock::now(), &self.server, unread, self.ahead, time);
     }
 
     /// Sets the outcome; it defaults to cancelled.
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -10,7 +10,7 @@
 };
 
 use admission::{
-    Outlook,
+    Forecast,
     Purpose, //
 };
 use bytes::{
@@ -45,7 +45,7 @@
     Service,
     Team, //
 };
-use spread::Fresh;
+use spread::Freshness;
 use tokio::time::{
     Instant,
     timeout_at, //
@@ -93,7 +93,7 @@
     /// Operator's document.
     pub document_cache: RefCell<DocumentCache>,
     /// How current the document is.
-    pub fresh: Rc<RefCell<Fresh>>,
+    pub fresh: Rc<RefCell<Freshness>>,
     /// Backend servers.
     pub fleet: Rc<RefCell<Fleet>>,
     /// Client for backend servers.
@@ -109,7 +109,7 @@
     /// Initial read of the store.
     pub initial_sync: InitialSync,
     /// Estimates of how long answers take.
-    pub outlook: RefCell<Outlook>,
+    pub outlook: RefCell<Forecast>,
     /// Graceful shutdown.
     pub shutdown: Rc<Shutdown>,
     /// When the process started.
@@ -181,7 +181,7 @@
     /// Returns the document on which decisions are based now, for logs.
     fn document_info(&self) -> DocumentInfo {
         let document_cache = self.document_cache.borrow();
-        let confirmed = self.fresh.borrow().confirmed();
+        let confirmed = self.fresh.borrow().confirmed_at();
         DocumentInfo {
             version: document_cache
                 .snapshot()
@@ -192,7 +192,7 @@
 
     /// Returns whether requests can be decided now.
     pub fn state(&self, settings: &Settings) -> State {
-        let confirmed = self.fresh.borrow().confirmed();
+        let confirmed = self.fresh.borrow().confirmed_at();
         let revocation = settings.bounds.revocation;
         self.document_cache
             .borrow()
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -13,20 +13,20 @@
 };
 use names::Clock;
 use spread::{
-    Fresh,
+    Freshness,
     beacon::{
         self,
         Age,
         Beacon,
         Changes,
+        Id,
         Loads,
-        MAX_DATAGRAM,
+        MAX_DATAGRAM_BYTES,
         Message,
-        News,
-        Number,
-        Reach,
-        Read,
+        Prompt,
         Reassembly,
+        Receipt,
+        Scope,
         Table, //
     },
 };
@@ -88,7 +88,7 @@
     /// Load of servers, and lost servers.
     pub fleet: Rc<RefCell<Fleet>>,
     /// How current the document and registry are.
-    pub fresh: Rc<RefCell<Fresh>>,
+    pub fresh: Rc<RefCell<Freshness>>,
     /// Retry budgets.
     pub retry_budgets: Rc<RefCell<RetryBudgets>>,
     /// Waiting requests.
@@ -105,12 +105,12 @@
 #[derive(Clone, Debug)]
 pub enum Outgoing {
     /// Changes read from the store.
-    Changes(Changes, Reach),
+    Changes(Changes, Scope),
     /// Request to query the engines of a service, as a caller reconnected whose prompt may be
     /// cached at any of them.
-    Lookup(Number),
+    Lookup(Id),
     /// Prompt parts that engines reported as cached.
-    Cached(Vec<Read>),
+    Cached(Vec<Prompt>),
 }
 
 /// Channels between the gateway and its peers.
@@ -120,7 +120,7 @@
     /// Changes that peers read from the store.
     pub incoming: UnboundedSender<Changes>,
     /// Services whose engines peers ask to query.
-    pub lookups: UnboundedSender<Number>,
+    pub lookups: UnboundedSender<Id>,
 }
 
 impl Peers {
@@ -147,15 +147,15 @@
     pub async fn run(mut self, stop: CancellationToken) {
         let loads_changed = self.shared.fleet.borrow().loads_notify();
         let mut sent = Instant::now();
-        let mut bytes = vec![0; MAX_DATAGRAM];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let now = Instant::now();
-            let confirmed = self.shared.fresh.borrow().confirmed();
-            self.new_addresses |= self.table.grown();
+            let confirmed = self.shared.fresh.borrow().confirmed_at();
+            self.new_addresses |= self.table.take_new_candidates();
             let has_news = self.new_addresses
                 || self.shared.fleet.borrow().has_changes()
                 || confirmed != self.last_claim;
-            let next_send = sent + self.table.pace(has_news, self.size);
+            let next_send = sent + self.table.beacon_interval(has_news, self.size);
             if now >= next_send {
                 self.size = self.send_beacons().await;
                 sent = now;
@@ -179,7 +179,7 @@
                     Some(Outgoing::Lookup(service)) => self.broadcast(&Message::Lookup(service)),
                     Some(Outgoing::Cached(reads)) => {
                         for reads in reads.chunks(MAX_READS) {
-                            self.broadcast(&Message::Held(reads.to_vec()));
+                            self.broadcast(&Message::CachedPrompts(reads.to_vec()));
                         }
                     }
                 },
@@ -190,25 +190,25 @@
 
     fn tick(&mut self) {
         let mut fleet = self.shared.fleet.borrow_mut();
-        for silent in self.table.silent(clock::now()) {
-            note!(links::SILENT, peer = silent, alive = self.table.place().1);
+        for silent in self.table.expire(clock::now()) {
+            note!(links::SILENT, peer = silent, alive = self.table.rank().1);
             fleet.remove_peer(silent);
             self.shared.queue.remove_peer(silent);
             self.shared.retry_budgets.borrow_mut().remove_peer(silent);
         }
-        fleet.set_position(self.table.place());
-        self.shared.queue.set_gateways(self.table.place().1);
-        self.shared.rollouts.set_position(self.table.place());
+        fleet.set_position(self.table.rank());
+        self.shared.queue.set_gateways(self.table.rank().1);
+        self.shared.rollouts.set_position(self.table.rank());
         drop(fleet);
         let settings = self.shared.settings.borrow();
-        let near = self.table.place_near(&settings.data_centre);
+        let near = self.table.local_rank(&settings.data_centre);
         self.shared
             .fresh
             .borrow_mut()
-            .stand(self.table.place(), near);
-        let neighbours = self.table.neighbours(&settings.data_centre);
+            .set_rank(self.table.rank(), near);
+        let neighbours = self.table.local_count(&settings.data_centre);
         self.shared.shutdown.set_neighbours(neighbours);
-        self.table.reseed_from(&settings.seeds);
+        self.table.add_seeds(&settings.seeds);
     }
 
     async fn send_beacons(&mut self) -> usize {
@@ -221,8 +221,8 @@
             data_centre: settings.data_centre.clone(),
             sequence: self.sequence,
             leaving: self.shared.shutdown.has_begun(),
-            known: self.table.known(),
-            peers: self.table.count() as u32,
+            addresses: self.table.sample_addresses(),
+            peer_count: self.table.count() as u32,
             ..Beacon::default()
         };
         self.shared.fleet.borrow_mut().fill_beacon(&mut beacon);
@@ -233,9 +233,9 @@
         let now = clock::now();
         let claim = self.shared.fresh.borrow().claim();
         self.last_claim = claim.map(|claim| claim.at);
-        beacon.stamp = now.as_millis() as u64;
-        beacon.pace_ms = self.table.pace(false, self.size).as_millis() as u32;
-        beacon.fresh = claim.map(|claim| Age {
+        beacon.timestamp = now.as_millis() as u64;
+        beacon.interval_ms = self.table.beacon_interval(false, self.size).as_millis() as u32;
+        beacon.freshness = claim.map(|claim| Age {
             revision: claim.revision,
             // Rounded up: the claim may look older than it is, never newer.
             ms: now.saturating_sub(claim.at).as_millis() as u64 + 1,
@@ -264,9 +264,9 @@
     }
 
     /// Sends changes to the peers, in as many datagrams as needed.
-    fn send_changes(&self, changes: Changes, reach: Reach) {
+    fn send_changes(&self, changes: Changes, reach: Scope) {
         let home = self.shared.settings.borrow().data_centre.clone();
-        let audience = self.table.audience(&home, reach);
+        let audience = self.table.recipients(&home, reach);
         for message in beacon::split(changes) {
             for target in &audience {
                 self.send_to(&message, *target);
@@ -283,7 +283,7 @@
         let settings = self.shared.settings.borrow().clone();
         let bound = settings.bounds.retries();
         let sends = self.shared.retry_budgets.borrow_mut().sends(&bound);
-        let targets = self.table.peers_near(&settings.data_centre);
+        let targets = self.table.local_peers(&settings.data_centre);
         for loads in loads.chunks(MAX_LOADS) {
             self.loads_sequence += 1;
             let message = Message::Loads(Loads {
@@ -307,7 +307,7 @@
 
     /// Forwards changes from a live peer.
     fn forward_changes(&self, from: SocketAddr, changes: Changes) {
-        if self.table.knows(from) {
+        if self.table.contains(from) {
             // The receiver is gone when the process exits.
             let _ = self.channels.incoming.send(changes);
         }
@@ -330,27 +330,27 @@
                 return;
             }
             Ok(Message::Loads(loads)) => {
-                if self.table.knows(from) && self.shared.fleet.borrow_mut().apply_loads(&loads) {
+                if self.table.contains(from) && self.shared.fleet.borrow_mut().apply_loads(&loads) {
                     let mut retry_budgets = self.shared.retry_budgets.borrow_mut();
                     retry_budgets.apply_sends(loads.incarnation, &loads.sends, true);
                 }
                 return;
             }
             Ok(Message::Lookup(service)) => {
-                if self.table.knows(from) {
+                if self.table.contains(from) {
                     // The receiver is gone when the process exits.
                     let _ = self.channels.lookups.send(service);
                 }
                 return;
             }
-            Ok(Message::Held(reads)) => {
-                if self.table.knows(from) {
+            Ok(Message::CachedPrompts(reads)) => {
+                if self.table.contains(from) {
                     self.shared.fleet.borrow_mut().apply_cached(&reads);
                 }
                 return;
             }
             Ok(Message::Introduction(addresses)) => {
-                self.table.introduce(clock::now(), from, &addresses);
+                self.table.add_introduced(clock::now(), from, &addresses);
                 return;
             }
             Err(_) => {
@@ -358,19 +358,20 @@
                 return;
             }
         };
-        let News::Fresh { ended, back } = self.table.hear(clock::now(), from, &beacon) else {
+        let Receipt::Accepted { ended, returned } = self.table.receive(clock::now(), from, &beacon)
+        else {
             return;
         };
         let addresses = self.table.introduction(clock::now(), from);
         if !addresses.is_empty() {
             self.send_to(&Message::Introduction(addresses), from);
         }
-        if back {
+        if returned {
             note!(
                 links::HEARD,
                 peer = beacon.incarnation,
                 host = beacon.host.as_str(),
-                alive = self.table.place().1
+                alive = self.table.rank().1
             );
         }
         let mut fleet = self.shared.fleet.borrow_mut();
@@ -386,7 +387,7 @@
         let mut retry_budgets = self.shared.retry_budgets.borrow_mut();
         retry_budgets.apply_sends(beacon.incarnation, &beacon.sends, near);
         if let Some(claim) = beacon.claim(self.incarnation) {
-            self.shared.fresh.borrow_mut().hear(clock::now(), claim);
+            self.shared.fresh.borrow_mut().receive(clock::now(), claim);
         }
     }
 }
@@ -395,10 +396,12 @@
 fn shrink_to_fit(beacon: &mut Beacon) {
     let loads = &mut beacon.loads;
     loads.sort_unstable_by_key(|load| std::cmp::Reverse(load.unread + load.tokens));
-    while postcard::to_stdvec(&*beacon).is_ok_and(|bytes| bytes.len() > MAX_DATAGRAM - ECHO_BYTES) {
-        let keep = beacon.loads.len().max(beacon.losses.len()) * 3 / 4;
+    while postcard::to_stdvec(&*beacon)
+        .is_ok_and(|bytes| bytes.len() > MAX_DATAGRAM_BYTES - ECHO_BYTES)
+    {
+        let keep = beacon.loads.len().max(beacon.failures.len()) * 3 / 4;
         beacon.loads.truncate(keep);
-        beacon.losses.truncate(keep);
+        beacon.failures.truncate(keep);
         if keep == 0 {
             return;
         }
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -41,8 +41,8 @@
 };
 
 use upstream::{
+    Collected, //
     Connection,
-    Whole, //
 };
 
 use crate::{
@@ -158,7 +158,7 @@
         let home = self.context.settings.borrow().data_centre.clone();
         let request = Request {
             service: &self.call.service,
-            home: &home,
+            data_centre: &home,
             work: PLAIN_WORK,
             parts: &[],
             versions: self.selection.versions(),
@@ -257,8 +257,8 @@
         id = call.request.metadata.id.as_str(),
         server = target.server.as_str(),
         load = round_load(target.why.load),
-        against = target.why.against,
-        among = target.why.among,
+        against = target.why.penalties,
+        among = target.why.candidates,
         document = call.document.version
     );
     let began = Instant::now();
@@ -332,7 +332,7 @@
         Ok(answer) => answer,
         Err(error) => return lost_attempt(id, server, &error.to_string()),
     };
-    let whole = connection.whole(MAX_BUFFERED_RESPONSE).await;
+    let whole = connection.read_body(MAX_BUFFERED_RESPONSE).await;
     let status = head.status;
     if reply.not_run {
         // The server's statement in the head holds even when the body is cut off.
@@ -360,11 +360,11 @@
     }
     context.fleet.borrow_mut().mark_alive(&target.server);
     let body = match whole {
-        Whole::Complete(body) => {
+        Collected::Complete(body) => {
             context.sender.release(connection);
             Body::whole(body)
         }
-        Whole::Longer(first) => long_body(context, call, connection, first),
+        Collected::Partial(first) => long_body(context, call, connection, first),
     };
     let mut response = Response::new(body);
     *response.status_mut() = status;
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -21,9 +21,9 @@
 use admission::{
     Reason,
     Report,
-    turn::{
+    wait::{
         self,
-        Ask, //
+        Constraints, //
     }, //
 };
 use events::{
@@ -33,7 +33,7 @@
 use gates::{
     Gates,
     Permit,
-    Refused, //
+    Rejection, //
     Request,
 };
 use names::Service;
@@ -41,8 +41,8 @@
 use spread::beacon::{
     self,
     Beacon,
-    Incarnation,
-    Number, //
+    Id,
+    Incarnation, //
 };
 use tokio::{
     pin,
@@ -88,7 +88,7 @@
     /// Requests that wait here and can still meet their objective, by service.
     urgent: RefCell<HashMap<Service, u32>>,
     /// Such requests at peers.
-    peers: RefCell<HashMap<Incarnation, Vec<(Number, u32)>>>,
+    peers: RefCell<HashMap<Incarnation, Vec<(Id, u32)>>>,
     /// Gateways that share the engines.
     gateways: Cell<u32>,
     polling: Cell<bool>,
@@ -143,7 +143,7 @@
     /// information on the engines.
     pub fn record_first_event(&self) {
         if self.in_time {
-            self.permit.first();
+            self.permit.record_first_output();
         }
     }
 }
@@ -160,28 +160,28 @@
 ) -> Result<Admission, Refusal> {
     let began = Instant::now();
     context.queue.init_size(call, work);
-    let mut refused = Refused {
+    let mut refused = Rejection {
         reason: Reason::Late,
         retry_after: POLL_INTERVAL,
     };
     let team = call.team.clone().unwrap_or_default();
-    let ask = Ask {
+    let ask = Constraints {
         rank: call.pass.rank,
         objective: call.pass.objective,
         timeout: call.pass.timeout,
         deadline: call.request.metadata.deadline,
-        usual: context.shutdown.duration_estimate(&call.route),
+        expected: context.shutdown.duration_estimate(&call.route),
     };
-    for turn in ask.turns() {
+    for turn in ask.waits() {
         report_capacity(context, turn.in_time.then_some(&call.service));
         let admitted = context.queue.gates.admit(Request {
             service: &call.service,
             team: &team,
             limit: turn.limit,
             cost: work.tokens,
-            patience: turn.patience,
+            max_wait: turn.max_wait,
             objective: call.pass.objective,
-            lowest: 1.0,
+            min_concurrency_factor: 1.0,
             resume: call.request.metadata.after.is_some(),
         });
         let _guard = turn
@@ -244,16 +244,16 @@
     pub fn fill_beacon(&self, beacon: &mut Beacon) {
         let urgent = self.urgent.borrow();
         let waiting = urgent.iter().filter(|(_, count)| **count > 0);
-        let waiting = waiting.map(|(service, count)| (beacon::number(service), *count));
-        beacon.hurries.extend(waiting);
+        let waiting = waiting.map(|(service, count)| (beacon::id(service), *count));
+        beacon.queued.extend(waiting);
     }
 
     /// Applies a peer's beacon.
     pub fn apply_beacon(&self, beacon: &Beacon) {
         let mut peers = self.peers.borrow_mut();
-        match beacon.hurries.is_empty() {
+        match beacon.queued.is_empty() {
             true => peers.remove(&beacon.incarnation),
-            false => peers.insert(beacon.incarnation, beacon.hurries.clone()),
+            false => peers.insert(beacon.incarnation, beacon.queued.clone()),
         };
     }
 
@@ -280,7 +280,7 @@
     /// Returns the number of requests that wait at peers for a service and can still meet their
     /// objective.
     fn urgent_at_peers(&self, service: &Service) -> u32 {
-        let number = beacon::number(service);
+        let number = beacon::id(service);
         let peers = self.peers.borrow();
         let all = peers.values().flatten();
         all.filter(|(service, _)| *service == number)
@@ -307,7 +307,7 @@
         sizes.entry(call.service.clone()).or_insert(Size {
             tokens: work.tokens as f64,
             unread: work.unread as f64,
-            within: turn::engine(call.pass.objective),
+            within: wait::engine_time(call.pass.objective),
         });
     }
 
@@ -346,9 +346,9 @@
         let mut room = fleet.room(service, versions, size.work(), size.within);
         // Requests that are late here come after those at peers that can still be in time.
         if arriving != Some(service) && !queue.has_urgent(service) {
-            room = turn::behind(room, queue.urgent_at_peers(service));
+            room = wait::room_behind(room, queue.urgent_at_peers(service));
         }
-        let room = turn::share(room, queue.gateways.get(), rand::random());
+        let room = wait::share(room, queue.gateways.get(), rand::random());
         Some(Report {
             capacity: running.saturating_add(room),
             load: running,
--- a/components/gateway/src/refuse.rs
+++ b/components/gateway/src/refuse.rs
@@ -6,7 +6,7 @@
     direct,
     note, //
 };
-use gates::Refused;
+use gates::Rejection;
 use http::{
     HeaderValue,
     Response,
@@ -61,7 +61,7 @@
     /// The answer can't be complete before the deadline.
     TooLittleTime,
     /// More requests arrive than can be served in time.
-    Overloaded(Refused),
+    Overloaded(Rejection),
     /// Another attempt is needed, and the retry budget of the service is used up.
     RetriesSpent,
     /// The request was sent and got no answer; it may have run.
--- a/components/gateway/src/retry_budget.rs
+++ b/components/gateway/src/retry_budget.rs
@@ -7,9 +7,9 @@
 
 use admission::{
     Bound,
+    Counts,
     Purpose,
     Retries,
-    Told,
     Totals, //
 };
 use events::{
@@ -19,8 +19,8 @@
 use names::Service;
 use spread::beacon::{
     self,
+    Id,
     Incarnation,
-    Number,
     Sends, //
 };
 
@@ -29,7 +29,7 @@
 /// Requests and retries of this gateway and of its peers.
 #[derive(Debug, Default)]
 pub struct RetryBudgets {
-    services: HashMap<Number, Retries>,
+    services: HashMap<Id, Retries>,
     peers: HashSet<Incarnation>,
     /// Largest number of gateways that were known at the same time.
     max_gateways: usize,
@@ -38,7 +38,7 @@
 impl RetryBudgets {
     /// Counts the first send of a request.
     pub fn count_request(&mut self, service: &Service, bound: &Bound) {
-        self.budget(beacon::number(service))
+        self.budget(beacon::id(service))
             .request(clock::now(), bound);
     }
 
@@ -47,11 +47,11 @@
         let now = clock::now();
         let live = self.peers.len() + 1;
         let known = live as f64 / self.max_gateways.max(live) as f64;
-        let retries = self.budget(beacon::number(service));
-        let own = retries.told(now, bound).totals;
+        let retries = self.budget(beacon::id(service));
+        let own = retries.counts(now, bound).totals;
         let granted = retries.retry(now, bound, known, purpose);
         if !granted {
-            let others = retries.others(known);
+            let others = retries.peers(known);
             note!(
                 direct::SPENT,
                 service = service.as_str(),
@@ -59,7 +59,7 @@
                 retries = own.retries,
                 others_requests = others.totals.requests,
                 others_retries = others.totals.retries,
-                others_unheard = others.unheard,
+                others_unheard = others.unreported,
                 known = known
             );
         }
@@ -71,7 +71,7 @@
         let now = clock::now();
         let mut sends = Vec::with_capacity(self.services.len());
         for (service, retries) in &mut self.services {
-            let Told { totals, retries } = retries.told(now, bound);
+            let Counts { totals, retries } = retries.counts(now, bound);
             sends.push(Sends {
                 service: *service,
                 requests: totals.requests,
@@ -86,14 +86,15 @@
     pub fn apply_sends(&mut self, peer: Incarnation, sends: &[Sends], near: bool) {
         let now = clock::now();
         for sent in sends {
-            let sent_totals = Told {
+            let sent_totals = Counts {
                 totals: Totals {
                     requests: sent.requests,
                     retries: sent.retries,
                 },
                 retries: sent.total_retries,
             };
-            self.budget(sent.service).hear(now, peer, sent_totals, near);
+            self.budget(sent.service)
+                .record_peer(now, peer, sent_totals, near);
         }
         self.peers.insert(peer);
         self.max_gateways = self.max_gateways.max(self.peers.len() + 1);
@@ -107,7 +108,7 @@
         }
     }
 
-    fn budget(&mut self, service: Number) -> &mut Retries {
+    fn budget(&mut self, service: Id) -> &mut Retries {
         self.services.entry(service).or_default()
     }
 }
--- a/components/gateway/src/rollout.rs
+++ b/components/gateway/src/rollout.rs
@@ -15,11 +15,11 @@
 };
 use moves::{
     Side,
-    brief::{
-        Brief,
+    rollout::{
+        Constraint,
         Exposure,
-        Limit,
         Order,
+        Rollout,
         State, //
     },
     times::Histogram, //
@@ -56,7 +56,7 @@
 /// Rollouts that are in progress or were.
 #[derive(Default)]
 pub struct Rollouts {
-    briefs: RefCell<HashMap<Service, Brief>>,
+    briefs: RefCell<HashMap<Service, Rollout>>,
     /// Times to the first event, or to a plain response, by route.
     durations: RefCell<HashMap<Route, Histogram>>,
     /// Index of this gateway among all, and their number.
@@ -68,16 +68,16 @@
 /// Versions that may serve a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selection {
-    limit: Option<(Limit, Version)>,
+    limit: Option<(Constraint, Version)>,
 }
 
 impl Selection {
     /// Returns the versions as a filter for placement.
     pub fn versions(&self) -> Versions<'_> {
         match &self.limit {
-            None | Some((Limit::Any, _)) => Versions::Any,
-            Some((Limit::Only, version)) => Versions::Only(version),
-            Some((Limit::Not, version)) => Versions::Not(version),
+            None | Some((Constraint::Any, _)) => Versions::Any,
+            Some((Constraint::OnlyNew, version)) => Versions::Only(version),
+            Some((Constraint::ExcludeNew, version)) => Versions::Not(version),
         }
     }
 }
@@ -113,7 +113,7 @@
             revision = order.revision,
             within_ms = order.within.as_millis() as u64
         );
-        briefs.insert(service.clone(), Brief::new(order, exposure, clock::now()));
+        briefs.insert(service.clone(), Rollout::new(order, exposure, clock::now()));
     }
 
     /// Applies a state that was written to the store at revision `at`.
@@ -126,7 +126,7 @@
         if at < brief.order().revision || brief.order().to != *to {
             return;
         }
-        if !brief.stands(state) {
+        if !brief.set_stored_state(state) {
             return;
         }
         note!(
@@ -134,8 +134,8 @@
             service = service.as_str(),
             version = to.as_str(),
             state = state_name(state),
-            against = brief.against(),
-            sampled = brief.sampled()
+            against = brief.log_likelihood_ratio(),
+            sampled = brief.samples_sent()
         );
     }
 
@@ -148,11 +148,11 @@
         };
         let started = self.started.get().unwrap_or(now);
         let limit = match brief.state(now) {
-            State::Running if now.saturating_sub(started) < SETTLE_TIME => Limit::Not,
+            State::Running if now.saturating_sub(started) < SETTLE_TIME => Constraint::ExcludeNew,
             _ => {
-                brief.stand(self.gateways.get());
+                brief.observe_entries(self.gateways.get());
                 let draw = rand::random();
-                brief.pick(now, beacon::number(route), draw)
+                brief.pick(now, beacon::id(route), draw)
             }
         };
         Selection {
@@ -164,7 +164,7 @@
     pub fn select_resumed(&self, service: &Service) -> Selection {
         let briefs = self.briefs.borrow();
         let limit = briefs.get(service).map(|brief| {
-            let limit = brief.limit(clock::now());
+            let limit = brief.constraint(clock::now());
             (limit, brief.order().to.clone())
         });
         Selection { limit }
@@ -194,7 +194,7 @@
         }
         let before = brief.vetoed();
         let bad = slow || time.is_none();
-        brief.ended(clock::now(), beacon::number(route), side, bad);
+        brief.record_end(clock::now(), beacon::id(route), side, bad);
         if brief.vetoed() && !before {
             log_veto(service, brief);
         }
@@ -229,7 +229,7 @@
         let now = clock::now();
         let briefs = self.briefs.borrow();
         let reports = briefs.iter().filter_map(|(service, brief)| {
-            let state = brief.due(now)?;
+            let state = brief.state_to_store(now)?;
             Some(Report {
                 service: service.clone(),
                 order: brief.order().clone(),
@@ -246,9 +246,12 @@
     pub fn fill_beacon(&self, beacon: &mut Beacon) {
         let now = clock::now();
         for (service, brief) in self.briefs.borrow().iter() {
-            if brief.state(now) == State::Running || brief.due(now).is_some() || brief.vetoed() {
-                let number = beacon::number(service);
-                beacon.moves.push((number, brief.tell(now)));
+            if brief.state(now) == State::Running
+                || brief.state_to_store(now).is_some()
+                || brief.vetoed()
+            {
+                let number = beacon::id(service);
+                beacon.moves.push((number, brief.progress(now)));
             }
         }
     }
@@ -259,12 +262,12 @@
         let mut briefs = self.briefs.borrow_mut();
         for (number, report) in &beacon.moves {
             let mut found = briefs.iter_mut();
-            let found = found.find(|(service, _)| beacon::number(service) == *number);
+            let found = found.find(|(service, _)| beacon::id(service) == *number);
             let Some((service, brief)) = found else {
                 continue;
             };
             let before = brief.vetoed();
-            brief.hear(now, beacon.incarnation, report.clone());
+            brief.merge(now, beacon.incarnation, report.clone());
             if brief.vetoed() && !before {
                 log_veto(service, brief);
             }
@@ -286,13 +289,13 @@
     }
 }
 
-fn log_veto(service: &Service, brief: &Brief) {
+fn log_veto(service: &Service, brief: &Rollout) {
     note!(
         event::FOUND_BAD,
         service = service.as_str(),
         version = brief.order().to.as_str(),
-        against = brief.against(),
-        sampled = brief.sampled()
+        against = brief.log_likelihood_ratio(),
+        sampled = brief.samples_sent()
     );
 }
 
--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -104,8 +104,8 @@
                 .await;
             match written {
                 // The server closed an idle connection; the request is sent on another one.
-                Err(_) if connection.sent() == 0 && connection.reused() => {}
-                Err(error) if connection.sent() == 0 => return Err(Failure::Unsent(error)),
+                Err(_) if connection.bytes_sent() == 0 && connection.is_reused() => {}
+                Err(error) if connection.bytes_sent() == 0 => return Err(Failure::Unsent(error)),
                 // The response may have arrived before the connection failed.
                 Err(_) | Ok(()) => return Ok(connection),
             }
@@ -138,7 +138,7 @@
             if let Some(reply) = self.match_reply(request, &head) {
                 return Ok((head, reply));
             }
-            let body = connection.whole(MAX_SKIPPED_BODY).await?;
+            let body = connection.read_body(MAX_SKIPPED_BODY).await?;
             if body.complete().is_none() {
                 return Err(Error::Malformed("response to another request"));
             }
@@ -177,7 +177,7 @@
         let mut connection = self.connect(target).await?;
         connection.write(method, head.into(), body).await?;
         let head = connection.head().await?;
-        let body = connection.whole(MAX_SKIPPED_BODY).await?;
+        let body = connection.read_body(MAX_SKIPPED_BODY).await?;
         let body = body
             .complete()
             .ok_or(Error::Malformed("response too long"))?;
@@ -209,7 +209,7 @@
     /// Closes idle connections to a server that is gone: its address may soon belong to another
     /// one.
     pub fn disconnect(&self, address: std::net::SocketAddr) {
-        self.pool.borrow_mut().forget(address);
+        self.pool.borrow_mut().remove(address);
     }
 
     async fn connect(&self, target: &Target) -> Result<Connection, Error> {
--- a/components/gateway/src/stream/resumption.rs
+++ b/components/gateway/src/stream/resumption.rs
@@ -5,7 +5,7 @@
 use answer::loss::{
     Candidate,
     Loss,
-    READING, //
+    MIN_PREFILL_AGE, //
 };
 
 use crate::{
@@ -35,7 +35,7 @@
 impl Resumption {
     /// Creates the candidates; `same_server` if the previous run was lost at the same server.
     pub(super) fn new(lost: LostRun, same_server: bool) -> Resumption {
-        let read = lost.events > 0 || lost.age >= READING || lost.resumed_from.is_some();
+        let read = lost.events > 0 || lost.age >= MIN_PREFILL_AGE || lost.resumed_from.is_some();
         let worth = !same_server && read;
         Resumption {
             candidates: lost.loss.candidates(worth),
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -7,8 +7,8 @@
     loss::Loss,
     silence::{
         Advice,
-        Expectation,
-        Silence, //
+        Detector,
+        Expectation, //
     },
     threshold::Gaps, //
 };
@@ -81,7 +81,7 @@
     in_flight: InFlight,
     backup: Option<Backup>,
     splitter: Splitter,
-    silence: Silence,
+    silence: Detector,
     pub(super) began: Instant,
     last_received: Instant,
     /// When its server was last known to be alive.
@@ -173,7 +173,7 @@
             return Ok(match self.connection.try_data()? {
                 Data::Bytes(bytes) => Some(Received::Data(bytes)),
                 Data::End => Some(Received::End),
-                Data::More => None,
+                Data::Pending => None,
             });
         }
         let Some(head) = self.connection.try_head()? else {
@@ -206,7 +206,7 @@
             let silence = run.last_received.elapsed();
             match run.silence.advise(silence) {
                 Advice::Lost => return Received::Lost(Loss::Silent),
-                Advice::Leave => return Received::Lost(Loss::Slow),
+                Advice::Relocate => return Received::Lost(Loss::Slow),
                 Advice::Wait(limit) => {
                     let until = (run.last_received + limit).min(self.call.until);
                     let until = until.min(Instant::now() + MAX_FILL_WAIT);
@@ -215,7 +215,7 @@
                         return Received::Lost(Loss::Reset);
                     }
                 }
-                Advice::Check => {
+                Advice::Connect => {
                     let check = self.context.sender.probe(&run.target);
                     tokio::select! {
                         biased;
@@ -229,11 +229,11 @@
                                 return Received::Lost(Loss::Dark);
                             }
                             run.last_alive = Instant::now();
-                            run.silence.alive(run.last_received.elapsed());
+                            run.silence.record_alive(run.last_received.elapsed());
                         }
                     }
                 }
-                Advice::Inquire => {
+                Advice::QueryServer => {
                     let inquiry = self.context.sender.read_activity(&run.target);
                     tokio::select! {
                         biased;
@@ -249,7 +249,7 @@
                             }
                             Some(_) => {
                                 run.last_alive = Instant::now();
-                                run.silence.alive(run.last_received.elapsed());
+                                run.silence.record_alive(run.last_received.elapsed());
                             }
                         }
                     }
@@ -270,7 +270,7 @@
             return;
         };
         if age < run.last_alive.elapsed() {
-            run.silence.doubt();
+            run.silence.suspect();
         }
     }
 
@@ -285,7 +285,9 @@
             }
             match self.receive(run, false).await {
                 Received::Data(data) => run.splitter.push(&data),
-                Received::End if run.splitter.torn() => return self.report_loss(run, Loss::Torn),
+                Received::End if run.splitter.has_partial_event() => {
+                    return self.report_loss(run, Loss::Torn);
+                }
                 Received::End => {
                     run.complete = true;
                     return Step::End;
@@ -319,7 +321,7 @@
         let mut out = BytesMut::new();
         while let Some(event) = run.splitter.take().map_err(|_| Loss::Malformed)? {
             let now = Instant::now();
-            run.silence.heard(now - run.last_received);
+            run.silence.record_event(now - run.last_received);
             run.last_received = now;
             run.last_alive = now;
             if run.events == 0 {
@@ -330,7 +332,7 @@
             }
             run.events += 1;
             let fresh = match event.id {
-                Some(id) => self.sequence.take(id),
+                Some(id) => self.sequence.accept(id),
                 None => Ok(true),
             };
             match fresh {
@@ -354,9 +356,9 @@
         meter::send("lost");
         let server = &run.target.server;
         let mut fleet = self.context.fleet.borrow_mut();
-        if loss.unreachable() {
+        if loss.is_unreachable() {
             fleet.suspect(server, Suspicion::Dark);
-        } else if loss.at_once(run.events, run.began.elapsed()) {
+        } else if loss.is_immediate(run.events, run.began.elapsed()) {
             fleet.suspect(server, Suspicion::Broke);
         }
         drop(fleet);
@@ -413,8 +415,8 @@
             server = target.server.as_str(),
             data_centre = target.data_centre.as_str(),
             load = round_load(target.why.load),
-            against = target.why.against,
-            among = target.why.among,
+            against = target.why.penalties,
+            among = target.why.candidates,
             document = self.call.document.version,
             prompt = self.parts().last().map(|(part, _)| *part),
             attempt = self.ran_at.len() + 1,
@@ -464,7 +466,7 @@
             in_flight,
             backup,
             splitter: Splitter::default(),
-            silence: Silence::new(pass.objective, pass.gap, Gaps::default(), expected),
+            silence: Detector::new(pass.objective, pass.gap, Gaps::default(), expected),
             began,
             last_received: began,
             last_alive: began,
@@ -564,7 +566,7 @@
 
     /// Reads the body of an error response.
     async fn read_body(&self, run: &mut Run) -> Option<Bytes> {
-        let whole = run.connection.whole(MAX_FAILURE_BODY);
+        let whole = run.connection.read_body(MAX_FAILURE_BODY);
         let whole = timeout_at(Instant::now() + FAILURE_BODY_TIMEOUT, whole).await;
         whole.ok()?.ok()?.complete()
     }
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use moves::brief::{
+use moves::rollout::{
     Order,
     State, //
 };
@@ -13,7 +13,7 @@
     Service,
     Version, //
 };
-use routing::placement::Facts;
+use routing::placement::Spec;
 
 use crate::document_cache::Snapshot;
 
@@ -59,7 +59,7 @@
     /// Address on which it listens.
     pub address: SocketAddr,
     /// Service, version, location and capacity.
-    pub facts: Facts,
+    pub facts: Spec,
     /// Whether it is draining and takes no new work.
     pub leaving: bool,
 }
--- a/components/measure/src/routing/policy.rs
+++ b/components/measure/src/routing/policy.rs
@@ -8,13 +8,13 @@
 };
 use rand::rngs::StdRng;
 use routing::{
-    Ask,
     Choice,
+    Deployment,
     Event,
     Outcome,
-    Place,
     Pool,
     Report,
+    Request,
     Settings, //
 };
 
@@ -49,7 +49,7 @@
 pub struct Chooser {
     policy: Policy,
     pool: Pool,
-    place: Place,
+    place: Deployment,
     servers: Vec<Server>,
     alive: Vec<bool>,
     own: Vec<u32>,
@@ -59,7 +59,7 @@
 
 impl Chooser {
     pub fn new(policy: Policy, replicas: usize, first: usize) -> Self {
-        let place = Place {
+        let place = Deployment {
             service: "letters".to_string(),
             version: "v1".to_string(),
             data_centre: "near".to_string(),
@@ -68,7 +68,7 @@
         let mut servers = Vec::new();
         for number in 0..replicas {
             let server = format!("server-{number}");
-            pool.place(Clock::ZERO, &server, &place);
+            pool.insert(Clock::ZERO, &server, &place);
             servers.push(server);
         }
         Self {
@@ -121,7 +121,7 @@
     }
 
     fn pooled(&self, now: Clock, prefix: u64, rng: &mut StdRng) -> Option<usize> {
-        let ask = Ask {
+        let ask = Request {
             service: &self.place.service,
             version: &self.place.version,
             data_centre: &self.place.data_centre,
@@ -131,7 +131,7 @@
         };
         match self.pool.choose(now, &ask, rng) {
             Choice::Server(server) => self.servers.iter().position(|known| *known == server),
-            Choice::Elsewhere(_) | Choice::None { .. } => None,
+            Choice::Remote(_) | Choice::None { .. } => None,
         }
     }
 
@@ -155,11 +155,13 @@
             leaving: false,
             age,
         };
-        self.pool.learn(now, &self.servers[replica], &report);
+        self.pool
+            .record_report(now, &self.servers[replica], &report);
     }
 
     pub fn cached(&mut self, now: Clock, replica: usize, event: Event) {
-        self.pool.cached(now, &self.servers[replica], event);
+        self.pool
+            .record_cache_event(now, &self.servers[replica], event);
     }
 
     pub fn gone(&mut self, replica: usize) {
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -21,12 +21,12 @@
     rngs::StdRng, //
 };
 use routing::{
-    Ask,
     Choice,
+    Deployment,
     Outcome,
-    Place,
     Pool,
-    Report, //
+    Report,
+    Request, //
 };
 
 use crate::table;
@@ -74,8 +74,8 @@
     format!("{} B", after.saturating_sub(before) / number)
 }
 
-fn place() -> Place {
-    Place {
+fn place() -> Deployment {
+    Deployment {
         service: "letters".to_string(),
         version: "v1".to_string(),
         data_centre: "near".to_string(),
@@ -91,8 +91,8 @@
     for number in 0..replicas {
         let now = Duration::from_millis(number as u64);
         let server = server(number);
-        pool.place(now, &server, &place());
-        pool.learn(now, &server, &report(0));
+        pool.insert(now, &server, &place());
+        pool.record_report(now, &server, &report(0));
     }
     pool
 }
@@ -154,15 +154,15 @@
             priority: 1,
         },
         cost: 500,
-        patience: Duration::from_secs(1),
+        max_wait: Duration::from_secs(1),
         resume: false,
     }
 }
 
 fn settings(start: u32) -> admission::Settings {
     admission::Settings {
-        start,
-        teams: 1 << 20,
+        initial_limit: start,
+        max_teams: 1 << 20,
         ..admission::Settings::default()
     }
 }
@@ -194,7 +194,7 @@
     for turn in 0..REPEATS {
         let now = Duration::from_secs(100) + Duration::from_millis(u64::from(turn));
         let prefix = Some(u64::from(turn % 300));
-        let ask = Ask {
+        let ask = Request {
             service: &place.service,
             version: &place.version,
             data_centre: &place.data_centre,
@@ -219,7 +219,7 @@
     for turn in 0..REPEATS {
         let now = Duration::from_secs(100) + Duration::from_millis(u64::from(turn));
         let server = &servers[turn as usize % servers.len()];
-        pool.learn(now, server, &report(turn % 50));
+        pool.record_report(now, server, &report(turn % 50));
     }
     let each = time(begin.elapsed(), REPEATS);
     row("load report", each, "learn; 1000 replicas; one core")
@@ -228,7 +228,7 @@
 /// A request through a gate that is at its limit, so that each one waits.
 fn arrive(teams: usize) -> Vec<String> {
     let mut gate = Gate::new(admission::Settings {
-        usual: Duration::from_millis(10),
+        initial_time: Duration::from_millis(10),
         ..settings(100)
     });
     let mut rng = StdRng::seed_from_u64(1);
@@ -255,7 +255,7 @@
                 cost: 500,
                 used: 480,
                 time: Duration::from_millis(10),
-                first: Some(Duration::from_millis(5)),
+                first_token: Some(Duration::from_millis(5)),
             };
             gate.finish(team, &done);
         }
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -2,7 +2,7 @@
 //! acknowledged before the time at which it was confirmed.
 //!
 //! The store, the network, the hosts and their clocks are specified here; what a process knows, what
-//! it confirms and what a beacon claims is the production code of [`spread::Fresh`] and
+//! it confirms and what a beacon claims is the production code of [`spread::Freshness`] and
 //! [`Beacon::claim`]. Messages and answers of the store arrive late, in any order, or never; one that
 //! arrives again is dropped by its number. A host that is started again has another clock.
 
@@ -16,14 +16,14 @@
     Revision, //
 };
 use spread::{
-    Fresh,
+    Freshness,
     beacon::{
         Age,
         Beacon,
         Echo,
         Incarnation, //
     },
-    fresh::Claim, //
+    freshness::Claim, //
 };
 
 /// One unit of the specification's time, in milliseconds.
@@ -118,7 +118,7 @@
     incarnation: Incarnation,
     /// Its clock is this many ticks ahead of the specification's time.
     ahead: u64,
-    fresh: Fresh,
+    fresh: Freshness,
     /// It holds all changes up to this revision, whatever it believes.
     held: Revision,
     /// Of each peer: its run, its last stamp, and when that was heard.
@@ -159,7 +159,7 @@
     let host = |number: usize| {
         let mut host = Host::new(number as Incarnation, CLOCK);
         host.read(1);
-        host.fresh.stand((number, hosts), number);
+        host.fresh.set_rank((number, hosts), number);
         host
     };
     State {
@@ -187,7 +187,7 @@
 /// The invariant that a state breaks.
 pub fn broken(state: &State) -> Option<&'static str> {
     for host in &state.hosts {
-        let Some(confirmed) = host.fresh.confirmed() else {
+        let Some(confirmed) = host.fresh.confirmed_at() else {
             continue;
         };
         if confirmed > host.clock(state.now) {
@@ -209,7 +209,7 @@
         Host {
             incarnation,
             ahead,
-            fresh: Fresh::default(),
+            fresh: Freshness::default(),
             held: 0,
             peers: BTreeMap::new(),
             turned_away: false,
@@ -219,7 +219,7 @@
     /// Takes all changes up to a revision.
     fn read(&mut self, revision: Revision) {
         self.held = revision;
-        self.fresh.learned(revision);
+        self.fresh.advance(revision);
     }
 
     fn clock(&self, time: u64) -> Clock {
@@ -270,12 +270,12 @@
             }
             let now = host.clock(self.now);
             if !host.turned_away {
-                if self.left.questions > 0 && host.fresh.due() <= now {
+                if self.left.questions > 0 && host.fresh.next_check() <= now {
                     actions.push(Action::Ask(at));
                 }
                 if host.fresh.revision().is_none()
-                    || host.fresh.listens(now)
-                    || host.fresh.missing().is_some()
+                    || host.fresh.watches_store(now)
+                    || host.fresh.behind_since().is_some()
                 {
                     actions.push(Action::Read(at));
                 }
@@ -336,7 +336,7 @@
                 let turned_away = host.turned_away;
                 let mut host = Host::new(incarnation, host.ahead - EARLIER);
                 host.turned_away = turned_away;
-                host.fresh.stand((*at, self.hosts.len()), *at);
+                host.fresh.set_rank((*at, self.hosts.len()), *at);
                 self.hosts[*at] = host;
             }
         }
@@ -360,11 +360,11 @@
                 }
                 host.peers.insert(*from, (*incarnation, *stamp, now));
                 let beacon = Beacon {
-                    fresh: fresh.map(|(revision, ms)| Age { revision, ms }),
-                    echo: echo.map(|(incarnation, stamp, held_ms)| Echo {
+                    freshness: fresh.map(|(revision, ms)| Age { revision, ms }),
+                    echo: echo.map(|(incarnation, timestamp, delay_ms)| Echo {
                         incarnation,
-                        stamp,
-                        held_ms,
+                        timestamp,
+                        delay_ms,
                     }),
                     ..Beacon::default()
                 };
@@ -379,9 +379,9 @@
                     claim.at = now;
                 }
                 if twin == Twin::Raises {
-                    host.fresh.learned(claim.revision);
+                    host.fresh.advance(claim.revision);
                 }
-                host.fresh.hear(now, claim);
+                host.fresh.receive(now, claim);
             }
             Packet::Changes { to, revision } => {
                 let host = &mut self.hosts[*to];
@@ -405,7 +405,7 @@
                     _ => *at,
                 };
                 let revision = *revision;
-                host.fresh.asked(now, Claim { revision, at });
+                host.fresh.confirm(now, Claim { revision, at });
             }
         }
     }
--- /dev/null
+++ b/components/moves/src/rollout.rs
@@ -0,0 +1,449 @@
+//! Traffic moves that must finish within seconds, with a bound on the requests that a bad version
+//! may receive.
+//!
+//! The intended load is a service of a few requests per second whose traffic must move within about
+//! ten seconds. That leaves no time for the steps of a [`crate::Mover`], and the bound on a bad
+//! version's requests is shared by all entries. So each entry sends the new version a sample of its
+//! requests, small enough that all samples together stay within the bound. The entries pool the
+//! results. Only near the deadline, if no evidence speaks against the version, all traffic switches
+//! at once, so late that the requests in the remaining time fit the bound too.
+//!
+//! Time is measured from receipt of the order on a monotonic clock: wall clocks of hosts differ by
+//! seconds, which is a large part of such a move.
+
+use std::{
+    collections::{
+        BTreeMap,
+        HashMap, //
+    },
+    time::Duration, //
+};
+
+use names::{
+    Clock,
+    Revision,
+    Version, //
+};
+use serde::{
+    Deserialize,
+    Serialize, //
+};
+
+use crate::share::Side;
+
+/// Earliest and latest switch, as fractions of the move's time. The switch takes place as soon as
+/// all requests still expected fit the bound. A fault may begin late, and then all requests that
+/// the new version received count against the bound.
+const SWITCH_WINDOW: (f64, f64) = (0.75, 0.92);
+
+/// Fraction of the time at which the move is reported as done. The rest is reserved for a slow
+/// store.
+const REPORT_AT: f64 = 0.94;
+
+/// Multiple of the time after which a completed move stops restricting versions. The old version's
+/// servers stop when it is done.
+const RESTRICTION_FACTOR: f64 = 2.0;
+
+/// Fractions of the bound that samples use: of its share of requests, and of its fixed allowance.
+/// The rest covers the traffic after the switch, entries that restart with empty counts, and
+/// requests in flight when a fault is found.
+const SAMPLE_FRACTIONS: (f64, f64) = (0.2, 0.4);
+
+/// Fraction of the bound that samples and the requests after the switch may use; the reserve
+/// absorbs uneven traffic.
+const BOUND_FRACTION: f64 = 0.8;
+
+/// Fraction of the traffic-independent samples that may be used immediately.
+const IMMEDIATE_SAMPLE_FRACTION: f64 = 0.5;
+
+/// Number of time slots, which keep good answers before a fault's onset from masking it.
+const SLOTS: u32 = 8;
+
+/// Log likelihood ratio at which the new version is reverted: it is 200 times as likely to be bad.
+/// Three bad answers among few are enough where the old version gives hardly any.
+const VETO_LLR: f64 = 5.3;
+
+/// Log likelihood ratio above which traffic doesn't switch yet, at the earliest switch time and at
+/// the deadline. A good version of a service with occasional failures exceeds the first by chance
+/// and must not be late; a version that exceeds the second is reverted, as a bad version costs more
+/// than another attempt.
+const HOLD_LLR: (f64, f64) = (1.0, 3.0);
+
+/// Lowest assumed failure rate of a bad version.
+const MIN_BAD_RATE: f64 = 0.2;
+
+/// Bounds of the assumed failure rate of the old version; a handful of requests can't show a lower
+/// or higher one.
+const USUAL_RATE_BOUNDS: (f64, f64) = (0.02, 0.4);
+
+/// Weight of the lower bound as a prior, in requests, against the counts of the old version.
+const PRIOR_REQUESTS: f64 = 10.0;
+
+/// Maximum number of routes that are counted separately.
+const MAX_ROUTES: usize = 8;
+
+/// Minimum number of routes assumed: the first request of a move must not use the budget of a rarer
+/// route that hasn't appeared yet.
+const MIN_ROUTES: usize = 2;
+
+/// Identifier of a route: a hash of its name.
+pub type RouteId = u32;
+
+/// Identifier of another entry's run.
+pub type PeerId = u64;
+
+/// An operator's order to move a service's traffic.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Order {
+    /// Revision of the order, which increases with each order.
+    pub revision: Revision,
+    /// Version that must receive all traffic.
+    pub to: Version,
+    /// Time within which all traffic must have moved.
+    pub within: Duration,
+}
+
+/// Bound on the requests that a bad version may receive.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Exposure {
+    /// Fraction of the service's requests.
+    pub share: f64,
+    /// Number of requests allowed in addition.
+    pub slack: f64,
+}
+
+/// State of a move.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum State {
+    /// The new version receives samples.
+    Running,
+    /// All traffic goes to the new version for good.
+    Done,
+    /// The new version receives no more requests.
+    Reverted,
+}
+
+/// Versions that a request may be sent to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Constraint {
+    /// All versions: the move was done long ago, and later versions may be released without a move.
+    Any,
+    /// Only the new version.
+    OnlyNew,
+    /// Any version except the new one.
+    ExcludeNew,
+}
+
+/// Request counts of a route within a time slot.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Count {
+    /// Requests sent to the new version.
+    pub new: u32,
+    /// Of these, the ended ones.
+    pub ended: u32,
+    /// Of these, the ones that failed or were several times slower than usual.
+    pub bad: u32,
+    /// Requests ended at the old version.
+    pub old: u32,
+    /// Of these, the ones that failed or were slow.
+    pub old_bad: u32,
+}
+
+impl Count {
+    fn add(&mut self, other: &Count) {
+        self.new += other.new;
+        self.ended += other.ended;
+        self.bad += other.bad;
+        self.old += other.old;
+        self.old_bad += other.old_bad;
+    }
+}
+
+/// Counts of one entry, by slot and route.
+pub type Counts = BTreeMap<(u8, RouteId), Count>;
+
+/// State of a move at one entry, as sent to the other entries.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Progress {
+    /// Revision of the order.
+    pub revision: Revision,
+    /// Time since the order, as known to that entry.
+    pub elapsed: Duration,
+    /// Whether the entry found the new version bad.
+    pub vetoed: bool,
+    /// Requests for the service received by that entry since the order.
+    pub requests: u32,
+    /// Counts of that entry.
+    pub counts: Counts,
+}
+
+/// State machine of one move at one entry.
+#[derive(Clone, Debug)]
+pub struct Rollout {
+    order: Order,
+    exposure: Exposure,
+    /// Earliest known time of the order.
+    began: Clock,
+    own: Counts,
+    /// Requests for the service received by this entry since the order.
+    requests: u32,
+    peers: HashMap<PeerId, Progress>,
+    /// Largest observed number of entries that share the bound.
+    entries: usize,
+    vetoed: bool,
+    /// The state recorded in the store.
+    stored_state: Option<State>,
+}
+
+impl Rollout {
+    /// Starts a move at this entry; the order was received at `now`.
+    pub fn new(order: Order, exposure: Exposure, now: Clock) -> Rollout {
+        Rollout {
+            order,
+            exposure,
+            began: now,
+            own: Counts::new(),
+            requests: 0,
+            peers: HashMap::new(),
+            entries: 1,
+            vetoed: false,
+            stored_state: None,
+        }
+    }
+
+    /// Returns the order.
+    pub fn order(&self) -> &Order {
+        &self.order
+    }
+
+    /// Records how many entries share the bound. The maximum applies: an entry that loses contact
+    /// with its peers must not take over their part.
+    pub fn observe_entries(&mut self, entries: usize) {
+        self.entries = self.entries.max(entries);
+    }
+
+    /// Records the stored state of this order and returns whether it differs from the previous one.
+    pub fn set_stored_state(&mut self, state: State) -> bool {
+        self.stored_state.replace(state) != Some(state)
+    }
+
+    /// Returns whether the new version is known to be bad.
+    pub fn vetoed(&self) -> bool {
+        self.stored_state == Some(State::Reverted)
+            || self.vetoed && self.stored_state != Some(State::Done)
+    }
+
+    /// Returns the state of the move at this entry.
+    pub fn state(&self, now: Clock) -> State {
+        if self.vetoed() {
+            return State::Reverted;
+        }
+        if self.stored_state == Some(State::Done) || self.switched(now) {
+            return State::Done;
+        }
+        match self.elapsed(now) < REPORT_AT {
+            true => State::Running,
+            false => State::Reverted,
+        }
+    }
+
+    fn elapsed(&self, now: Clock) -> f64 {
+        let elapsed = now.saturating_sub(self.began).as_secs_f64();
+        elapsed / self.order.within.as_secs_f64().max(f64::MIN_POSITIVE)
+    }
+
+    fn switched(&self, now: Clock) -> bool {
+        let elapsed = self.elapsed(now);
+        let (first, last) = SWITCH_WINDOW;
+        if elapsed < first || elapsed < last && !self.remainder_fits(elapsed) {
+            return false;
+        }
+        let lateness = ((elapsed - first) / (REPORT_AT - first)).clamp(0.0, 1.0);
+        let (min, max) = HOLD_LLR;
+        self.log_likelihood_ratio() < min + (max - min) * lateness
+    }
+
+    /// Returns whether all requests still expected could go to a bad version within the bound.
+    fn remainder_fits(&self, elapsed: f64) -> bool {
+        let peers = self
+            .peers
+            .values()
+            .map(|progress| f64::from(progress.requests));
+        let requests = f64::from(self.requests) + peers.sum::<f64>();
+        let all = requests / elapsed.max(f64::MIN_POSITIVE);
+        let bound = self.exposure.share * all + self.exposure.slack;
+        all - requests + f64::from(self.samples_sent()) <= BOUND_FRACTION * bound
+    }
+
+    /// Returns the allowed versions for a request that isn't counted, such as one resumed after a
+    /// loss.
+    pub fn constraint(&self, now: Clock) -> Constraint {
+        match self.state(now) {
+            State::Done if self.expired(now) => Constraint::Any,
+            State::Done => Constraint::OnlyNew,
+            State::Running | State::Reverted => Constraint::ExcludeNew,
+        }
+    }
+
+    fn expired(&self, now: Clock) -> bool {
+        self.stored_state == Some(State::Done) && self.elapsed(now) >= RESTRICTION_FACTOR
+    }
+
+    /// Picks the allowed versions for a new request of a route, and counts it. `draw` is a random
+    /// number from 0 to 1.
+    pub fn pick(&mut self, now: Clock, route: RouteId, draw: f64) -> Constraint {
+        self.requests = self.requests.saturating_add(1);
+        let constraint = match self.state(now) {
+            State::Running if self.takes_sample(now, route, draw) => Constraint::OnlyNew,
+            _ => self.constraint(now),
+        };
+        if constraint == Constraint::OnlyNew {
+            self.cell(now, route).new += 1;
+        }
+        constraint
+    }
+
+    /// Returns whether this entry has a sample left for a route. Each route has its own budget, as
+    /// a fault may affect only a rare one. The fractional part of a budget is used with that
+    /// probability.
+    fn takes_sample(&self, now: Clock, route: RouteId, draw: f64) -> bool {
+        let time = (self.elapsed(now) / SWITCH_WINDOW.0).clamp(0.0, 1.0);
+        let (of_share, of_slack) = SAMPLE_FRACTIONS;
+        let fixed = of_slack * self.exposure.slack / self.entries as f64;
+        let fixed = fixed * (IMMEDIATE_SAMPLE_FRACTION + (1.0 - IMMEDIATE_SAMPLE_FRACTION) * time);
+        let proportional = of_share * self.exposure.share * f64::from(self.requests);
+        let budget = (fixed + proportional) / self.routes(route) as f64;
+        let sent = self.own.iter().filter(|((_, known), _)| *known == route);
+        let sent: u32 = sent.map(|(_, count)| count.new).sum();
+        f64::from(sent) + 1.0 <= budget.floor() + f64::from(u8::from(draw < budget.fract()))
+    }
+
+    /// Iterates over the counts of all entries.
+    fn all_counts(&self) -> impl Iterator<Item = &Counts> {
+        let peers = self.peers.values().map(|progress| &progress.counts);
+        peers.chain([&self.own])
+    }
+
+    /// Returns the number of routes seen, including `route`.
+    fn routes(&self, route: RouteId) -> usize {
+        let known = self
+            .all_counts()
+            .flat_map(|counts| counts.keys().map(|(_, route)| *route));
+        let mut routes: Vec<_> = known.chain([route]).collect();
+        routes.sort_unstable();
+        routes.dedup();
+        routes.len().clamp(MIN_ROUTES, MAX_ROUTES)
+    }
+
+    /// Records the end of a request and whether it failed or was several times slower than usual.
+    pub fn record_end(&mut self, now: Clock, route: RouteId, side: Side, bad: bool) {
+        let cell = self.cell(now, route);
+        match side {
+            Side::New => {
+                cell.ended += 1;
+                cell.bad += u32::from(bad);
+            }
+            Side::Old => {
+                cell.old += 1;
+                cell.old_bad += u32::from(bad);
+            }
+        }
+        self.update_veto();
+    }
+
+    fn cell(&mut self, now: Clock, route: RouteId) -> &mut Count {
+        let slot = (self.elapsed(now) * f64::from(SLOTS)).min(f64::from(SLOTS - 1)) as u8;
+        let known = self.own.keys().any(|(_, known)| *known == route);
+        let mut routes: Vec<_> = self.own.keys().map(|(_, route)| *route).collect();
+        routes.sort_unstable();
+        routes.dedup();
+        // Routes beyond the maximum are counted together.
+        let route = match known || routes.len() < MAX_ROUTES {
+            true => route,
+            false => 0,
+        };
+        self.own.entry((slot, route)).or_default()
+    }
+
+    /// Returns this entry's state of the move, for the other entries.
+    pub fn progress(&self, now: Clock) -> Progress {
+        Progress {
+            revision: self.order.revision,
+            elapsed: now.saturating_sub(self.began),
+            vetoed: self.vetoed(),
+            requests: self.requests,
+            counts: self.own.clone(),
+        }
+    }
+
+    /// Merges another entry's state. Its counts remain after that entry has gone.
+    pub fn merge(&mut self, now: Clock, peer: PeerId, progress: Progress) {
+        if progress.revision != self.order.revision {
+            return;
+        }
+        self.began = self.began.min(now.saturating_sub(progress.elapsed));
+        self.vetoed |= progress.vetoed;
+        self.peers.insert(peer, progress);
+        self.update_veto();
+    }
+
+    fn update_veto(&mut self) {
+        self.vetoed |= self.log_likelihood_ratio() >= VETO_LLR;
+    }
+
+    /// Returns how strongly the pooled counts speak against the new version: the maximum log
+    /// likelihood ratio over all routes and possible onset times of a fault.
+    pub fn log_likelihood_ratio(&self) -> f64 {
+        let mut routes: BTreeMap<Option<RouteId>, [Count; SLOTS as usize]> = BTreeMap::new();
+        for counts in self.all_counts() {
+            for ((slot, route), count) in counts {
+                let slot = usize::from(*slot).min(SLOTS as usize - 1);
+                for key in [None, Some(*route)] {
+                    routes.entry(key).or_default()[slot].add(count);
+                }
+            }
+        }
+        let tests = routes.values().map(log_likelihood_ratio);
+        tests.fold(0.0, f64::max)
+    }
+
+    /// Returns the number of samples that all entries sent to the new version.
+    pub fn samples_sent(&self) -> u32 {
+        self.all_counts()
+            .flat_map(|counts| counts.values())
+            .map(|count| count.new)
+            .sum()
+    }
+
+    /// Returns the state that this entry should write to the store, or `None` if the store is up to
+    /// date or holds a final state.
+    pub fn state_to_store(&self, now: Clock) -> Option<State> {
+        if matches!(self.stored_state, Some(State::Done | State::Reverted)) {
+            return None;
+        }
+        let target = match self.state(now) {
+            State::Done if self.elapsed(now) < REPORT_AT => State::Running,
+            state => state,
+        };
+        (self.stored_state != Some(target)).then_some(target)
+    }
+}
+
+fn log_likelihood_ratio(slots: &[Count; SLOTS as usize]) -> f64 {
+    let mut all = Count::default();
+    slots.iter().for_each(|count| all.add(count));
+    let (min, max) = USUAL_RATE_BOUNDS;
+    let usual =
+        (f64::from(all.old_bad) + min * PRIOR_REQUESTS) / (f64::from(all.old) + PRIOR_REQUESTS);
+    let usual = usual.clamp(min, max);
+    let worse = (4.0 * usual).clamp(MIN_BAD_RATE, 0.8);
+    let mut sum = 0.0;
+    let mut highest: f64 = 0.0;
+    for count in slots.iter().rev() {
+        let good = f64::from(count.ended.saturating_sub(count.bad));
+        sum += f64::from(count.bad) * (worse / usual).ln();
+        sum += good * ((1.0 - worse) / (1.0 - usual)).ln();
+        highest = highest.max(sum);
+    }
+    highest
+}
