--- a/components/fakes/src/engine.rs
+++ b/components/fakes/src/engine.rs
@@ -1,10 +1,11 @@
-//! The model engine's stand-in. The contract is `docs/interfaces/engine.md`.
+//! Stand-in for the model engine. The contract is `docs/interfaces/engine.md`.
 //!
-//! Its cost model is that of continuous batching, kept small. Reading the prompt takes
-//! `first` for the first thousand tokens that are not cached and as much again for each further
-//! thousand, in proportion. Tokens then come `between` apart. Beyond `capacity` runs at a time
-//! both times grow in proportion to the number of runs that go before or beside a run by
-//! priority. At `full` runs new ones are refused.
+//! It simulates continuous batching with a simple cost model. Prefill takes
+//! [`first_token`](Settings::first_token) for up to a thousand uncached prompt tokens and grows in
+//! proportion beyond that. Tokens then follow every [`token_interval`](Settings::token_interval).
+//! With more than [`capacity`](Settings::capacity) runs, both times grow in proportion to the
+//! number of runs of the same or a higher priority. At [`max_runs`](Settings::max_runs) the engine
+//! refuses new runs.
 
 use std::{
     collections::{
@@ -33,9 +34,9 @@
 
 use crate::server::{
     self,
-    Answer,
-    Call,
     Process,
+    Request,
+    Response,
     lock, //
 };
 
@@ -54,38 +55,38 @@
     State, //
 };
 pub use text::{
-    length,
-    prefix,
+    answer_length,
+    prefix_hash,
     token, //
 };
 
-/// How the engine behaves when nothing is wrong.
+/// Configuration of an engine without faults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 picks a free port.
     pub address: SocketAddr,
-    /// Model that it serves.
+    /// Model that the engine serves.
     pub model: String,
-    /// Version that is loaded at the start.
+    /// Version that is loaded at startup.
     pub version: String,
-    /// Runs at full speed.
+    /// Number of concurrent runs at full speed.
     pub capacity: u32,
-    /// Runs at which new ones are refused with 429; `None` is four times `capacity`.
-    pub full: Option<u32>,
+    /// Number of concurrent runs from which new ones get 429; `None` means four times `capacity`.
+    pub max_runs: Option<u32>,
     /// Time to the first token of a prompt of up to a thousand tokens.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Time between tokens.
-    pub between: Duration,
-    /// How late load readings and cache events are.
-    pub lag: Duration,
-    /// How long loading a version takes.
-    pub load: Duration,
-    /// Prompts that the prefix cache holds.
-    pub cache: usize,
-    /// Seed of the draws for shares of runs that fail.
+    pub token_interval: Duration,
+    /// Delay of load reports and cache events.
+    pub report_lag: Duration,
+    /// Time that loading a version takes.
+    pub load_time: Duration,
+    /// Capacity of the prefix cache in prompts.
+    pub cached_prompts: usize,
+    /// Seed of the random choice of runs that fail.
     pub seed: u64,
-    /// Ends the operating system's process on death. For the program only.
-    pub exit: bool,
+    /// Whether death exits the operating system process. Only the stand-in program sets it.
+    pub exit_on_death: bool,
 }
 
 impl Default for Settings {
@@ -95,19 +96,19 @@
             model: "m".to_string(),
             version: "v1".to_string(),
             capacity: 32,
-            full: None,
-            first: Duration::from_millis(20),
-            between: Duration::from_millis(5),
-            lag: Duration::from_millis(100),
-            load: Duration::ZERO,
-            cache: 64,
+            max_runs: None,
+            first_token: Duration::from_millis(20),
+            token_interval: Duration::from_millis(5),
+            report_lag: Duration::from_millis(100),
+            load_time: Duration::ZERO,
+            cached_prompts: 64,
             seed: 1,
-            exit: false,
+            exit_on_death: false,
         }
     }
 }
 
-/// A running stand-in engine. Dropping it stops it.
+/// Running stand-in engine, stopped on drop.
 pub struct Engine {
     address: SocketAddr,
     core: Arc<Core>,
@@ -118,33 +119,34 @@
     ///
     /// # Errors
     ///
-    /// Gives the error of binding the address.
+    /// Returns the I/O error if the address can't be bound.
     pub async fn start(settings: Settings) -> io::Result<Engine> {
-        let process = Process::new(settings.exit);
+        let process = Process::new(settings.exit_on_death);
         let address = settings.address;
         let core = Arc::new(Core::new(settings, Arc::clone(&process)));
-        let answering = Arc::clone(&core);
-        let respond = Box::new(move |call| answer(Arc::clone(&answering), call).boxed());
-        let address = server::start(address, process, respond).await?;
+        let handler_core = Arc::clone(&core);
+        let responder =
+            Box::new(move |request| respond(Arc::clone(&handler_core), request).boxed());
+        let address = server::start(address, process, responder).await?;
         Ok(Engine { address, core })
     }
 
-    /// Address that it listens on.
+    /// Returns the address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets a fault, as `POST /fault` does.
-    pub fn fault(&self, fault: Fault) {
-        self.core.fault(&fault);
+    /// Injects a fault, as `POST /fault` does.
+    pub fn inject_fault(&self, fault: Fault) {
+        self.core.inject_fault(&fault);
     }
 
-    /// Every run so far, oldest first.
+    /// Returns all runs so far, oldest first.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.core.state).runs.clone()
     }
 
-    /// Drops the listener and all connections at once, as a process's death does.
+    /// Drops the listener and all connections at once, as the death of a process does.
     pub fn stop(&self) {
         self.core.process.stop();
     }
@@ -161,7 +163,7 @@
     }
 }
 
-/// What the engine does; shared by its handlers and runs.
+/// Engine state shared by request handlers and runs.
 struct Core {
     settings: Settings,
     process: Arc<Process>,
@@ -171,17 +173,18 @@
 struct Inner {
     faults: fault::Faults,
     runs: Vec<Run>,
-    /// Runs in progress with their priority.
+    /// Priorities of the runs in progress, by index in `runs`.
     running: BTreeMap<usize, i64>,
+    /// Cancellation tokens of the runs in progress, by request id.
     cancels: BTreeMap<String, Vec<tokio_util::sync::CancellationToken>>,
     cache: cache::Cache,
     orders: order::Orders,
-    /// Number of runs over time, for readings that lag.
+    /// Past numbers of running runs, from which delayed load reports are made.
     load: VecDeque<(Instant, usize)>,
     rng: StdRng,
 }
 
-/// Answer of `GET /load`.
+/// Response body of `GET /load`.
 #[derive(Serialize)]
 struct Load {
     running: u64,
@@ -194,6 +197,7 @@
     age_ms: u64,
 }
 
+/// Request body of `POST /cancel`.
 #[derive(Deserialize)]
 struct Cancel {
     id: String,
@@ -206,7 +210,7 @@
             runs: Vec::new(),
             running: BTreeMap::new(),
             cancels: BTreeMap::new(),
-            cache: cache::Cache::new(settings.cache),
+            cache: cache::Cache::new(settings.cached_prompts),
             orders: order::Orders::new(&settings.version),
             load: VecDeque::from([(Instant::now(), 0)]),
             rng: StdRng::seed_from_u64(settings.seed),
@@ -218,12 +222,12 @@
         }
     }
 
-    fn full(&self) -> usize {
-        let full = self.settings.full;
-        full.unwrap_or(4 * self.settings.capacity) as usize
+    fn max_runs(&self) -> usize {
+        let max_runs = self.settings.max_runs;
+        max_runs.unwrap_or(4 * self.settings.capacity) as usize
     }
 
-    fn fault(&self, fault: &Fault) {
+    fn inject_fault(&self, fault: &Fault) {
         if fault.clear {
             self.process.clear();
         }
@@ -248,16 +252,16 @@
     fn load(&self) -> Load {
         let mut state = lock(&self.state);
         let now = Instant::now();
-        let lag = self.settings.lag;
-        // The reading is the last one that is old enough; those before it are of no use.
+        let lag = self.settings.report_lag;
+        // Reports the newest sample that is at least `lag` old and drops older ones.
         while state.load.len() > 1 && now.duration_since(state.load[1].0) >= lag {
             state.load.pop_front();
         }
-        let seen = state.load[0].1 as u64;
-        let running = seen.min(u64::from(self.settings.capacity));
+        let runs = state.load[0].1 as u64;
+        let running = runs.min(u64::from(self.settings.capacity));
         Load {
             running,
-            queued: seen - running,
+            queued: runs - running,
             capacity: self.settings.capacity,
             kv_used: state.cache.used(),
             model: self.settings.model.clone(),
@@ -274,83 +278,83 @@
         }
     }
 
-    fn order(&self, order: &order::Order) -> Answer {
+    fn order(&self, order: &order::Order) -> Response {
         let mut state = lock(&self.state);
-        let ignore = state.faults.now.ignore_fence;
-        let ready = Instant::now() + self.settings.load;
+        let ignore_fence = state.faults.active.ignore_fence;
+        let ready = Instant::now() + self.settings.load_time;
         match state
             .orders
-            .take(order, ignore, &self.settings.model, ready)
+            .apply(order, ignore_fence, &self.settings.model, ready)
         {
-            order::Outcome::Applied => Answer::json(200, &serde_json::json!({ "applied": true })),
-            order::Outcome::Old { highest } => {
-                Answer::json(409, &serde_json::json!({ "highest": highest }))
+            order::Outcome::Applied => Response::json(200, &serde_json::json!({ "applied": true })),
+            order::Outcome::Stale { highest } => {
+                Response::json(409, &serde_json::json!({ "highest": highest }))
             }
-            order::Outcome::Wrong(error) => Answer::bad(&error),
+            order::Outcome::Invalid(error) => Response::bad_request(&error),
         }
     }
 
-    fn health(&self) -> Answer {
+    fn health(&self) -> Response {
         let versions = lock(&self.state).orders.versions(Instant::now());
         if versions.is_empty() {
-            return Answer::error(503, "no version is loaded");
+            return Response::error(503, "no version is loaded");
         }
-        Answer::json(200, &serde_json::json!({ "ok": true }))
+        Response::json(200, &serde_json::json!({ "ok": true }))
     }
 }
 
 impl Inner {
-    fn note_load(&mut self) {
+    fn record_load(&mut self) {
         let running = self.running.len();
         self.load.push_back((Instant::now(), running));
-        // Nobody may ask for the load for long; the oldest readings go first.
+        // Bounds the memory if no load report is requested for long; evicts the oldest samples.
         if self.load.len() > 10_000 {
             self.load.pop_front();
         }
     }
 }
 
-async fn answer(core: Arc<Core>, call: Call) -> Answer {
-    match (call.method.as_str(), call.path.as_str()) {
-        // What steers the stand-in works also while it is paused or silent.
+async fn respond(core: Arc<Core>, request: Request) -> Response {
+    match (request.method.as_str(), request.path.as_str()) {
+        // Control requests are served also while the stand-in is paused or silent.
         ("POST", "/fault") => {
-            return match call.json::<Fault>() {
+            return match request.json::<Fault>() {
                 Ok(fault) => {
-                    core.fault(&fault);
-                    Answer::json(200, &serde_json::json!({}))
+                    core.inject_fault(&fault);
+                    Response::json(200, &serde_json::json!({}))
                 }
-                Err(answer) => answer,
+                Err(response) => response,
             };
         }
-        ("GET", "/runs") => return Answer::json(200, &lock(&core.state).runs),
-        _ => core.process.pass(call.connection).await,
+        ("GET", "/runs") => return Response::json(200, &lock(&core.state).runs),
+        _ => core.process.wait_responsive(request.connection).await,
     }
-    match (call.method.as_str(), call.path.as_str()) {
-        ("POST", "/generate") => match call.json() {
-            Ok(ask) => run::start(&core, ask, call.connection),
-            Err(answer) => answer,
+    match (request.method.as_str(), request.path.as_str()) {
+        ("POST", "/generate") => match request.json() {
+            Ok(body) => run::start(&core, body, request.connection),
+            Err(response) => response,
         },
-        ("POST", "/cancel") => match call.json::<Cancel>() {
+        ("POST", "/cancel") => match request.json::<Cancel>() {
             Ok(cancel) => {
                 core.cancel(&cancel.id);
-                Answer::json(200, &serde_json::json!({}))
+                Response::json(200, &serde_json::json!({}))
             }
-            Err(answer) => answer,
+            Err(response) => response,
         },
-        ("GET", "/load") => Answer::json(200, &core.load()),
-        ("GET", "/cache-events") => match call.number("after") {
+        ("GET", "/load") => Response::json(200, &core.load()),
+        ("GET", "/cache-events") => match request.number("after") {
             Ok(after) => {
-                let lag = core.settings.lag;
+                let lag = core.settings.report_lag;
                 let events = lock(&core.state).cache.events(after.unwrap_or(0), lag);
-                Answer::json(200, &serde_json::json!({ "events": events }))
+                Response::json(200, &serde_json::json!({ "events": events }))
             }
-            Err(answer) => answer,
+            Err(response) => response,
         },
-        ("POST", "/orders") => match call.json() {
+        ("POST", "/orders") => match request.json() {
             Ok(order) => core.order(&order),
-            Err(answer) => answer,
+            Err(response) => response,
         },
         ("GET", "/health") => core.health(),
-        _ => Answer::error(404, "no such call"),
+        _ => Response::error(404, "no such call"),
     }
 }
--- a/components/fakes/src/platform/kv.rs
+++ b/components/fakes/src/platform/kv.rs
@@ -1,4 +1,4 @@
-//! The key-value service's calls.
+//! HTTP interface of the key-value service.
 
 use std::{
     sync::Arc,
@@ -18,22 +18,23 @@
 };
 use crate::{
     server::{
-        Answer,
-        Call,
+        Request,
+        Response,
         lock, //
     },
     store::Refusal, //
 };
 
 /// Largest value, in bytes.
-const VALUE: usize = 1 << 20;
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Entries of a listing when the call names no limit, and at most.
-const PAGE: u64 = 1000;
+/// Default and largest number of entries in a listing.
+const MAX_PAGE_ENTRIES: u64 = 1000;
 
 /// Longest wait of a watch.
-const WAIT: Duration = Duration::from_secs(300);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(300);
 
+/// Request body of `PUT /kv`.
 #[derive(Deserialize)]
 struct Put {
     key: String,
@@ -44,11 +45,13 @@
     lease: Option<u64>,
 }
 
+/// Request body of `POST /lease`.
 #[derive(Deserialize)]
 struct Grant {
     ttl_ms: u64,
 }
 
+/// Request body of `POST /lease/keep` and `POST /lease/drop`.
 #[derive(Deserialize)]
 struct Lease {
     lease: u64,
@@ -62,34 +65,34 @@
     Watch,
 }
 
-pub(super) async fn answer(core: Arc<Core>, call: Call) -> Answer {
-    let Some(kind) = kind(&call) else {
-        return Answer::error(404, "no such call");
+pub(super) async fn respond(core: Arc<Core>, request: Request) -> Response {
+    let Some(kind) = kind(&request) else {
+        return Response::error(404, "no such call");
     };
-    if let Some(answer) = admit(&core, kind) {
-        return answer;
+    if let Some(response) = admit(&core, kind) {
+        return response;
     }
-    let slow = lock(&core.state).fault.slow_ms;
-    if let Some(slow) = slow {
-        // The call takes effect after the wait, also when its caller has given up by then.
-        sleep(Duration::from_millis(slow)).await;
+    let delay_ms = lock(&core.state).fault.slow_ms;
+    if let Some(delay_ms) = delay_ms {
+        // The request takes effect after the delay even if its client has given up by then.
+        sleep(Duration::from_millis(delay_ms)).await;
         if lock(&core.state).fault.silence {
-            return Answer::Never;
+            return Response::Hang;
         }
-        if lock(&core.state).out() {
-            return Answer::error(503, "out of service");
+        if lock(&core.state).is_unavailable() {
+            return Response::error(503, "out of service");
         }
     }
     match kind {
-        Kind::Watch => watch(&core, &call).await,
-        Kind::Write => write(&core, &call),
-        Kind::Read => done(read(&core, &call)),
-        Kind::Lease => done(lease(&core, &call)),
+        Kind::Watch => watch(&core, &request).await,
+        Kind::Write => write(&core, &request),
+        Kind::Read => flatten(read(&core, &request)),
+        Kind::Lease => flatten(lease(&core, &request)),
     }
 }
 
-fn kind(call: &Call) -> Option<Kind> {
-    match (call.method.as_str(), call.path.as_str()) {
+fn kind(request: &Request) -> Option<Kind> {
+    match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/kv") => Some(Kind::Read),
         ("PUT" | "DELETE", "/kv") => Some(Kind::Write),
         ("POST", "/lease" | "/lease/keep" | "/lease/drop") => Some(Kind::Lease),
@@ -98,8 +101,8 @@
     }
 }
 
-/// Counts the call; gives its answer when a fault or a rate forbids it.
-fn admit(core: &Core, kind: Kind) -> Option<Answer> {
+/// Counts the request and returns its response if a fault or a rate limit rejects it.
+fn admit(core: &Core, kind: Kind) -> Option<Response> {
     let mut guard = lock(&core.state);
     let state = &mut *guard;
     let now = Instant::now();
@@ -110,127 +113,134 @@
         Kind::Watch => state.counts.watches += 1,
     }
     if state.fault.silence {
-        return Some(Answer::Never);
+        return Some(Response::Hang);
     }
-    if state.out() {
-        return Some(Answer::error(503, "out of service"));
+    if state.is_unavailable() {
+        return Some(Response::error(503, "out of service"));
     }
-    let refused = match kind {
-        Kind::Read | Kind::Watch => state.reads.refuse(state.fault.reads_per_s, now),
-        Kind::Write | Kind::Lease => state.writes.refuse(state.fault.writes_per_s, now),
+    let retry_after = match kind {
+        Kind::Read | Kind::Watch => state.reads.limit(state.fault.reads_per_s, now),
+        Kind::Write | Kind::Lease => state.writes.limit(state.fault.writes_per_s, now),
     };
-    refused.map(Answer::busy)
+    retry_after.map(Response::too_many_requests)
 }
 
-fn done(answer: Result<Answer, Answer>) -> Answer {
-    answer.unwrap_or_else(|answer| answer)
+/// Returns the response of either variant.
+fn flatten(result: Result<Response, Response>) -> Response {
+    result.unwrap_or_else(|response| response)
 }
 
-fn read(core: &Core, call: &Call) -> Result<Answer, Answer> {
+fn read(core: &Core, request: &Request) -> Result<Response, Response> {
     let state = lock(&core.state);
     let revision = state.store.revision();
-    if let Some(key) = call.query.get("key") {
-        let answer = match state.store.get(key) {
-            Some(entry) => Answer::json(200, entry),
-            None => Answer::json(404, &serde_json::json!({ "revision": revision })),
+    if let Some(key) = request.query.get("key") {
+        let response = match state.store.get(key) {
+            Some(entry) => Response::json(200, entry),
+            None => Response::json(404, &serde_json::json!({ "revision": revision })),
         };
-        return Ok(answer);
+        return Ok(response);
     }
-    let Some(prefix) = call.query.get("prefix") else {
-        return Err(Answer::bad("key or prefix is missing"));
+    let Some(prefix) = request.query.get("prefix") else {
+        return Err(Response::bad_request("key or prefix is missing"));
     };
-    let after = call.query.get("after").map_or("", String::as_str);
-    let limit = call.number("limit")?.unwrap_or(PAGE).min(PAGE);
+    let after = request.query.get("after").map_or("", String::as_str);
+    let limit = request
+        .number("limit")?
+        .unwrap_or(MAX_PAGE_ENTRIES)
+        .min(MAX_PAGE_ENTRIES);
     let entries = state.store.list(prefix, after, limit as usize);
     let body = serde_json::json!({ "entries": entries, "revision": revision });
-    Ok(Answer::json(200, &body))
+    Ok(Response::json(200, &body))
 }
 
-/// Writes a key, unless a fault loses the write or its answer.
-fn write(core: &Core, call: &Call) -> Answer {
+/// Writes or deletes a key, unless a fault loses the write or its response.
+fn write(core: &Core, request: &Request) -> Response {
     {
         let mut state = lock(&core.state);
-        if take(&mut state.fault.lose_writes) {
-            return Answer::Close;
+        if consume(&mut state.fault.lose_writes) {
+            return Response::Close;
         }
     }
-    let answer = done(apply(core, call));
-    let lost = take(&mut lock(&core.state).fault.lose_answers);
+    let response = flatten(apply(core, request));
+    let lost = consume(&mut lock(&core.state).fault.lose_answers);
     if lost {
-        return Answer::Close;
+        return Response::Close;
     }
-    answer
+    response
 }
 
-/// Takes one from a fault's count.
-fn take(count: &mut Option<u64>) -> bool {
+/// Decrements the remaining count of a fault. Returns whether the fault applies.
+fn consume(count: &mut Option<u64>) -> bool {
     match count {
-        Some(left) if *left > 0 => {
-            *left -= 1;
+        Some(remaining) if *remaining > 0 => {
+            *remaining -= 1;
             true
         }
         _ => false,
     }
 }
 
-fn apply(core: &Core, call: &Call) -> Result<Answer, Answer> {
-    let written = if call.method == "PUT" {
-        let put: Put = call.json()?;
-        if put.value.len() > VALUE {
-            return Err(Answer::error(413, "value over 1 MiB"));
+fn apply(core: &Core, request: &Request) -> Result<Response, Response> {
+    let written = if request.method == "PUT" {
+        let put: Put = request.json()?;
+        if put.value.len() > MAX_VALUE_BYTES {
+            return Err(Response::error(413, "value over 1 MiB"));
         }
         let mut state = lock(&core.state);
         state.store.put(&put.key, &put.value, put.expect, put.lease)
     } else {
-        let Some(key) = call.query.get("key") else {
-            return Err(Answer::bad("key is missing"));
+        let Some(key) = request.query.get("key") else {
+            return Err(Response::bad_request("key is missing"));
         };
-        let expect = call.number("expect")?;
+        let expect = request.number("expect")?;
         lock(&core.state).store.delete(key, expect)
     };
-    let answer = match written {
-        Ok(revision) => Answer::json(200, &serde_json::json!({ "revision": revision })),
-        Err(Refusal::Conflict(entry)) => Answer::json(409, &serde_json::json!({ "entry": entry })),
-        Err(Refusal::UnknownLease) => Answer::error(404, "lease"),
+    let response = match written {
+        Ok(revision) => Response::json(200, &serde_json::json!({ "revision": revision })),
+        Err(Refusal::Conflict(entry)) => {
+            Response::json(409, &serde_json::json!({ "entry": entry }))
+        }
+        Err(Refusal::UnknownLease) => Response::error(404, "lease"),
     };
     wake(core);
-    Ok(answer)
+    Ok(response)
 }
 
-fn lease(core: &Core, call: &Call) -> Result<Answer, Answer> {
+fn lease(core: &Core, request: &Request) -> Result<Response, Response> {
     let now = Instant::now();
-    let answer = match call.path.as_str() {
+    let response = match request.path.as_str() {
         "/lease" => {
-            let grant: Grant = call.json()?;
+            let grant: Grant = request.json()?;
             let ttl = Duration::from_millis(grant.ttl_ms);
             let lease = lock(&core.state).store.grant(ttl, now);
             let body = serde_json::json!({ "lease": lease, "ttl_ms": grant.ttl_ms });
-            Answer::json(200, &body)
+            Response::json(200, &body)
         }
         "/lease/keep" => {
-            let lease: Lease = call.json()?;
+            let lease: Lease = request.json()?;
             if lock(&core.state).store.keep(lease.lease, now) {
-                Answer::json(200, &serde_json::json!({}))
+                Response::json(200, &serde_json::json!({}))
             } else {
-                Answer::error(404, "lease")
+                Response::error(404, "lease")
             }
         }
         _ => {
-            let lease: Lease = call.json()?;
+            let lease: Lease = request.json()?;
             lock(&core.state).store.drop_lease(lease.lease);
             wake(core);
-            Answer::json(200, &serde_json::json!({}))
+            Response::json(200, &serde_json::json!({}))
         }
     };
-    Ok(answer)
+    Ok(response)
 }
 
+/// Wakes waiting watches.
 fn wake(core: &Core) {
     let revision = lock(&core.state).store.revision();
     core.changed.send_modify(|known| *known = revision);
 }
 
-/// A watch that waits; counted for as long as it does.
+/// Counts a waiting watch until it is dropped.
 struct Waiting<'a>(&'a Core);
 
 impl<'a> Waiting<'a> {
@@ -246,48 +256,48 @@
     }
 }
 
-async fn watch(core: &Core, call: &Call) -> Answer {
-    let (after, wait) = match (call.number("after"), call.number("wait_ms")) {
+async fn watch(core: &Core, request: &Request) -> Response {
+    let (after, wait) = match (request.number("after"), request.number("wait_ms")) {
         (Ok(after), Ok(wait)) => (after.unwrap_or(0), wait.unwrap_or(0)),
-        (Err(answer), _) | (_, Err(answer)) => return answer,
+        (Err(response), _) | (_, Err(response)) => return response,
     };
-    let prefix = call.query.get("prefix").map_or("", String::as_str);
-    let end = Instant::now() + Duration::from_millis(wait).min(WAIT);
+    let prefix = request.query.get("prefix").map_or("", String::as_str);
+    let end = Instant::now() + Duration::from_millis(wait).min(MAX_WATCH_WAIT);
     let mut changed = core.changed.subscribe();
-    let silences = lock(&core.state).silences;
+    let watch_silences = lock(&core.state).watch_silences;
     let _waiting = Waiting::new(core);
     loop {
         changed.borrow_and_update();
-        let late = Instant::now() >= end;
+        let timed_out = Instant::now() >= end;
         {
             let state = lock(&core.state);
-            if state.silences > silences || state.fault.silence {
-                return Answer::Never;
+            if state.watch_silences > watch_silences || state.fault.silence {
+                return Response::Hang;
             }
-            if let Some(answer) = look(&state, prefix, after, late) {
-                return answer;
+            if let Some(response) = poll(&state, prefix, after, timed_out) {
+                return response;
             }
         }
-        // The end of the wait is noticed at the loop's start.
+        // On a timeout, the next iteration sees that the wait is over.
         let _ = timeout_at(end, changed.changed()).await;
     }
 }
 
-/// The answer to a watch, if there is one by now.
-fn look(state: &Inner, prefix: &str, after: u64, late: bool) -> Option<Answer> {
-    if state.out() {
-        return Some(Answer::error(503, "out of service"));
+/// Returns the response to a watch, or `None` if it has to keep waiting.
+fn poll(state: &Inner, prefix: &str, after: u64, timed_out: bool) -> Option<Response> {
+    if state.is_unavailable() {
+        return Some(Response::error(503, "out of service"));
     }
     let revision = state.store.revision();
     let Some(events) = state.store.changes(prefix, after) else {
-        return Some(Answer::json(
+        return Some(Response::json(
             410,
             &serde_json::json!({ "revision": revision }),
         ));
     };
-    if events.is_empty() && !late {
+    if events.is_empty() && !timed_out {
         return None;
     }
     let body = serde_json::json!({ "events": events, "revision": revision.max(after) });
-    Some(Answer::json(200, &body))
+    Some(Response::json(200, &body))
 }
--- a/components/fakes/src/service.rs
+++ b/components/fakes/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service's stand-in: a ledger of deposits. The contract is
+//! Stand-in for a plain service: a ledger of deposits. The contract is
 //! `docs/interfaces/service.md`.
 
 use std::{
@@ -27,21 +27,21 @@
 
 use crate::server::{
     self,
-    Answer,
-    Call as Handover,
     Process,
+    Request,
+    Response,
     lock, //
 };
 
-/// How the service behaves when nothing is wrong.
+/// Configuration of a service without faults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 picks a free port.
     pub address: SocketAddr,
-    /// Seed of the draws for shares of calls that fail.
+    /// Seed of the random choice of calls that fail.
     pub seed: u64,
-    /// Ends the operating system's process on death. For the program only.
-    pub exit: bool,
+    /// Whether death exits the operating system process. Only the stand-in program sets it.
+    pub exit_on_death: bool,
 }
 
 impl Default for Settings {
@@ -49,53 +49,53 @@
         Settings {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             seed: 1,
-            exit: false,
+            exit_on_death: false,
         }
     }
 }
 
-/// What goes wrong from now on; fields that are not set leave earlier faults as they are.
+/// Faults to inject from now on, the request body of `POST /fault`.
 ///
-/// The body of `POST /fault`; `docs/interfaces/service.md` says what each does.
+/// Unset fields leave earlier faults unchanged. `docs/interfaces/service.md` describes each fault.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Takes all faults back, before the other fields act.
+    /// Clears all faults before the other fields apply.
     pub clear: bool,
-    /// The process ends at once.
+    /// Ends the process at once.
     pub die: bool,
-    /// The next deposit is taken; then the process ends, unanswered.
+    /// Ends the process after it has applied the next deposit and before it responds.
     pub die_after_take: bool,
-    /// The next deposit ends the process before it is taken.
+    /// Ends the process at the next deposit, before it is applied.
     pub die_before_take: bool,
-    /// Nothing is answered for this time, in milliseconds.
+    /// Stops all responses for this time, in milliseconds.
     pub pause_ms: Option<u64>,
-    /// Connections that are open now carry nothing any more.
+    /// Silences the connections that are open now for good, without closing them.
     pub silence: bool,
-    /// Time before each call is worked on, in milliseconds.
+    /// Delay before each call is processed, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// Share of calls that answer 500, with nothing taken.
+    /// Share of calls that fail with 500 and have no effect.
     pub fail_share: Option<f64>,
-    /// A second call with a key gets the first one's answer.
+    /// Deduplicates by idempotency key: a repeated call gets the first one's response.
     pub drop_repeats: bool,
-    /// A body that holds this text ends the process before anything is taken.
+    /// Ends the process at a call whose body contains this text, before it has an effect.
     pub crash_on: Option<String>,
 }
 
-/// A call that reached the service.
+/// Call that reached the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
     /// HTTP method.
     pub method: String,
     /// Path, without the query.
     pub path: String,
-    /// `Idempotency-Key`.
+    /// `Idempotency-Key` header.
     pub key: Option<String>,
-    /// `X-Medlarhatch-Team`.
+    /// `X-Medlarhatch-Team` header.
     pub team: Option<String>,
 }
 
-/// A running stand-in service. Dropping it stops it.
+/// Running stand-in service, stopped on drop.
 pub struct Service {
     address: SocketAddr,
     core: Arc<Core>,
@@ -106,9 +106,9 @@
     ///
     /// # Errors
     ///
-    /// Gives the error of binding the address.
+    /// Returns the I/O error if the address can't be bound.
     pub async fn start(settings: Settings) -> io::Result<Service> {
-        let process = Process::new(settings.exit);
+        let process = Process::new(settings.exit_on_death);
         let core = Arc::new(Core {
             process: Arc::clone(&process),
             state: Mutex::new(Inner {
@@ -117,39 +117,40 @@
                 accounts: HashMap::new(),
                 deposits: 0,
                 statuses: HashMap::new(),
-                answers: HashMap::new(),
+                responses: HashMap::new(),
                 rng: StdRng::seed_from_u64(settings.seed),
             }),
         });
-        let answering = Arc::clone(&core);
-        let respond = Box::new(move |call| answer(Arc::clone(&answering), call).boxed());
-        let address = server::start(settings.address, process, respond).await?;
+        let handler_core = Arc::clone(&core);
+        let responder =
+            Box::new(move |request| respond(Arc::clone(&handler_core), request).boxed());
+        let address = server::start(settings.address, process, responder).await?;
         Ok(Service { address, core })
     }
 
-    /// Address that it listens on.
+    /// Returns the address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets a fault, as `POST /fault` does.
-    pub fn fault(&self, fault: Fault) {
-        self.core.fault(&fault);
+    /// Injects a fault, as `POST /fault` does.
+    pub fn inject_fault(&self, fault: Fault) {
+        self.core.inject_fault(&fault);
     }
 
-    /// Every call that reached the service, in order.
+    /// Returns all calls that reached the service, in order of arrival.
     pub fn calls(&self) -> Vec<Call> {
         lock(&self.core.state).calls.clone()
     }
 
-    /// Balance of an account and the number of deposits that were taken from it.
+    /// Returns the balance of an account and the number of deposits applied to it.
     pub fn account(&self, name: &str) -> (i64, u64) {
         let state = lock(&self.core.state);
         let account = state.accounts.get(name).cloned().unwrap_or_default();
         (account.balance, account.deposits)
     }
 
-    /// Drops the listener and all connections at once, as a process's death does.
+    /// Drops the listener and all connections at once, as the death of a process does.
     pub fn stop(&self) {
         self.core.process.stop();
     }
@@ -177,8 +178,8 @@
     accounts: HashMap<String, Account>,
     deposits: u64,
     statuses: HashMap<String, Status>,
-    /// Answers by key, for a service that drops repeats.
-    answers: HashMap<String, (u16, Bytes)>,
+    /// Responses by idempotency key, for the fault `drop_repeats`.
+    responses: HashMap<String, (u16, Bytes)>,
     rng: StdRng,
 }
 
@@ -194,6 +195,7 @@
     version: u64,
 }
 
+/// Request body of `POST /deposits`.
 #[derive(Deserialize)]
 struct Deposit {
     account: String,
@@ -201,20 +203,20 @@
 }
 
 impl Core {
-    fn fault(&self, fault: &Fault) {
+    fn inject_fault(&self, fault: &Fault) {
         {
             let mut state = lock(&self.state);
             if fault.clear {
                 state.fault = Fault::default();
                 self.process.clear();
             }
-            let now = &mut state.fault;
-            now.die_after_take |= fault.die_after_take;
-            now.die_before_take |= fault.die_before_take;
-            now.slow_ms = fault.slow_ms.or(now.slow_ms);
-            now.fail_share = fault.fail_share.or(now.fail_share);
-            now.drop_repeats |= fault.drop_repeats;
-            now.crash_on = fault.crash_on.clone().or(now.crash_on.take());
+            let active = &mut state.fault;
+            active.die_after_take |= fault.die_after_take;
+            active.die_before_take |= fault.die_before_take;
+            active.slow_ms = fault.slow_ms.or(active.slow_ms);
+            active.fail_share = fault.fail_share.or(active.fail_share);
+            active.drop_repeats |= fault.drop_repeats;
+            active.crash_on = fault.crash_on.clone().or(active.crash_on.take());
         }
         if let Some(pause) = fault.pause_ms {
             self.process.pause(Duration::from_millis(pause));
@@ -227,45 +229,46 @@
         }
     }
 
-    fn note(&self, call: &Handover) {
+    fn record_call(&self, request: &Request) {
         lock(&self.state).calls.push(Call {
-            method: call.method.clone(),
-            path: call.path.clone(),
-            key: call.header("idempotency-key"),
-            team: call.header("x-medlarhatch-team"),
+            method: request.method.clone(),
+            path: request.path.clone(),
+            key: request.header("idempotency-key"),
+            team: request.header("x-medlarhatch-team"),
         });
     }
 
-    /// Dies or fails, if a fault says so for this call.
-    fn strike(&self, call: &Handover) -> Option<Answer> {
+    /// Applies the faults `crash_on` and `fail_share`; returns a response if one of them hits the
+    /// request.
+    fn apply_faults(&self, request: &Request) -> Option<Response> {
         let mut state = lock(&self.state);
-        let crash = state.fault.crash_on.clone();
-        if crash.is_some_and(|text| holds(&call.body, &text)) {
+        let crash_text = state.fault.crash_on.clone();
+        if crash_text.is_some_and(|text| contains(&request.body, &text)) {
             drop(state);
             self.process.die();
-            return Some(Answer::Never);
+            return Some(Response::Hang);
         }
         let share = state.fault.fail_share?;
         if state.rng.random_bool(share.clamp(0.0, 1.0)) {
-            return Some(Answer::error(500, "the call failed"));
+            return Some(Response::error(500, "the call failed"));
         }
         None
     }
 
-    fn deposit(&self, call: &Handover) -> Answer {
-        let deposit: Deposit = match call.json() {
+    fn deposit(&self, request: &Request) -> Response {
+        let deposit: Deposit = match request.json() {
             Ok(deposit) => deposit,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         let mut state = lock(&self.state);
         if state.fault.die_before_take {
             drop(state);
             self.process.die();
-            return Answer::Never;
+            return Response::Hang;
         }
-        let key = call.header("idempotency-key");
-        if let Some(answer) = state.repeat(key.as_deref()) {
-            return answer;
+        let key = request.header("idempotency-key");
+        if let Some(response) = state.recorded_response(key.as_deref()) {
+            return response;
         }
         state.deposits += 1;
         let number = state.deposits;
@@ -277,20 +280,20 @@
         });
         let body = Bytes::from(body.to_string());
         if let Some(key) = key {
-            state.answers.insert(key, (201, body.clone()));
+            state.responses.insert(key, (201, body.clone()));
         }
         if state.fault.die_after_take {
             drop(state);
             self.process.die();
-            return Answer::Never;
+            return Response::Hang;
         }
-        Answer::bytes(201, "application/json", body)
+        Response::bytes(201, "application/json", body)
     }
 
-    fn account(&self, name: &str) -> Answer {
+    fn account(&self, name: &str) -> Response {
         let state = lock(&self.state);
         let account = state.accounts.get(name).cloned().unwrap_or_default();
-        Answer::json(
+        Response::json(
             200,
             &serde_json::json!({
                 "account": name, "balance": account.balance, "deposits": account.deposits,
@@ -298,7 +301,7 @@
         )
     }
 
-    fn status(&self, id: &str, write: bool) -> Answer {
+    fn status(&self, id: &str, write: bool) -> Response {
         let mut state = lock(&self.state);
         let status = state.statuses.entry(id.to_string()).or_default();
         if write {
@@ -306,7 +309,7 @@
         } else {
             status.reads += 1;
         }
-        Answer::json(
+        Response::json(
             200,
             &serde_json::json!({ "id": id, "reads": status.reads, "version": status.version }),
         )
@@ -314,60 +317,60 @@
 }
 
 impl Inner {
-    /// The first answer to this key, when the service drops repeats.
-    fn repeat(&self, key: Option<&str>) -> Option<Answer> {
+    /// Returns the first response to this key if the service deduplicates calls.
+    fn recorded_response(&self, key: Option<&str>) -> Option<Response> {
         if !self.fault.drop_repeats {
             return None;
         }
-        let (status, body) = self.answers.get(key?)?;
-        Some(Answer::bytes(*status, "application/json", body.clone()))
+        let (status, body) = self.responses.get(key?)?;
+        Some(Response::bytes(*status, "application/json", body.clone()))
     }
 }
 
-fn holds(body: &[u8], text: &str) -> bool {
+fn contains(body: &[u8], text: &str) -> bool {
     String::from_utf8_lossy(body).contains(text)
 }
 
-async fn answer(core: Arc<Core>, call: Handover) -> Answer {
-    match (call.method.as_str(), call.path.as_str()) {
-        // What steers the stand-in works also while it is paused or silent.
+async fn respond(core: Arc<Core>, request: Request) -> Response {
+    match (request.method.as_str(), request.path.as_str()) {
+        // Control requests are served also while the stand-in is paused or silent.
         ("POST", "/fault") => {
-            return match call.json::<Fault>() {
+            return match request.json::<Fault>() {
                 Ok(fault) => {
-                    core.fault(&fault);
-                    Answer::json(200, &serde_json::json!({}))
+                    core.inject_fault(&fault);
+                    Response::json(200, &serde_json::json!({}))
                 }
-                Err(answer) => answer,
+                Err(response) => response,
             };
         }
-        ("GET", "/calls") => return Answer::json(200, &lock(&core.state).calls),
-        _ => core.process.pass(call.connection).await,
+        ("GET", "/calls") => return Response::json(200, &lock(&core.state).calls),
+        _ => core.process.wait_responsive(request.connection).await,
     }
-    if (call.method.as_str(), call.path.as_str()) == ("GET", "/health") {
-        return Answer::json(200, &serde_json::json!({ "ok": true }));
+    if (request.method.as_str(), request.path.as_str()) == ("GET", "/health") {
+        return Response::json(200, &serde_json::json!({ "ok": true }));
     }
-    core.note(&call);
-    let slow = lock(&core.state).fault.slow_ms;
-    if let Some(slow) = slow {
-        sleep(Duration::from_millis(slow)).await;
-        core.process.pass(call.connection).await;
+    core.record_call(&request);
+    let delay_ms = lock(&core.state).fault.slow_ms;
+    if let Some(delay_ms) = delay_ms {
+        sleep(Duration::from_millis(delay_ms)).await;
+        core.process.wait_responsive(request.connection).await;
     }
-    if let Some(answer) = core.strike(&call) {
-        return answer;
+    if let Some(response) = core.apply_faults(&request) {
+        return response;
     }
-    match (call.method.as_str(), call.path.as_str()) {
-        ("POST", "/deposits") => core.deposit(&call),
+    match (request.method.as_str(), request.path.as_str()) {
+        ("POST", "/deposits") => core.deposit(&request),
         ("GET", path) => match path.split_at_checked(8) {
             Some(("/status/", id)) => core.status(id, false),
             _ => match path.strip_prefix("/accounts/") {
                 Some(name) => core.account(name),
-                None => Answer::error(404, "no such call"),
+                None => Response::error(404, "no such call"),
             },
         },
         ("POST", path) => match path.strip_prefix("/status/") {
             Some(id) => core.status(id, true),
-            None => Answer::error(404, "no such call"),
+            None => Response::error(404, "no such call"),
         },
-        _ => Answer::error(404, "no such call"),
+        _ => Response::error(404, "no such call"),
     }
 }
--- a/components/measure/src/calls/faults.rs
+++ b/components/measure/src/calls/faults.rs
@@ -239,6 +239,6 @@
 
 fn inject_service_fault(fixture: &Fixture, fault: &service::Fault) {
     for service in &fixture.0.services {
-        service.fault(fault.clone());
+        service.inject_fault(fault.clone());
     }
 }
--- a/components/measure/src/calls/fixture.rs
+++ b/components/measure/src/calls/fixture.rs
@@ -56,16 +56,16 @@
         for index in 0..REPLICAS {
             let name = format!("ledger-{index}");
             let settings = service::Settings::default();
-            let started = trial.service(&name, "dc1", "ledger", settings).await;
+            let started = trial.start_service(&name, "dc1", "ledger", settings).await;
             started.expect("a service starts");
         }
         for name in ["entry-a", "entry-b"] {
-            let started = trial.entry(name, "dc1").await;
+            let started = trial.start_entry(name, "dc1").await;
             started.expect("an entry starts");
         }
-        let revision = trial.put(0, "production", DOCUMENT).await;
+        let revision = trial.put_document(0, "production", DOCUMENT).await;
         let ready = trial
-            .ready(revision.expect("the platform accepts the document"))
+            .wait_ready(revision.expect("the platform accepts the document"))
             .await;
         ready.expect("the trial becomes ready");
         Self(trial)
@@ -73,7 +73,7 @@
 
     /// Sends a deposit to an entry, with an idempotency key if one is given.
     pub(super) fn send(&self, entry: usize, key: Option<&str>) -> JoinHandle<CallResult> {
-        let address = format!("{}/svc/ledger/deposits", self.0.callers(entry));
+        let address = format!("{}/svc/ledger/deposits", self.0.callers_url(entry));
         let body = json!({"account": "a", "amount": 5}).to_string();
         let mut request = self.0.client.post(address).body(body);
         if let Some(key) = key {
@@ -99,7 +99,7 @@
 
     /// Injects a fault into the platform's store.
     pub(super) fn inject_store_fault(&self, fault: platform::Fault) {
-        self.0.platform.fault(fault);
+        self.0.platform.inject_fault(fault);
     }
 
     /// Waits until a replica has received a call; returns its index.
--- a/components/measure/src/load.rs
+++ b/components/measure/src/load.rs
@@ -113,19 +113,19 @@
     for number in 0..engines {
         let settings = Settings {
             capacity: ENGINE_CAPACITY,
-            first: FIRST_TOKEN_TIME,
-            between: TOKEN_INTERVAL,
+            first_token: FIRST_TOKEN_TIME,
+            token_interval: TOKEN_INTERVAL,
             ..Settings::default()
         };
         trial
-            .engine(&format!("draft-{number}"), "dc1", settings)
+            .start_engine(&format!("draft-{number}"), "dc1", settings)
             .await?;
     }
     for name in ["entry-a", "entry-b"] {
-        trial.entry(name, "dc1").await?;
+        trial.start_entry(name, "dc1").await?;
     }
-    let revision = trial.put(0, "production", DOCUMENT).await?;
-    trial.ready(revision).await?;
+    let revision = trial.put_document(0, "production", DOCUMENT).await?;
+    trial.wait_ready(revision).await?;
     Ok(trial)
 }
 
@@ -142,7 +142,7 @@
     let mut tasks = JoinSet::new();
     for number in 0..count {
         sleep_until(begun + Duration::from_secs_f64(number as f64 / rate)).await;
-        let address = format!("{}/v1/completions", trial.callers(number % 2));
+        let address = format!("{}/v1/completions", trial.callers_url(number % 2));
         let client = trial.client.clone();
         tasks.spawn(async move { send_request(&client, &address, number).await });
     }
@@ -196,9 +196,9 @@
     let mut arrivals = Vec::new();
     let mut complete = false;
     while let Ok(Some(event)) = stream.next().await {
-        complete = complete || event.finish().is_some();
+        complete = complete || event.finish_reason().is_some();
         if event.token().is_some() {
-            arrivals.extend(event.at);
+            arrivals.extend(event.received_at);
         }
     }
     match (complete, arrivals.first(), arrivals.last()) {
--- a/components/measure/src/tokens.rs
+++ b/components/measure/src/tokens.rs
@@ -103,12 +103,12 @@
 async fn measure_streams(
     streams: usize,
     tokens: u64,
-    between: Duration,
+    token_interval: Duration,
 ) -> io::Result<Vec<String>> {
     let launcher = Launcher::new()?;
     let platform = Platform::start(platform::Settings::default()).await?;
     let engine = Engine::start(engine::Settings {
-        between,
+        token_interval,
         capacity: streams as u32 * 2,
         ..engine::Settings::default()
     })
@@ -261,7 +261,7 @@
     let mut stream = Stream::new(response);
     while let Some(event) = stream.next().await.map_err(io::Error::other)? {
         if event.token().is_some() {
-            arrivals.extend(event.at);
+            arrivals.extend(event.received_at);
         }
     }
     Ok(arrivals)
--- a/components/store/tests/hosts.rs
+++ b/components/store/tests/hosts.rs
@@ -88,10 +88,10 @@
 #[tokio::test]
 async fn faults_of_the_host_list(#[case] fault: Fault, #[case] listed: &[&str]) {
     let (platform, client) = start().await;
-    platform.fault(fault);
+    platform.inject_fault(fault);
     platform.set_hosts(vec![host("b")]);
     assert_eq!(names(&client).await, listed);
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         clear: true,
         ..Fault::default()
     });
@@ -112,7 +112,7 @@
 #[tokio::test]
 async fn weights_are_rate_limited() {
     let (platform, client) = start().await;
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         weights_per_s: Some(0.5),
         ..Fault::default()
     });
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -67,7 +67,7 @@
         revision(&client, "before").await;
     }
     let before = platform.counts().writes;
-    platform.fault(lose(answers, writes));
+    platform.inject_fault(lose(answers, writes));
     let settled = client.settle("k", "nonce-1", expect, None).await;
     assert_matches!(settled, Ok(Settled::Applied { .. }));
     assert_eq!(platform.counts().writes - before, attempts);
@@ -82,7 +82,7 @@
 async fn key_created_by_another_writer_is_a_conflict(#[case] fault: Fault) {
     let (platform, client) = start().await;
     revision(&client, "other").await;
-    platform.fault(fault);
+    platform.inject_fault(fault);
     let settled = client.settle("k", "nonce-1", Expect::Absent, None).await;
     let Ok(Settled::Conflict { entry }) = settled else {
         panic!("the key of the other writer remains: {settled:?}");
@@ -96,7 +96,7 @@
 async fn overwritten_write_counts_as_applied() {
     let (platform, client) = start().await;
     let first = revision(&client, "before").await;
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         lose_answers: Some(1),
         ..Fault::default()
     });
@@ -118,7 +118,7 @@
     let (platform, client) = start().await;
     let first = revision(&client, "before").await;
     revision(&client, "other").await;
-    platform.fault(lose(0, 1));
+    platform.inject_fault(lose(0, 1));
     let settled = client.settle("k", "nonce-1", Expect::Revision(first), None);
     assert_matches!(settled.await, Ok(Settled::Conflict { entry: Some(_) }));
 }
@@ -128,7 +128,7 @@
 #[tokio::test]
 async fn compacted_history_is_unknown() {
     let platform = Platform::start(Settings {
-        kept: 1,
+        retained_changes: 1,
         ..Settings::default()
     });
     let platform = platform.await.expect("loopback can be bound");
@@ -147,7 +147,7 @@
 async fn outage_after_the_write_is_unknown() {
     let (platform, client) = start().await;
     let client = client.with_settle_timeout(Duration::from_millis(200));
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         slow_ms: Some(50),
         lose_answers: Some(1),
         ..Fault::default()
@@ -159,7 +159,7 @@
         assert!(Instant::now() < end, "the write is read back");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         outage: true,
         ..Fault::default()
     });
@@ -177,7 +177,7 @@
     let client = client
         .expect("the base is a URL")
         .with_settle_timeout(TEST_TIMEOUT);
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         slow_ms: Some(400),
         ..Fault::default()
     });
@@ -188,7 +188,7 @@
         assert!(Instant::now() < end, "the write is read back");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         clear: true,
         ..Fault::default()
     });
@@ -212,7 +212,7 @@
 #[tokio::test]
 async fn refused_writes_had_no_effect(#[case] fault: Fault, #[case] error: Error) {
     let (platform, client) = start().await;
-    platform.fault(fault);
+    platform.inject_fault(fault);
     let settled = client.settle("k", "nonce-1", Expect::Absent, None).await;
     assert_eq!(settled, Err(error));
     assert_eq!(platform.counts().writes, 1);
@@ -221,7 +221,7 @@
 #[tokio::test]
 async fn unconditional_write_is_not_retried() {
     let (platform, client) = start().await;
-    platform.fault(lose(0, 1));
+    platform.inject_fault(lose(0, 1));
     let settled = client.settle("k", "nonce-1", Expect::Any, None).await;
     assert_eq!(settled, Ok(Settled::Unknown));
     assert_eq!(platform.counts().writes, 1);
@@ -231,13 +231,13 @@
 #[tokio::test]
 async fn reads_are_retried_until_their_deadline() {
     let (platform, client) = start().await;
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         outage_ms: Some(100),
         ..Fault::default()
     });
     let read = client.get_until("k", Instant::now() + TEST_TIMEOUT).await;
     assert_eq!(read, Ok(None));
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         outage: true,
         ..Fault::default()
     });
--- a/components/store/tests/store.rs
+++ b/components/store/tests/store.rs
@@ -139,7 +139,7 @@
 #[tokio::test]
 async fn watch_from_a_compacted_revision_fails() {
     let platform = start(Settings {
-        kept: 2,
+        retained_changes: 2,
         ..Settings::default()
     })
     .await;
@@ -223,10 +223,10 @@
     let platform = start(Settings::default()).await;
     let client = client(&platform, CALL_TIMEOUT);
     let applied = fault.lose_answers.is_some();
-    platform.fault(fault);
+    platform.inject_fault(fault);
     let put = client.put("k", "a", Expect::Absent, None).await;
     assert_eq!(put, Err(error));
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         clear: true,
         ..Fault::default()
     });
@@ -244,7 +244,7 @@
 async fn faults_of_reads(#[case] fault: Fault, #[case] error: Error) {
     let platform = start(Settings::default()).await;
     let client = client(&platform, CALL_TIMEOUT);
-    platform.fault(fault);
+    platform.inject_fault(fault);
     assert_eq!(client.get("k").await, Err(error.clone()));
     assert_eq!(client.list("k").await, Err(error.clone()));
     assert_eq!(client.watch("k", 0, Duration::ZERO).await, Err(error));
@@ -275,7 +275,7 @@
     let watching = client.clone();
     let waiting = tokio::spawn(async move { watching.watch("k", 0, CALL_TIMEOUT).await });
     wait_for(|| platform.counts().watching == 1).await;
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         silent_watches: true,
         ..Fault::default()
     });
@@ -296,7 +296,7 @@
     let watching = client.clone();
     let waiting = tokio::spawn(async move { watching.watch("k", 0, TEST_TIMEOUT).await });
     wait_for(|| platform.counts().watching == 1).await;
-    platform.fault(Fault {
+    platform.inject_fault(Fault {
         outage: true,
         ..Fault::default()
     });
--- a/tests/env.rs
+++ b/tests/env.rs
@@ -83,8 +83,8 @@
 async fn documents_are_put_promoted_and_shown() {
     let folder = folder();
     let mut trial = Trial::start().await.expect("a platform");
-    trial.entry("entry-a", "dc1").await.expect("an entry");
-    let entry = trial.operators(0);
+    trial.start_entry("entry-a", "dc1").await.expect("an entry");
+    let entry = trial.operators_url(0);
     let mut seen = String::new();
     for line in [
         "put one.yaml --operator ana --edit e1",
@@ -100,12 +100,12 @@
         seen += &env(folder.path(), &entry, line).await;
     }
     trial
-        .ready(4)
+        .wait_ready(4)
         .await
         .expect("the promoted document is in force");
     seen += &env(folder.path(), &entry, "status").await;
     seen += &env(folder.path(), &entry, "status --format json").await;
-    trial.platform.fault(fakes::platform::Fault {
+    trial.platform.inject_fault(fakes::platform::Fault {
         outage: true,
         ..Default::default()
     });
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -152,7 +152,7 @@
 
     async fn sidecar(&mut self, number: usize) {
         let settings = engine::Settings {
-            between: Duration::from_millis(20),
+            token_interval: Duration::from_millis(20),
             ..engine::Settings::default()
         };
         let engine = Engine::start(settings).await.expect("an engine");
@@ -282,7 +282,7 @@
 
 fn letter() -> (u64, Vec<String>) {
     let mut seeds = 1..;
-    let seed = seeds.find(|seed| engine::length("p", *seed, LENGTH) == LENGTH);
+    let seed = seeds.find(|seed| engine::answer_length("p", *seed, LENGTH) == LENGTH);
     let seed = seed.expect("most letters are whole");
     let tokens = (0..LENGTH).map(|index| engine::token("p", seed, "v1", index));
     (seed, tokens.collect())
