--- a/components/entry/src/burn.rs
+++ b/components/entry/src/burn.rs
@@ -9,7 +9,7 @@
 use names::Clock;
 use report::{
     Burn,
-    Ledger,
+    Counters,
     burn::{
         Level,
         Request, //
@@ -19,7 +19,7 @@
 
 /// Request counters of this entry.
 #[derive(Default)]
-pub(crate) struct Recorder(Mutex<Ledger>);
+pub(crate) struct Recorder(Mutex<Counters>);
 
 impl Recorder {
     /// Replaces the service levels by those of a document.
@@ -32,8 +32,8 @@
             };
             (level.service.clone(), target)
         });
-        let mut ledger = self.0.lock().expect("no panic while held");
-        ledger.set_levels(levels.collect());
+        let mut counters = self.0.lock().expect("no panic while held");
+        counters.set_levels(levels.collect());
     }
 
     /// Counts a request.
--- a/components/entry/src/resumes.rs
+++ b/components/entry/src/resumes.rs
@@ -9,13 +9,13 @@
 use names::Clock;
 use report::resumes::{
     Cause,
-    Ledger,
+    Counters,
     Row, //
 };
 
 /// Resume counters of this entry.
 #[derive(Default)]
-pub(crate) struct Resumes(Mutex<Ledger>);
+pub(crate) struct Resumes(Mutex<Counters>);
 
 impl Resumes {
     /// Records that an answer resumes with another epoch after `tokens` tokens; `first` marks its
@@ -28,15 +28,15 @@
         tokens: usize,
         now: Clock,
     ) {
-        let mut ledger = self.0.lock().expect("no panic while held");
+        let mut counters = self.0.lock().expect("no panic while held");
         let (service, version) = (&target.service, &target.version);
-        ledger.resumed(service, version, cause, first, tokens as u64, now);
+        counters.resumed(service, version, cause, first, tokens as u64, now);
     }
 
     /// Records the first fresh token of another epoch, `latency` after the last token before it.
     pub(crate) fn continued(&self, target: &Target, latency: Duration, now: Clock) {
-        let mut ledger = self.0.lock().expect("no panic while held");
-        ledger.continued(&target.service, &target.version, latency, now);
+        let mut counters = self.0.lock().expect("no panic while held");
+        counters.continued(&target.service, &target.version, latency, now);
     }
 
     /// Records decoded tokens that were dropped.
@@ -44,8 +44,8 @@
         if tokens == 0 {
             return;
         }
-        let mut ledger = self.0.lock().expect("no panic while held");
-        ledger.dropped(&target.service, &target.version, tokens, now);
+        let mut counters = self.0.lock().expect("no panic while held");
+        counters.dropped(&target.service, &target.version, tokens, now);
     }
 
     /// Returns the rows of the report.
--- a/components/report/src/burn.rs
+++ b/components/report/src/burn.rs
@@ -111,7 +111,7 @@
 
 /// Counters of all services, bounded in memory.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct Counters {
     levels: BTreeMap<Service, Level>,
     rows: BTreeMap<(Service, Subject), Ring>,
 }
@@ -174,7 +174,7 @@
     }
 }
 
-impl Ledger {
+impl Counters {
     /// Takes the levels of a document. Rows of services without a level are dropped.
     pub fn set_levels(&mut self, levels: BTreeMap<Service, Level>) {
         self.rows
--- a/components/report/src/lib.rs
+++ b/components/report/src/lib.rs
@@ -13,5 +13,5 @@
 
 pub use burn::{
     Burn,
-    Ledger, //
+    Counters, //
 };
--- a/components/report/src/resumes.rs
+++ b/components/report/src/resumes.rs
@@ -70,9 +70,9 @@
 
 /// Counts by version.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger(BTreeMap<(Service, Version), Tally>);
+pub struct Counters(BTreeMap<(Service, Version), Tally>);
 
-impl Ledger {
+impl Counters {
     /// An answer goes on with another epoch, which is given `tokens` to go on from. `first` says
     /// that it is the first resume of that answer.
     pub fn resumed(
--- a/components/report/tests/burn.rs
+++ b/components/report/tests/burn.rs
@@ -4,7 +4,7 @@
 
 use names::Clock;
 use report::{
-    Ledger,
+    Counters,
     burn::{
         Level,
         OTHERS,
@@ -23,13 +23,13 @@
     objective: 0.95,
 };
 
-fn ledger() -> Ledger {
-    let mut ledger = Ledger::default();
-    ledger.set_levels([("drafting".to_string(), LEVEL)].into());
-    ledger
+fn counters() -> Counters {
+    let mut counters = Counters::default();
+    counters.set_levels([("drafting".to_string(), LEVEL)].into());
+    counters
 }
 
-fn count(ledger: &mut Ledger, team: &str, version: &str, first: u64, now: Clock) {
+fn count(counters: &mut Counters, team: &str, version: &str, first: u64, now: Clock) {
     let request = Request {
         service: &"drafting".into(),
         route: &"letters".into(),
@@ -39,7 +39,7 @@
         between: Some(Duration::from_millis(40)),
         whole: true,
     };
-    ledger.count(&request, now);
+    counters.count(&request, now);
 }
 
 #[rstest]
@@ -71,14 +71,14 @@
 /// once which version and team it is.
 #[test]
 fn the_worst_rows_come_first() {
-    let mut ledger = ledger();
+    let mut counters = counters();
     for second in 0..7200 {
         let now = Duration::from_secs(second);
-        count(&mut ledger, "small", "1", 900, now);
+        count(&mut counters, "small", "1", 900, now);
         let first = if second > 5400 { 5000 } else { 900 };
-        count(&mut ledger, "<large>", "2", first, now);
+        count(&mut counters, "<large>", "2", first, now);
     }
-    let burn = ledger.report(Duration::from_secs(7200));
+    let burn = counters.report(Duration::from_secs(7200));
     insta::assert_snapshot!("text", text::burn(&burn));
     insta::assert_snapshot!("page", page::burn(&burn));
     insta::assert_json_snapshot!("json", burn.rows[0]);
@@ -88,13 +88,13 @@
 /// The trouble is over. The alert must end within the short window, or people stop to heed it.
 #[test]
 fn an_alert_ends_soon_after_the_trouble() {
-    let mut ledger = ledger();
+    let mut counters = counters();
     let mut alerts = Vec::new();
     for second in 0..4200 {
         let first = if second < 3600 { 5000 } else { 900 };
         let now = Duration::from_secs(second);
-        count(&mut ledger, "a", "1", first, now);
-        alerts.push(ledger.report(now).rows[0].rates[0].alert);
+        count(&mut counters, "a", "1", first, now);
+        alerts.push(counters.report(now).rows[0].rates[0].alert);
     }
     assert!(!alerts[5] && alerts[3599] && !alerts[4199]);
 }
@@ -102,18 +102,18 @@
 /// Callers make up team names. The memory of the report must not grow with them.
 #[test]
 fn memory_is_bounded() {
-    let mut ledger = ledger();
+    let mut counters = counters();
     for number in 0..2 * ROWS {
         count(
-            &mut ledger,
+            &mut counters,
             &format!("team-{number}"),
             "1",
             900,
             Duration::ZERO,
         );
     }
-    assert!(ledger.rows() <= ROWS + 1);
-    let burn = ledger.report(Duration::ZERO);
+    assert!(counters.rows() <= ROWS + 1);
+    let burn = counters.report(Duration::ZERO);
     let others = burn
         .rows
         .iter()
@@ -124,9 +124,15 @@
 /// Nothing comes for days, then one request: old counts must be gone.
 #[test]
 fn old_counts_go() {
-    let mut ledger = ledger();
-    count(&mut ledger, "a", "1", 5000, Duration::ZERO);
+    let mut counters = counters();
+    count(&mut counters, "a", "1", 5000, Duration::ZERO);
     let later = Duration::from_secs(30 * 24 * 3600);
-    count(&mut ledger, "a", "1", 900, later);
-    assert!(ledger.report(later).rows.iter().all(|row| row.missed == 0));
+    count(&mut counters, "a", "1", 900, later);
+    assert!(
+        counters
+            .report(later)
+            .rows
+            .iter()
+            .all(|row| row.missed == 0)
+    );
 }
