--- a/components/entry/src/resumes.rs
+++ b/components/entry/src/resumes.rs
@@ -30,13 +30,13 @@
     ) {
         let mut counters = self.0.lock().expect("no panic while held");
         let (service, version) = (&target.service, &target.version);
-        counters.resumed(service, version, cause, first, tokens as u64, now);
+        counters.record_resume(service, version, cause, first, tokens as u64, now);
     }
 
     /// Records the first fresh token of another epoch, `latency` after the last token before it.
     pub(crate) fn continued(&self, target: &Target, latency: Duration, now: Clock) {
         let mut counters = self.0.lock().expect("no panic while held");
-        counters.continued(&target.service, &target.version, latency, now);
+        counters.record_latency(&target.service, &target.version, latency, now);
     }
 
     /// Records decoded tokens that were dropped.
@@ -45,7 +45,7 @@
             return;
         }
         let mut counters = self.0.lock().expect("no panic while held");
-        counters.dropped(&target.service, &target.version, tokens, now);
+        counters.record_dropped(&target.service, &target.version, tokens, now);
     }
 
     /// Returns the rows of the report.
--- a/components/report/src/resumes.rs
+++ b/components/report/src/resumes.rs
@@ -75,7 +75,7 @@
 impl Counters {
     /// An answer goes on with another epoch, which is given `tokens` to go on from. `first` says
     /// that it is the first resume of that answer.
-    pub fn resumed(
+    pub fn record_resume(
         &mut self,
         service: &str,
         version: &str,
@@ -94,14 +94,14 @@
     }
 
     /// The first fresh token of another epoch came, `latency` after the last one before it.
-    pub fn continued(&mut self, service: &str, version: &str, latency: Duration, now: Clock) {
+    pub fn record_latency(&mut self, service: &str, version: &str, latency: Duration, now: Clock) {
         let ms = u64::try_from(latency.as_millis()).unwrap_or(u64::MAX);
         let tally = self.tally(service, version, now);
         tally.latency.saturating_record(ms);
     }
 
     /// Decoded tokens were dropped.
-    pub fn dropped(&mut self, service: &str, version: &str, tokens: u64, now: Clock) {
+    pub fn record_dropped(&mut self, service: &str, version: &str, tokens: u64, now: Clock) {
         self.tally(service, version, now).row.dropped += tokens;
     }
 
--- a/components/report/tests/resumes.rs
+++ b/components/report/tests/resumes.rs
@@ -12,13 +12,13 @@
 fn counters() -> Counters {
     let mut counters = Counters::default();
     let now = Duration::from_secs(1);
-    counters.resumed("draft", "v1", Cause::Loss, true, 120, now);
-    counters.resumed("draft", "v1", Cause::Suspicion, false, 150, now);
-    counters.resumed("draft", "v2", Cause::Suspicion, true, 0, now);
+    counters.record_resume("draft", "v1", Cause::Loss, true, 120, now);
+    counters.record_resume("draft", "v1", Cause::Suspicion, false, 150, now);
+    counters.record_resume("draft", "v2", Cause::Suspicion, true, 0, now);
     for ms in 1..=100 {
-        counters.continued("draft", "v1", Duration::from_millis(ms), now);
+        counters.record_latency("draft", "v1", Duration::from_millis(ms), now);
     }
-    counters.dropped("draft", "v1", 7, now);
+    counters.record_dropped("draft", "v1", 7, now);
     counters
 }
 
@@ -40,7 +40,7 @@
     let mut counters = Counters::default();
     for number in 0..=VERSIONS {
         let now = Duration::from_secs(number as u64);
-        counters.resumed("draft", &number.to_string(), Cause::Loss, true, 1, now);
+        counters.record_resume("draft", &number.to_string(), Cause::Loss, true, 1, now);
     }
     let rows = counters.rows();
     assert_eq!(rows.len(), VERSIONS);
@@ -52,7 +52,7 @@
 fn a_latency_beyond_the_bound_is_kept() {
     let mut counters = Counters::default();
     let day = Duration::from_secs(24 * 3600);
-    counters.continued("draft", "v1", day, day);
+    counters.record_latency("draft", "v1", day, day);
     let median = counters.rows()[0].median_ms.expect("a latency");
     assert!(median >= 3_600_000);
 }
