--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -505,7 +505,7 @@
             version: &target.version,
             first,
             between,
-            whole,
+            complete: whole,
         };
         self.state.burn.count(&request, self.state.now());
     }
--- a/components/report/src/burn.rs
+++ b/components/report/src/burn.rs
@@ -34,7 +34,7 @@
 /// Fewest requests in the short window for an alert; a single miss of few isn't a burn.
 const FEWEST: u64 = 10;
 
-/// Windows and the burn from which they alert: fast, slow, and over the whole period.
+/// Windows and the burn from which they alert: fast, slow, and over the complete period.
 pub const WINDOWS: [Window; 3] = [
     Window::new("fast", 5 * 60, 3600, 14.4),
     Window::new("slow", 30 * 60, 6 * 3600, 6.0),
@@ -92,14 +92,14 @@
     /// Mean time between tokens.
     pub between: Option<Duration>,
     /// It came to its end.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// What a row is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case", tag = "by", content = "name")]
 pub enum Subject {
-    /// The whole service.
+    /// The complete service.
     Service,
     /// A route.
     Route(Route),
@@ -162,7 +162,7 @@
             (Some(between), Some(most)) => between > most,
             _ => false,
         };
-        !request.whole || late || slow
+        !request.complete || late || slow
     }
 
     fn burn(&self, count: Count) -> f64 {
--- a/components/report/tests/burn.rs
+++ b/components/report/tests/burn.rs
@@ -37,7 +37,7 @@
         version: &version.into(),
         first: Some(Duration::from_millis(first)),
         between: Some(Duration::from_millis(40)),
-        whole: true,
+        complete: true,
     };
     counters.count(&request, now);
 }
@@ -52,7 +52,7 @@
 fn a_request_misses_its_level(
     #[case] first: Option<u64>,
     #[case] between: Option<u64>,
-    #[case] whole: bool,
+    #[case] complete: bool,
     #[case] missed: bool,
 ) {
     let request = Request {
@@ -62,7 +62,7 @@
         version: &"1".into(),
         first: first.map(Duration::from_millis),
         between: between.map(Duration::from_millis),
-        whole,
+        complete,
     };
     assert_eq!(LEVEL.missed(&request), missed);
 }
