--- a/components/report/src/burn.rs
+++ b/components/report/src/burn.rs
@@ -1,7 +1,9 @@
-//! Service-level burn: how fast the share of requests that may miss a level is used up.
+//! Service-level burn rates: how fast the error budget, the share of requests that may miss a
+//! service level, is spent.
 //!
-//! A burn of 1 uses the budget up exactly over the budget's period. Each alert looks at a long
-//! window, for what matters, and at a short one, so that it ends soon after the trouble does.
+//! At a burn rate of 1 the budget lasts exactly for its period. Each alert checks a long window,
+//! which shows that the burn matters, and a short one, so that the alert ends soon after the
+//! failure does.
 
 use std::{
     collections::BTreeMap,
@@ -22,167 +24,171 @@
     Ring, //
 };
 
-/// Period over which the budget is counted.
-pub const PERIOD: Duration = Duration::from_secs(3 * 24 * 3600);
+/// Period of the error budget.
+pub const BUDGET_PERIOD: Duration = Duration::from_secs(3 * 24 * 3600);
 
-/// Most rows that a ledger keeps; further teams are counted together as [`OTHERS`].
-pub const ROWS: usize = 4096;
+/// Largest number of rows in [`Counters`]. Requests of further rows are counted as team
+/// [`OVERFLOW_TEAM`] of their service.
+pub const MAX_ROWS: usize = 4096;
 
-/// Name under which the rows beyond [`ROWS`] are counted.
-pub const OTHERS: &str = "(others)";
+/// Team name that stands for all rows beyond [`MAX_ROWS`].
+pub const OVERFLOW_TEAM: &str = "(others)";
 
-/// Fewest requests in the short window for an alert; a single miss of few isn't a burn.
-const FEWEST: u64 = 10;
+/// Fewest requests in the short window for an alert. Among fewer, a single miss would raise one.
+const MIN_ALERT_REQUESTS: u64 = 10;
 
-/// Windows and the burn from which they alert: fast, slow, and over the complete period.
+/// Alerts on a fast burn, a slow burn, and a burn over the whole period.
 pub const WINDOWS: [Window; 3] = [
     Window::new("fast", 5 * 60, 3600, 14.4),
     Window::new("slow", 30 * 60, 6 * 3600, 6.0),
     Window::new("long", 6 * 3600, 3 * 24 * 3600, 1.0),
 ];
 
-/// A pair of windows.
+/// A pair of windows with an alert threshold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Window {
-    /// Name.
+    /// Name of the pair.
     pub name: &'static str,
     /// The short window.
     pub short: Duration,
     /// The long window.
     pub long: Duration,
-    /// Burn in both from which there is an alert.
-    pub alert: f64,
+    /// Burn rate that both windows must reach for an alert.
+    pub threshold: f64,
 }
 
 impl Window {
-    const fn new(name: &'static str, short: u64, long: u64, alert: f64) -> Self {
+    const fn new(name: &'static str, short: u64, long: u64, threshold: f64) -> Self {
         Self {
             name,
             short: Duration::from_secs(short),
             long: Duration::from_secs(long),
-            alert,
+            threshold,
         }
     }
 }
 
-/// A service level.
+/// Service level of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Level {
-    /// Longest time to the first token or byte.
+    /// Longest allowed time to the first token or byte.
     pub first: Duration,
-    /// Longest mean time between tokens, if it counts.
+    /// Longest allowed mean time between tokens, if there is a limit.
     pub between: Option<Duration>,
     /// Share of requests that must meet the level.
     pub objective: f64,
 }
 
-/// One request as the entry saw it.
+/// Measurements of one ended request.
 #[derive(Clone, Debug)]
 pub struct Request<'a> {
-    /// Its service.
+    /// Service of the request.
     pub service: &'a Service,
-    /// Its route.
+    /// Route of the request.
     pub route: &'a Route,
-    /// Its team.
+    /// Team of the caller.
     pub team: &'a Team,
-    /// The version that answered.
+    /// Version that served the request.
     pub version: &'a Version,
-    /// Time to the first token or byte; none if there was none.
+    /// Time to the first token or byte; `None` if none was received.
     pub first: Option<Duration>,
-    /// Mean time between tokens.
+    /// Mean time between tokens, if there were several.
     pub between: Option<Duration>,
-    /// It came to its end.
+    /// Whether the response was complete.
     pub complete: bool,
 }
 
-/// What a row is about.
+/// Requests of a service that a row counts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case", tag = "by", content = "name")]
 pub enum Subject {
-    /// The complete service.
+    /// All requests of the service.
     Service,
-    /// A route.
+    /// Requests of one route.
     Route(Route),
-    /// A version.
+    /// Requests served by one version.
     Version(Version),
-    /// A team.
+    /// Requests of one team.
     Team(Team),
 }
 
-/// Counters of all services, bounded in memory.
+/// Request counters of all services with a level, bounded in memory.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     levels: BTreeMap<Service, Level>,
     rows: BTreeMap<(Service, Subject), Ring>,
 }
 
-/// Burn of one row over one pair of windows.
+/// Burn rates of one row over one pair of windows.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Rate {
     /// Name of the pair.
     pub window: &'static str,
-    /// Burn over the short window.
+    /// Burn rate over the short window.
     pub short: f64,
-    /// Burn over the long window.
+    /// Burn rate over the long window.
     pub long: f64,
-    /// Both are past the pair's limit.
+    /// Whether both reach the threshold, with at least [`MIN_ALERT_REQUESTS`] in the short window.
     pub alert: bool,
 }
 
-/// Burn of one row.
+/// Error budget and burn rates of one row.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
     /// Service.
     pub service: Service,
-    /// What of it.
+    /// Counted requests of the service.
     pub subject: Subject,
     /// Requests in the period.
     pub requests: u64,
     /// Requests in the period that missed the level.
     pub missed: u64,
-    /// Share that is left of the budget which the period's requests so far allow; below 0 when it
-    /// is overdrawn.
+    /// Remaining share of the budget that the period's requests so far allow; below 0 when it
+    /// is overspent.
     pub left: f64,
-    /// Burn by window.
+    /// Burn rates by pair of windows.
     pub rates: Vec<Rate>,
 }
 
-/// The report, worst rows first.
+/// Report on burn rates.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Burn {
-    /// Rows.
+    /// Rows, worst first: by number of alerts, then by remaining budget.
     pub rows: Vec<Row>,
 }
 
 impl Level {
-    /// Tells whether a request missed the level.
+    /// Returns whether a request missed the level.
     pub fn missed(&self, request: &Request<'_>) -> bool {
         let late = request.first.is_none_or(|first| first > self.first);
         let slow = match (request.between, self.between) {
-            (Some(between), Some(most)) => between > most,
+            (Some(between), Some(limit)) => between > limit,
             _ => false,
         };
         !request.complete || late || slow
     }
 
+    /// Returns the burn rate: the share of missed requests over the share that the objective
+    /// allows.
     fn burn(&self, count: Count) -> f64 {
-        if count.all == 0 {
+        if count.requests == 0 {
             return 0.0;
         }
         let allowed = (1.0 - self.objective).max(1e-6);
-        count.missed as f64 / count.all as f64 / allowed
+        count.missed as f64 / count.requests as f64 / allowed
     }
 }
 
 impl Counters {
-    /// Takes the levels of a document. Rows of services without a level are dropped.
+    /// Replaces the levels, and drops the rows of services that no longer have one.
     pub fn set_levels(&mut self, levels: BTreeMap<Service, Level>) {
         self.rows
             .retain(|(service, _), _| levels.contains_key(service));
         self.levels = levels;
     }
 
-    /// Counts a request that has ended. Requests given up by their callers aren't counted.
+    /// Counts an ended request. Callers of this function leave out requests that a caller
+    /// abandoned.
     pub fn count(&mut self, request: &Request<'_>, now: Clock) {
         let Some(level) = self.levels.get(request.service) else {
             return;
@@ -196,50 +202,53 @@
         ];
         for subject in subjects {
             let mut key = (request.service.clone(), subject);
-            if !self.rows.contains_key(&key) && self.rows.len() >= ROWS {
-                key.1 = Subject::Team(OTHERS.into());
+            if !self.rows.contains_key(&key) && self.rows.len() >= MAX_ROWS {
+                key.1 = Subject::Team(OVERFLOW_TEAM.into());
             }
             self.rows.entry(key).or_default().add(missed, now);
         }
     }
 
-    /// Number of rows.
+    /// Returns the number of rows.
     pub fn rows(&self) -> usize {
         self.rows.len()
     }
 
-    /// The report as of now.
+    /// Returns the report at time `now`.
     pub fn report(&self, now: Clock) -> Burn {
         let mut rows = Vec::new();
         for ((service, subject), ring) in &self.rows {
             let Some(level) = self.levels.get(service) else {
                 continue;
             };
-            let period = ring.sum(PERIOD, now);
+            let period = ring.sum(BUDGET_PERIOD, now);
             rows.push(Row {
                 service: service.clone(),
                 subject: subject.clone(),
-                requests: period.all,
+                requests: period.requests,
                 missed: period.missed,
                 left: 1.0 - level.burn(period),
-                rates: WINDOWS.map(|w| rate(level, ring, w, now)).to_vec(),
+                rates: WINDOWS
+                    .map(|window| rate(level, ring, window, now))
+                    .to_vec(),
             });
         }
-        rows.sort_by(|one, other| {
-            let alerts = other.alerts().cmp(&one.alerts());
-            alerts.then(one.left.total_cmp(&other.left))
+        rows.sort_by(|a, b| {
+            let alerts = b.alerts().cmp(&a.alerts());
+            alerts.then(a.left.total_cmp(&b.left))
         });
         Burn { rows }
     }
 }
 
 impl Row {
-    /// Number of pairs of windows that alert.
+    /// Returns the number of pairs of windows with an alert.
     pub fn alerts(&self) -> usize {
         self.rates.iter().filter(|rate| rate.alert).count()
     }
 }
 
+/// Returns the burn rates of a row over a pair of windows.
 fn rate(level: &Level, ring: &Ring, window: Window, now: Clock) -> Rate {
     let recent = ring.sum(window.short, now);
     let short = level.burn(recent);
@@ -248,6 +257,8 @@
         window: window.name,
         short,
         long,
-        alert: recent.all >= FEWEST && short >= window.alert && long >= window.alert,
+        alert: recent.requests >= MIN_ALERT_REQUESTS
+            && short >= window.threshold
+            && long >= window.threshold,
     }
 }
--- a/components/report/src/explain.rs
+++ b/components/report/src/explain.rs
@@ -1,9 +1,9 @@
-//! One request's story, from the log lines of several processes.
+//! Explains the outcome of one request from the log lines of several processes.
 //!
-//! Each process writes JSON lines of its own. Their times of day differ by seconds and may jump, so
-//! that lines of different processes are put in order by the hosts' steady clocks, which are
-//! brought together by what all processes learn at about the same moment: documents, and backend
-//! servers that come and go.
+//! Each process writes JSON lines. Wall clocks of hosts differ by seconds and may jump, so lines
+//! are ordered by the monotonic clocks of the hosts. Their offsets are estimated from events that
+//! all processes log at about the same time: new documents, and changes in the set of backend
+//! servers.
 
 mod cause;
 mod clocks;
@@ -21,44 +21,44 @@
     read, //
 };
 
-/// Number of the event of a process's start.
-const STARTED: u64 = 100;
+/// Event number of the start of a process.
+const PROCESS_STARTED: u64 = 100;
 
-/// Time before a request's first line from which on other lines may explain it, in milliseconds: a
-/// store that was lost seconds ago refuses keys now.
-const BEFORE: i64 = 8_000;
+/// Period before the first line of a request whose other lines may explain it, in milliseconds. A
+/// store that failed seconds ago can cause API keys to be refused now.
+const CONTEXT_BEFORE_MS: i64 = 8_000;
 
-/// Time behind its last line, in milliseconds.
-const BEHIND: i64 = 500;
+/// Period after the last line of a request whose other lines may explain it, in milliseconds.
+const CONTEXT_AFTER_MS: i64 = 500;
 
-/// One request's story.
+/// Explanation of one request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Story {
-    /// The request.
+pub struct Explanation {
+    /// Id of the request.
     pub id: String,
-    /// Lines in order of time.
-    pub lines: Vec<Told>,
-    /// What became of it, and why, in a sentence.
+    /// Relevant log lines in order of time.
+    pub lines: Vec<Event>,
+    /// Outcome of the request and its cause, in a sentence.
     pub cause: String,
 }
 
-/// A line of a story.
+/// A log line of an explanation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
-    /// Milliseconds since the request's first line.
-    pub ms: i64,
-    /// It is about the request itself, or another attempt of the same caller.
+pub struct Event {
+    /// Time since the first line of the request, in milliseconds; negative before it.
+    pub offset_ms: i64,
+    /// Whether the line is about the request itself or another attempt of the same caller.
     pub own: bool,
-    /// The line.
+    /// The log line.
     pub line: Line,
 }
 
-/// Tells the story of a request; `None` when no line names it.
-pub fn explain(lines: &[Line], id: &str) -> Option<Story> {
-    let ids = attempts(lines, id);
+/// Explains a request; returns `None` if no line names it.
+pub fn explain(lines: &[Line], id: &str) -> Option<Explanation> {
+    let ids = related_ids(lines, id);
     let named: Vec<&Line> = lines.iter().filter(|line| line.id() == Some(id)).collect();
-    let home = named.first()?.origin();
-    let clocks = Clocks::new(lines, &home);
+    let reference = named.first()?.origin();
+    let clocks = Clocks::new(lines, &reference);
     let times = named.iter().map(|line| clocks.time(line));
     let first = times.clone().min()?;
     let last = times.max()?;
@@ -66,89 +66,90 @@
         .iter()
         .filter_map(|line| line.text("server"))
         .collect();
-    let mut told = Vec::new();
+    let mut events = Vec::new();
     for line in lines {
         let time = clocks.time(line);
         let own = line.id().is_some_and(|id| ids.contains(id));
-        let near = time >= first - BEFORE && time <= last + BEHIND;
-        let told_of = near && concerns(line, &servers, &home);
-        if !(own || told_of) {
+        let in_period = time >= first - CONTEXT_BEFORE_MS && time <= last + CONTEXT_AFTER_MS;
+        let relevant = in_period && is_relevant(line, &servers, &reference);
+        if !(own || relevant) {
             continue;
         }
-        told.push(Told {
-            ms: time - first,
+        events.push(Event {
+            offset_ms: time - first,
             own,
             line: line.clone(),
         });
     }
-    told.sort_by_key(|told| told.ms);
-    if !named.iter().any(|line| cause::ends(line)) {
-        told.extend(next_start(lines, named.last()?, first, &clocks));
+    events.sort_by_key(|event| event.offset_ms);
+    if !named.iter().any(|line| cause::is_outcome(line)) {
+        events.extend(next_start(lines, named.last()?, first, &clocks));
     }
-    Some(Story {
+    Some(Explanation {
         id: id.to_string(),
-        cause: cause::cause(id, &told),
-        lines: told,
+        cause: cause::cause(id, &events),
+        lines: events,
     })
 }
 
-/// The request and the caller's other attempts, which brought the same prompt.
-fn attempts<'a>(lines: &'a [Line], id: &'a str) -> BTreeSet<&'a str> {
-    let of_id = |line: &&Line| line.id() == Some(id);
+/// Returns the ids of the request and of other attempts of the caller, which have the same prompt.
+fn related_ids<'a>(lines: &'a [Line], id: &'a str) -> BTreeSet<&'a str> {
+    let has_id = |line: &&Line| line.id() == Some(id);
     let prompts: BTreeSet<u64> = lines
         .iter()
-        .filter(of_id)
+        .filter(has_id)
         .filter_map(|line| line.number("prompt"))
         .collect();
     let mut ids = BTreeSet::from([id]);
     for line in lines {
-        let same = line.number("prompt").is_some_and(|p| prompts.contains(&p));
-        if let (true, Some(other)) = (same, line.id()) {
+        let same_prompt = line.number("prompt").is_some_and(|p| prompts.contains(&p));
+        if let (true, Some(other)) = (same_prompt, line.id()) {
             ids.insert(other);
         }
     }
     ids
 }
 
-/// Whether a line that names no request may explain one that met these servers at this process.
-fn concerns(line: &Line, servers: &BTreeSet<&str>, home: &(String, u64)) -> bool {
+/// Returns whether a line that names no request may explain a request that process `reference`
+/// handled with these servers.
+fn is_relevant(line: &Line, servers: &BTreeSet<&str>, reference: &(String, u64)) -> bool {
     if line.id().is_some() {
         return false;
     }
     match line.text("server") {
-        Some(server) => servers.contains(server) && line.origin() == *home,
-        None => line.origin() == *home,
+        Some(server) => servers.contains(server) && line.origin() == *reference,
+        None => line.origin() == *reference,
     }
 }
 
-/// The next start of the process that wrote a line, which ended in between. The host may have lost
-/// power, and its steady clock begins anew then, so that its time of day has to do.
-fn next_start(lines: &[Line], last: &Line, first: i64, clocks: &Clocks) -> Option<Told> {
+/// Returns the next start of the process that wrote a line. Its time is estimated by the wall
+/// clock: if the host lost power in between, its monotonic clock has restarted from zero.
+fn next_start(lines: &[Line], last: &Line, first: i64, clocks: &Clocks) -> Option<Event> {
     let next = |line: &&Line| {
-        line.event == STARTED
+        line.event == PROCESS_STARTED
             && line.process == last.process
             && line.run != last.run
-            && line.at > last.at
+            && line.wall_ms > last.wall_ms
     };
-    let start = lines.iter().filter(next).min_by_key(|line| line.at)?;
-    Some(Told {
-        ms: clocks.time(last) - first + (start.at - last.at),
+    let start = lines.iter().filter(next).min_by_key(|line| line.wall_ms)?;
+    Some(Event {
+        offset_ms: clocks.time(last) - first + (start.wall_ms - last.wall_ms),
         own: false,
         line: start.clone(),
     })
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Explanation {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(out, "{}", self.cause)?;
         writeln!(out)?;
-        for told in &self.lines {
-            let mark = if told.own { '*' } else { ' ' };
-            let line = &told.line;
+        for event in &self.lines {
+            let marker = if event.own { '*' } else { ' ' };
+            let line = &event.line;
             write!(
                 out,
-                "{:>8} ms {mark} {} {}",
-                told.ms, line.process, line.message
+                "{:>8} ms {marker} {} {}",
+                event.offset_ms, line.process, line.message
             )?;
             for (name, value) in line.details() {
                 write!(out, " {name}={value}")?;
--- a/components/report/src/explain/cause.rs
+++ b/components/report/src/explain/cause.rs
@@ -1,11 +1,12 @@
-//! What became of a request, and why, in a sentence.
+//! Describes the outcome of a request and its cause in a sentence.
 
 use super::{
-    Line,
-    Told, //
+    Event,
+    Line, //
 };
 
-const STARTED: u64 = 100;
+// Event numbers in log lines.
+const PROCESS_STARTED: u64 = 100;
 pub(super) const REFUSED: u64 = 1000;
 const SENT: u64 = 1001;
 pub(super) const ANSWERED: u64 = 1002;
@@ -17,83 +18,88 @@
 pub(super) const ABANDONED: u64 = 1008;
 const STORE_LOST: u64 = 1105;
 
-/// Whether a line tells of a request's end.
-pub(super) fn ends(line: &Line) -> bool {
+/// Returns whether a line reports the outcome of a request.
+pub(super) fn is_outcome(line: &Line) -> bool {
     matches!(line.event, REFUSED | ANSWERED | FAILED | CUT | ABANDONED)
 }
 
-/// Says what became of a request.
-pub(super) fn cause(id: &str, told: &[Told]) -> String {
-    let own: Vec<&Line> = told
+/// Describes the outcome of a request and its cause.
+pub(super) fn cause(id: &str, events: &[Event]) -> String {
+    let own: Vec<&Line> = events
         .iter()
-        .map(|told| &told.line)
+        .map(|event| &event.line)
         .filter(|line| line.id() == Some(id))
         .collect();
-    let ended = |event: u64| own.iter().rev().find(|line| line.event == event).copied();
-    if let Some(refused) = ended(REFUSED) {
-        return self::refused(refused, &own, told);
+    let outcome = |event: u64| own.iter().rev().find(|line| line.event == event).copied();
+    if let Some(refused) = outcome(REFUSED) {
+        return self::refused(refused, &own, events);
     }
-    if let Some(cut) = ended(CUT) {
+    if let Some(cut) = outcome(CUT) {
         return self::cut(cut, &own);
     }
-    if let Some(left) = ended(ABANDONED) {
-        return abandoned(left, &own);
+    if let Some(line) = outcome(ABANDONED) {
+        return abandoned(line, &own);
     }
-    if let Some(answered) = ended(ANSWERED) {
+    if let Some(answered) = outcome(ANSWERED) {
         return self::answered(answered, &own);
     }
-    if let Some(failed) = ended(FAILED) {
+    if let Some(failed) = outcome(FAILED) {
         return format!(
-            "Backend server {} answered with a failure of its own ({}).",
+            "Backend server {} responded with an error of its own (status {}).",
             text(failed, "server"),
             number(failed, "status"),
         );
     }
-    unended(&own, told)
+    unfinished(&own, events)
 }
 
+/// Describes an answered request.
 fn answered(line: &Line, own: &[&Line]) -> String {
     let resumed = count(own, RESUMED);
     let mut text = format!(
-        "It was answered by {} after {} ms",
+        "Answered by {} after {} ms",
         text(line, "server"),
         number(line, "ms"),
     );
     if resumed > 0 {
         let gap = number(line, "gap_ms");
-        text += &format!("; it went on elsewhere {resumed} times, with a gap of {gap} ms at most");
+        text += &format!("; resumed on another server {resumed} times, longest gap {gap} ms");
     }
     let failed = count(own, FAILED);
     if failed > 0 {
-        text += &format!("; {failed} backend servers failed it before");
+        text += &format!("; {failed} backend servers failed before");
     }
     text + "."
 }
 
-fn refused(line: &Line, own: &[&Line], told: &[Told]) -> String {
+/// Describes a refused request.
+fn refused(line: &Line, own: &[&Line], events: &[Event]) -> String {
     let status = number(line, "status");
     let document = number(line, "document");
     match line.text("reason").unwrap_or_default() {
         "no_current_document" if document == 0 => {
-            format!("Refused with {status}: the process knew no document yet.")
+            format!("Refused with {status}: the process had no document yet.")
         }
         "no_current_document" => {
             let age = number(line, "document_age_ms");
-            let lost = told.iter().rev().find(|told| told.line.event == STORE_LOST);
+            let lost = events
+                .iter()
+                .rev()
+                .find(|event| event.line.event == STORE_LOST);
             let why = match lost {
-                Some(lost) => format!("the store doesn't answer ({})", text(&lost.line, "reason")),
-                None => "neither the store nor a peer said that it is current".to_string(),
+                Some(lost) => format!("the store did not respond ({})", text(&lost.line, "reason")),
+                None => "neither the store nor a peer confirmed it".to_string(),
             };
             format!(
-                "Refused with {status}: document {document} was last known to be current {age} ms \
-                 before, too long to accept a key, as {why}."
+                "Refused with {status}: document {document} was last confirmed to be current {age} \
+                 ms before, too long ago to accept an API key, because {why}."
             )
         }
         "no_server" => {
-            let declined = names(own, DECLINED);
+            let declined = responses(own, DECLINED);
             format!(
-                "Refused with {status}, not run: no backend server took it; {} declined or couldn't \
-                 be reached ({}).",
+                "Refused with {status}, not run: no backend server accepted it; {} declined or \
+                 could not be reached ({}).",
                 declined.len(),
                 declined.join(", "),
             )
@@ -102,50 +108,51 @@
             let last = own.iter().rev().find(|line| line.event == LOST);
             let (server, reason) = match last {
                 Some(last) => (text(last, "server"), text(last, "reason")),
-                None => ("a backend server".into(), "no usable answer".into()),
+                None => ("a backend server".into(), "no usable response".into()),
             };
             format!(
-                "Answered with {status}: it was sent to {server}, which gave no usable answer \
-                 ({reason}); it may have run."
+                "Failed with {status}: sent to {server}, which gave no usable response ({reason}); \
+                 it may have run."
             )
         }
         "late" => {
             let ms = number(line, "ms");
             match own.iter().rev().find(|line| line.event == SENT) {
                 Some(sent) => format!(
-                    "Answered with {status}: its time was over after {ms} ms while {} had not \
-                     answered; it may have run.",
+                    "Failed with {status}: the deadline passed after {ms} ms, before {} responded; \
+                     it may have run.",
                     text(sent, "server"),
                 ),
-                None => format!("Answered with {status}: its time was over after {ms} ms."),
+                None => format!("Failed with {status}: the deadline passed after {ms} ms."),
             }
         }
         "expired" => format!(
-            "Refused with {status}, not run: its time was over after {} ms, before a backend server \
-             ran it.",
+            "Refused with {status}, not run: the deadline passed after {} ms, before a backend \
+             server ran it.",
             number(line, "ms"),
         ),
         "retries_spent" => format!(
-            "Refused with {status}, not run: it would have had to be sent once more, and the retries \
-             of its service were used up over all processes."
+            "Refused with {status}, not run: it needed another retry, and the retry budget of its \
+             service was used up across all processes."
         ),
         "leaving" => format!(
-            "Refused with {status}, not run: the process was stopping, and the request would have \
-             outlasted it."
+            "Refused with {status}, not run: the process was shutting down, and the request would \
+             have outlasted it."
         ),
-        "no_key" => format!("Refused with {status}: no team holds its key in document {document}."),
+        "no_key" => format!("Refused with {status}: no team has its key in document {document}."),
         "no_route" => format!("Refused with {status}: document {document} has no route for it."),
         reason => format!("Refused with {status}: {reason}."),
     }
 }
 
+/// Describes a stream that was cut off.
 fn cut(line: &Line, own: &[&Line]) -> String {
     let losses = own.iter().filter(|line| line.event == LOST);
     let losses: Vec<String> = losses
         .map(|line| format!("{} {}", text(line, "server"), text(line, "reason")))
         .collect();
     format!(
-        "Its stream broke off after {} ms behind event {}: {}; runs lost before: {}.",
+        "Stream cut off after {} ms, after event {}: {}; runs lost before: {}.",
         number(line, "ms"),
         number(line, "last"),
         text(line, "reason"),
@@ -156,51 +163,54 @@
     )
 }
 
+/// Describes a request whose caller disconnected.
 fn abandoned(line: &Line, own: &[&Line]) -> String {
     let ms = number(line, "ms");
     let last = own.iter().rev().find(|line| line.event != ABANDONED);
     match last {
         Some(last) if last.event == SENT => format!(
-            "Its caller left after {ms} ms, while {} was at work on it.",
+            "The caller disconnected after {ms} ms, while {} was processing the request.",
             text(last, "server"),
         ),
         Some(last) => format!(
-            "Its caller left after {ms} ms; before that: {}.",
+            "The caller disconnected after {ms} ms; before that: {}.",
             last.message
         ),
-        None => format!("Its caller left after {ms} ms, before it was sent."),
+        None => format!("The caller disconnected after {ms} ms, before the request was sent."),
     }
 }
 
-fn unended(own: &[&Line], told: &[Told]) -> String {
+/// Describes a request without a logged outcome.
+fn unfinished(own: &[&Line], events: &[Event]) -> String {
     let Some(last) = own.last() else {
-        return "No line names it.".to_string();
+        return "No log line names the request.".to_string();
     };
-    let same = |told: &&Told| told.line.process == last.process && told.line.run != last.run;
-    let start = told
+    let same = |event: &&Event| event.line.process == last.process && event.line.run != last.run;
+    let start = events
         .iter()
         .filter(same)
-        .find(|told| told.line.event == STARTED);
+        .find(|event| event.line.event == PROCESS_STARTED);
     if let Some(start) = start {
         return format!(
-            "The process {} ended without a word while it was at work on it, and started anew {} ms \
-             after the request came.",
-            last.process, start.ms,
+            "Process {} ended without logging an outcome while it was processing the request; it \
+             restarted {} ms after the request arrived.",
+            last.process, start.offset_ms,
         );
     }
     format!(
-        "Nothing was written of its end: the last line is {:?} of {}, whose process ended, or whose \
-         lines were dropped.",
+        "No outcome was logged: the last line is {:?} of {}, whose process ended or whose lines \
+         were dropped.",
         last.message, last.process,
     )
 }
 
+/// Returns the number of lines of an event.
 fn count(own: &[&Line], event: u64) -> usize {
     own.iter().filter(|line| line.event == event).count()
 }
 
-/// Servers that lines of an event name, with what they say.
-fn names(own: &[&Line], event: u64) -> Vec<String> {
+/// Returns the servers in the lines of an event, each with its reason or status.
+fn responses(own: &[&Line], event: u64) -> Vec<String> {
     let lines = own.iter().filter(|line| line.event == event);
     let name = |line: &&Line| match line.text("reason") {
         Some(reason) => format!("{}: {reason}", text(line, "server")),
--- a/components/report/src/explain/clocks.rs
+++ b/components/report/src/explain/clocks.rs
@@ -1,4 +1,4 @@
-//! The hosts' steady clocks, brought together.
+//! Offsets between the monotonic clocks of hosts.
 
 use std::collections::{
     BTreeMap,
@@ -7,51 +7,52 @@
 
 use super::Line;
 
-/// Events that all processes write at about the same moment, with what tells two of them apart.
-fn mark(line: &Line) -> Option<String> {
-    let what = match line.event {
+/// Returns the identity of an event that all processes log at about the same time; `None` for other
+/// events.
+fn sync_point(line: &Line) -> Option<String> {
+    let subject = match line.event {
         1100 => line.number("version")?.to_string(),
         1102 | 1103 => line.text("server")?.to_string(),
         _ => return None,
     };
-    Some(format!("{} {what}", line.event))
+    Some(format!("{} {subject}", line.event))
 }
 
-/// What has to be added to each process's clock to get that of one of them.
+/// Offsets that convert the clock of each process to that of a reference process.
 #[derive(Debug)]
 pub(super) struct Clocks {
     offsets: HashMap<(String, u64), i64>,
 }
 
 impl Clocks {
-    /// Compares all clocks with that of `home`.
-    pub(super) fn new(lines: &[Line], home: &(String, u64)) -> Clocks {
-        let mut marks: HashMap<(String, u64), BTreeMap<String, i64>> = HashMap::new();
+    /// Estimates the offsets of all clocks to that of process `reference`.
+    pub(super) fn new(lines: &[Line], reference: &(String, u64)) -> Clocks {
+        let mut sync_points: HashMap<(String, u64), BTreeMap<String, i64>> = HashMap::new();
         for line in lines {
-            let seen = marks.entry(line.origin()).or_default();
-            if let Some(mark) = mark(line) {
-                seen.entry(mark).or_insert(line.up);
+            let points = sync_points.entry(line.origin()).or_default();
+            if let Some(sync_point) = sync_point(line) {
+                points.entry(sync_point).or_insert(line.monotonic_ms);
             }
         }
-        let own = marks.get(home).cloned().unwrap_or_default();
+        let reference_points = sync_points.get(reference).cloned().unwrap_or_default();
         let mut offsets = HashMap::new();
-        for (origin, seen) in marks {
+        for (origin, points) in sync_points {
             let mut differences = Vec::new();
-            for (mark, up) in &seen {
-                if let Some(own) = own.get(mark) {
-                    differences.push(own - up);
+            for (sync_point, time) in &points {
+                if let Some(reference_time) = reference_points.get(sync_point) {
+                    differences.push(reference_time - time);
                 }
             }
             differences.sort_unstable();
-            // Without a common mark nothing is known; the hosts' clocks are taken as they are.
+            // Without a common event the offset is unknown, and the clock is used as it is.
             let median = differences.get(differences.len() / 2).copied();
             offsets.insert(origin, median.unwrap_or(0));
         }
         Clocks { offsets }
     }
 
-    /// Time of a line by the common clock, in milliseconds.
+    /// Returns the time of a line on the reference clock, in milliseconds.
     pub(super) fn time(&self, line: &Line) -> i64 {
-        line.up + self.offsets.get(&line.origin()).copied().unwrap_or(0)
+        line.monotonic_ms + self.offsets.get(&line.origin()).copied().unwrap_or(0)
     }
 }
--- a/components/report/src/explain/line.rs
+++ b/components/report/src/explain/line.rs
@@ -1,78 +1,78 @@
-//! Log lines as they are read back.
+//! Parses log lines.
 
 use serde_json::{
     Map,
     Value, //
 };
 
-/// Fields that every line has.
-const COMMON: [&str; 7] = ["at", "up", "process", "run", "level", "message", "event"];
+/// Names of the fields that every line has.
+const COMMON_FIELDS: [&str; 7] = ["at", "up", "process", "run", "level", "message", "event"];
 
-/// A line that a process wrote.
+/// A log line of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Host of the process.
+    /// Name of the process, which is that of its host.
     pub process: String,
-    /// Number of the process's run.
+    /// Number that identifies the run of the process.
     pub run: u64,
-    /// Time of day, in milliseconds since 1970.
-    pub at: i64,
-    /// The host's steady clock, in milliseconds.
-    pub up: i64,
-    /// Number of the event.
+    /// Wall clock time, in milliseconds since 1970.
+    pub wall_ms: i64,
+    /// Time on the monotonic clock of the host, in milliseconds.
+    pub monotonic_ms: i64,
+    /// Event number.
     pub event: u64,
-    /// What the event means.
+    /// Meaning of the event.
     pub message: String,
     fields: Map<String, Value>,
 }
 
 impl Line {
-    /// Reads one line; whatever stands in front of the object is passed over. `None` for what isn't
-    /// a line of ours.
+    /// Parses one line, ignoring everything before the JSON object. Returns `None` if it isn't a
+    /// log line of this system.
     pub fn parse(text: &str) -> Option<Line> {
         let start = text.find('{')?;
         let fields: Map<String, Value> = serde_json::from_str(text[start..].trim()).ok()?;
         Some(Line {
             process: fields.get("process")?.as_str()?.to_string(),
             run: fields.get("run").and_then(Value::as_u64).unwrap_or(0),
-            at: fields.get("at")?.as_i64()?,
-            up: fields.get("up")?.as_i64()?,
+            wall_ms: fields.get("at")?.as_i64()?,
+            monotonic_ms: fields.get("up")?.as_i64()?,
             event: fields.get("event").and_then(Value::as_u64).unwrap_or(0),
             message: fields.get("message")?.as_str()?.to_string(),
             fields,
         })
     }
 
-    /// The request that it is about.
+    /// Returns the id of the request that the line is about.
     pub fn id(&self) -> Option<&str> {
         self.text("id").filter(|id| !id.is_empty())
     }
 
-    /// A field that is a text.
+    /// Returns a string field.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 
-    /// A field that is a whole number.
+    /// Returns an unsigned integer field.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 
-    /// The process and its run.
+    /// Returns the process and its run.
     pub fn origin(&self) -> (String, u64) {
         (self.process.clone(), self.run)
     }
 
-    /// The fields that this kind of line has besides those of all.
+    /// Returns the fields that not every line has, without those that are null.
     pub fn details(&self) -> impl Iterator<Item = (&String, &Value)> {
-        let own = |(name, value): &(&String, &Value)| {
-            !COMMON.contains(&name.as_str()) && !value.is_null()
+        let specific = |(name, value): &(&String, &Value)| {
+            !COMMON_FIELDS.contains(&name.as_str()) && !value.is_null()
         };
-        self.fields.iter().filter(own)
+        self.fields.iter().filter(specific)
     }
 }
 
-/// Reads the lines of a text; others are passed over.
+/// Parses all log lines of a text and skips other lines.
 pub fn read(text: &str) -> Vec<Line> {
     text.lines().filter_map(Line::parse).collect()
 }
--- a/components/report/src/explain/summary.rs
+++ b/components/report/src/explain/summary.rs
@@ -1,4 +1,4 @@
-//! What became of all requests of some logs: by kind, cause and time, with their times.
+//! Summary of all requests in log lines: outcomes by kind and by time, and percentiles of times.
 
 use std::{
     collections::BTreeMap,
@@ -11,71 +11,72 @@
 
 use super::{
     Line,
-    STARTED,
+    PROCESS_STARTED,
     cause, //
 };
 
-/// Pause between events from which on a stream counts as disturbed: several times the usual one, as
-/// while another prompt is read on its engine.
-const DISTURBED_MS: u64 = 150;
+/// Gap between events from which on a stream counts as disturbed, in milliseconds: several times
+/// the usual gap, as when the engine prefills another prompt meanwhile.
+const DISTURBED_GAP_MS: u64 = 150;
 
-/// Longest time that is told apart, in milliseconds.
-const MAX_MS: u64 = 3_600_000;
+/// Largest time that the histograms distinguish, in milliseconds.
+const MAX_TIME_MS: u64 = 3_600_000;
 
+/// Event number of the admission of a request.
 const ADMITTED: u64 = 1012;
 
-/// Requests by what became of them.
+/// Number of requests by outcome.
 pub type Outcomes = BTreeMap<String, u64>;
 
-/// What became of all requests.
+/// Summary of all requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// Requests by kind: `stream`, `plain`, and `unsent` for those that no server got.
+    /// Requests by kind: `stream`, `plain`, and `unsent` for those not sent to any server.
     pub kinds: BTreeMap<&'static str, Kind>,
-    /// Outcomes by the time at which the requests came.
+    /// Outcomes by arrival time of the requests.
     pub windows: Vec<Window>,
 }
 
-/// One kind of request.
+/// Requests of one kind.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Kind {
     /// Requests by outcome.
     pub outcomes: Outcomes,
-    /// Waits for an engine with room.
+    /// Waits for an engine with capacity.
     pub waited: Times,
     /// Times to the first event.
     pub first: Times,
-    /// Longest pause of each answer.
+    /// Longest gap between events of each answer.
     pub gap: Times,
     /// Times to the end of the answer.
     pub whole: Times,
-    /// Part of the answered streams with a pause of 150 ms or more.
+    /// Share of the answered streams with a gap of 150 ms or more.
     pub disturbed: f64,
 }
 
-/// Percentiles of some times, in milliseconds.
+/// Percentiles of a set of times, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Times {
-    /// Their number.
+    /// Number of times.
     pub count: u64,
-    /// Half of them are at most this.
+    /// Median.
     pub p50: u64,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95: u64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: u64,
 }
 
-/// Requests that came within a span of time.
+/// Requests that arrived within a window of time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Window {
-    /// Its beginning, in seconds since the first request, by the hosts' time of day.
+    /// Start of the window, in seconds since the first request, by wall clocks.
     pub from_s: f64,
     /// Requests by outcome.
     pub outcomes: Outcomes,
 }
 
-/// Sums up all requests that lines name, in windows of a length.
+/// Summarizes all requests that lines name, with windows of the given length.
 pub fn summary(lines: &[Line], window: Duration) -> Summary {
     let mut requests: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
     for line in lines {
@@ -83,22 +84,25 @@
             requests.entry(id).or_default().push(line);
         }
     }
-    // By the hosts' time of day: steady clocks can't be compared over a host's restart.
-    let came = |own: &[&Line]| own.iter().map(|line| line.at).min();
-    let begin = requests.values().filter_map(|own| came(own)).min();
-    let begin = begin.unwrap_or_default();
+    // By wall clock: monotonic clocks can't be compared across a restart of a host.
+    let arrival = |own: &[&Line]| own.iter().map(|line| line.wall_ms).min();
+    let start = requests.values().filter_map(|own| arrival(own)).min();
+    let start = start.unwrap_or_default();
     let window_ms = i64::try_from(window.as_millis()).unwrap_or(i64::MAX).max(1);
     let mut kinds: BTreeMap<&'static str, Samples> = BTreeMap::new();
     let mut windows: BTreeMap<i64, Outcomes> = BTreeMap::new();
     for own in requests.values() {
         let outcome = outcome(own, lines);
-        let place = (came(own).unwrap_or(begin) - begin) / window_ms;
-        let window = windows.entry(place).or_default();
+        let index = (arrival(own).unwrap_or(start) - start) / window_ms;
+        let window = windows.entry(index).or_default();
         *window.entry(outcome.clone()).or_default() += 1;
-        kinds.entry(kind(own)).or_default().take(own, outcome);
+        kinds
+            .entry(request_kind(own))
+            .or_default()
+            .add(own, outcome);
     }
-    let windows = windows.into_iter().map(|(place, outcomes)| Window {
-        from_s: (place * window_ms) as f64 / 1000.0,
+    let windows = windows.into_iter().map(|(index, outcomes)| Window {
+        from_s: (index * window_ms) as f64 / 1000.0,
         outcomes,
     });
     Summary {
@@ -110,7 +114,8 @@
     }
 }
 
-fn kind(own: &[&Line]) -> &'static str {
+/// Returns the kind of a request.
+fn request_kind(own: &[&Line]) -> &'static str {
     let has = |name: &str| own.iter().any(|line| line.number(name).is_some());
     if has("attempt") || has("first_ms") {
         return "stream";
@@ -121,13 +126,13 @@
     }
 }
 
-/// What became of a request, in a few words that are the same for all with the same cause.
+/// Returns the outcome of a request, with the same text for all requests with the same cause.
 fn outcome(own: &[&Line], lines: &[Line]) -> String {
-    let ends = own.iter().rev().find(|line| cause::ends(line));
-    let Some(end) = ends else {
-        return unended(own, lines).to_string();
+    let last_outcome = own.iter().rev().find(|line| cause::is_outcome(line));
+    let Some(line) = last_outcome else {
+        return unfinished_outcome(own, lines).to_string();
     };
-    match (end.event, end.text("reason")) {
+    match (line.event, line.text("reason")) {
         (cause::REFUSED, Some(reason)) => format!("refused: {reason}"),
         (cause::CUT, Some(reason)) => format!("cut: {reason}"),
         (cause::FAILED, _) => "failed by its server".to_string(),
@@ -136,11 +141,14 @@
     }
 }
 
-fn unended(own: &[&Line], lines: &[Line]) -> &'static str {
-    let last = own.iter().max_by_key(|line| line.up);
+/// Returns the outcome of a request without a logged one.
+fn unfinished_outcome(own: &[&Line], lines: &[Line]) -> &'static str {
+    let last = own.iter().max_by_key(|line| line.monotonic_ms);
     let restarted = last.is_some_and(|last| {
-        let mut starts = lines.iter().filter(|line| line.event == STARTED);
-        starts.any(|line| line.process == last.process && line.run != last.run && line.at > last.at)
+        let mut starts = lines.iter().filter(|line| line.event == PROCESS_STARTED);
+        starts.any(|line| {
+            line.process == last.process && line.run != last.run && line.wall_ms > last.wall_ms
+        })
     });
     match restarted {
         true => "in progress when its entry ended",
@@ -148,7 +156,7 @@
     }
 }
 
-/// Times of one kind of request while they are gathered.
+/// Outcomes and times of one kind of request while they are collected.
 #[derive(Default)]
 struct Samples {
     outcomes: Outcomes,
@@ -159,7 +167,7 @@
 }
 
 impl Samples {
-    fn take(&mut self, own: &[&Line], outcome: String) {
+    fn add(&mut self, own: &[&Line], outcome: String) {
         *self.outcomes.entry(outcome).or_default() += 1;
         for line in own {
             if line.event == ADMITTED {
@@ -176,7 +184,7 @@
 
 impl From<Samples> for Kind {
     fn from(samples: Samples) -> Kind {
-        let disturbed = samples.gap.iter().filter(|gap| **gap >= DISTURBED_MS);
+        let disturbed = samples.gap.iter().filter(|gap| **gap >= DISTURBED_GAP_MS);
         Kind {
             disturbed: disturbed.count() as f64 / samples.gap.len().max(1) as f64,
             outcomes: samples.outcomes,
@@ -188,9 +196,10 @@
     }
 }
 
+/// Returns the percentiles of samples.
 fn times(samples: &[u64]) -> Times {
     let mut histogram =
-        Histogram::<u64>::new_with_bounds(1, MAX_MS, 3).expect("the bounds are in order");
+        Histogram::<u64>::new_with_bounds(1, MAX_TIME_MS, 3).expect("the bounds are valid");
     for sample in samples {
         histogram.saturating_record(*sample);
     }
@@ -203,9 +212,9 @@
 }
 
 impl fmt::Display for Summary {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, kind) in &self.kinds {
-            writeln!(f, "{name}: {}", line(&kind.outcomes))?;
+            writeln!(formatter, "{name}: {}", line(&kind.outcomes))?;
             let rows = [
                 ("waited", &kind.waited),
                 ("first event", &kind.first),
@@ -220,22 +229,28 @@
                     p99,
                 } = times;
                 writeln!(
-                    f,
+                    formatter,
                     "  {row:<14} {count:>6} median {p50:>6} ms, 95th {p95:>6}, 99th {p99:>6}"
                 )?;
             }
             if kind.gap.count > 0 {
                 let percent = 100.0 * kind.disturbed;
-                writeln!(f, "  disturbed      {percent:.0} in 100")?;
+                writeln!(formatter, "  disturbed      {percent:.0} in 100")?;
             }
         }
         for window in &self.windows {
-            writeln!(f, "{:>7.1} s  {}", window.from_s, line(&window.outcomes))?;
+            writeln!(
+                formatter,
+                "{:>7.1} s  {}",
+                window.from_s,
+                line(&window.outcomes)
+            )?;
         }
         Ok(())
     }
 }
 
+/// Renders outcomes, most frequent first.
 fn line(outcomes: &Outcomes) -> String {
     let mut sorted: Vec<_> = outcomes.iter().collect();
     sorted.sort_by_key(|(_, count)| std::cmp::Reverse(**count));
--- a/components/report/src/lib.rs
+++ b/components/report/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reports: service-level burn, moves, resumes.
+//! Reports on service-level burn, moves and resumes, and explanations of requests from log lines.
 //!
-//! Counters go in, reports come out: as text for one screen, as JSON, and the burn as a page of
-//! HTML that needs nothing else. Nothing here reads a clock or a socket.
+//! The reports are computed from counters and rendered as text for one screen or as JSON; the burn
+//! also as a self-contained HTML page. Nothing here reads a clock or a socket.
 
 pub mod burn;
 pub mod explain;
--- a/components/report/src/moves.rs
+++ b/components/report/src/moves.rs
@@ -1,4 +1,4 @@
-//! Moves under way and ended, as one entry knows them.
+//! Report on moves of traffic between versions, running and ended, as one entry knows them.
 
 use std::{
     fmt::Write,
@@ -15,85 +15,86 @@
     Serialize, //
 };
 
-/// Counts of one version on one route.
+/// Request counts of one version on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Distinct requests that failed.
+    /// Number of distinct requests that failed.
     pub failed: u32,
-    /// First tokens over the limit.
+    /// Number of first tokens later than the limit.
     pub slow_first: u32,
-    /// Times between tokens over the limit.
+    /// Number of times between tokens over the limit.
     pub slow_between: u32,
 }
 
-/// What is known of both versions on one route.
+/// Evidence on both versions on one route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Route.
+    /// The route.
     pub route: Route,
-    /// The version that the traffic leaves.
+    /// Counts of the version that loses the traffic.
     pub old: Count,
-    /// The version that the traffic goes to.
+    /// Counts of the version that gains the traffic.
     pub new: Count,
 }
 
-/// One move.
+/// Progress of one move.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Name.
+    /// Name of the move.
     pub name: Move,
-    /// Version that the traffic leaves.
+    /// Version that loses the traffic.
     pub from: Version,
-    /// Version that the traffic goes to.
+    /// Version that gains the traffic.
     pub to: Version,
-    /// The new version's share in thousandths.
+    /// Share of the new version, in thousandths of new requests.
     pub permille: u32,
     /// Time by which all traffic must have moved.
     #[serde(with = "humantime_serde")]
     pub by: SystemTime,
-    /// How strongly the evidence speaks against the new version, as an e-value: 500 takes it back.
+    /// Strength of the evidence against the new version, as an e-value; 500 reverts the move.
     pub against: f64,
-    /// `running`, `done`, `reverted`; `reverting` when the traffic is back and the store doesn't
-    /// know yet.
+    /// `running`, `done` or `reverted`; `reverting` once the traffic has gone back, until the store
+    /// has recorded the outcome.
     pub state: String,
-    /// Why it ended; empty while it runs.
+    /// Reason for the end of the move; empty while it runs.
     pub reason: String,
     /// Evidence by route.
     pub routes: Vec<Evidence>,
 }
 
-/// Moves as text for one screen.
+/// Renders moves as text for one screen.
 pub fn text(moves: &[Progress]) -> String {
     let mut text = String::new();
     if moves.is_empty() {
         return "No moves.\n".into();
     }
-    for one in moves {
+    for progress in moves {
         let _ = writeln!(
             text,
             "{}: {} -> {}, {}, {:.1}% of new requests, by {}, evidence against it {:.1} of 500",
-            one.name,
-            one.from,
-            one.to,
-            one.state,
-            f64::from(one.permille) / 10.0,
-            humantime_serde::re::humantime::format_rfc3339_seconds(one.by),
-            one.against
+            progress.name,
+            progress.from,
+            progress.to,
+            progress.state,
+            f64::from(progress.permille) / 10.0,
+            humantime_serde::re::humantime::format_rfc3339_seconds(progress.by),
+            progress.against
         );
-        if !one.reason.is_empty() {
-            let _ = writeln!(text, "  why: {}", one.reason);
+        if !progress.reason.is_empty() {
+            let _ = writeln!(text, "  why: {}", progress.reason);
         }
-        for route in &one.routes {
+        for route in &progress.routes {
             let _ = writeln!(text, "  route {}", route.route);
-            line(&mut text, &one.to, route.new);
-            line(&mut text, &one.from, route.old);
+            line(&mut text, &progress.to, route.new);
+            line(&mut text, &progress.from, route.old);
         }
     }
     text
 }
 
+/// Writes the line of one version.
 fn line(text: &mut String, version: &Version, count: Count) {
     let _ = writeln!(
         text,
--- a/components/report/src/page.rs
+++ b/components/report/src/page.rs
@@ -1,4 +1,4 @@
-//! The burn as a page of HTML without scripts, styles or pictures from elsewhere.
+//! Renders the burn as an HTML page without scripts, or styles and images of other origins.
 
 use std::fmt::Write;
 
@@ -7,23 +7,23 @@
     text::name, //
 };
 
-/// Width of a full bar in pixels.
-const WIDTH: f64 = 160.0;
+/// Width of a full bar, in pixels.
+const BAR_WIDTH: f64 = 160.0;
 
-const HEAD: &str = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Service-level \
+const PAGE_HEAD: &str = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Service-level \
 burn</title><style>body{font:14px sans-serif;margin:2em}td,th{padding:2px 10px;text-align:left}\
 .bad{color:#b00}</style><h1>Service-level burn</h1><table><tr><th>Service<th>Of<th>Requests\
 <th>Missed<th>Budget left<th>Fast<th>Slow<th>Long</tr>\n";
 
-/// The whole page.
+/// Renders the whole page.
 pub fn burn(burn: &Burn) -> String {
-    let mut page = HEAD.to_string();
+    let mut page = PAGE_HEAD.to_string();
     for row in &burn.rows {
-        let width = WIDTH * row.left.clamp(0.0, 1.0);
+        let width = BAR_WIDTH * row.left.clamp(0.0, 1.0);
         let _ = write!(
             page,
-            "<tr><td>{}<td>{}<td>{}<td>{}<td><svg width=\"{WIDTH}\" height=\"10\">\
-             <rect width=\"{WIDTH}\" height=\"10\" fill=\"#ddd\"/>\
+            "<tr><td>{}<td>{}<td>{}<td>{}<td><svg width=\"{BAR_WIDTH}\" height=\"10\">\
+             <rect width=\"{BAR_WIDTH}\" height=\"10\" fill=\"#ddd\"/>\
              <rect width=\"{width:.0}\" height=\"10\" fill=\"#393\"/></svg> {:.0}%",
             escape(&row.service),
             escape(&name(&row.subject)),
@@ -41,7 +41,7 @@
     page
 }
 
-/// Names come from callers and operators and must not become markup.
+/// Escapes text for HTML. Names come from callers and operators and must not become markup.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
--- a/components/report/src/resumes.rs
+++ b/components/report/src/resumes.rs
@@ -1,4 +1,5 @@
-//! Answers that went on with another epoch, by service and version, since the process began.
+//! Report on answers that resumed with another epoch, by service and version, since the start of
+//! the process.
 
 use std::{
     collections::BTreeMap,
@@ -17,26 +18,26 @@
     Serialize, //
 };
 
-/// Versions that are counted at once. Documents name new ones for as long as the process lives, so
-/// the one without a resume for the longest time makes way.
-pub const VERSIONS: usize = 128;
+/// Largest number of versions with counters. Documents keep adding versions while the process runs,
+/// so the version with the oldest last event is evicted.
+pub const MAX_VERSIONS: usize = 128;
 
-/// Longest latency that is told apart, in milliseconds: an hour.
-const LONGEST: u64 = 3_600_000;
+/// Largest latency that the histogram distinguishes, in milliseconds: an hour.
+const MAX_LATENCY_MS: u64 = 3_600_000;
 
-/// Significant digits of a latency.
-const DIGITS: u8 = 2;
+/// Significant decimal digits of a latency in the histogram.
+const LATENCY_DIGITS: u8 = 2;
 
-/// Why an answer went on elsewhere.
+/// Why an answer resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The end of the epoch before was certain.
+    /// The previous epoch is known to have ended.
     Loss,
-    /// The epoch before was silent.
+    /// The previous epoch is suspected because it sent nothing.
     Suspicion,
 }
 
-/// Counts of one version.
+/// Counters of one version.
 #[derive(Clone, Debug)]
 struct Tally {
     row: Row,
@@ -44,37 +45,37 @@
     last: Clock,
 }
 
-/// One version's resumes, as operators see them.
+/// Counts of one version for the report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     /// Service.
     pub service: Service,
     /// Version.
     pub version: Version,
-    /// Answers that were resumed at least once.
+    /// Number of answers that resumed at least once.
     pub answers: u64,
-    /// Resumes after a loss. An answer can have several.
+    /// Number of resumes after a loss. An answer can have several.
     pub loss: u64,
-    /// Resumes on suspicion.
+    /// Number of resumes on suspicion.
     pub suspicion: u64,
-    /// Median time from the last token of one epoch to the first of the next, in milliseconds; none
-    /// if no resumed answer has had a token yet.
+    /// Median time from the last token of one epoch to the first of the next, in milliseconds;
+    /// `None` if no resumed answer has had a token yet.
     pub median_ms: Option<u64>,
-    /// 99th percentile of the same, in milliseconds.
+    /// 99th percentile of this time, in milliseconds.
     pub p99_ms: Option<u64>,
-    /// Tokens of answers that were handed over for continuation, and so prefilled once more.
+    /// Number of answer tokens passed to another epoch to continue from, and so prefilled again.
     pub recomputed: u64,
-    /// Decoded tokens that reached the entry and were dropped.
+    /// Number of decoded tokens that the entry received and dropped.
     pub dropped: u64,
 }
 
-/// Counts by version.
+/// Counters by service and version.
 #[derive(Clone, Debug, Default)]
 pub struct Counters(BTreeMap<(Service, Version), Tally>);
 
 impl Counters {
-    /// An answer goes on with another epoch, which is given `tokens` to go on from. `first` says
-    /// that it is the first resume of that answer.
+    /// Records that an answer resumes with another epoch, which continues from `tokens` tokens.
+    /// `first` marks the first resume of the answer.
     pub fn record_resume(
         &mut self,
         service: &str,
@@ -93,26 +94,27 @@
         tally.row.recomputed += tokens;
     }
 
-    /// The first fresh token of another epoch came, `latency` after the last one before it.
+    /// Records the first fresh token of another epoch, `latency` after the last token before it.
     pub fn record_latency(&mut self, service: &str, version: &str, latency: Duration, now: Clock) {
         let ms = u64::try_from(latency.as_millis()).unwrap_or(u64::MAX);
         let tally = self.tally(service, version, now);
         tally.latency.saturating_record(ms);
     }
 
-    /// Decoded tokens were dropped.
+    /// Records dropped decoded tokens.
     pub fn record_dropped(&mut self, service: &str, version: &str, tokens: u64, now: Clock) {
         self.tally(service, version, now).row.dropped += tokens;
     }
 
-    /// Every version that had a resume, by service.
+    /// Returns the counts of all versions, ordered by service and version.
     pub fn rows(&self) -> Vec<Row> {
         self.0.values().map(row).collect()
     }
 
+    /// Returns the counters of a version; evicts those of another one if there are too many.
     fn tally(&mut self, service: &str, version: &str, now: Clock) -> &mut Tally {
         let key = (service.to_string(), version.to_string());
-        if !self.0.contains_key(&key) && self.0.len() >= VERSIONS {
+        if !self.0.contains_key(&key) && self.0.len() >= MAX_VERSIONS {
             let oldest = self.0.iter().min_by_key(|(_, tally)| tally.last);
             let oldest = oldest.map(|(key, _)| key.clone());
             oldest.map(|key| self.0.remove(&key));
@@ -140,23 +142,25 @@
                 recomputed: 0,
                 dropped: 0,
             },
-            latency: Histogram::new_with_bounds(1, LONGEST, DIGITS).expect("the bounds are valid"),
+            latency: Histogram::new_with_bounds(1, MAX_LATENCY_MS, LATENCY_DIGITS)
+                .expect("the bounds are valid"),
             last: Clock::default(),
         }
     }
 }
 
+/// Returns the counts with the quantiles of the latency.
 fn row(tally: &Tally) -> Row {
     let latency = &tally.latency;
-    let at = |quantile| (!latency.is_empty()).then(|| latency.value_at_quantile(quantile));
+    let quantile = |q| (!latency.is_empty()).then(|| latency.value_at_quantile(q));
     Row {
-        median_ms: at(0.5),
-        p99_ms: at(0.99),
+        median_ms: quantile(0.5),
+        p99_ms: quantile(0.99),
         ..tally.row.clone()
     }
 }
 
-/// Resumes as text for one screen.
+/// Renders resumes as text for one screen.
 pub fn text(rows: &[Row]) -> String {
     if rows.is_empty() {
         return "No resumes.\n".into();
--- a/components/report/src/ring.rs
+++ b/components/report/src/ring.rs
@@ -1,4 +1,4 @@
-//! Counts over the last three days in bounded memory.
+//! Request counts over the last three days, in bounded memory.
 
 use std::{
     collections::VecDeque,
@@ -7,89 +7,92 @@
 
 use names::Clock;
 
-/// Requests, and those of them that missed the level.
+/// Request counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Requests.
-    pub all: u64,
+    /// All requests.
+    pub requests: u64,
     /// Requests that missed the level.
     pub missed: u64,
 }
 
-/// Buckets of equal length, the newest last.
+/// Counts in time buckets of equal width, the newest last.
 #[derive(Clone, Debug)]
-struct Row {
-    length: Duration,
-    most: usize,
-    /// Number of the newest bucket, counted from the clock's origin.
+struct Buckets {
+    width: Duration,
+    capacity: usize,
+    /// Index of the newest bucket since the origin of the clock.
     newest: u64,
-    buckets: VecDeque<Count>,
+    counts: VecDeque<Count>,
 }
 
-/// Counts by the minute for the last hour, by the quarter of an hour for three days.
+/// Counts by minute for the last hour, and by quarter of an hour for three days.
 #[derive(Clone, Debug)]
 pub struct Ring {
-    minutes: Row,
-    quarters: Row,
+    minutes: Buckets,
+    quarter_hours: Buckets,
 }
 
 impl Default for Ring {
     fn default() -> Self {
         Self {
-            minutes: Row::new(Duration::from_secs(60), 61),
-            quarters: Row::new(Duration::from_secs(900), 289),
+            minutes: Buckets::new(Duration::from_secs(60), 61),
+            quarter_hours: Buckets::new(Duration::from_secs(900), 289),
         }
     }
 }
 
-impl Row {
-    fn new(length: Duration, most: usize) -> Self {
+impl Buckets {
+    fn new(width: Duration, capacity: usize) -> Self {
         Self {
-            length,
-            most,
+            width,
+            capacity,
             newest: 0,
-            buckets: VecDeque::new(),
+            counts: VecDeque::new(),
         }
     }
 
-    fn number(&self, now: Clock) -> u64 {
-        now.as_secs() / self.length.as_secs()
+    /// Returns the index of the bucket of a time.
+    fn index(&self, now: Clock) -> u64 {
+        now.as_secs() / self.width.as_secs()
     }
 
+    /// Counts a request.
     fn add(&mut self, missed: bool, now: Clock) {
-        let number = self.number(now);
-        if self.buckets.is_empty() {
-            self.newest = number;
-            self.buckets.push_back(Count::default());
+        let index = self.index(now);
+        if self.counts.is_empty() {
+            self.newest = index;
+            self.counts.push_back(Count::default());
         }
-        // After a long rest every bucket is out of date; there is no need to add them one by one.
-        if number.saturating_sub(self.newest) > self.most as u64 {
-            self.newest = number;
-            self.buckets.clear();
-            self.buckets.push_back(Count::default());
+        // After a long time without requests all buckets are out of date, and adding every bucket
+        // since then would take long.
+        if index.saturating_sub(self.newest) > self.capacity as u64 {
+            self.newest = index;
+            self.counts.clear();
+            self.counts.push_back(Count::default());
         }
-        while self.newest < number {
+        while self.newest < index {
             self.newest += 1;
-            self.buckets.push_back(Count::default());
-            if self.buckets.len() > self.most {
-                self.buckets.pop_front();
+            self.counts.push_back(Count::default());
+            if self.counts.len() > self.capacity {
+                self.counts.pop_front();
             }
         }
-        let last = self.buckets.back_mut().expect("a bucket was added");
-        last.all += 1;
-        last.missed += u64::from(missed);
+        let current = self.counts.back_mut().expect("a bucket was added");
+        current.requests += 1;
+        current.missed += u64::from(missed);
     }
 
-    /// Sums the buckets that began within `window` before `now`.
+    /// Returns the sum of the buckets that overlap the last `window` before `now`.
     fn sum(&self, window: Duration, now: Clock) -> Count {
-        let from = self.number(now.saturating_sub(window));
+        let from = self.index(now.saturating_sub(window));
         let mut sum = Count::default();
-        for (age, bucket) in self.buckets.iter().rev().enumerate() {
-            let number = self.newest.saturating_sub(age as u64);
-            if number < from {
+        for (age, bucket) in self.counts.iter().rev().enumerate() {
+            let index = self.newest.saturating_sub(age as u64);
+            if index < from {
                 break;
             }
-            sum.all += bucket.all;
+            sum.requests += bucket.requests;
             sum.missed += bucket.missed;
         }
         sum
@@ -100,15 +103,15 @@
     /// Counts a request.
     pub fn add(&mut self, missed: bool, now: Clock) {
         self.minutes.add(missed, now);
-        self.quarters.add(missed, now);
+        self.quarter_hours.add(missed, now);
     }
 
-    /// Counts over the last `window`, to within one bucket.
+    /// Returns the counts over the last `window`, accurate to one bucket.
     pub fn sum(&self, window: Duration, now: Clock) -> Count {
         let hour = Duration::from_secs(3600);
         if window <= hour {
             return self.minutes.sum(window, now);
         }
-        self.quarters.sum(window, now)
+        self.quarter_hours.sum(window, now)
     }
 }
--- a/components/report/src/text.rs
+++ b/components/report/src/text.rs
@@ -1,4 +1,4 @@
-//! Reports as text for one screen.
+//! Renders the burn as text for one screen.
 
 use std::fmt::Write;
 
@@ -8,25 +8,26 @@
     Subject, //
 };
 
-/// Most rows of a screen.
-const LINES: usize = 30;
+/// Largest number of rows on a screen.
+const MAX_ROWS: usize = 30;
 
-/// The burn as text, worst first.
+/// Renders the burn as text, worst rows first.
 pub fn burn(burn: &Burn) -> String {
     let mut text = format!(
         "{:<14} {:<24} {:>9} {:>7} {:>8}  {}\n",
         "SERVICE", "OF", "REQUESTS", "MISSED", "BUDGET", "BURN fast, slow, long (! alerts)"
     );
-    for row in burn.rows.iter().take(LINES) {
+    for row in burn.rows.iter().take(MAX_ROWS) {
         line(&mut text, row);
     }
-    let more = burn.rows.len().saturating_sub(LINES);
+    let more = burn.rows.len().saturating_sub(MAX_ROWS);
     if more > 0 {
         let _ = writeln!(text, "and {more} more rows; --format json has them all");
     }
     text
 }
 
+/// Writes the line of one row.
 fn line(text: &mut String, row: &Row) {
     let rates: Vec<_> = row
         .rates
@@ -48,7 +49,7 @@
     );
 }
 
-/// A subject's name as people read it.
+/// Returns the display name of a subject.
 pub fn name(subject: &Subject) -> String {
     match subject {
         Subject::Service => "all".into(),
--- a/components/report/tests/burn.rs
+++ b/components/report/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Service-level burn from counted requests.
+//! Burn rates and alerts from counted requests.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
     Counters,
     burn::{
         Level,
-        OTHERS,
-        ROWS,
+        MAX_ROWS,
+        OVERFLOW_TEAM,
         Request,
         Subject, //
     },
@@ -46,8 +46,8 @@
 #[case::met(Some(1900), Some(54), true, false)]
 #[case::late(Some(1901), Some(54), true, true)]
 #[case::slow(Some(1000), Some(55), true, true)]
-#[case::cut(Some(1000), Some(40), false, true)]
-#[case::nothing_came(None, None, false, true)]
+#[case::incomplete(Some(1000), Some(40), false, true)]
+#[case::no_response(None, None, false, true)]
 #[case::one_token(Some(1000), None, true, false)]
 fn a_request_misses_its_level(
     #[case] first: Option<u64>,
@@ -67,8 +67,8 @@
     assert_eq!(LEVEL.missed(&request), missed);
 }
 
-/// A version goes bad for half an hour: every request of one team is late. Operators must see at
-/// once which version and team it is.
+/// One version is slow for half an hour, which makes every request of one team late. The report
+/// must list this version and this team first.
 #[test]
 fn the_worst_rows_come_first() {
     let mut counters = counters();
@@ -85,9 +85,10 @@
     assert!(!page::burn(&burn).contains("<large>"));
 }
 
-/// The trouble is over. The alert must end within the short window, or people stop to heed it.
+/// An alert that outlasts the failure would be ignored by operators; it must end within the short
+/// window.
 #[test]
-fn an_alert_ends_soon_after_the_trouble() {
+fn an_alert_ends_soon_after_the_failure() {
     let mut counters = counters();
     let mut alerts = Vec::new();
     for second in 0..4200 {
@@ -99,11 +100,11 @@
     assert!(!alerts[5] && alerts[3599] && !alerts[4199]);
 }
 
-/// Callers make up team names. The memory of the report must not grow with them.
+/// Callers can make up any number of team names. The memory of the report must not grow with them.
 #[test]
-fn memory_is_bounded() {
+fn the_number_of_rows_is_bounded() {
     let mut counters = counters();
-    for number in 0..2 * ROWS {
+    for number in 0..2 * MAX_ROWS {
         count(
             &mut counters,
             &format!("team-{number}"),
@@ -112,18 +113,18 @@
             Duration::ZERO,
         );
     }
-    assert!(counters.rows() <= ROWS + 1);
+    assert!(counters.rows() <= MAX_ROWS + 1);
     let burn = counters.report(Duration::ZERO);
     let others = burn
         .rows
         .iter()
-        .find(|row| row.subject == Subject::Team(OTHERS.into()));
+        .find(|row| row.subject == Subject::Team(OVERFLOW_TEAM.into()));
     assert!(others.is_some_and(|row| row.requests > 0));
 }
 
-/// Nothing comes for days, then one request: old counts must be gone.
+/// After days without requests, the next request must not be added to counts from before.
 #[test]
-fn old_counts_go() {
+fn old_counts_expire() {
     let mut counters = counters();
     count(&mut counters, "a", "1", 5000, Duration::ZERO);
     let later = Duration::from_secs(30 * 24 * 3600);
--- a/components/report/tests/explain.rs
+++ b/components/report/tests/explain.rs
@@ -1,5 +1,5 @@
-//! Requests' stories, from lines that processes wrote on a played day. The lines of one host are
-//! shifted: its time of day by five seconds, its steady clock by an hour.
+//! Explanations of requests from the log of a simulated day. The clocks of one host are shifted:
+//! its wall clock by five seconds, its monotonic clock by an hour.
 
 use std::{
     collections::BTreeSet,
@@ -19,53 +19,63 @@
 
 const LOG: &str = include_str!("logs/desk.log");
 
-/// Each of these requests met a known fault. An operator who has its id only must be led to it.
+/// Each of these requests was affected by a known fault. The explanation must name it, with only
+/// the id of the request given.
 #[rstest]
 #[case::engine_crashed(
     "b056681807cd194e",
-    "It was answered by i-7062a70f72 after 5602 ms; it went on elsewhere 1 times"
+    "Answered by i-7062a70f72 after 5602 ms; resumed on another server 1 times"
+)]
+#[case::entry_lost_power(
+    "9cf1f24ce440afb3",
+    "ended without logging an outcome while it was processing the request"
 )]
-#[case::entry_lost_power("9cf1f24ce440afb3", "ended without a word while it was at work on it")]
 #[case::store_cut_off(
     "2fad130b95987337",
-    "document 10 was last known to be current 4758 ms before, too long to accept a key, as the \
-     store doesn't answer"
+    "document 10 was last confirmed to be current 4758 ms before, too long ago to accept an API \
+     key, because the store did not respond"
 )]
-#[case::key_taken_away("e7189b3b487e7054", "no team holds its key in document 10")]
-fn the_cause_is_told(#[case] id: &str, #[case] cause: &str) {
+#[case::key_revoked("e7189b3b487e7054", "no team has its key in document 10")]
+fn the_cause_is_explained(#[case] id: &str, #[case] cause: &str) {
     let lines = read(LOG);
-    let story = explain(&lines, id).expect("lines name it");
-    assert!(story.cause.contains(cause), "{}", story.cause);
-    // Its own lines stand in the order in which they were written.
-    let own: Vec<_> = story.lines.iter().filter(|told| told.own).collect();
-    assert!(own.is_sorted_by_key(|told| told.ms));
-    insta::assert_snapshot!(id, story.to_string());
+    let explanation = explain(&lines, id).expect("lines name the request");
+    assert!(explanation.cause.contains(cause), "{}", explanation.cause);
+    // Lines of the request are in the order in which they were written.
+    let own: Vec<_> = explanation.lines.iter().filter(|event| event.own).collect();
+    assert!(own.is_sorted_by_key(|event| event.offset_ms));
+    insta::assert_snapshot!(id, explanation.to_string());
 }
 
-/// The caller of a stream whose entry was killed comes back through another host, whose clocks are
-/// an hour apart. Both attempts belong to one story, and the second comes after the first.
+/// The caller of a stream whose entry was killed retries through another host, whose monotonic
+/// clock differs by an hour. Without correction, lines of both hosts would be an hour apart.
 #[test]
-fn attempts_through_hosts_with_other_clocks_come_in_order() {
+fn clock_offsets_between_hosts_are_corrected() {
     let lines = read(LOG);
-    let story = explain(&lines, "9cf1f24ce440afb3").expect("lines name it");
+    let explanation = explain(&lines, "9cf1f24ce440afb3").expect("lines name the request");
     let hour = 3_600_000;
-    assert!(story.lines.iter().all(|told| told.ms.abs() < hour));
+    assert!(
+        explanation
+            .lines
+            .iter()
+            .all(|event| event.offset_ms.abs() < hour)
+    );
 }
 
-/// A file holds other output, and lines that were cut by a kill. They are passed over.
+/// A log file can contain other output, and lines cut off when the process was killed.
 #[test]
-fn what_is_no_line_is_passed_over() {
-    let mixed = format!(
+fn other_output_is_skipped() {
+    let text = format!(
         "starting\n  1.25 host {}\n{{\"at\":1,\"up\n",
         LOG.lines().next().unwrap_or("")
     );
-    assert_eq!(read(&mixed).len(), 1);
-    assert!(explain(&read(&mixed), "nobody").is_none());
+    assert_eq!(read(&text).len(), 1);
+    assert!(explain(&read(&text), "nobody").is_none());
 }
 
-/// Guards against a summary that counts a request twice, or tells another cause than its story does.
+/// Guards against a summary that counts a request twice, or by another cause than its explanation
+/// has.
 #[test]
-fn a_summary_has_each_request_once_with_its_cause() {
+fn a_summary_counts_each_request_once() {
     let lines = read(LOG);
     let ids: BTreeSet<_> = lines.iter().filter_map(Line::id).collect();
     let summary = summary(&lines, Duration::from_secs(2));
@@ -84,6 +94,6 @@
 }
 
 #[test]
-fn a_summary_of_nothing_is_empty() {
+fn a_summary_of_no_lines_is_empty() {
     assert_eq!(summary(&[], Duration::from_secs(2)), Summary::default());
 }
--- a/components/report/tests/moves.rs
+++ b/components/report/tests/moves.rs
@@ -1,4 +1,4 @@
-//! The report on moves, as operators read it.
+//! Text of the report on moves.
 
 use std::time::{
     Duration,
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn a_reverted_move_says_why() {
+fn a_reverted_move_shows_its_reason() {
     let count = |requests, failed| Count {
         requests,
         failed,
--- a/components/report/tests/resumes.rs
+++ b/components/report/tests/resumes.rs
@@ -1,11 +1,11 @@
-//! The report on resumes, as operators read it.
+//! Text and JSON of the report on resumes, and its bounds.
 
 use std::time::Duration;
 
 use report::resumes::{
     Cause,
     Counters,
-    VERSIONS,
+    MAX_VERSIONS,
     text, //
 };
 
@@ -23,33 +23,34 @@
 }
 
 #[test]
-fn a_screen_of_text() {
+fn text_report() {
     insta::assert_snapshot!(text(&counters().rows()));
     assert_eq!(text(&[]), "No resumes.\n");
 }
 
 #[test]
-fn json() {
+fn json_report() {
     let json = serde_json::to_string_pretty(&counters().rows()).expect("JSON");
     insta::assert_snapshot!(json);
 }
 
-/// Versions come and go for months. The counts of those long gone would fill the memory.
+/// Over months a process meets any number of versions. Without eviction, the counts of removed ones
+/// would accumulate in memory.
 #[test]
-fn the_version_longest_without_a_resume_makes_way() {
+fn the_version_with_the_oldest_resume_is_evicted() {
     let mut counters = Counters::default();
-    for number in 0..=VERSIONS {
+    for number in 0..=MAX_VERSIONS {
         let now = Duration::from_secs(number as u64);
         counters.record_resume("draft", &number.to_string(), Cause::Loss, true, 1, now);
     }
     let rows = counters.rows();
-    assert_eq!(rows.len(), VERSIONS);
+    assert_eq!(rows.len(), MAX_VERSIONS);
     assert!(rows.iter().all(|row| row.version != "0"));
 }
 
-/// A resume that takes longer than is told apart still counts.
+/// A resume that takes longer than the largest latency of the histogram still counts.
 #[test]
-fn a_latency_beyond_the_bound_is_kept() {
+fn a_latency_above_the_histogram_bound_counts() {
     let mut counters = Counters::default();
     let day = Duration::from_secs(24 * 3600);
     counters.record_latency("draft", "v1", day, day);
