--- a/components/report/src/burn.rs
+++ b/components/report/src/burn.rs
@@ -38,7 +38,7 @@
 const MIN_ALERT_REQUESTS: u64 = 10;
 
 /// Alerts on a fast burn, a slow burn, and a burn over the whole period.
-pub const WINDOWS: [Window; 3] = [
+pub const ALERT_WINDOWS: [Window; 3] = [
     Window::new("fast", 5 * 60, 3600, 14.4),
     Window::new("slow", 30 * 60, 6 * 3600, 6.0),
     Window::new("long", 6 * 3600, 3 * 24 * 3600, 1.0),
@@ -228,7 +228,7 @@
                 requests: period.requests,
                 missed: period.missed,
                 left: 1.0 - level.burn(period),
-                rates: WINDOWS
+                rates: ALERT_WINDOWS
                     .map(|window| rate(level, ring, window, now))
                     .to_vec(),
             });
--- a/components/report/src/explain/summary.rs
+++ b/components/report/src/explain/summary.rs
@@ -126,7 +126,8 @@
     }
 }
 
-/// Returns the outcome of a request, with the same text for all requests with the same cause.
+/// Returns the outcome of a request. All requests with the same cause have the same text, which is
+/// a key of the summary's JSON.
 fn outcome(own: &[&Line], lines: &[Line]) -> String {
     let last_outcome = own.iter().rev().find(|line| cause::is_outcome(line));
     let Some(line) = last_outcome else {
--- a/components/report/src/resumes.rs
+++ b/components/report/src/resumes.rs
@@ -42,6 +42,7 @@
 struct Tally {
     row: Row,
     latency: Histogram<u32>,
+    /// Time of the last recorded event.
     last: Clock,
 }
 
--- a/components/report/tests/explain.rs
+++ b/components/report/tests/explain.rs
@@ -47,7 +47,8 @@
 }
 
 /// The caller of a stream whose entry was killed retries through another host, whose monotonic
-/// clock differs by an hour. Without correction, lines of both hosts would be an hour apart.
+/// clock differs by an hour. Both attempts belong to one explanation, the second after the first;
+/// without correction their lines would be an hour apart.
 #[test]
 fn clock_offsets_between_hosts_are_corrected() {
     let lines = read(LOG);
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line arguments.
 
 use std::{
     path::PathBuf,
@@ -8,22 +8,22 @@
 
 use argh::FromArgs;
 
-use crate::messages::USAGE;
+use crate::messages::USAGE_EXIT_CODE;
 
 /// medlarhatch serves long model generations on engines that fail.
 ///
-/// Exit codes: 0 done; 1 refused or failed; 2 wrong arguments; 3 a process or the platform can't be
-/// reached, so that nothing is known.
+/// Exit codes: 0 success; 1 refused or failed; 2 invalid arguments; 3 a process or the platform
+/// can't be reached, and the outcome is unknown.
 #[derive(FromArgs)]
 pub struct Args {
-    /// log more: debug events too
+    /// also log debug events
     #[argh(switch, short = 'v')]
     pub verbose: bool,
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// Subcommand.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -31,37 +31,37 @@
     Entry(Entry),
     /// Run a sidecar.
     Sidecar(Sidecar),
-    /// Work with documents.
+    /// Work with documents of environments.
     Env(Env),
-    /// Make keys.
+    /// Create keys for hosts.
     Keys(Keys),
-    /// Show burn, moves or resumes.
+    /// Show reports on burn, moves or resumes.
     Report(Report),
-    /// Tell a request's story from log files.
+    /// Explain a request from log files.
     Explain(Explain),
     /// Check settings files.
     Settings(Settings),
-    /// Show it all in one process.
+    /// Show failover in one process.
     Demo(Demo),
 }
 
-/// Tell what became of a request and why, or with --summary of all requests, from the log files of
-/// any number of processes.
+/// Explain the outcome of a request, or summarize all requests with --summary, from the log files
+/// of any number of processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct Explain {
-    /// sum up all requests by kind, cause and time; only log files are named then
+    /// summarize all requests by kind, outcome and time; then give log files only, without an id
     #[argh(switch)]
     pub summary: bool,
-    /// with --summary: length of a window of time, in seconds (2)
+    /// with --summary: length of a time window, in seconds (default 2)
     #[argh(option, default = "Duration::from_secs(2)", from_str_fn(seconds))]
     pub window: Duration,
     /// with --summary: print JSON
     #[argh(switch)]
     pub json: bool,
-    /// id of the request, then log files; what isn't a log line of ours is passed over
+    /// id of the request, then log files; lines of other formats are skipped
     #[argh(positional)]
-    pub words: Vec<String>,
+    pub id_and_files: Vec<String>,
 }
 
 /// Work with settings files.
@@ -72,17 +72,17 @@
     pub command: SettingsCommand,
 }
 
-/// What to do with settings files.
+/// Subcommand of `settings`.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum SettingsCommand {
-    /// Check them.
+    /// Check settings files.
     Check(SettingsCheck),
 }
 
-/// Say everything that is wrong with settings files, a line each: file, line, field, what is
-/// accepted. A file with `server` is taken for a sidecar's, one with `authority` for keys, any
-/// other for an entry's.
+/// Report all errors in settings files, one per line: file, line, field and accepted values. A file
+/// with `server` is checked as settings of a sidecar, one with `authority` as keys, any other as
+/// settings of an entry.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct SettingsCheck {
@@ -91,7 +91,7 @@
     pub files: Vec<PathBuf>,
 }
 
-/// Run an entry: callers and operators in, links to sidecars out.
+/// Run an entry, which accepts callers and operators and connects to sidecars.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "entry")]
 pub struct Entry {
@@ -101,12 +101,12 @@
     /// keys file, YAML (see `medlarhatch keys`)
     #[argh(option)]
     pub keys: Option<PathBuf>,
-    /// check the files, and don't start
+    /// check the files, and exit
     #[argh(switch)]
     pub check: bool,
 }
 
-/// Show what an entry reports.
+/// Show a report of an entry.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "report")]
 pub struct Report {
@@ -114,53 +114,53 @@
     pub command: ReportCommand,
 }
 
-/// What to show.
+/// Subcommand of `report`.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum ReportCommand {
-    /// Service-level burn.
+    /// Show service-level burn rates.
     Burn(ReportBurn),
-    /// Moves.
+    /// Show moves of traffic between versions.
     Moves(ReportMoves),
-    /// Resumed answers.
+    /// Show resumed answers.
     Resumes(ReportResumes),
 }
 
-/// Show service-level burn by route, version and team, worst first.
+/// Show service-level burn rates by route, version and team, worst first.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "burn")]
 pub struct ReportBurn {
-    /// address of an entry for operators, such as http://127.0.0.1:8081
+    /// operators' address of an entry, such as http://127.0.0.1:8081
     #[argh(option)]
     pub entry: String,
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "Format::Text")]
     pub format: Format,
-    /// a page of HTML instead
+    /// print an HTML page instead
     #[argh(switch)]
     pub html: bool,
 }
 
-/// Show moves: share, evidence by route, and why one was reverted.
+/// Show moves of traffic between versions: share, evidence by route, and reasons of reverts.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "moves")]
 pub struct ReportMoves {
-    /// address of an entry for operators, such as http://127.0.0.1:8081
+    /// operators' address of an entry, such as http://127.0.0.1:8081
     #[argh(option)]
     pub entry: String,
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "Format::Text")]
     pub format: Format,
 }
 
-/// Show resumed answers by service and version: cause, latency, tokens computed again.
+/// Show resumed answers by service and version: causes, latency, recomputed tokens.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "resumes")]
 pub struct ReportResumes {
-    /// address of an entry for operators, such as http://127.0.0.1:8081
+    /// operators' address of an entry, such as http://127.0.0.1:8081
     #[argh(option)]
     pub entry: String,
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "Format::Text")]
     pub format: Format,
 }
@@ -175,12 +175,12 @@
     /// keys file, YAML (see `medlarhatch keys`)
     #[argh(option)]
     pub keys: Option<PathBuf>,
-    /// check the files, and don't start
+    /// check the files, and exit
     #[argh(switch)]
     pub check: bool,
 }
 
-/// Work with environments' documents.
+/// Work with the documents of environments.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "env")]
 pub struct Env {
@@ -188,35 +188,35 @@
     pub command: EnvCommand,
 }
 
-/// What to do with documents.
+/// Subcommand of `env`.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum EnvCommand {
-    /// Check a file.
+    /// Check a document.
     Check(EnvCheck),
     /// Put a document in force.
     Put(EnvPut),
-    /// Promote a trial.
+    /// Promote the document of a trial.
     Promote(EnvPromote),
     /// Show what is in force.
     Status(EnvStatus),
-    /// Show the edits of a document.
+    /// Show the edit history of a document.
     History(EnvHistory),
 }
 
-/// Check a document without putting it; works offline.
+/// Check a document without putting it in force; works offline.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct EnvCheck {
     /// the document, YAML
     #[argh(positional)]
     pub document: PathBuf,
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "Format::Text")]
     pub format: Format,
 }
 
-/// Put a document in force, unless somebody else has edited it meanwhile. What changes is shown
+/// Put a document in force, unless it has been edited by another operator since. Prints the changes
 /// first.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "put")]
@@ -227,69 +227,69 @@
     /// operators' address of any entry, such as http://127.0.0.1:7101
     #[argh(option)]
     pub entry: String,
-    /// who makes the edit, for the history; the name of the login if not given
+    /// operator name for the edit history (default: the login name)
     #[argh(option)]
     pub operator: Option<String>,
-    /// id of the edit, to repeat one whose outcome is unknown
+    /// id of the edit; pass the same id to repeat an edit whose outcome is unknown
     #[argh(option)]
     pub edit: Option<String>,
-    /// revision that the document was made from, if that isn't the one in force now
+    /// revision that the document is based on (default: the revision in force)
     #[argh(option)]
     pub base: Option<u64>,
-    /// show what changes, and put nothing
+    /// print the changes without putting them in force
     #[argh(switch)]
     pub dry_run: bool,
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "Format::Text")]
     pub format: Format,
 }
 
-/// Put a trial's document in force elsewhere, exactly as it was tried.
+/// Put the document of a trial in force in another environment, exactly as it was tried.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "promote")]
 pub struct EnvPromote {
     /// environment of the trial
     #[argh(option)]
     pub from: String,
-    /// environment that gets the document
+    /// environment to put the document in force in
     #[argh(option)]
     pub to: String,
-    /// revision of the trial that was tried, if that isn't the newest
+    /// revision of the trial that was tried (default: the newest)
     #[argh(option)]
     pub revision: Option<u64>,
     /// operators' address of any entry, such as http://127.0.0.1:7101
     #[argh(option)]
     pub entry: String,
-    /// who makes the edit, for the history; the name of the login if not given
+    /// operator name for the edit history (default: the login name)
     #[argh(option)]
     pub operator: Option<String>,
-    /// id of the edit, to repeat one whose outcome is unknown
+    /// id of the edit; pass the same id to repeat an edit whose outcome is unknown
     #[argh(option)]
     pub edit: Option<String>,
-    /// show what changes, and promote nothing
+    /// print the changes without promoting them
     #[argh(switch)]
     pub dry_run: bool,
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "Format::Text")]
     pub format: Format,
 }
 
-/// Show which document is in force where.
+/// Show which revision is in force on each host.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct EnvStatus {
-    /// operators' address of an entry; may be given more than once, to see each alone
+    /// operators' address of an entry; repeat the option to show several entries
     #[argh(option)]
     pub entry: Vec<String>,
-    /// environment; that of the first entry if not given
+    /// environment (default: that of the first entry)
     #[argh(option)]
     pub environment: Option<String>,
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "Format::Text")]
     pub format: Format,
 }
 
-/// Show who edited a document, newest first.
+/// Show the edit history of a document, newest first.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 pub struct EnvHistory {
@@ -299,17 +299,17 @@
     /// operators' address of any entry, such as http://127.0.0.1:7101
     #[argh(option)]
     pub entry: String,
-    /// text or json
+    /// output format: text or json
     #[argh(option, default = "Format::Text")]
     pub format: Format,
 }
 
-/// How to print.
+/// Output format.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Format {
-    /// For a person.
+    /// Text for people.
     Text,
-    /// For a program.
+    /// JSON for programs.
     Json,
 }
 
@@ -320,16 +320,16 @@
         match text {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            _ => Err(format!("`{text}` is no format; accepted are text and json")),
+            _ => Err(format!("unknown format `{text}`; expected text or json")),
         }
     }
 }
 
-/// Make an authority and keys for hosts, for a trial.
+/// Create an authority and keys for hosts, for trials.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "keys")]
 pub struct Keys {
-    /// folder for the files; authority.yaml in it is used again when it is there
+    /// directory for the files; an authority.yaml that exists there is reused
     #[argh(option)]
     pub out: PathBuf,
     /// names of the hosts
@@ -337,36 +337,38 @@
     pub hosts: Vec<String>,
 }
 
-/// Show the main job on stand-ins in one process: an answer is streamed, its engine killed halfway.
+/// Show failover in one process: stream an answer from fake engines, and kill its engine halfway.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 pub struct Demo {
-    /// length of the answer in tokens
+    /// largest length of the answer, in tokens
     #[argh(option, default = "60")]
     pub tokens: u64,
 }
 
-/// Reads the arguments; help and errors are printed here.
+/// Parses the arguments. Prints help and errors, and returns the exit code of the process for them.
 pub fn parse(args: Vec<String>) -> Result<Args, ExitCode> {
-    let words: Vec<&str> = args.iter().map(String::as_str).collect();
-    let (name, rest) = words.split_first().unwrap_or((&"medlarhatch", &[]));
+    let arguments: Vec<&str> = args.iter().map(String::as_str).collect();
+    let (name, rest) = arguments.split_first().unwrap_or((&"medlarhatch", &[]));
     let name = name.rsplit('/').next().unwrap_or(name);
-    Args::from_args(&[name], rest).map_err(|early| {
-        if early.status.is_ok() {
-            println!("{}", early.output);
+    Args::from_args(&[name], rest).map_err(|exit| {
+        if exit.status.is_ok() {
+            println!("{}", exit.output);
             return ExitCode::SUCCESS;
         }
-        eprintln!("{}\nRun {name} --help for more.", early.output.trim_end());
-        ExitCode::from(USAGE)
+        eprintln!("{}\nRun {name} --help for more.", exit.output.trim_end());
+        ExitCode::from(USAGE_EXIT_CODE)
     })
 }
 
-/// Reads a length of time in seconds.
+/// Parses the length of a time window in seconds.
 fn seconds(text: &str) -> Result<Duration, String> {
-    let seconds: f64 = text.parse().map_err(|_| format!("{text} is no number"))?;
-    let time = Duration::try_from_secs_f64(seconds).map_err(|error| error.to_string())?;
-    match time.is_zero() {
-        true => Err("a window is longer than nothing".into()),
-        false => Ok(time),
+    let seconds: f64 = text
+        .parse()
+        .map_err(|_| format!("{text} is not a number"))?;
+    let window = Duration::try_from_secs_f64(seconds).map_err(|error| error.to_string())?;
+    match window.is_zero() {
+        true => Err("the window must be longer than 0".into()),
+        false => Ok(window),
     }
 }
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -1,4 +1,5 @@
-//! `medlarhatch demo`: the main job on stand-ins in one process.
+//! `medlarhatch demo`: streams an answer from fake engines in one process and kills the engine
+//! halfway.
 
 use std::{
     io::Write,
@@ -21,7 +22,7 @@
     messages::Failure, //
 };
 
-/// The demo's document: one model with one version on two replicas.
+/// Document with one model, and one version on two engines.
 const DOCUMENT: &str = "\
 environment: production
 services:
@@ -37,20 +38,20 @@
 const PROMPT: &str = "Write the allocation letter for the hostel at the old mill.";
 const SEED: u64 = 7;
 
-/// Time between two tokens of the demo's engines.
-const BETWEEN: Duration = Duration::from_millis(40);
+/// Time between two tokens of an engine.
+const TOKEN_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Streams an answer, kills its engine halfway, and checks that the answer is whole.
+/// Streams an answer, kills its engine halfway, and checks that the answer is complete.
 pub async fn run(args: cli::Demo) -> Result<(), Failure> {
-    let trial = start().await.map_err(failed)?;
-    println!("Two engines, a sidecar beside each, one entry. The answer streams:\n");
-    let seen = stream(&trial, args.tokens).await.map_err(failed)?;
+    let trial = start().await.map_err(failure)?;
+    println!("Two engines, each with a sidecar, and one entry. The answer streams:\n");
+    let outcome = stream_answer(&trial, args.tokens).await.map_err(failure)?;
     let length = engine::length(PROMPT, SEED, args.tokens);
-    let known: Vec<String> = (0..length)
+    let expected: Vec<String> = (0..length)
         .map(|index| engine::token(PROMPT, SEED, "v1", index))
         .collect();
-    if seen.tokens != known {
-        return Err(Failure::Failed("the answer is not whole".into()));
+    if outcome.tokens != expected {
+        return Err(Failure::Failed("the answer is incomplete or wrong".into()));
     }
     let generated: u64 = trial
         .engines
@@ -60,10 +61,10 @@
         .sum();
     println!(
         "\n\nwhole: {} tokens, none missing, none repeated",
-        seen.tokens.len()
+        outcome.tokens.len()
     );
-    println!("killed after token {}", seen.killed_after);
-    println!("resume latency: {} ms", seen.resume.as_millis());
+    println!("killed after token {}", outcome.killed_after);
+    println!("resume latency: {} ms", outcome.resume_latency.as_millis());
     println!(
         "extra tokens generated: {}",
         generated.saturating_sub(length)
@@ -71,19 +72,21 @@
     Ok(())
 }
 
-/// What the caller saw.
-struct Seen {
+/// Observations of the caller.
+struct Outcome {
     tokens: Vec<String>,
+    /// Number of tokens received before the kill.
     killed_after: usize,
     /// Time from the kill to the next token.
-    resume: Duration,
+    resume_latency: Duration,
 }
 
+/// Starts the platform, two engines with sidecars and an entry, and puts the document in force.
 async fn start() -> Result<Trial, trial::Error> {
     let mut trial = Trial::start().await?;
     for name in ["draft-a", "draft-b"] {
         let settings = Settings {
-            between: BETWEEN,
+            between: TOKEN_INTERVAL,
             version: "v1".into(),
             model: "m".into(),
             ..Settings::default()
@@ -96,42 +99,43 @@
     Ok(trial)
 }
 
-async fn stream(trial: &Trial, tokens: u64) -> Result<Seen, trial::Error> {
+/// Streams an answer of up to `tokens` tokens, prints it, and kills the engine halfway.
+async fn stream_answer(trial: &Trial, tokens: u64) -> Result<Outcome, trial::Error> {
     let body = json!({
         "model": "m", "prompt": PROMPT, "max_tokens": tokens, "seed": SEED, "stream": true,
     });
     let address = format!("{}/v1/completions", trial.callers(0));
     let response = trial.client.post(address).json(&body).send().await?;
     let mut stream = Stream::new(response);
-    let mut seen = Seen {
+    let mut outcome = Outcome {
         tokens: Vec::new(),
         killed_after: 0,
-        resume: Duration::ZERO,
+        resume_latency: Duration::ZERO,
     };
-    let mut killed: Option<Instant> = None;
+    let mut killed_at: Option<Instant> = None;
     while let Some(event) = stream.next().await? {
         let Some(token) = event.token() else {
             continue;
         };
-        if let Some(at) = killed.take() {
-            seen.resume = at.elapsed();
+        if let Some(at) = killed_at.take() {
+            outcome.resume_latency = at.elapsed();
         }
         print!("{token}");
-        // Progress that can't be shown is no reason to stop.
+        // A failed flush only delays the output.
         let _ = std::io::stdout().flush();
-        seen.tokens.push(token);
-        if seen.killed_after == 0 && seen.tokens.len() as u64 == tokens / 2 {
-            seen.killed_after = seen.tokens.len();
-            kill(trial);
-            killed = Some(Instant::now());
+        outcome.tokens.push(token);
+        if outcome.killed_after == 0 && outcome.tokens.len() as u64 == tokens / 2 {
+            outcome.killed_after = outcome.tokens.len();
+            kill_running_engine(trial);
+            killed_at = Some(Instant::now());
             print!(" [engine killed]");
         }
     }
-    Ok(seen)
+    Ok(outcome)
 }
 
-/// Kills the engine that generates.
-fn kill(trial: &Trial) {
+/// Stops the engine that generates the answer.
+fn kill_running_engine(trial: &Trial) {
     for engine in &trial.engines {
         if engine
             .runs()
@@ -143,6 +147,6 @@
     }
 }
 
-fn failed(error: trial::Error) -> Failure {
+fn failure(error: trial::Error) -> Failure {
     Failure::Failed(error.to_string())
 }
--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -1,4 +1,4 @@
-//! `medlarhatch entry`.
+//! `medlarhatch entry`: runs an entry.
 
 use entry::Entry;
 
@@ -8,7 +8,7 @@
     messages::Failure, //
 };
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until SIGTERM or SIGINT, or only checks its files with `--check`.
 pub async fn run(args: cli::Entry) -> Result<(), Failure> {
     let settings = settings::read(&args.settings, &settings::Entry::sample())?;
     let keys = super::keys::read(args.keys.as_deref(), args.check)?;
--- a/src/cmd/env/screen.rs
+++ b/src/cmd/env/screen.rs
@@ -1,4 +1,4 @@
-//! What `medlarhatch env` prints.
+//! Output of `medlarhatch env`.
 
 use std::time::{
     Duration,
@@ -12,10 +12,10 @@
 
 use crate::cli::Format;
 
-/// Lines of a list that are printed; a screen has no room for more.
-const LINES: usize = 20;
+/// Largest number of printed lines of a list, so that it fits on a screen.
+const MAX_LINES: usize = 20;
 
-/// Shows what an edit changes.
+/// Prints the changes of an edit.
 pub fn changes(environment: &str, changes: &[String], format: Format) {
     if format == Format::Json {
         println!(
@@ -29,10 +29,10 @@
         return;
     }
     println!("{environment}: changes: {}", changes.len());
-    lines(changes);
+    print_lines(changes);
 }
 
-/// Says that an edit was accepted.
+/// Prints the acceptance of an edit.
 pub fn accepted(environment: &str, body: &Value, changes: &[String], format: Format) {
     if format == Format::Json {
         let accepted = json!({"environment": environment, "changes": changes, "accepted": body});
@@ -42,76 +42,79 @@
     match body["replaced_by"].as_object() {
         Some(by) => println!(
             "{environment}: accepted, and replaced since by edit {} of {}",
-            word(by.get("id")),
-            word(by.get("operator"))
+            text_or_dash(by.get("id")),
+            text_or_dash(by.get("operator"))
         ),
         None => println!("{environment}: accepted at revision {}", body["revision"]),
     }
 }
 
-/// Shows what entries say of themselves.
+/// Prints the state that entries report.
 pub fn entries(entries: &[Value]) {
     println!(
         "{:16} {:16} {:>8}  {:16}  ready",
         "host", "environment", "revision", "digest"
     );
-    for one in entries {
+    for entry in entries {
         println!(
             "{:16} {:16} {:>8}  {:16}  {}",
-            word(one.get("host")),
-            word(one.get("environment")),
-            one["revision"].to_string(),
-            word(one.get("digest")),
-            if one["ready"] == true { "yes" } else { "no" }
+            text_or_dash(entry.get("host")),
+            text_or_dash(entry.get("environment")),
+            entry["revision"].to_string(),
+            text_or_dash(entry.get("digest")),
+            if entry["ready"] == true { "yes" } else { "no" }
         );
     }
 }
 
-/// Shows what is in force where.
-pub fn everywhere(body: &Value) {
+/// Prints the revisions in force by data centre, and the hosts that are behind or silent.
+pub fn revisions(body: &Value) {
     let newest = &body["revision"];
     println!(
         "\n{}: newest revision {newest}",
-        word(body.get("environment"))
+        text_or_dash(body.get("environment"))
     );
     println!(
         "{:16} {:>8} {:>6}  hosts that are behind or silent",
         "data centre", "newest", "behind"
     );
-    for data_centre in list(&body["data_centres"]) {
-        let (mut holding, mut behind) = (0, Vec::new());
-        for standing in list(&data_centre["standings"]) {
-            let hosts = list(&standing["hosts"]);
-            if standing["revision"] == *newest {
-                holding += hosts.len();
+    for data_centre in items(&body["data_centres"]) {
+        let (mut current_hosts, mut behind) = (0, Vec::new());
+        for state in items(&data_centre["standings"]) {
+            let hosts = items(&state["hosts"]);
+            if state["revision"] == *newest {
+                current_hosts += hosts.len();
                 continue;
             }
-            let revision = &standing["revision"];
+            let revision = &state["revision"];
             behind.extend(
                 hosts
                     .iter()
-                    .map(|host| format!("{} at {revision}", word(Some(host)))),
+                    .map(|host| format!("{} at {revision}", text_or_dash(Some(host)))),
             );
         }
-        let silent = list(&data_centre["silent"]);
-        let late = behind.len();
+        let silent = items(&data_centre["silent"]);
+        let behind_count = behind.len();
         behind.extend(
             silent
                 .iter()
-                .map(|host| format!("{} silent", word(Some(host)))),
+                .map(|host| format!("{} silent", text_or_dash(Some(host)))),
+        );
+        let name = text_or_dash(data_centre.get("data_centre"));
+        println!(
+            "{name:16} {current_hosts:>8} {behind_count:>6}  {}",
+            behind.join(", ")
         );
-        let name = word(data_centre.get("data_centre"));
-        println!("{name:16} {holding:>8} {late:>6}  {}", behind.join(", "));
     }
 }
 
-/// Shows the edits of a document.
-pub fn history(environment: &str, kept: &Value, format: Format) {
-    let mut records = vec![kept["edit"].clone()];
-    records.extend(list(&kept["history"]));
-    let revision = &kept["revision"];
+/// Prints the edit history of a document.
+pub fn history(environment: &str, stored: &Value, format: Format) {
+    let mut edits = vec![stored["edit"].clone()];
+    edits.extend(items(&stored["history"]));
+    let revision = &stored["revision"];
     if format == Format::Json {
-        let history = json!({"environment": environment, "revision": revision, "edits": records});
+        let history = json!({"environment": environment, "revision": revision, "edits": edits});
         println!("{history}");
         return;
     }
@@ -120,45 +123,52 @@
         "{:20} {:16} {:16} {:>8}  trial",
         "when", "operator", "edit", "replaced"
     );
-    let rows: Vec<_> = records.iter().map(record).collect();
-    lines(&rows);
+    let rows: Vec<_> = edits.iter().map(edit_line).collect();
+    print_lines(&rows);
 }
 
-fn record(record: &Value) -> String {
-    let at = Duration::from_secs(record["at"]["secs"].as_u64().unwrap_or_default());
+/// Returns the line of one edit.
+fn edit_line(edit: &Value) -> String {
+    let at = Duration::from_secs(edit["at"]["secs"].as_u64().unwrap_or_default());
     let at = humantime::format_rfc3339_seconds(SystemTime::UNIX_EPOCH + at);
-    let trial = match record["trial"].as_object() {
+    let trial = match edit["trial"].as_object() {
         Some(trial) => format!(
             "{} at {}",
-            word(trial.get("environment")),
-            record["trial"]["revision"]
+            text_or_dash(trial.get("environment")),
+            edit["trial"]["revision"]
         ),
         None => String::new(),
     };
     format!(
         "{at} {:16} {:16} {:>8}  {trial}",
-        word(record.get("operator")),
-        word(record.get("id")),
-        record["replaced"].to_string()
+        text_or_dash(edit.get("operator")),
+        text_or_dash(edit.get("id")),
+        edit["replaced"].to_string()
     )
 }
 
-fn lines(all: &[String]) {
-    for line in all.iter().take(LINES) {
+/// Prints up to [`MAX_LINES`] lines, and the number of further ones.
+fn print_lines(lines: &[String]) {
+    for line in lines.iter().take(MAX_LINES) {
         println!("{line}");
     }
-    if all.len() > LINES {
-        println!("and {} more; --format json shows all", all.len() - LINES);
+    if lines.len() > MAX_LINES {
+        println!(
+            "and {} more; --format json shows all",
+            lines.len() - MAX_LINES
+        );
     }
 }
 
-fn list(value: &Value) -> Vec<Value> {
+/// Returns the items of a JSON array; none for any other value.
+fn items(value: &Value) -> Vec<Value> {
     value.as_array().cloned().unwrap_or_default()
 }
 
-fn word(value: Option<&Value>) -> &str {
+/// Returns a non-empty JSON string, or a dash.
+fn text_or_dash(value: Option<&Value>) -> &str {
     value
         .and_then(Value::as_str)
-        .filter(|word| !word.is_empty())
+        .filter(|text| !text.is_empty())
         .unwrap_or("-")
 }
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `medlarhatch explain`: a request's story, or a summary of all requests, from log files.
+//! `medlarhatch explain`: explains one request, or summarizes all requests, from log files.
 
 use std::fs;
 
@@ -14,31 +14,32 @@
     messages::Failure, //
 };
 
-/// Tells the story, or the summary.
+/// Prints the explanation or the summary.
 pub fn run(arguments: &Explain) -> Result<(), Failure> {
     if arguments.summary {
-        return sum_up(arguments);
+        return summarize(arguments);
     }
-    let Some((id, files)) = arguments.words.split_first() else {
+    let Some((id, files)) = arguments.id_and_files.split_first() else {
         return Err(Failure::Usage(
-            "the id of a request and its log files are needed; see `medlarhatch explain --help`"
+            "the id of a request and its log files are missing; see `medlarhatch explain --help`"
                 .into(),
         ));
     };
-    let lines = lines(files)?;
-    let Some(story) = explain::explain(&lines, id) else {
+    let lines = read_lines(files)?;
+    let Some(explanation) = explain::explain(&lines, id) else {
         return Err(Failure::Failed(format!(
-            "none of the {} lines names {id}; its process may have been killed before it wrote, or \
-             lines were dropped",
+            "none of the {} lines names {id}; its process may have been killed before it logged \
+             the request, or lines were dropped",
             lines.len(),
         )));
     };
-    print!("{story}");
+    print!("{explanation}");
     Ok(())
 }
 
-fn sum_up(arguments: &Explain) -> Result<(), Failure> {
-    let lines = lines(&arguments.words)?;
+/// Prints the summary as text or JSON.
+fn summarize(arguments: &Explain) -> Result<(), Failure> {
+    let lines = read_lines(&arguments.id_and_files)?;
     let summary = summary(&lines, arguments.window);
     if !arguments.json {
         print!("{summary}");
@@ -50,7 +51,8 @@
     Ok(())
 }
 
-fn lines(files: &[String]) -> Result<Vec<Line>, Failure> {
+/// Reads the log lines of all files.
+fn read_lines(files: &[String]) -> Result<Vec<Line>, Failure> {
     let mut lines = Vec::new();
     for file in files {
         let bytes = fs::read(file).map_err(|error| Failure::Failed(format!("{file}: {error}")))?;
--- a/src/cmd/keys.rs
+++ b/src/cmd/keys.rs
@@ -1,4 +1,4 @@
-//! `medlarhatch keys`, and the reading of keys files.
+//! `medlarhatch keys`: creates keys for hosts. Also reads keys files for other commands.
 
 use std::{
     fs,
@@ -13,16 +13,16 @@
     messages::Failure, //
 };
 
-/// Name of the authority's file.
-const AUTHORITY: &str = "authority.yaml";
+/// File name of the authority.
+const AUTHORITY_FILE: &str = "authority.yaml";
 
-/// Makes keys for hosts.
+/// Issues keys for hosts, one file each, and prints the paths of the files.
 pub fn run(args: &cli::Keys) -> Result<(), Failure> {
     if args.hosts.is_empty() {
-        return Err(Failure::Failed("name at least one host".into()));
+        return Err(Failure::Failed("give at least one host".into()));
     }
-    fs::create_dir_all(&args.out).map_err(|error| unwritten(&args.out, &error))?;
-    let authority = authority(&args.out.join(AUTHORITY))?;
+    fs::create_dir_all(&args.out).map_err(|error| file_error(&args.out, &error))?;
+    let authority = load_or_create_authority(&args.out.join(AUTHORITY_FILE))?;
     for host in &args.hosts {
         let keys = authority
             .issue(host)
@@ -34,7 +34,8 @@
     Ok(())
 }
 
-/// Reads a keys file. With `check` there may be none, and what was read isn't given.
+/// Reads a keys file. With `check`, the path is optional, and the keys are validated but not
+/// returned.
 pub fn read(path: Option<&Path>, check: bool) -> Result<Option<Keys>, Failure> {
     let Some(path) = path else {
         if check {
@@ -48,10 +49,10 @@
     Ok((!check).then_some(keys))
 }
 
-/// The authority in a file, or a new one, written there.
-fn authority(path: &Path) -> Result<Authority, Failure> {
+/// Reads the authority from a file, or creates one and writes it there.
+fn load_or_create_authority(path: &Path) -> Result<Authority, Failure> {
     if path.exists() {
-        let text = fs::read_to_string(path).map_err(|error| unwritten(path, &error))?;
+        let text = fs::read_to_string(path).map_err(|error| file_error(path, &error))?;
         return serde_norway::from_str(&text)
             .map_err(|error| Failure::Failed(format!("{}: {error}", path.display())));
     }
@@ -60,12 +61,14 @@
     Ok(authority)
 }
 
+/// Writes a value as YAML.
 fn write(path: &Path, value: &impl serde::Serialize) -> Result<(), Failure> {
     let text = serde_norway::to_string(value)
         .map_err(|error| Failure::Failed(format!("{}: {error}", path.display())))?;
-    fs::write(path, text).map_err(|error| unwritten(path, &error))
+    fs::write(path, text).map_err(|error| file_error(path, &error))
 }
 
-fn unwritten(path: &Path, error: &std::io::Error) -> Failure {
+/// Returns the failure of a file operation.
+fn file_error(path: &Path, error: &std::io::Error) -> Failure {
     Failure::Failed(format!("{}: {error}", path.display()))
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, a file each.
+//! The subcommands, one per module.
 
 mod demo;
 mod entry;
--- a/src/cmd/settings.rs
+++ b/src/cmd/settings.rs
@@ -1,4 +1,4 @@
-//! `medlarhatch settings`.
+//! `medlarhatch settings`: checks settings files.
 
 use std::path::Path;
 
@@ -15,28 +15,29 @@
     messages::Failure, //
 };
 
-/// Checks every file, also behind one that is at fault.
+/// Checks all files and reports the errors of all of them.
 pub fn run(command: SettingsCommand) -> Result<(), Failure> {
     let SettingsCommand::Check(args) = command;
     if args.files.is_empty() {
-        return Err(Failure::Failed("no file is named".into()));
+        return Err(Failure::Failed("no settings file was given".into()));
     }
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for path in &args.files {
         match check(path) {
             Ok(()) => println!("{}: fine", path.display()),
-            Err(error) => faults.push(error.to_string()),
+            Err(error) => errors.push(error.to_string()),
         }
     }
-    match faults.is_empty() {
+    match errors.is_empty() {
         true => Ok(()),
-        false => Err(Failure::Failed(faults.join("\n"))),
+        false => Err(Failure::Failed(errors.join("\n"))),
     }
 }
 
+/// Checks one file as settings of a sidecar, keys or settings of an entry, by its top-level fields.
 fn check(path: &Path) -> Result<(), Error> {
     let (name, text) = settings::text(path)?;
-    // A text that isn't YAML is a fault of any kind of settings.
+    // Text that isn't YAML counts as settings of an entry, whose parser reports the error.
     let value: Value = serde_norway::from_str(&text).unwrap_or_default();
     if value.get("server").is_some() {
         return settings::parse(&name, &text, &Sidecar::sample()).map(drop);
--- a/src/cmd/sidecar.rs
+++ b/src/cmd/sidecar.rs
@@ -1,4 +1,4 @@
-//! `medlarhatch sidecar`.
+//! `medlarhatch sidecar`: runs a sidecar.
 
 use sidecar::Sidecar;
 
@@ -8,7 +8,7 @@
     messages::Failure, //
 };
 
-/// Runs a sidecar until it is told to stop.
+/// Runs a sidecar until SIGTERM or SIGINT, or only checks its files with `--check`.
 pub async fn run(args: cli::Sidecar) -> Result<(), Failure> {
     let settings = settings::read(&args.settings, &settings::Sidecar::sample())?;
     let keys = super::keys::read(args.keys.as_deref(), args.check)?;
--- a/src/cmd/stop.rs
+++ b/src/cmd/stop.rs
@@ -1,4 +1,4 @@
-//! Stops a daemon on the platform's signal.
+//! Stops a daemon on a signal.
 
 use tokio::signal::unix::{
     SignalKind,
@@ -8,7 +8,11 @@
 
 use crate::messages::Failure;
 
-/// A token that is cancelled by SIGTERM or SIGINT.
+/// Returns a token that SIGTERM and SIGINT cancel.
+///
+/// # Errors
+///
+/// Returns [`Failure::Failed`] if a signal handler can't be installed.
 pub fn on_signal() -> Result<CancellationToken, Failure> {
     let token = CancellationToken::new();
     let mut terminate = listen(SignalKind::terminate())?;
@@ -25,5 +29,6 @@
 }
 
 fn listen(kind: SignalKind) -> Result<tokio::signal::unix::Signal, Failure> {
-    signal(kind).map_err(|error| Failure::Failed(format!("signals can't be heard: {error}")))
+    signal(kind)
+        .map_err(|error| Failure::Failed(format!("can't install a signal handler: {error}")))
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -13,7 +13,7 @@
         Ok(args) => args,
         Err(code) => return code,
     };
-    if let Err(error) = messages::log(args.verbose) {
+    if let Err(error) = messages::init_logging(args.verbose) {
         eprintln!("{error}");
         return Failure::Failed(String::new()).code();
     }
@@ -23,7 +23,7 @@
     {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("the runtime can't start: {error}");
+            eprintln!("can't start the runtime: {error}");
             return Failure::Failed(String::new()).code();
         }
     };
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the command line tells a person: failures, exit codes, the form of log lines.
+//! Failures of commands with their exit codes, and the format of log lines.
 
 use std::{
     fmt,
@@ -8,27 +8,27 @@
 
 use log::LevelFilter;
 
-/// Exit code for wrong arguments.
-pub const USAGE: u8 = 2;
+/// Exit code for invalid arguments.
+pub const USAGE_EXIT_CODE: u8 = 2;
 
-/// Why a command failed.
+/// Failure of a command, with the message for the user.
 #[derive(Debug)]
 pub enum Failure {
-    /// It was refused, or it failed; nothing more happens.
+    /// The command was refused or failed.
     Failed(String),
-    /// Somebody can't be reached: nothing is known.
+    /// A process or the platform can't be reached; the outcome is unknown.
     Unreachable(String),
-    /// The arguments are wrong.
+    /// The arguments are invalid.
     Usage(String),
 }
 
 impl Failure {
-    /// The process's exit code.
+    /// Returns the exit code of the process.
     pub fn code(&self) -> ExitCode {
         match self {
             Self::Failed(_) => ExitCode::from(1),
             Self::Unreachable(_) => ExitCode::from(3),
-            Self::Usage(_) => ExitCode::from(USAGE),
+            Self::Usage(_) => ExitCode::from(USAGE_EXIT_CODE),
         }
     }
 }
@@ -50,7 +50,11 @@
 }
 
 /// Sends log lines to standard error, with time and level.
-pub fn log(verbose: bool) -> Result<(), log::SetLoggerError> {
+///
+/// # Errors
+///
+/// Returns an error if a logger is already set.
+pub fn init_logging(verbose: bool) -> Result<(), log::SetLoggerError> {
     let level = if verbose {
         LevelFilter::Debug
     } else {
--- a/tests/env.rs
+++ b/tests/env.rs
@@ -1,4 +1,4 @@
-//! `medlarhatch env` as a person sees it.
+//! Output of `medlarhatch env`.
 
 use std::{
     fs,
@@ -11,22 +11,25 @@
 
 const EXAMPLE: &str = include_str!("../examples/payout-desk.yaml");
 
-/// Runs a command; gives its exit code and all that it printed. Names that differ from run to run
-/// are replaced.
-async fn env(folder: &Path, entry: &str, line: &str) -> String {
+/// Runs a subcommand of `env`, and returns its output and exit code. Times, which differ between
+/// runs, are replaced.
+async fn run_env(directory: &Path, entry: &str, line: &str) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_medlarhatch"));
     command
         .arg("env")
         .args(line.split_whitespace())
-        .current_dir(folder);
+        .current_dir(directory);
     if !entry.is_empty() {
         command.args(["--entry", entry]);
     }
     let output = tokio::task::spawn_blocking(move || command.output());
-    let output = output.await.expect("it ends").expect("it runs");
+    let output = output
+        .await
+        .expect("the task ends")
+        .expect("the program runs");
     let printed = [output.stdout, output.stderr].concat();
     let printed = String::from_utf8_lossy(&printed);
-    let lines: Vec<_> = printed.lines().map(plain).collect();
+    let lines: Vec<_> = printed.lines().map(without_times).collect();
     format!(
         "$ env {line}\n{}\nexit code {:?}\n",
         lines.join("\n"),
@@ -34,8 +37,8 @@
     )
 }
 
-/// A line without times.
-fn plain(line: &str) -> String {
+/// Returns a line with times replaced.
+fn without_times(line: &str) -> String {
     let word = |word: &str| match word.len() == 20 && word.ends_with('Z') {
         true => "(time)".to_string(),
         false => word.to_string(),
@@ -44,10 +47,11 @@
     words.join(" ").trim_end().to_string()
 }
 
-fn folder() -> TempDir {
-    let folder = tempfile::tempdir().expect("a folder");
+/// Creates a directory with documents: valid ones, one for a trial, and one with errors.
+fn directory() -> TempDir {
+    let directory = tempfile::tempdir().expect("a directory");
     let write = |name: &str, text: String| {
-        fs::write(folder.path().join(name), text).expect("a file is written");
+        fs::write(directory.path().join(name), text).expect("a file is written");
     };
     write("one.yaml", EXAMPLE.into());
     let two = EXAMPLE.replace("in_flight: 100", "in_flight: 150");
@@ -60,32 +64,32 @@
             .replace("weight: 4", "weight: 0")
             .replace("to: \"2026.11\"", "to: \"2026.12\""),
     );
-    folder
+    directory
 }
 
 #[tokio::test]
 async fn a_file_is_checked_offline() {
-    let folder = folder();
-    let mut seen = String::new();
+    let directory = directory();
+    let mut transcript = String::new();
     for line in [
         "check one.yaml",
         "check wrong.yaml",
         "check none.yaml",
         "check one.yaml --format json",
     ] {
-        seen += &env(folder.path(), "", line).await;
+        transcript += &run_env(directory.path(), "", line).await;
     }
-    insta::assert_snapshot!("check", seen);
+    insta::assert_snapshot!("check", transcript);
 }
 
-// Two operators work from the same document, a trial is promoted, and the store goes out.
+// Two operators edit the same document, one promotes a trial, and then the store fails.
 #[tokio::test]
-async fn documents_are_put_promoted_and_shown() {
-    let folder = folder();
+async fn documents_can_be_put_promoted_and_shown() {
+    let directory = directory();
     let mut trial = Trial::start().await.expect("a platform");
     trial.entry("entry-a", "dc1").await.expect("an entry");
     let entry = trial.operators(0);
-    let mut seen = String::new();
+    let mut transcript = String::new();
     for line in [
         "put one.yaml --operator ana --edit e1",
         "put two.yaml --operator ana --edit e2 --dry-run",
@@ -97,18 +101,18 @@
         "promote --from none --to production",
         "history production",
     ] {
-        seen += &env(folder.path(), &entry, line).await;
+        transcript += &run_env(directory.path(), &entry, line).await;
     }
     trial
         .ready(4)
         .await
         .expect("the promoted document is in force");
-    seen += &env(folder.path(), &entry, "status").await;
-    seen += &env(folder.path(), &entry, "status --format json").await;
+    transcript += &run_env(directory.path(), &entry, "status").await;
+    transcript += &run_env(directory.path(), &entry, "status --format json").await;
     trial.platform.fault(fakes::platform::Fault {
         outage: true,
         ..Default::default()
     });
-    seen += &env(folder.path(), &entry, "put one.yaml --operator ana").await;
-    insta::assert_snapshot!("operators", seen);
+    transcript += &run_env(directory.path(), &entry, "put one.yaml --operator ana").await;
+    insta::assert_snapshot!("operators", transcript);
 }
--- a/tests/pause.rs
+++ b/tests/pause.rs
@@ -1,4 +1,4 @@
-//! An entry's process that stands still, as a process of its own.
+//! A pause of an entry's whole process.
 
 use std::{
     fs,
@@ -28,22 +28,23 @@
     sleep, //
 };
 
-/// Longest wait for a condition.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Time within which a condition must become true.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pace at which conditions are looked at.
-const PACE: Duration = Duration::from_millis(20);
+/// Interval at which conditions are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longer than an entry takes for a delay of its own.
-const PAUSE: Duration = Duration::from_secs(7);
+/// Duration of the pause, longer than what an entry still treats as a scheduling delay of its own.
+const PAUSE_TIME: Duration = Duration::from_secs(7);
 
-/// Requests that wait while the process stands still.
-const WAITING: usize = 50;
+/// Number of requests that wait while the process is paused.
+const WAITING_REQUESTS: usize = 50;
 
-/// A process that ends with the test.
+/// A process that is killed when it is dropped.
 struct Process(Child);
 
 impl Process {
+    /// Sends a signal to this process.
     fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .args([name, &self.0.id().to_string()])
@@ -62,21 +63,22 @@
     }
 }
 
+/// Returns a command that runs the program under test.
 fn medlarhatch() -> Command {
     Command::new(env!("CARGO_BIN_EXE_medlarhatch"))
 }
 
-/// Starts an entry; gives its operators' address.
-fn entry(folder: &Path, platform: &str) -> (Process, String) {
+/// Starts an entry, and returns it with the URL of its operators' address.
+fn start_entry(directory: &Path, platform: &str) -> (Process, String) {
     let keys = medlarhatch()
         .args(["keys", "entry-a", "--out"])
-        .arg(folder)
+        .arg(directory)
         .output();
     assert!(
         keys.is_ok_and(|keys| keys.status.success()),
-        "keys are made"
+        "keys are created"
     );
-    let settings = folder.join("settings.yaml");
+    let settings = directory.join("settings.yaml");
     let text = format!(
         "name: entry-a\ndata_centre: dc1\nenvironment: production\ncallers: 127.0.0.1:0\n\
          operators: 127.0.0.1:0\nlinks: 127.0.0.1:0\nplatform: http://{platform}\n"
@@ -87,7 +89,7 @@
         .arg("--settings")
         .arg(settings)
         .arg("--keys")
-        .arg(folder.join("entry-a.yaml"))
+        .arg(directory.join("entry-a.yaml"))
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .spawn()
@@ -100,68 +102,73 @@
             return (process, format!("http://{address}"));
         }
     }
-    panic!("the entry says no address");
+    panic!("the entry prints no operators' address");
 }
 
-/// Writes to the store beside the entry.
-async fn write(client: &reqwest::Client, platform: &str, number: u32) -> u64 {
+/// Writes document number `number` directly to the store and returns its revision.
+async fn write_document(client: &reqwest::Client, platform: &str, number: u32) -> u64 {
     let text = format!(
         "environment: production\nservices: []\nroutes: []\nteams: {{default: {{rate: {number}}}}}\n"
     );
     let body = json!({"key": "env/production", "value": text, "expect": null});
-    let answer = client
+    let response = client
         .put(format!("http://{platform}/kv"))
         .json(&body)
         .send()
         .await;
-    let body: Value = answer.expect("an answer").json().await.expect("JSON");
+    let body: Value = response.expect("a response").json().await.expect("JSON");
     body["revision"].as_u64().expect("a revision")
 }
 
-async fn status(client: &reqwest::Client, operators: &str) -> Value {
-    let answer = client.get(format!("{operators}/status")).send().await;
-    answer.expect("an answer").json().await.expect("JSON")
+/// Fetches the status of an entry.
+async fn fetch_status(client: &reqwest::Client, operators: &str) -> Value {
+    let response = client.get(format!("{operators}/status")).send().await;
+    response.expect("a response").json().await.expect("JSON")
 }
 
-async fn holds(client: &reqwest::Client, operators: &str, revision: u64) {
-    let begun = Instant::now();
+/// Waits until an entry is ready with a revision.
+async fn wait_for_revision(client: &reqwest::Client, operators: &str, revision: u64) {
+    let began = Instant::now();
     loop {
-        let status = status(client, operators).await;
+        let status = fetch_status(client, operators).await;
         if status["revision"] == revision && status["ready"] == true {
             return;
         }
-        assert!(begun.elapsed() < LIMIT, "{status}, not {revision}");
-        sleep(PACE).await;
+        assert!(
+            began.elapsed() < CONDITION_TIMEOUT,
+            "no revision {revision}: {status}"
+        );
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-// A host freezes an entry's process for some seconds. A document is put in force meanwhile, and
-// requests wait at the entry. When it goes on it serves them, and by the old document: traffic goes
-// to a version that was taken out.
+// A host suspends the process of an entry for some seconds. Meanwhile, a new document is put in
+// force and requests queue at the entry. If the resumed entry served them by the old document,
+// traffic would go to a version that has been removed.
 #[tokio::test]
-async fn requests_that_waited_out_a_pause_are_not_served_by_an_old_document() {
+async fn requests_queued_during_a_pause_are_not_served_by_an_old_document() {
     let platform = Platform::start(Settings::default())
         .await
         .expect("a platform");
     let address = platform.address().to_string();
-    let folder = tempfile::tempdir().expect("a folder");
-    let (process, operators) = entry(folder.path(), &address);
+    let directory = tempfile::tempdir().expect("a directory");
+    let (process, operators) = start_entry(directory.path(), &address);
     let client = reqwest::Client::new();
-    let first = write(&client, &address, 1).await;
-    holds(&client, &operators, first).await;
+    let first = write_document(&client, &address, 1).await;
+    wait_for_revision(&client, &operators, first).await;
     process.signal("-STOP");
-    let second = write(&client, &address, 2).await;
-    let requests = (0..WAITING).map(|_| {
+    let second = write_document(&client, &address, 2).await;
+    let requests = (0..WAITING_REQUESTS).map(|_| {
         let (client, operators) = (client.clone(), operators.clone());
-        tokio::spawn(async move { status(&client, &operators).await })
+        tokio::spawn(async move { fetch_status(&client, &operators).await })
     });
     let requests: Vec<_> = requests.collect();
-    sleep(PAUSE).await;
+    sleep(PAUSE_TIME).await;
     process.signal("-CONT");
     for request in requests {
         let status = request.await.expect("a status");
-        let old = status["ready"] == true && status["revision"] == first;
-        assert!(!old, "{status}");
+        let stale = status["ready"] == true && status["revision"] == first;
+        assert!(!stale, "{status}");
     }
-    holds(&client, &operators, second).await;
+    wait_for_revision(&client, &operators, second).await;
 }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Answers over daemons that are processes of their own, killed and stopped by their ids.
+//! Answers while sidecars and entries, each a process of its own, are killed or suspended.
 
 use std::{
     io::{
@@ -50,26 +50,29 @@
   - {name: letters, match: {path: /v1/, model: m}, service: draft, version: v1}
 ";
 
-const ENGINES: usize = 2;
-const ENTRIES: usize = 2;
-const LENGTH: u64 = 60;
+const ENGINE_COUNT: usize = 2;
+const ENTRY_COUNT: usize = 2;
 
-/// Longest wait for a condition.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Length of the answer, in tokens.
+const ANSWER_TOKENS: u64 = 60;
 
-/// Output goes on within this time of a loss.
-const SOON: Duration = Duration::from_secs(3);
+/// Time within which a condition must become true.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A process of ours and the addresses that it printed.
+/// Longest allowed pause of the output after a failure.
+const MAX_PAUSE: Duration = Duration::from_secs(3);
+
+/// A process of the program under test, and the addresses that it printed.
 struct Process {
     child: Child,
     addresses: Vec<(String, SocketAddr)>,
 }
 
 impl Process {
+    /// Starts a process and reads its addresses from the output.
     fn start(directory: &Path, role: &str, name: &str, settings: &str) -> Process {
         let file = directory.join(format!("{name}.yaml"));
-        std::fs::write(&file, settings).expect("the folder takes files");
+        std::fs::write(&file, settings).expect("the directory is writable");
         let keys = directory.join("keys").join(format!("{name}.yaml"));
         let mut child = Command::new(env!("CARGO_BIN_EXE_medlarhatch"))
             .arg(role)
@@ -83,25 +86,26 @@
             .expect("the program starts");
         let lines = BufReader::new(child.stdout.take().expect("a pipe")).lines();
         let mut addresses = Vec::new();
-        let words = match role {
+        let line_count = match role {
             "entry" => 3,
             _ => 2,
         };
-        for line in lines.map_while(Result::ok).take(words) {
-            let (word, address) = line.split_once(' ').expect("a word and an address");
+        for line in lines.map_while(Result::ok).take(line_count) {
+            let (name, address) = line.split_once(' ').expect("a name and an address");
             let address = address.parse().expect("an address");
-            addresses.push((word.to_string(), address));
+            addresses.push((name.to_string(), address));
         }
         Process { child, addresses }
     }
 
-    fn address(&self, word: &str) -> SocketAddr {
+    /// Returns one of the printed addresses by its name.
+    fn address(&self, name: &str) -> SocketAddr {
         let mut addresses = self.addresses.iter();
-        let found = addresses.find(|(name, _)| name == word);
+        let found = addresses.find(|(printed, _)| printed == name);
         found.expect("the process printed it").1
     }
 
-    /// Sends a signal to this process, and to no other.
+    /// Sends a signal to this process only.
     fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         let sent = Command::new("kill").args([signal, &id]).status();
@@ -116,41 +120,44 @@
     }
 }
 
-struct Desk {
+/// A platform, engines with their sidecars, and entries.
+struct System {
     engines: Vec<Engine>,
     sidecars: Vec<Process>,
     entries: Vec<Process>,
     client: reqwest::Client,
-    _platform: Platform,
-    _directory: TempDir,
+    platform: Platform,
+    directory: TempDir,
 }
 
-impl Desk {
-    async fn open() -> Desk {
-        let directory = tempfile::tempdir().expect("a folder");
+impl System {
+    /// Starts all processes and puts the document in force.
+    async fn start() -> System {
+        let directory = tempfile::tempdir().expect("a directory");
         let platform = Platform::start(platform::Settings::default()).await;
         let platform = platform.expect("a platform");
-        keys(directory.path());
-        let mut desk = Desk {
+        create_keys(directory.path());
+        let mut system = System {
             engines: Vec::new(),
             sidecars: Vec::new(),
             entries: Vec::new(),
             client: reqwest::Client::new(),
-            _platform: platform,
-            _directory: directory,
+            platform,
+            directory,
         };
-        for number in 0..ENGINES {
-            desk.sidecar(number).await;
+        for number in 0..ENGINE_COUNT {
+            system.start_sidecar(number).await;
         }
-        for number in 0..ENTRIES {
-            desk.entry(number);
+        for number in 0..ENTRY_COUNT {
+            system.start_entry(number);
         }
-        desk.list();
-        desk.put().await;
-        desk
+        system.register_hosts();
+        system.put_document().await;
+        system
     }
 
-    async fn sidecar(&mut self, number: usize) {
+    /// Starts an engine and its sidecar.
+    async fn start_sidecar(&mut self, number: usize) {
         let settings = engine::Settings {
             between: Duration::from_millis(20),
             ..engine::Settings::default()
@@ -161,26 +168,28 @@
             "name: {name}\ndata_centre: dc{number}\nlinks: 127.0.0.1:0\noperators: 127.0.0.1:0\n\
              platform: http://{}\nserver:\n  name: {name}-server\n  address: http://{}\n  \
              kind: engine\n  service: draft\n  version: v1\n  model: m\n",
-            self._platform.address(),
+            self.platform.address(),
             engine.address()
         );
-        let process = Process::start(self._directory.path(), "sidecar", &name, &text);
+        let process = Process::start(self.directory.path(), "sidecar", &name, &text);
         self.sidecars.push(process);
         self.engines.push(engine);
     }
 
-    fn entry(&mut self, number: usize) {
+    /// Starts an entry.
+    fn start_entry(&mut self, number: usize) {
         let name = format!("entry-{number}");
         let text = format!(
             "name: {name}\ndata_centre: dc0\nenvironment: production\ncallers: 127.0.0.1:0\n\
              operators: 127.0.0.1:0\nlinks: 127.0.0.1:0\nplatform: http://{}\n",
-            self._platform.address()
+            self.platform.address()
         );
-        let process = Process::start(self._directory.path(), "entry", &name, &text);
+        let process = Process::start(self.directory.path(), "entry", &name, &text);
         self.entries.push(process);
     }
 
-    fn list(&self) {
+    /// Registers all hosts at the platform.
+    fn register_hosts(&self) {
         let mut hosts = Vec::new();
         for (role, prefix, processes) in [
             (platform::Role::Sidecar, "draft", &self.sidecars),
@@ -197,33 +206,35 @@
                 });
             }
         }
-        self._platform.set_hosts(hosts);
+        self.platform.set_hosts(hosts);
     }
 
-    async fn put(&self) {
+    /// Puts the document in force and waits until all entries know all engines.
+    async fn put_document(&self) {
         let operators = self.entries[0].address("operators");
         let address = format!("http://{operators}/environments/production");
         let put = self.client.put(address).body(DOCUMENT).send().await;
-        assert!(put.expect("an answer").status().is_success());
+        assert!(put.expect("a response").status().is_success());
         for entry in &self.entries {
             let address = format!("http://{}/status", entry.address("operators"));
-            let begun = Instant::now();
+            let began = Instant::now();
             loop {
                 let status = self.client.get(&address).send().await.expect("a status");
                 let status: Value = status.json().await.expect("a status");
                 let up = status["servers"].as_array().map_or(0, Vec::len);
-                if up == ENGINES && status["revision"].as_u64() > Some(0) {
+                if up == ENGINE_COUNT && status["revision"].as_u64() > Some(0) {
                     break;
                 }
-                assert!(begun.elapsed() < LIMIT, "not ready: {status}");
+                assert!(began.elapsed() < CONDITION_TIMEOUT, "not ready: {status}");
                 sleep(Duration::from_millis(20)).await;
             }
         }
     }
 
-    async fn ask(&self, entry: usize, seed: u64, last: Option<&str>) -> Stream {
+    /// Requests the answer at an entry, from the event after `last` on.
+    async fn request_answer(&self, entry: usize, seed: u64, last: Option<&str>) -> Stream {
         let body = json!({
-            "model": "m", "prompt": "p", "max_tokens": LENGTH, "seed": seed, "stream": true,
+            "model": "m", "prompt": "p", "max_tokens": ANSWER_TOKENS, "seed": seed, "stream": true,
         });
         let callers = self.entries[entry].address("callers");
         let mut request = self
@@ -234,20 +245,22 @@
         if let Some(last) = last {
             request = request.header("last-event-id", last);
         }
-        Stream::new(request.send().await.expect("an answer"))
+        Stream::new(request.send().await.expect("a response"))
     }
 
-    fn running(&self) -> usize {
+    /// Returns the index of the engine that generates the answer.
+    fn running_engine(&self) -> usize {
         let mut engines = self.engines.iter();
-        let place = engines.position(|engine| {
+        let index = engines.position(|engine| {
             let mut runs = engine.runs().into_iter();
             runs.any(|run| run.state == State::Running)
         });
-        place.expect("an engine runs the answer")
+        index.expect("an engine runs the answer")
     }
 }
 
-fn keys(directory: &Path) {
+/// Creates the keys of all hosts.
+fn create_keys(directory: &Path) {
     let names = ["draft-0", "draft-1", "entry-0", "entry-1"];
     let made = Command::new(env!("CARGO_BIN_EXE_medlarhatch"))
         .arg("keys")
@@ -259,13 +272,18 @@
     assert!(made.expect("the program starts").success());
 }
 
-/// Reads tokens until there are `count`, or to the end; gives the last id and the longest pause.
-async fn read(stream: &mut Stream, tokens: &mut Vec<String>, count: usize) -> (String, Duration) {
+/// Reads until there are `count` tokens or the stream ends. Returns the id of the last event and
+/// the longest pause.
+async fn read_tokens(
+    stream: &mut Stream,
+    tokens: &mut Vec<String>,
+    count: usize,
+) -> (String, Duration) {
     let mut id = String::new();
     let mut longest = Duration::ZERO;
     let mut last = Instant::now();
     while tokens.len() < count {
-        let Some(event) = stream.next().await.expect("the stream goes on") else {
+        let Some(event) = stream.next().await.expect("the stream continues") else {
             break;
         };
         assert_eq!(event.name, "", "{}", event.data);
@@ -280,74 +298,91 @@
     (id, longest)
 }
 
-fn letter() -> (u64, Vec<String>) {
+/// Returns a seed whose answer has the full length, and the tokens of this answer.
+fn full_length_answer() -> (u64, Vec<String>) {
     let mut seeds = 1..;
-    let seed = seeds.find(|seed| engine::length("p", *seed, LENGTH) == LENGTH);
-    let seed = seed.expect("most letters are whole");
-    let tokens = (0..LENGTH).map(|index| engine::token("p", seed, "v1", index));
+    let seed = seeds.find(|seed| engine::length("p", *seed, ANSWER_TOKENS) == ANSWER_TOKENS);
+    let seed = seed.expect("most answers have the full length");
+    let tokens = (0..ANSWER_TOKENS).map(|index| engine::token("p", seed, "v1", index));
     (seed, tokens.collect())
 }
 
-/// A sidecar's process is killed, or stopped and later continued, in the midst of a letter. The
-/// caller notices a pause; what the stopped one sends once it goes on must not reach the letter.
+/// The process of a sidecar is killed, or suspended and later resumed, in the middle of an answer.
+/// The caller notices only a pause. What the resumed sidecar still sends must not get into the
+/// answer.
 #[rstest]
 #[case::killed("-KILL", None)]
-#[case::stopped_and_continued("-STOP", Some("-CONT"))]
+#[case::suspended_and_resumed("-STOP", Some("-CONT"))]
 #[tokio::test]
-async fn a_letter_goes_on_when_a_sidecar_fails(#[case] first: &str, #[case] then: Option<&str>) {
-    let desk = Desk::open().await;
-    let (seed, text) = letter();
+async fn an_answer_continues_when_a_sidecar_fails(
+    #[case] signal: &str,
+    #[case] resume: Option<&str>,
+) {
+    let system = System::start().await;
+    let (seed, expected) = full_length_answer();
     let mut tokens = Vec::new();
-    let mut stream = desk.ask(0, seed, None).await;
-    read(&mut stream, &mut tokens, 10).await;
-    let number = desk.running();
-    desk.sidecars[number].signal(first);
-    let (_, pause) = read(&mut stream, &mut tokens, 30).await;
-    if let Some(then) = then {
-        desk.sidecars[number].signal(then);
+    let mut stream = system.request_answer(0, seed, None).await;
+    read_tokens(&mut stream, &mut tokens, 10).await;
+    let number = system.running_engine();
+    system.sidecars[number].signal(signal);
+    let (_, pause) = read_tokens(&mut stream, &mut tokens, 30).await;
+    if let Some(resume) = resume {
+        system.sidecars[number].signal(resume);
     }
-    read(&mut stream, &mut tokens, usize::MAX).await;
-    assert_eq!(tokens, text);
-    assert!(pause < SOON, "{pause:?}");
+    read_tokens(&mut stream, &mut tokens, usize::MAX).await;
+    assert_eq!(tokens, expected);
+    assert!(pause < MAX_PAUSE, "{pause:?}");
 }
 
-/// An entry's process is killed in the midst of a letter. The caller's connection breaks; through
-/// the other entry it gets the rest, and the engine has written the letter once.
+/// The process of an entry is killed in the middle of an answer, and the caller's connection
+/// breaks. The caller gets the rest through the other entry, and the engine generates the answer
+/// only once.
 #[tokio::test]
-async fn a_letter_goes_on_through_the_other_entry() {
-    let desk = Desk::open().await;
-    let (seed, text) = letter();
+async fn an_answer_continues_through_the_other_entry() {
+    let system = System::start().await;
+    let (seed, expected) = full_length_answer();
     let mut tokens = Vec::new();
-    let mut stream = desk.ask(0, seed, None).await;
-    let (id, _) = read(&mut stream, &mut tokens, 10).await;
-    desk.entries[0].signal("-KILL");
+    let mut stream = system.request_answer(0, seed, None).await;
+    let (id, _) = read_tokens(&mut stream, &mut tokens, 10).await;
+    system.entries[0].signal("-KILL");
     drop(stream);
-    let mut stream = desk.ask(1, seed, Some(&id)).await;
-    read(&mut stream, &mut tokens, usize::MAX).await;
-    assert_eq!(tokens, text);
-    let runs: usize = desk.engines.iter().map(|engine| engine.runs().len()).sum();
+    let mut stream = system.request_answer(1, seed, Some(&id)).await;
+    read_tokens(&mut stream, &mut tokens, usize::MAX).await;
+    assert_eq!(tokens, expected);
+    let runs: usize = system
+        .engines
+        .iter()
+        .map(|engine| engine.runs().len())
+        .sum();
     assert_eq!(runs, 1, "no second run");
 }
 
-/// An entry is stopped for a while and continued. What came in the meantime is no reason to suspect
-/// the engine, and the letter goes on where it stood.
+/// An entry is suspended for a while and resumed. The entry must not take the time of its
+/// suspension for silence of the engine; the answer continues with the same run.
 #[tokio::test]
-async fn a_paused_entry_goes_on_without_a_second_run() {
-    let desk = Desk::open().await;
-    let (seed, text) = letter();
+async fn a_resumed_entry_continues_without_a_second_run() {
+    let system = System::start().await;
+    let (seed, expected) = full_length_answer();
     let mut tokens = Vec::new();
-    let mut stream = desk.ask(0, seed, None).await;
-    read(&mut stream, &mut tokens, 10).await;
-    desk.entries[0].signal("-STOP");
-    let number = desk.running();
-    let begun = Instant::now();
-    // The engine writes on by itself; a second of its pace is far over the threshold.
-    while desk.engines[number].runs()[0].sent < LENGTH && begun.elapsed() < LIMIT {
+    let mut stream = system.request_answer(0, seed, None).await;
+    read_tokens(&mut stream, &mut tokens, 10).await;
+    system.entries[0].signal("-STOP");
+    let number = system.running_engine();
+    let began = Instant::now();
+    // The engine continues to generate. This takes about a second, far more than the suspicion
+    // threshold.
+    while system.engines[number].runs()[0].sent < ANSWER_TOKENS
+        && began.elapsed() < CONDITION_TIMEOUT
+    {
         sleep(Duration::from_millis(20)).await;
     }
-    desk.entries[0].signal("-CONT");
-    read(&mut stream, &mut tokens, usize::MAX).await;
-    assert_eq!(tokens, text);
-    let runs: usize = desk.engines.iter().map(|engine| engine.runs().len()).sum();
+    system.entries[0].signal("-CONT");
+    read_tokens(&mut stream, &mut tokens, usize::MAX).await;
+    assert_eq!(tokens, expected);
+    let runs: usize = system
+        .engines
+        .iter()
+        .map(|engine| engine.runs().len())
+        .sum();
     assert_eq!(runs, 1, "no second run");
 }
