--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -507,7 +507,7 @@
             version: &target.version,
             first,
             between,
-            whole: complete,
+            complete,
         };
         self.state.burn.count(&request, self.state.now());
     }
