--- a/components/report/src/burn.rs
+++ b/components/report/src/burn.rs
@@ -128,7 +128,7 @@
     pub short: f64,
     /// Burn rate over the long window.
     pub long: f64,
-    /// Whether both reach the threshold, with at least [`MIN_ALERT_REQUESTS`] in the short window.
+    /// Whether both reach the threshold, with at least `MIN_ALERT_REQUESTS` in the short window.
     pub alert: bool,
 }
 
