--- a/components/models/src/answer.rs
+++ b/components/models/src/answer.rs
@@ -42,8 +42,8 @@
     Server, //
 };
 
+pub mod invariants;
 mod steps;
-pub mod verdict;
 
 /// Number of entries; the caller begins at the first one.
 pub const ENTRIES: usize = 2;
--- a/components/models/src/answer/steps.rs
+++ b/components/models/src/answer/steps.rs
@@ -33,7 +33,7 @@
     Step,
     Variant,
     World,
-    verdict::own_index, //
+    invariants::own_index, //
 };
 
 /// The run that the second entry finds.
--- a/components/models/src/contract.rs
+++ b/components/models/src/contract.rs
@@ -7,16 +7,16 @@
 //! late, and any step may. Faults are bounded by a budget, so the search ends.
 
 mod actors;
-mod possible;
+mod enabled;
+mod state;
 mod step;
 mod store;
-mod world;
 
 pub use step::{
     Fate,
     Step, //
 };
-pub use world::World;
+pub use state::World;
 
 use crate::search::{
     Outcome,
--- a/components/models/src/contract/actors.rs
+++ b/components/models/src/contract/actors.rs
@@ -18,7 +18,7 @@
     Revision, //
 };
 
-use super::world::NODES;
+use super::state::NODES;
 
 /// What a caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/components/models/src/contract/possible.rs
+++ b/components/models/src/contract/enabled.rs
@@ -8,7 +8,7 @@
         Op,
         Service, //
     },
-    world::NODES, //
+    state::NODES, //
 };
 
 impl World {
--- a/components/models/tests/answer.rs
+++ b/components/models/tests/answer.rs
@@ -5,7 +5,7 @@
         Model,
         Step,
         Variant,
-        verdict::{
+        invariants::{
             ENDS,
             Known,
             NO_HOLE,
