--- a/components/models/src/answer.rs
+++ b/components/models/src/answer.rs
@@ -1,13 +1,13 @@
-//! One answer: entries, sidecars, an engine that varies, and a caller that comes back.
+//! One answer: entries, sidecars, an engine whose output varies, and a caller that retries.
 //!
-//! The specification drives the production [`Resume`] of two entries and the production [`Log`] of
-//! each generation. The network is a set of messages that only grows: whatever a sidecar sent may
-//! come at any time, in any order, several times, or never. That is loss, repetition and
-//! reordering without bound, and it needs no queue in the state. Times are all zero, so that any
-//! engine may be suspected at any moment.
+//! The specification runs the production [`Resume`] of two entries and the production [`Log`] of
+//! each generation. The network is a set of messages that only grows: a message that a sidecar sent
+//! may arrive at any time, in any order, repeatedly, or never. This covers unbounded loss,
+//! duplication and reordering without a queue in the state. All times are zero, so any engine may
+//! be suspected at any moment.
 //!
-//! Each generation has words of its own, as if sampling were never repeatable; what the caller has
-//! is then told from any other text word by word.
+//! The tokens of each generation are unique, as if sampling were never repeatable. The caller's
+//! text can therefore be attributed to its generation token by token.
 
 use std::{
     collections::{
@@ -45,58 +45,59 @@
 pub mod invariants;
 mod steps;
 
-/// Number of entries; the caller begins at the first one.
-pub const ENTRIES: usize = 2;
+/// Number of entries. The caller starts at the first one.
+pub const ENTRY_COUNT: usize = 2;
 /// Number of sidecars.
-pub const SIDECARS: usize = 3;
-/// Bound of each log in bytes; no run of the model reaches it.
-const BOUND: usize = 1 << 20;
+pub const SIDECAR_COUNT: usize = 3;
+/// Capacity of each log, larger than any log of the model.
+const LOG_CAPACITY_BYTES: usize = 1 << 20;
 
-/// What is taken out of the protocol, to see that the search notices.
+/// Defects built into the protocol, each of which the search must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Variant {
-    /// Nothing: the protocol as it is.
-    Sound,
-    /// Tokens of a fenced epoch are given to the owner's cursor.
+pub enum Mutation {
+    /// The protocol without a defect.
+    None,
+    /// Tokens of a fenced epoch are attributed to the owner of the answer.
     Unfenced,
-    /// The caller's place is its index alone, without a digest.
+    /// The caller's position is only an index, without a digest.
     IndexOnly,
-    /// A sidecar numbers the engine's tokens itself, so repeats and holes pass.
+    /// A sidecar numbers the engine's tokens itself and so accepts repeated and missing tokens.
     BlindLog,
-    /// The end is taken without a look at the number of tokens.
+    /// The end is accepted without comparing the number of tokens.
     EarlyEnd,
-    /// The next epoch goes on from the tokens of its server's last run, not from those delivered.
+    /// The next epoch continues from the tokens of the last run instead of the delivered ones.
     WrongPrefix,
-    /// The driver reports no lost link and gives no tick.
+    /// The driver reports no lost links and sends no ticks.
     NoClock,
 }
 
-/// Bounds of a search.
+/// The specification with a mutation and bounds of the search.
 #[derive(Clone, Copy, Debug)]
 pub struct Model {
-    /// What is taken out.
-    pub variant: Variant,
-    /// Tokens of a whole answer.
-    pub length: Index,
-    /// Deaths of entries, sidecars and engines, and engines that repeat or skip, taken together.
-    pub losses: u32,
-    /// Epochs that each entry may start.
-    pub epochs: u32,
+    /// The mutation.
+    pub mutation: Mutation,
+    /// Number of tokens in a complete answer.
+    pub answer_tokens: Index,
+    /// Maximum number of faults: crashes of entries, sidecars and engines, and engines that repeat
+    /// or skip tokens.
+    pub max_losses: u32,
+    /// Maximum number of epochs that each entry starts.
+    pub max_epochs: u32,
 }
 
-/// A generation's key: the entry that started it, and its epoch there.
+/// Key of a generation: the entry that started it, and its epoch there.
 pub type Key = (usize, Epoch);
 
-/// What becomes of a generation's engine.
+/// Behaviour of a generation's engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fate {
-    /// It ends its text.
+    /// It generates the complete text.
     Whole,
     /// It dies before the token at this index.
     Dies(Index),
-    /// It sends the token before this index again.
+    /// It repeats the token before this index.
     Repeats(Index),
-    /// It leaves out the token at this index.
+    /// It skips the token at this index.
     Skips(Index),
 }
 
@@ -110,12 +111,12 @@
 struct Link {
     epoch: Epoch,
     generation: Key,
-    /// Whether anything was ever sent to this entry.
-    read: bool,
+    /// Whether the sidecar has begun to send to this entry.
+    attached: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Ask {
+struct Placement {
     epoch: Epoch,
     prefix: Vec<String>,
     avoid: Vec<Server>,
@@ -126,8 +127,8 @@
 struct Entry {
     dead: bool,
     resume: Option<Resume>,
-    kept: Vec<String>,
-    asks: Vec<Ask>,
+    tokens: Vec<String>,
+    placements: Vec<Placement>,
     dials: BTreeSet<Epoch>,
     links: Vec<Link>,
 }
@@ -141,18 +142,18 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Caller {
-    at: usize,
+    entry: usize,
     text: Vec<String>,
-    mark: Position,
+    position: Position,
     ending: Option<Ending>,
 }
 
 /// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World {
-    entries: [Entry; ENTRIES],
+pub struct State {
+    entries: [Entry; ENTRY_COUNT],
     generations: BTreeMap<Key, Rc<Generation>>,
-    dead: [bool; SIDECARS],
+    dead_sidecars: [bool; SIDECAR_COUNT],
     caller: Caller,
     losses: u32,
 }
@@ -160,115 +161,116 @@
 /// A step of the model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A generation is handed to a server.
+    /// A generation is placed on a server.
     Place {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
         /// The epoch.
         epoch: Epoch,
-        /// The server.
+        /// Index of the server.
         server: usize,
-        /// What becomes of it.
+        /// Behaviour of the engine.
         fate: Fate,
     },
-    /// No replica is to be had.
+    /// No replica is available.
     NoPlace {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
         /// The epoch.
         epoch: Epoch,
     },
-    /// A replica refuses.
+    /// A replica refuses the generation.
     Refuse {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
         /// The epoch.
         epoch: Epoch,
     },
-    /// The retry budget is empty.
+    /// The retry budget is exhausted.
     Deny {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
         /// The epoch.
         epoch: Epoch,
     },
-    /// Tokens come, for the first, the second, or not the first time.
+    /// Tokens arrive, possibly not for the first time.
     Tokens {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
         /// The epoch.
         epoch: Epoch,
-        /// Index of the first.
+        /// Index of the first token.
         index: Index,
-        /// How many.
+        /// Number of tokens.
         count: usize,
     },
-    /// An end comes.
+    /// The end of a generation arrives.
     End {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
         /// The epoch.
         epoch: Epoch,
     },
-    /// A link or a dial fails.
+    /// A link or an attempt to attach fails.
     LinkLost {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
         /// The epoch.
         epoch: Epoch,
     },
-    /// A dial reaches the generation.
+    /// An entry attaches to a generation.
     Attach {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
         /// The epoch.
         epoch: Epoch,
     },
-    /// A dial reaches the sidecar, which doesn't know the generation.
+    /// An entry reaches the sidecar, which does not know the generation.
     Miss {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
         /// The epoch.
         epoch: Epoch,
     },
-    /// The clock of an entry.
+    /// The timer of an entry fires.
     Tick {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
     },
     /// An entry dies.
     EntryDies {
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
     },
     /// A sidecar dies with its host.
     SidecarDies {
-        /// Its number.
+        /// Index of the sidecar.
         server: usize,
     },
-    /// The caller comes back at the second entry. A pointer may name any run there ever was.
+    /// The caller retries at the second entry. The pointer there may name any generation that was
+    /// started.
     Retry {
-        /// What the pointer names.
+        /// Generation that the pointer names.
         found: Option<Key>,
     },
 }
 
 impl Model {
-    /// The first state: the caller has asked the first entry.
-    pub fn start(&self) -> World {
-        let mut world = World {
+    /// Returns the initial state: the caller has sent its request to the first entry.
+    pub fn initial(&self) -> State {
+        let mut state = State {
             entries: Default::default(),
             generations: BTreeMap::new(),
-            dead: [false; SIDECARS],
+            dead_sidecars: [false; SIDECAR_COUNT],
             caller: Caller::default(),
             losses: 0,
         };
-        world.entries[0].resume = Some(self.resume());
-        self.handle(&mut world, 0, Event::Begin { from: 0 });
-        world
+        state.entries[0].resume = Some(self.new_resume());
+        self.handle(&mut state, 0, Event::Begin { from: 0 });
+        state
     }
 
-    fn resume(&self) -> Resume {
+    fn new_resume(&self) -> Resume {
         let settings = Settings {
             suspicion: threshold::Settings {
                 lowest: Duration::ZERO,
@@ -277,8 +279,8 @@
             },
             first_token_timeout: Duration::ZERO,
             dial_pause: Duration::ZERO,
-            max_epochs: self.epochs,
-            // Time stands still here, so an answer that is refused ends at once instead of pausing.
+            max_epochs: self.max_epochs,
+            // The clock does not advance, so a refused answer ends at once instead of pausing.
             refusal_timeout: Duration::ZERO,
             max_attaches: 1,
             ..Settings::default()
@@ -286,22 +288,22 @@
         Resume::new(settings, Duration::ZERO)
     }
 
-    /// Gives an event to an entry and does what it says.
-    fn handle(&self, world: &mut World, entry: usize, event: Event) {
-        let Some(mut resume) = world.entries[entry].resume.take() else {
+    /// Passes an event to an entry and performs the resulting actions.
+    fn handle(&self, state: &mut State, entry: usize, event: Event) {
+        let Some(mut resume) = state.entries[entry].resume.take() else {
             return;
         };
         let mut actions = Vec::new();
         resume.handle(Duration::ZERO, event, &mut actions);
-        world.entries[entry].resume = Some(resume);
+        state.entries[entry].resume = Some(resume);
         for action in actions {
-            self.act(world, entry, action);
+            self.perform(state, entry, action);
         }
     }
 
-    fn act(&self, world: &mut World, entry: usize, action: Action) {
-        let here = world.caller.at == entry;
-        let state = &mut world.entries[entry];
+    fn perform(&self, state: &mut State, entry: usize, action: Action) {
+        let serves_caller = state.caller.entry == entry;
+        let local = &mut state.entries[entry];
         match action {
             Action::Start {
                 epoch,
@@ -309,8 +311,8 @@
                 avoid,
                 cause,
             } => {
-                let prefix = state.kept[..continue_from as usize].to_vec();
-                state.asks.push(Ask {
+                let prefix = local.tokens[..continue_from as usize].to_vec();
+                local.placements.push(Placement {
                     epoch,
                     prefix,
                     avoid,
@@ -318,44 +320,47 @@
                 });
             }
             Action::Attach { epoch, .. } => {
-                state.dials.insert(epoch);
+                local.dials.insert(epoch);
             }
             Action::Cancel { epoch } => {
-                state.asks.retain(|ask| ask.epoch != epoch);
-                state.dials.remove(&epoch);
+                local
+                    .placements
+                    .retain(|placement| placement.epoch != epoch);
+                local.dials.remove(&epoch);
             }
-            Action::Keep { tokens, .. } => state.kept.extend(tokens),
+            Action::Keep { tokens, .. } => local.tokens.extend(tokens),
             Action::Deliver { tokens, .. } => {
-                state.kept.extend(tokens.iter().cloned());
-                if here {
-                    world.caller.take(&tokens);
+                local.tokens.extend(tokens.iter().cloned());
+                if serves_caller {
+                    state.caller.receive(&tokens);
                 }
             }
             Action::Restart { kept } => {
-                state.kept.truncate(kept as usize);
-                if here {
-                    world.caller.text.clear();
-                    world.caller.mark = Position::default();
-                    let kept = state.kept.clone();
-                    world.caller.take(&kept);
+                local.tokens.truncate(kept as usize);
+                if serves_caller {
+                    state.caller.text.clear();
+                    state.caller.position = Position::default();
+                    let tokens = local.tokens.clone();
+                    state.caller.receive(&tokens);
                 }
             }
-            Action::Finish(finish) if here => {
-                world.caller.ending = Some(Ending::Finished(finish));
+            Action::Finish(finish) if serves_caller => {
+                state.caller.ending = Some(Ending::Finished(finish));
             }
-            Action::Interrupt { reason, .. } if here => {
-                world.caller.ending = Some(Ending::Interrupted(reason));
+            Action::Interrupt { reason, .. } if serves_caller => {
+                state.caller.ending = Some(Ending::Interrupted(reason));
             }
             Action::Finish(_) | Action::Interrupt { .. } => {}
         }
     }
 
-    /// The log that a sidecar has in the end, as its engine's fate makes it.
-    fn log(&self, key: Key, prefix: &[String], fate: Fate) -> Log {
-        let mut log = Log::with_prefix(prefix, BOUND).expect("a prefix fits");
+    /// Returns the complete log of a generation, as the behaviour of its engine determines it.
+    fn complete_log(&self, key: Key, prefix: &[String], fate: Fate) -> Log {
+        let mut log =
+            Log::with_prefix(prefix, LOG_CAPACITY_BYTES).expect("the prefix fits into the log");
         let mut index = log.next();
         let mut expected = index;
-        while index < self.length {
+        while index < self.answer_tokens {
             match fate {
                 Fate::Dies(at) if at == index => {
                     let _ = log.end(Finish::Broken(Breakage::EngineDied));
@@ -365,8 +370,12 @@
                 Fate::Skips(at) if at == index => index += 1,
                 _ => {}
             }
-            if self.append(&mut log, index, word(key, index)).is_err() {
-                // The entry takes all breakages alike; one name keeps the space small.
+            if self
+                .append(&mut log, index, token_text(key, index))
+                .is_err()
+            {
+                // The entry handles all breakages alike; recording a single one keeps the state
+                // space small.
                 let _ = log.end(Finish::Broken(Breakage::EngineDied));
                 return log;
             }
@@ -374,31 +383,31 @@
             expected += 1;
         }
         let finish = match fate {
-            Fate::Dies(at) if at == self.length => Finish::Broken(Breakage::EngineDied),
+            Fate::Dies(at) if at == self.answer_tokens => Finish::Broken(Breakage::EngineDied),
             _ => Finish::Stop,
         };
         let _ = log.end(finish);
         log
     }
 
-    fn append(&self, log: &mut Log, index: Index, word: String) -> Result<(), Fault> {
-        let index = match self.variant {
-            Variant::BlindLog => log.next(),
+    fn append(&self, log: &mut Log, index: Index, token: String) -> Result<(), Fault> {
+        let index = match self.mutation {
+            Mutation::BlindLog => log.next(),
             _ => index,
         };
-        log.append(index, word)
+        log.append(index, token)
     }
 }
 
 impl Caller {
-    fn take(&mut self, tokens: &[String]) {
+    fn receive(&mut self, tokens: &[String]) {
         for token in tokens {
-            self.mark.push(token);
+            self.position.push(token);
         }
         self.text.extend(tokens.iter().cloned());
     }
 }
 
-fn word(key: Key, index: Index) -> String {
+fn token_text(key: Key, index: Index) -> String {
     format!("{}.{}.{index}", key.0, key.1)
 }
--- a/components/models/src/answer/invariants.rs
+++ b/components/models/src/answer/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants.
+//! Invariants of the model.
 
 use std::{
     cell::RefCell,
@@ -17,122 +17,122 @@
     Ending,
     Fate,
     Model,
-    Step,
-    World, //
+    State,
+    Step, //
 };
 
-/// What the caller has is the beginning of one generation's text.
-pub const ONE_GENERATION: &str = "prefix of one generation";
-/// Every word stands at its own index.
+/// The caller's text is a prefix of one generation's text.
+pub const SINGLE_GENERATION: &str = "prefix of one generation";
+/// Each token is at its own index.
 pub const NO_HOLE: &str = "no hole";
-/// No word stands twice.
+/// No token occurs twice.
 pub const NO_REPEAT: &str = "no repeat";
-/// An answer that ends without an interruption is whole.
-pub const WHOLE: &str = "whole at the end";
-/// Once nothing more fails, the answer ends.
-pub const ENDS: &str = "ends when nothing more fails";
+/// An answer that finishes without an interruption is complete.
+pub const COMPLETE: &str = "complete when finished";
+/// An answer ends once no more faults occur.
+pub const TERMINATES: &str = "terminates once faults stop";
 
-/// Steps without a new fault after which an answer must have ended.
-const MOST_STEPS: usize = 80;
+/// Maximum number of steps without a new fault after which an answer has ended.
+const MAX_FAULT_FREE_STEPS: usize = 80;
 
-/// Hashes of the states from which an answer is known to end.
-pub type Known = RefCell<HashSet<u64>>;
+/// Cache of the hashes of states from which an answer is known to end.
+pub type Cache = RefCell<HashSet<u64>>;
 
 impl Model {
-    /// The invariant that a state breaks.
-    pub fn broken(&self, world: &World, known: &Known) -> Option<&'static str> {
-        let text = &world.caller.text;
-        for (place, word) in text.iter().enumerate() {
-            if text[..place].contains(word) || own_index(word) < place as Index {
+    /// Returns the invariant that the state violates.
+    pub fn violated_invariant(&self, state: &State, known: &Cache) -> Option<&'static str> {
+        let text = &state.caller.text;
+        for (position, token) in text.iter().enumerate() {
+            if text[..position].contains(token) || token_index(token) < position as Index {
                 return Some(NO_REPEAT);
             }
-            if own_index(word) > place as Index {
+            if token_index(token) > position as Index {
                 return Some(NO_HOLE);
             }
         }
-        let mut generations = world.generations.values();
-        let one = generations.any(|generation| {
-            let words = generation.log.read(0, text.len());
-            words.is_some_and(|words| words == text)
+        let mut generations = state.generations.values();
+        let matches_one = generations.any(|generation| {
+            let tokens = generation.log.read(0, text.len());
+            tokens.is_some_and(|tokens| tokens == text)
         });
-        if !text.is_empty() && !one {
-            return Some(ONE_GENERATION);
+        if !text.is_empty() && !matches_one {
+            return Some(SINGLE_GENERATION);
         }
-        if let Some(Ending::Finished(Finish::Stop | Finish::Length)) = world.caller.ending
-            && text.len() as Index != self.length
+        if let Some(Ending::Finished(Finish::Stop | Finish::Length)) = state.caller.ending
+            && text.len() as Index != self.answer_tokens
         {
-            return Some(WHOLE);
+            return Some(COMPLETE);
         }
-        if !self.ends(world, known) {
-            return Some(ENDS);
+        if !self.terminates(state, known) {
+            return Some(TERMINATES);
         }
         None
     }
 
-    fn ends(&self, world: &World, known: &Known) -> bool {
+    fn terminates(&self, state: &State, known: &Cache) -> bool {
         let mut known = known.borrow_mut();
         let mut path = Vec::new();
-        let mut world = world.clone();
-        for _ in 0..MOST_STEPS {
-            let hash = hash(&world);
-            if world.caller.ending.is_some() || known.contains(&hash) {
+        let mut state = state.clone();
+        for _ in 0..MAX_FAULT_FREE_STEPS {
+            let hash = hash(&state);
+            if state.caller.ending.is_some() || known.contains(&hash) {
                 known.extend(path);
                 return true;
             }
             path.push(hash);
-            let Some(after) = self.go_on(&world) else {
+            let Some(after) = self.next_without_faults(&state) else {
                 return false;
             };
-            world = after;
+            state = after;
         }
         false
     }
 
-    /// The next state in a world where nothing more fails.
-    fn go_on(&self, world: &World) -> Option<World> {
-        let mut steps = self.steps(world);
-        steps.retain(|step| fair(world, step));
-        steps.sort_by_key(urgency);
-        let mut following = steps.iter().map(|step| self.apply(world, step));
-        following.find(|after| after != world)
+    /// Returns the next state if no more faults occur.
+    fn next_without_faults(&self, state: &State) -> Option<State> {
+        let mut steps = self.steps(state);
+        steps.retain(|step| is_fault_free(state, step));
+        steps.sort_by_key(priority);
+        let mut successors = steps.iter().map(|step| self.apply(state, step));
+        successors.find(|after| after != state)
     }
 }
 
-fn hash(world: &World) -> u64 {
+fn hash(state: &State) -> u64 {
     let mut hasher = DefaultHasher::new();
-    world.hash(&mut hasher);
+    state.hash(&mut hasher);
     hasher.finish()
 }
 
-pub(super) fn own_index(word: &str) -> Index {
-    let index = word.rsplit('.').next();
+pub(super) fn token_index(token: &str) -> Index {
+    let index = token.rsplit('.').next();
     let index = index.and_then(|index| index.parse().ok());
-    index.expect("a word ends in its index")
+    index.expect("a token ends with its index")
 }
 
-/// Whether a step belongs to a world where nothing more fails.
-fn fair(world: &World, step: &Step) -> bool {
-    let here = world.caller.at;
+/// Returns whether a step is possible when no more faults occur.
+fn is_fault_free(state: &State, step: &Step) -> bool {
+    let current = state.caller.entry;
     match step {
-        Step::Place { entry, fate, .. } => *entry == here && *fate == Fate::Whole,
-        Step::NoPlace { entry, .. } => *entry == here && world.choice(&[]).is_none(),
+        Step::Place { entry, fate, .. } => *entry == current && *fate == Fate::Whole,
+        Step::NoPlace { entry, .. } => *entry == current && state.choose_server(&[]).is_none(),
         Step::Tokens {
             entry,
             epoch,
             index,
             ..
         } => {
-            let resume = world.entries[here].resume.as_ref();
+            let resume = state.entries[current].resume.as_ref();
             let next = resume.map(|resume| resume.next());
-            *entry == here && next == Some(*index) && world.reachable(here, *epoch)
+            *entry == current && next == Some(*index) && state.reachable(current, *epoch)
         }
         Step::End { entry, epoch } | Step::Attach { entry, epoch } => {
-            *entry == here && world.reachable(here, *epoch)
+            *entry == current && state.reachable(current, *epoch)
         }
-        // A dial to a dead sidecar fails.
-        Step::LinkLost { entry, epoch } => *entry == here && !world.reachable(here, *epoch),
-        Step::Tick { entry } => *entry == here,
-        Step::Retry { found } => world.entries[here].dead && found.is_none(),
+        // Attaching to a dead sidecar fails.
+        Step::LinkLost { entry, epoch } => *entry == current && !state.reachable(current, *epoch),
+        Step::Tick { entry } => *entry == current,
+        Step::Retry { found } => state.entries[current].dead && found.is_none(),
         Step::Refuse { .. }
         | Step::Deny { .. }
         | Step::Miss { .. }
@@ -141,7 +141,7 @@
     }
 }
 
-fn urgency(step: &Step) -> u32 {
+fn priority(step: &Step) -> u32 {
     match step {
         Step::Attach { .. } => 0,
         Step::Tokens { .. } => 1,
@@ -153,10 +153,10 @@
     }
 }
 
-impl World {
+impl State {
     fn reachable(&self, entry: usize, epoch: u32) -> bool {
         let mut links = self.entries[entry].links.iter();
         let link = links.find(|link| link.epoch == epoch);
-        link.is_some_and(|link| !self.dead[self.generations[&link.generation].server])
+        link.is_some_and(|link| !self.dead_sidecars[self.generations[&link.generation].server])
     }
 }
--- a/components/models/src/answer/steps.rs
+++ b/components/models/src/answer/steps.rs
@@ -1,4 +1,4 @@
-//! Which steps a state allows, and what each does.
+//! Enabled steps of a state, and their effects.
 
 use std::{
     rc::Rc,
@@ -22,69 +22,69 @@
 };
 
 use super::{
-    BOUND,
     Entry,
     Fate,
     Generation,
     Key,
+    LOG_CAPACITY_BYTES,
     Link,
     Model,
-    SIDECARS,
+    Mutation,
+    SIDECAR_COUNT,
+    State,
     Step,
-    Variant,
-    World,
-    invariants::own_index, //
+    invariants::token_index, //
 };
 
-/// The run that the second entry finds.
-const FOUND: Key = (0, FIRST_EPOCH);
-/// What the caller had when it came to the second entry.
-const HAD: Key = (0, FIRST_EPOCH - 1);
+/// Key of the generation that the second entry finds.
+const FOUND_KEY: Key = (0, FIRST_EPOCH);
+/// Key of a generation that ends with the text that the caller had received.
+const RECEIVED_KEY: Key = (0, FIRST_EPOCH - 1);
 
 impl Model {
-    /// Every step from a state, with the state that it leads to.
-    pub fn next(&self, world: &World) -> Vec<(Step, World)> {
-        let steps = self.steps(world).into_iter();
-        let following = steps.map(|step| {
-            let after = self.apply(world, &step);
+    /// Returns all enabled steps with the states that they lead to.
+    pub fn successors(&self, state: &State) -> Vec<(Step, State)> {
+        let steps = self.steps(state).into_iter();
+        let successors = steps.map(|step| {
+            let after = self.apply(state, &step);
             (step, after)
         });
-        following.filter(|(_, after)| after != world).collect()
+        successors.filter(|(_, after)| after != state).collect()
     }
 
-    pub(super) fn steps(&self, world: &World) -> Vec<Step> {
+    pub(super) fn steps(&self, state: &State) -> Vec<Step> {
         let mut steps = Vec::new();
-        if world.caller.ending.is_some() {
+        if state.caller.ending.is_some() {
             return steps;
         }
-        let entry = world.caller.at;
-        let state = &world.entries[entry];
-        if state.resume.as_ref().is_some_and(|resume| !resume.done()) {
-            self.entry_steps(world, entry, state, &mut steps);
+        let entry = state.caller.entry;
+        let local = &state.entries[entry];
+        if local.resume.as_ref().is_some_and(|resume| !resume.done()) {
+            self.entry_steps(state, entry, local, &mut steps);
         }
-        if world.losses < self.losses {
-            for server in 0..SIDECARS {
-                if world.serves(server) && !world.dead[server] {
+        if state.losses < self.max_losses {
+            for server in 0..SIDECAR_COUNT {
+                if state.follows_server(server) && !state.dead_sidecars[server] {
                     steps.push(Step::SidecarDies { server });
                 }
             }
-            if world.caller.at == 0 {
+            if state.caller.entry == 0 {
                 steps.push(Step::EntryDies { entry: 0 });
             }
         }
-        if world.caller.at == 0 {
+        if state.caller.entry == 0 {
             steps.push(Step::Retry { found: None });
-            let keys = world.generations.keys();
+            let keys = state.generations.keys();
             steps.extend(keys.map(|key| Step::Retry { found: Some(*key) }));
         }
         steps
     }
 
-    fn entry_steps(&self, world: &World, entry: usize, state: &Entry, steps: &mut Vec<Step>) {
-        for ask in &state.asks {
-            let epoch = ask.epoch;
-            if let Some(server) = world.choice(&ask.avoid) {
-                for fate in self.fates(world, ask.prefix.len() as u64) {
+    fn entry_steps(&self, state: &State, entry: usize, local: &Entry, steps: &mut Vec<Step>) {
+        for placement in &local.placements {
+            let epoch = placement.epoch;
+            if let Some(server) = state.choose_server(&placement.avoid) {
+                for fate in self.fates(state, placement.prefix.len() as u64) {
                     steps.push(Step::Place {
                         entry,
                         epoch,
@@ -95,34 +95,35 @@
             }
             steps.push(Step::NoPlace { entry, epoch });
             steps.push(Step::Refuse { entry, epoch });
-            // A denied suspicion uses up no epoch: without a bound the space would not end.
-            if ask.cause == Cause::Suspicion && epoch <= FIRST_EPOCH + 1 {
+            // A denied suspicion uses up no epoch, so the state space would be infinite without
+            // this bound.
+            if placement.cause == Cause::Suspicion && epoch <= FIRST_EPOCH + 1 {
                 steps.push(Step::Deny { entry, epoch });
             }
         }
-        for epoch in state.dials.iter().copied() {
+        for epoch in local.dials.iter().copied() {
             steps.push(Step::Attach { entry, epoch });
             steps.push(Step::Miss { entry, epoch });
         }
-        for link in &state.links {
+        for link in &local.links {
             let epoch = link.epoch;
-            if link.read {
-                self.message_steps(world, entry, link, steps);
+            if link.attached {
+                self.message_steps(state, entry, link, steps);
             }
-            if self.variant != Variant::NoClock {
+            if self.mutation != Mutation::NoClock {
                 steps.push(Step::LinkLost { entry, epoch });
             }
         }
-        if self.variant != Variant::NoClock {
+        if self.mutation != Mutation::NoClock {
             steps.push(Step::Tick { entry });
         }
     }
 
-    fn message_steps(&self, world: &World, entry: usize, link: &Link, steps: &mut Vec<Step>) {
+    fn message_steps(&self, state: &State, entry: usize, link: &Link, steps: &mut Vec<Step>) {
         let epoch = link.epoch;
-        let all = world.generations[&link.generation].log.next();
-        for index in 0..all {
-            for count in 1..=(all - index).min(2) as usize {
+        let total = state.generations[&link.generation].log.next();
+        for index in 0..total {
+            for count in 1..=(total - index).min(2) as usize {
                 steps.push(Step::Tokens {
                     entry,
                     epoch,
@@ -134,20 +135,21 @@
         steps.push(Step::End { entry, epoch });
     }
 
-    /// What may become of a run that goes on from `base` tokens; a fault is one of the losses.
-    fn fates(&self, world: &World, base: u64) -> Vec<Fate> {
+    /// Returns the possible behaviours of an engine that continues from `base` tokens. Each fault
+    /// counts as a loss.
+    fn fates(&self, state: &State, base: u64) -> Vec<Fate> {
         let mut fates = vec![Fate::Whole];
-        if world.losses >= self.losses {
+        if state.losses >= self.max_losses {
             return fates;
         }
-        fates.extend((base..=self.length).map(Fate::Dies));
-        fates.extend((base + 1..self.length).map(Fate::Repeats));
-        fates.extend((base..self.length).map(Fate::Skips));
+        fates.extend((base..=self.answer_tokens).map(Fate::Dies));
+        fates.extend((base + 1..self.answer_tokens).map(Fate::Repeats));
+        fates.extend((base..self.answer_tokens).map(Fate::Skips));
         fates
     }
 
-    pub(super) fn apply(&self, world: &World, step: &Step) -> World {
-        let mut after = world.clone();
+    pub(super) fn apply(&self, state: &State, step: &Step) -> State {
+        let mut after = state.clone();
         match *step {
             Step::Place {
                 entry,
@@ -157,16 +159,16 @@
             } => self.place(&mut after, (entry, epoch), server, fate),
             Step::NoPlace { entry, epoch } => {
                 let retry_after = Duration::ZERO;
-                after.entries[entry].forget(epoch);
+                after.entries[entry].remove_placement(epoch);
                 self.handle(&mut after, entry, Event::NoPlace { epoch, retry_after });
             }
             Step::Refuse { entry, epoch } => {
                 let retry_after = Duration::ZERO;
-                after.entries[entry].forget(epoch);
+                after.entries[entry].remove_placement(epoch);
                 self.handle(&mut after, entry, Event::Refused { epoch, retry_after });
             }
             Step::Deny { entry, epoch } => {
-                after.entries[entry].forget(epoch);
+                after.entries[entry].remove_placement(epoch);
                 self.handle(&mut after, entry, Event::Denied { epoch });
             }
             Step::Tokens {
@@ -174,8 +176,8 @@
                 epoch,
                 index,
                 count,
-            } => self.tokens(&mut after, (entry, epoch), index, count),
-            Step::End { entry, epoch } => self.end(&mut after, (entry, epoch)),
+            } => self.deliver_tokens(&mut after, (entry, epoch), index, count),
+            Step::End { entry, epoch } => self.deliver_end(&mut after, (entry, epoch)),
             Step::LinkLost { entry, epoch } => {
                 after.entries[entry].dials.remove(&epoch);
                 self.handle(&mut after, entry, Event::LinkLost { epoch });
@@ -195,55 +197,59 @@
             }
             Step::SidecarDies { server } => {
                 after.losses += 1;
-                after.dead[server] = true;
+                after.dead_sidecars[server] = true;
             }
             Step::Retry { found } => self.retry(&mut after, found),
         }
         if after.caller.ending.is_some() {
-            after.close();
-        } else if after.caller.at == 1 && self.variant != Variant::Unfenced {
-            after.drop_fenced();
+            after.discard_unobserved();
+        } else if after.caller.entry == 1 && self.mutation != Mutation::Unfenced {
+            after.remove_fenced();
         }
         after
     }
 
-    fn place(&self, world: &mut World, key: Key, server: usize, fate: Fate) {
+    fn place(&self, state: &mut State, key: Key, server: usize, fate: Fate) {
         let (entry, epoch) = key;
-        let asks = &mut world.entries[entry].asks;
-        let place = asks.iter().position(|ask| ask.epoch == epoch);
-        let mut prefix = asks.remove(place.expect("the step names an ask")).prefix;
-        if let (Variant::WrongPrefix, Some(last)) =
-            (self.variant, world.generations.values().next_back())
-            && let Some(words) = last.log.read(0, prefix.len())
-            && words.len() == prefix.len()
+        let placements = &mut state.entries[entry].placements;
+        let position = placements
+            .iter()
+            .position(|placement| placement.epoch == epoch);
+        let mut prefix = placements
+            .remove(position.expect("the step names a pending placement"))
+            .prefix;
+        if let (Mutation::WrongPrefix, Some(last)) =
+            (self.mutation, state.generations.values().next_back())
+            && let Some(tokens) = last.log.read(0, prefix.len())
+            && tokens.len() == prefix.len()
         {
-            prefix = words.to_vec();
+            prefix = tokens.to_vec();
         }
         if fate != Fate::Whole {
-            world.losses += 1;
+            state.losses += 1;
         }
-        let log = self.log(key, &prefix, fate);
-        world
+        let log = self.complete_log(key, &prefix, fate);
+        state
             .generations
             .insert(key, Rc::new(Generation { server, log }));
-        world.entries[entry].links.push(Link {
+        state.entries[entry].links.push(Link {
             epoch,
             generation: key,
-            read: true,
+            attached: true,
         });
-        let server = name(server);
-        self.handle(world, entry, Event::Placed { epoch, server });
+        let server = server_name(server);
+        self.handle(state, entry, Event::Placed { epoch, server });
     }
 
-    fn tokens(&self, world: &mut World, at: Key, index: u64, count: usize) {
-        let (entry, mut epoch) = at;
-        let Some(generation) = world.generation(at) else {
+    fn deliver_tokens(&self, state: &mut State, source: Key, index: u64, count: usize) {
+        let (entry, mut epoch) = source;
+        let Some(generation) = state.generation(source) else {
             return;
         };
         let tokens = generation.log.read(index, count).unwrap_or_default();
         let tokens = tokens.to_vec();
-        if self.variant == Variant::Unfenced {
-            let resume = world.entries[entry].resume.as_ref();
+        if self.mutation == Mutation::Unfenced {
+            let resume = state.entries[entry].resume.as_ref();
             epoch = resume.and_then(|resume| resume.owner()).unwrap_or(epoch);
         }
         let event = Event::Tokens {
@@ -251,17 +257,17 @@
             index,
             tokens,
         };
-        self.handle(world, entry, event);
+        self.handle(state, entry, event);
     }
 
-    fn end(&self, world: &mut World, at: Key) {
-        let (entry, epoch) = at;
-        let Some(generation) = world.generation(at) else {
+    fn deliver_end(&self, state: &mut State, source: Key) {
+        let (entry, epoch) = source;
+        let Some(generation) = state.generation(source) else {
             return;
         };
-        let finish = *generation.log.finish().expect("every log has its end");
+        let finish = *generation.log.finish().expect("each log has ended");
         let mut total = generation.log.next();
-        if let (Variant::EarlyEnd, Some(resume)) = (self.variant, &world.entries[entry].resume) {
+        if let (Mutation::EarlyEnd, Some(resume)) = (self.mutation, &state.entries[entry].resume) {
             total = resume.next();
         }
         let event = Event::End {
@@ -269,173 +275,182 @@
             total,
             finish,
         };
-        self.handle(world, entry, event);
+        self.handle(state, entry, event);
     }
 
-    fn attach(&self, world: &mut World, at: Key) {
-        let (entry, epoch) = at;
-        let Some(generation) = world.generation(at) else {
+    fn attach(&self, state: &mut State, source: Key) {
+        let (entry, epoch) = source;
+        let Some(generation) = state.generation(source) else {
             return;
         };
-        if world.dead[generation.server] {
+        if state.dead_sidecars[generation.server] {
             return;
         }
-        let state = &mut world.entries[entry];
-        state.dials.remove(&epoch);
-        for link in &mut state.links {
-            link.read |= link.epoch == epoch;
+        let local = &mut state.entries[entry];
+        local.dials.remove(&epoch);
+        for link in &mut local.links {
+            link.attached |= link.epoch == epoch;
         }
-        self.handle(world, entry, Event::Attached { epoch });
+        self.handle(state, entry, Event::Attached { epoch });
     }
 
-    fn retry(&self, world: &mut World, found: Option<Key>) {
-        world.leave_first(found);
-        world.entries[1].resume = Some(self.resume());
-        let mut mark = world.caller.mark;
-        let Some(generation) = world.generations.get(&FOUND) else {
-            self.handle(world, 1, Event::Return { position: mark });
+    fn retry(&self, state: &mut State, found: Option<Key>) {
+        state.move_caller(found);
+        state.entries[1].resume = Some(self.new_resume());
+        let mut claimed = state.caller.position;
+        let Some(generation) = state.generations.get(&FOUND_KEY) else {
+            self.handle(state, 1, Event::Return { position: claimed });
             return;
         };
-        if self.variant == Variant::IndexOnly {
-            let words = generation.log.read(0, mark.next as usize);
-            mark = marked(words.unwrap_or_default());
+        if self.mutation == Mutation::IndexOnly {
+            let tokens = generation.log.read(0, claimed.next as usize);
+            claimed = position_after(tokens.unwrap_or_default());
         }
-        let epoch = FOUND.1;
-        let server = name(generation.server);
-        world.entries[1].links.push(Link {
+        let epoch = FOUND_KEY.1;
+        let server = server_name(generation.server);
+        state.entries[1].links.push(Link {
             epoch,
-            generation: FOUND,
-            read: false,
+            generation: FOUND_KEY,
+            attached: false,
         });
         let event = Event::Found {
             epoch,
             server,
-            position: mark,
+            position: claimed,
         };
-        self.handle(world, 1, event);
+        self.handle(state, 1, event);
     }
 }
 
 impl Entry {
-    fn forget(&mut self, epoch: u32) {
-        self.asks.retain(|ask| ask.epoch != epoch);
+    fn remove_placement(&mut self, epoch: u32) {
+        self.placements.retain(|placement| placement.epoch != epoch);
     }
 }
 
-impl World {
-    fn generation(&self, at: Key) -> Option<&Rc<Generation>> {
-        let mut links = self.entries[at.0].links.iter();
-        let link = links.find(|link| link.epoch == at.1)?;
+impl State {
+    fn generation(&self, source: Key) -> Option<&Rc<Generation>> {
+        let mut links = self.entries[source.0].links.iter();
+        let link = links.find(|link| link.epoch == source.1)?;
         self.generations.get(&link.generation)
     }
 
-    /// The caller is at the second entry now.
+    /// Moves the caller to the second entry and discards the state of the first.
     ///
-    /// Whatever the first one does from here on, dead or alive, can reach neither the caller nor
-    /// the second entry: the pointer was read, and a cancel looks to the second entry like a lost
-    /// link or a missed dial, which come at any time. So its state goes. Of the runs stay the found
-    /// one, and what the caller has as a run that went no further. Both get names that don't say
-    /// which epoch they were: the second entry can't tell either.
-    fn leave_first(&mut self, found: Option<Key>) {
+    /// Nothing that the first entry does from here on, dead or alive, reaches the caller or the
+    /// second entry: the pointer has been read, and to the second entry a cancel looks like a lost
+    /// link or an unknown generation, both of which may occur at any time. Two generations remain:
+    /// the found one, and one that ends with the text that the caller has. Their keys do not tell
+    /// their original epochs, which the second entry cannot tell either.
+    fn move_caller(&mut self, found: Option<Key>) {
         let text = self.caller.text.clone();
         let found = found.map(|key| self.generations[&key].clone());
-        self.caller.at = 1;
+        self.caller.entry = 1;
         self.caller.text = (0..text.len()).map(|index| format!("c.{index}")).collect();
-        self.caller.mark = marked(&self.caller.text);
+        self.caller.position = position_after(&self.caller.text);
         self.entries[0] = Entry::default();
         self.generations.clear();
-        let had = cut(&self.caller.text);
-        self.generations.insert(HAD, Rc::new(had));
+        let received = ended_generation(&self.caller.text);
+        self.generations.insert(RECEIVED_KEY, Rc::new(received));
         let Some(found) = found else {
-            self.dead.sort();
+            self.dead_sidecars.sort();
             return;
         };
-        let words = found.log.read(0, usize::MAX).expect("a log begins at 0");
-        let mut log = Log::new(0, BOUND);
-        for (place, word) in words.iter().enumerate() {
-            let same = text.get(place) == Some(word);
+        let tokens = found
+            .log
+            .read(0, usize::MAX)
+            .expect("the log starts at index 0");
+        let mut log = Log::new(0, LOG_CAPACITY_BYTES);
+        for (position, token) in tokens.iter().enumerate() {
+            let same = text.get(position) == Some(token);
             let name = if same { "c" } else { "f" };
-            let index = own_index(word);
-            let _ = log.append(place as Index, format!("{name}.{index}"));
+            let index = token_index(token);
+            let _ = log.append(position as Index, format!("{name}.{index}"));
         }
-        let _ = log.end(*found.log.finish().expect("every log has its end"));
+        let _ = log.end(*found.log.finish().expect("each log has ended"));
         let server = found.server;
         self.generations
-            .insert(FOUND, Rc::new(Generation { server, log }));
+            .insert(FOUND_KEY, Rc::new(Generation { server, log }));
     }
 
-    /// The caller has its end: only what the invariants look at stays.
-    fn close(&mut self) {
+    /// Discards everything except what the invariants read, since the answer has ended for the
+    /// caller.
+    fn discard_unobserved(&mut self) {
         let text = self.caller.text.clone();
         self.entries = Default::default();
-        self.dead = Default::default();
+        self.dead_sidecars = Default::default();
         self.generations.retain(|_, generation| {
-            let words = generation.log.read(0, text.len());
-            words.is_some_and(|words| words == text)
+            let tokens = generation.log.read(0, text.len());
+            tokens.is_some_and(|tokens| tokens == text)
         });
         if let Some((_, generation)) = self.generations.pop_last() {
             self.generations.clear();
-            self.generations.insert(HAD, generation);
+            self.generations.insert(RECEIVED_KEY, generation);
         }
     }
 
-    /// Drops the runs that the second entry no longer listens to.
+    /// Removes the generations that the second entry no longer follows.
     ///
-    /// That late tokens of a fenced run do nothing is searched at the first entry; here, where no
-    /// pointer names them any more, they would only multiply the states.
-    fn drop_fenced(&mut self) {
+    /// The model checks at the first entry that late tokens of a fenced generation have no effect.
+    /// At the second entry no pointer names such generations any more, so they would only multiply
+    /// the states.
+    fn remove_fenced(&mut self) {
         let text = &self.caller.text;
-        let whose = self.generations.values().any(|generation| {
-            let words = generation.log.read(0, text.len());
-            words.is_some_and(|words| words == text)
+        let matches_one = self.generations.values().any(|generation| {
+            let tokens = generation.log.read(0, text.len());
+            tokens.is_some_and(|tokens| tokens == text)
         });
-        if whose {
-            self.generations.insert(HAD, Rc::new(cut(text)));
+        if matches_one {
+            self.generations
+                .insert(RECEIVED_KEY, Rc::new(ended_generation(text)));
         }
-        let state = &mut self.entries[1];
-        if let Some(resume) = &state.resume {
-            state.links.retain(|link| resume.listens_to(link.epoch));
+        let local = &mut self.entries[1];
+        if let Some(resume) = &local.resume {
+            local.links.retain(|link| resume.listens_to(link.epoch));
         }
-        let links = &state.links;
-        self.generations
-            .retain(|key, _| *key == HAD || links.iter().any(|link| link.generation == *key));
+        let links = &local.links;
+        self.generations.retain(|key, _| {
+            *key == RECEIVED_KEY || links.iter().any(|link| link.generation == *key)
+        });
     }
 
-    /// Whether the entry listens to a run of this server.
-    fn serves(&self, server: usize) -> bool {
-        let state = &self.entries[self.caller.at];
-        let Some(resume) = &state.resume else {
+    /// Returns whether the entry follows a generation of this server.
+    fn follows_server(&self, server: usize) -> bool {
+        let local = &self.entries[self.caller.entry];
+        let Some(resume) = &local.resume else {
             return false;
         };
-        state.links.iter().any(|link| {
+        local.links.iter().any(|link| {
             resume.listens_to(link.epoch) && self.generations[&link.generation].server == server
         })
     }
 
-    /// The server that the driver picks: a live one, and one to avoid only if there is no other.
-    pub(super) fn choice(&self, avoid: &[Server]) -> Option<usize> {
-        let mut live = (0..SIDECARS).filter(|server| !self.dead[*server]);
+    /// Returns the server that the driver chooses: a live one, and one to avoid only if there is no
+    /// other.
+    pub(super) fn choose_server(&self, avoid: &[Server]) -> Option<usize> {
+        let mut live = (0..SIDECAR_COUNT).filter(|server| !self.dead_sidecars[*server]);
         let first = live.clone().next();
-        let other = live.find(|server| !avoid.contains(&name(*server)));
+        let other = live.find(|server| !avoid.contains(&server_name(*server)));
         other.or(first)
     }
 }
 
-/// A run that went no further than these words.
-fn cut(words: &[String]) -> Generation {
-    let mut log = Log::with_prefix(words, BOUND).expect("the words fit");
+/// Returns a generation that ended after these tokens.
+fn ended_generation(tokens: &[String]) -> Generation {
+    let mut log =
+        Log::with_prefix(tokens, LOG_CAPACITY_BYTES).expect("the tokens fit into the log");
     let _ = log.end(Finish::Stop);
     Generation { server: 0, log }
 }
 
-fn marked(words: &[String]) -> Position {
-    let mut mark = Position::default();
-    for word in words {
-        mark.push(word);
+fn position_after(tokens: &[String]) -> Position {
+    let mut position = Position::default();
+    for token in tokens {
+        position.push(token);
     }
-    mark
+    position
 }
 
-fn name(server: usize) -> Server {
+fn server_name(server: usize) -> Server {
     format!("s{server}")
 }
--- a/components/models/src/contract.rs
+++ b/components/models/src/contract.rs
@@ -1,10 +1,10 @@
-//! Kept calls: two requests with the same key at two entries, two sidecars, one store.
+//! Recorded calls: two requests with the same key at two entries, two sidecars, one store.
 //!
-//! The production machines of the entry and the sidecar run here against every order of events:
-//! frames that arrive late or twice, store answers that are lost after or before the write, writes
-//! that take effect long after their time-out, an outage, a slow answer after a pause, the deaths
-//! of entries and sidecars, a service that refuses, answers or dies. A pause is a step that comes
-//! late, and any step may. Faults are bounded by a budget, so the search ends.
+//! The production state machines of the entry and the sidecar run against all interleavings of
+//! these events: late and duplicate frames, responses of the store that are lost before or after
+//! the write, writes that apply long after their timeout, an outage of the store, a slow response
+//! after a pause, crashes of entries and sidecars, and a service that refuses, answers or crashes.
+//! A pause is a step that occurs late, and any step may. A budget of faults bounds the search.
 
 mod actors;
 mod enabled;
@@ -12,41 +12,45 @@
 mod step;
 mod store;
 
+pub use state::State;
 pub use step::{
-    Fate,
+    Completion,
     Step, //
 };
-pub use state::World;
 
 use crate::search::{
     Outcome,
     search, //
 };
 
-/// A way to get it wrong, which the search must catch.
+/// Defects built into the system, each of which the search must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Twin {
-    /// The production code as it is.
+pub enum Mutation {
+    /// The system without a defect.
     None,
-    /// A frame that is delivered twice begins two hand-overs.
+    /// A frame that is delivered twice starts two handovers.
     CopyBegins,
-    /// The same, and the frame brings the number of its hand-over along.
+    /// A frame that is delivered twice starts two handovers, both with the nonce from the frame.
     NonceFromFrame,
-    /// A create without an answer counts as won.
+    /// A create without a response counts as applied.
     UnansweredIsWon,
-    /// The store doesn't compare before it writes.
+    /// The store writes without comparing the revision.
     NoCompare,
-    /// A sidecar that finds a void record writes over it by itself.
+    /// A sidecar that finds a void record overwrites it without asking the entry.
     SidecarGoesOn,
-    /// An entry whose sidecar fell silent says `not_run` without a proof.
+    /// An entry whose sidecar stopped responding reports `not_run` without a proof.
     NoProof,
-    /// A connection that broke while the service ran the call counts as one it refused.
+    /// A connection that breaks while the service runs the call counts as refused.
     BrokenIsRefused,
-    /// The entry sends again instead of proving.
+    /// The entry sends the call again instead of proving that it did not run.
     SendsAgain,
 }
 
-/// Searches every state within a budget of faults.
-pub fn check(twin: Twin, faults: u32) -> Outcome<Step> {
-    search(World::new(twin, faults), World::next, World::broken)
+/// Searches all states with at most `faults` faults.
+pub fn check(mutation: Mutation, faults: u32) -> Outcome<Step> {
+    search(
+        State::new(mutation, faults),
+        State::successors,
+        State::violated_invariant,
+    )
 }
--- a/components/models/src/contract/actors.rs
+++ b/components/models/src/contract/actors.rs
@@ -1,4 +1,4 @@
-//! The requests at their entries and the hand-overs at their sidecars.
+//! The requests at their entries and the handovers at their sidecars.
 
 use contract::{
     Outcome,
@@ -9,7 +9,7 @@
         Class, //
     },
     handover::{
-        Handover,
+        Handover as Machine,
         Reply, //
     }, //
 };
@@ -18,16 +18,16 @@
     Revision, //
 };
 
-use super::state::NODES;
+use super::state::NODE_COUNT;
 
-/// What a caller was told.
+/// Outcome that a caller received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Told {
-    /// The request was not run.
+pub enum Report {
+    /// The request did not run.
     NotRun,
-    /// It ran.
+    /// The request ran.
     Ran,
-    /// Nobody can say.
+    /// The outcome is unknown.
     Unknown,
 }
 
@@ -49,32 +49,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Request {
     pub(super) machine: Attempt,
-    pub(super) begun: bool,
+    pub(super) started: bool,
     pub(super) alive: bool,
     pub(super) sends: u32,
-    pub(super) waits: bool,
+    pub(super) waiting: bool,
     pub(super) frames: Vec<Frame>,
     pub(super) replies: Vec<(u32, Reply)>,
     pub(super) op: Option<Op>,
-    pub(super) told: Option<Told>,
+    pub(super) reported: Option<Report>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Service {
-    Untouched,
-    Asked,
+    Idle,
+    Requested,
     Running,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Hand {
-    pub(super) machine: Handover,
+pub(super) struct Handover {
+    pub(super) machine: Machine,
     pub(super) entry: usize,
     pub(super) send: u32,
     pub(super) op: Option<Op>,
     pub(super) service: Service,
-    pub(super) waits: bool,
-    pub(super) gone: bool,
+    pub(super) waiting: bool,
+    pub(super) entry_gone: bool,
 }
 
 impl Op {
@@ -100,23 +100,23 @@
         };
         Self {
             machine: Attempt::new(call, settings),
-            begun: false,
+            started: false,
             alive: true,
             sends: 0,
-            waits: false,
+            waiting: false,
             frames: Vec::new(),
             replies: Vec::new(),
             op: None,
-            told: None,
+            reported: None,
         }
     }
 
-    pub(super) fn act(&mut self, action: attempt::Action) {
-        self.waits = false;
+    pub(super) fn perform(&mut self, action: attempt::Action) {
+        self.waiting = false;
         self.replies.clear();
         match action {
             attempt::Action::Send { base } => {
-                self.waits = true;
+                self.waiting = true;
                 self.sends += 1;
                 self.frames.push(Frame::new(self.sends, base));
             }
@@ -125,10 +125,10 @@
             }
             attempt::Action::ReadBack => self.op = Some(Op::Read),
             attempt::Action::Reply(outcome) => {
-                self.told = Some(match outcome {
-                    Outcome::NotRun { .. } => Told::NotRun,
-                    Outcome::Ran { .. } => Told::Ran,
-                    Outcome::Unknown { .. } => Told::Unknown,
+                self.reported = Some(match outcome {
+                    Outcome::NotRun { .. } => Report::NotRun,
+                    Outcome::Ran { .. } => Report::Ran,
+                    Outcome::Unknown { .. } => Report::Unknown,
                 });
             }
         }
@@ -146,13 +146,13 @@
     }
 }
 
-impl Hand {
+impl Handover {
     pub(super) fn sidecar(&self) -> usize {
-        goes_to(self.entry, self.send)
+        target_sidecar(self.entry, self.send)
     }
 }
 
-/// Each send of a request goes to the other sidecar.
-pub(super) fn goes_to(entry: usize, send: u32) -> usize {
-    (entry + send as usize) % NODES
+/// Returns the sidecar of a send. Consecutive sends of a request alternate between the sidecars.
+pub(super) fn target_sidecar(entry: usize, send: u32) -> usize {
+    (entry + send as usize) % NODE_COUNT
 }
--- a/components/models/src/contract/enabled.rs
+++ b/components/models/src/contract/enabled.rs
@@ -1,42 +1,45 @@
-//! The steps that are possible in a state.
+//! Enabled steps of a state.
 
 use super::{
-    Fate,
+    Completion,
+    State,
     Step,
-    World,
     actors::{
         Op,
         Service, //
     },
-    state::NODES, //
+    state::NODE_COUNT, //
 };
 
-impl World {
-    /// The steps that are possible, and where they lead.
-    pub fn next(&self) -> Vec<(Step, Self)> {
+impl State {
+    /// Returns all enabled steps with the states that they lead to.
+    pub fn successors(&self) -> Vec<(Step, Self)> {
         let mut steps = Vec::new();
-        for entry in 0..NODES {
+        for entry in 0..NODE_COUNT {
             self.entry_steps(entry, &mut steps);
         }
-        for hand in 0..self.hands.len() {
-            self.hand_steps(hand, &mut steps);
+        for handover in 0..self.handovers.len() {
+            self.handover_steps(handover, &mut steps);
         }
-        for sidecar in 0..NODES {
-            let busy = self.hands.iter().any(|hand| hand.sidecar() == sidecar);
+        for sidecar in 0..NODE_COUNT {
+            let busy = self
+                .handovers
+                .iter()
+                .any(|handover| handover.sidecar() == sidecar);
             if busy && self.faults > 0 {
                 steps.push(Step::SidecarDies(sidecar));
             }
         }
-        for late in 0..self.late.len() {
-            steps.push(Step::LateWrite(late));
+        for write in 0..self.delayed_writes.len() {
+            steps.push(Step::LateWrite(write));
         }
-        let lead = |step| (step, self.after(step));
-        steps.into_iter().map(lead).collect()
+        let with_successor = |step| (step, self.successor(step));
+        steps.into_iter().map(with_successor).collect()
     }
 
     fn entry_steps(&self, entry: usize, steps: &mut Vec<Step>) {
         let request = &self.requests[entry];
-        // A frame that has left arrives even if its entry is dead by then.
+        // A frame that was sent arrives even if its entry has died since.
         if !request.frames.is_empty() {
             steps.push(Step::Frame(entry));
             if self.faults > 0 {
@@ -46,46 +49,50 @@
         if !request.alive {
             return;
         }
-        if !request.begun {
+        if !request.started {
             steps.push(Step::Request(entry));
             return;
         }
-        if request.waits {
+        if request.waiting {
             steps.push(Step::Silent(entry));
             if !request.replies.is_empty() {
                 steps.push(Step::Reply(entry));
             }
             let last = request.frames.last();
-            let here = last.is_some_and(|last| last.send == request.sends && !last.arrived);
-            if here && self.faults > 0 {
+            let in_transit = last.is_some_and(|last| last.send == request.sends && !last.arrived);
+            if in_transit && self.faults > 0 {
                 steps.push(Step::Unsent(entry));
             }
         }
         if let Some(op) = &request.op {
-            let fates = self.fates(op);
-            steps.extend(fates.into_iter().map(|fate| Step::EntryStore(entry, fate)));
+            let completions = self.completions(op);
+            steps.extend(
+                completions
+                    .into_iter()
+                    .map(|completion| Step::EntryStore(entry, completion)),
+            );
         }
-        if self.faults > 0 && request.told.is_none() {
+        if self.faults > 0 && request.reported.is_none() {
             steps.push(Step::EntryDies(entry));
         }
     }
 
-    fn hand_steps(&self, index: usize, steps: &mut Vec<Step>) {
-        let hand = &self.hands[index];
-        if let Some(op) = &hand.op {
-            let fates = self.fates(op);
+    fn handover_steps(&self, index: usize, steps: &mut Vec<Step>) {
+        let handover = &self.handovers[index];
+        if let Some(op) = &handover.op {
+            let completions = self.completions(op);
             steps.extend(
-                fates
+                completions
                     .into_iter()
-                    .map(|fate| Step::SidecarStore(index, fate)),
+                    .map(|completion| Step::SidecarStore(index, completion)),
             );
             if self.faults > 0 && !matches!(op, Op::Write { .. }) {
-                steps.push(Step::SidecarStore(index, Fate::AnsweredLate));
+                steps.push(Step::SidecarStore(index, Completion::AnsweredLate));
             }
         }
-        match hand.service {
-            Service::Untouched => {}
-            Service::Asked => {
+        match handover.service {
+            Service::Idle => {}
+            Service::Requested => {
                 steps.push(Step::ServiceTakes(index));
                 if self.faults > 0 {
                     steps.push(Step::ServiceRefuses(index));
@@ -98,25 +105,26 @@
                 }
             }
         }
-        if hand.waits {
+        if handover.waiting {
             steps.push(Step::Waited(index));
         }
-        let request = &self.requests[hand.entry];
-        let early = matches!(hand.op, Some(Op::Create { .. } | Op::Read));
-        if early && !hand.gone && (!request.alive || request.told.is_some()) {
+        let request = &self.requests[handover.entry];
+        let before_handover = matches!(handover.op, Some(Op::Create { .. } | Op::Read));
+        if before_handover && !handover.entry_gone && (!request.alive || request.reported.is_some())
+        {
             steps.push(Step::Gone(index));
         }
     }
 
-    fn fates(&self, op: &Op) -> Vec<Fate> {
-        let mut fates = vec![Fate::Answered];
+    fn completions(&self, op: &Op) -> Vec<Completion> {
+        let mut completions = vec![Completion::Answered];
         if self.faults == 0 {
-            return fates;
+            return completions;
         }
-        fates.push(Fate::Refused);
+        completions.push(Completion::Refused);
         if *op != Op::Read {
-            fates.extend([Fate::AnswerLost, Fate::Delayed]);
+            completions.extend([Completion::AnswerLost, Completion::Delayed]);
         }
-        fates
+        completions
     }
 }
--- a/components/models/src/contract/state.rs
+++ b/components/models/src/contract/state.rs
@@ -1,15 +1,15 @@
-//! The state of the model and its steps.
+//! State of the model, and the effects of its steps.
 
 use contract::{
     attempt,
     handover::{
         self,
-        Handover,
+        Handover as Machine,
         Reply, //
     },
     record::{
         Response,
-        State, //
+        State as RecordState, //
     },
     seen::Seen,
     store::Stored, //
@@ -21,172 +21,178 @@
 };
 
 use super::{
+    Mutation,
     Step,
-    Twin,
     actors::{
         Frame,
-        Hand,
+        Handover,
         Op,
+        Report,
         Request,
         Service,
-        Told,
-        goes_to, //
+        target_sidecar, //
     },
-    store::LIMIT, //
+    store::START_TIMEOUT, //
 };
 
-/// Entries, sidecars, and requests with the same key, one at each entry.
-pub(super) const NODES: usize = 2;
+/// Number of entries, of sidecars, and of requests with the same key, one at each entry.
+pub(super) const NODE_COUNT: usize = 2;
 
 /// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World {
-    pub(super) twin: Twin,
+pub struct State {
+    pub(super) mutation: Mutation,
     pub(super) faults: u32,
     pub(super) revision: Revision,
     pub(super) stored: Option<Stored>,
-    pub(super) late: Vec<Op>,
+    pub(super) delayed_writes: Vec<Op>,
     pub(super) requests: Vec<Request>,
-    pub(super) hands: Vec<Hand>,
-    /// Sends that each sidecar has begun.
+    pub(super) handovers: Vec<Handover>,
+    /// Sends for which each sidecar has started a handover.
     pub(super) seen: Vec<Seen>,
-    /// Entries whose call was handed over, one a time.
-    pub(super) handed: Vec<usize>,
+    /// The entry of each call that was handed over, in order.
+    pub(super) handed_over: Vec<usize>,
 }
 
-impl World {
-    /// The state before anything happened.
-    pub fn new(twin: Twin, faults: u32) -> Self {
-        let requests = (0..NODES).map(|entry| Request::new(entry as Nonce));
+impl State {
+    /// Returns the initial state.
+    pub fn new(mutation: Mutation, faults: u32) -> Self {
+        let requests = (0..NODE_COUNT).map(|entry| Request::new(entry as Nonce));
         Self {
-            twin,
+            mutation,
             faults,
             revision: 0,
             stored: None,
-            late: Vec::new(),
+            delayed_writes: Vec::new(),
             requests: requests.collect(),
-            hands: Vec::new(),
-            seen: vec![Seen::new(8); NODES],
-            handed: Vec::new(),
+            handovers: Vec::new(),
+            seen: vec![Seen::new(8); NODE_COUNT],
+            handed_over: Vec::new(),
         }
     }
 
-    /// The invariant that the state breaks.
-    pub fn broken(&self) -> Option<&'static str> {
-        if self.handed.len() > 1 {
-            return Some("at most one hand-over per key");
+    /// Returns the invariant that the state violates.
+    pub fn violated_invariant(&self) -> Option<&'static str> {
+        if self.handed_over.len() > 1 {
+            return Some("at most one handover per key");
         }
         for (entry, request) in self.requests.iter().enumerate() {
-            if request.told == Some(Told::NotRun) && self.handed.contains(&entry) {
-                return Some("not_run implies no hand-over ever");
+            if request.reported == Some(Report::NotRun) && self.handed_over.contains(&entry) {
+                return Some("not_run implies no handover ever");
             }
-            if request.told == Some(Told::Ran) && self.handed.is_empty() {
-                return Some("ran implies a hand-over");
+            if request.reported == Some(Report::Ran) && self.handed_over.is_empty() {
+                return Some("ran implies a handover");
             }
         }
         None
     }
 
-    pub(super) fn after(&self, step: Step) -> Self {
-        let mut world = self.clone();
-        world.take(step);
-        world.forget();
-        world
+    pub(super) fn successor(&self, step: Step) -> Self {
+        let mut state = self.clone();
+        state.apply(step);
+        state.prune();
+        state
     }
 
-    /// Drops what can't matter any more, which keeps the space small: hand-overs that are over, and
-    /// delayed writes whose revision has passed.
-    fn forget(&mut self) {
-        self.hands
-            .retain(|hand| !hand.machine.done() || hand.op.is_some());
+    /// Removes what can have no further effect, which keeps the state space small: finished
+    /// handovers, and delayed writes whose expected revision has been replaced.
+    fn prune(&mut self) {
+        self.handovers
+            .retain(|handover| !handover.machine.done() || handover.op.is_some());
         let revision = self.stored.as_ref().map_or(0, |stored| stored.revision);
-        let compares = self.twin != Twin::NoCompare;
-        self.late
+        let compares = self.mutation != Mutation::NoCompare;
+        self.delayed_writes
             .retain(|op| !compares || op.expect() == Some(revision));
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Request(entry) => {
-                self.requests[entry].begun = true;
-                self.entry(
+                self.requests[entry].started = true;
+                self.handle_at_entry(
                     entry,
                     attempt::Event::Start {
                         store_available: true,
                     },
                 );
             }
-            Step::Frame(entry) => self.frame(entry),
+            Step::Frame(entry) => self.deliver_frame(entry),
             Step::FrameTwice(entry) => {
                 self.faults -= 1;
                 self.requests[entry].frames[0].copies += 1;
-                self.frame(entry);
+                self.deliver_frame(entry);
             }
             Step::Unsent(entry) => {
                 self.faults -= 1;
                 self.requests[entry].frames.pop();
-                self.entry(entry, attempt::Event::Unsent);
+                self.handle_at_entry(entry, attempt::Event::Unsent);
             }
             Step::Reply(entry) => {
                 let (_, reply) = self.requests[entry].replies.remove(0);
-                self.entry(entry, attempt::Event::Replied(reply));
+                self.handle_at_entry(entry, attempt::Event::Replied(reply));
+            }
+            Step::Silent(entry) => self.time_out_sidecar(entry),
+            Step::EntryStore(entry, completion) => self.finish_entry_call(entry, completion),
+            Step::SidecarStore(handover, completion) => {
+                self.finish_sidecar_call(handover, completion)
             }
-            Step::Silent(entry) => self.silent(entry),
-            Step::EntryStore(entry, fate) => self.entry_store(entry, fate),
-            Step::SidecarStore(hand, fate) => self.sidecar_store(hand, fate),
-            Step::LateWrite(late) => {
-                let op = self.late.remove(late);
-                self.effect(&op);
+            Step::LateWrite(write) => {
+                let op = self.delayed_writes.remove(write);
+                self.execute(&op);
             }
-            Step::ServiceRefuses(hand) => {
+            Step::ServiceRefuses(handover) => {
                 self.faults -= 1;
-                self.hands[hand].service = Service::Untouched;
-                self.hand(hand, handover::Event::Unreachable, Clock::ZERO);
+                self.handovers[handover].service = Service::Idle;
+                self.handle_at_sidecar(handover, handover::Event::Unreachable, Clock::ZERO);
             }
-            Step::ServiceTakes(hand) => {
-                self.hands[hand].service = Service::Running;
-                let entry = self.hands[hand].entry;
-                self.handed.push(entry);
+            Step::ServiceTakes(handover) => {
+                self.handovers[handover].service = Service::Running;
+                let entry = self.handovers[handover].entry;
+                self.handed_over.push(entry);
             }
-            Step::ServiceAnswers(hand) => {
-                self.hands[hand].service = Service::Untouched;
-                self.hand(hand, handover::Event::Answered(response()), Clock::ZERO);
+            Step::ServiceAnswers(handover) => {
+                self.handovers[handover].service = Service::Idle;
+                self.handle_at_sidecar(
+                    handover,
+                    handover::Event::Answered(response()),
+                    Clock::ZERO,
+                );
             }
-            Step::ServiceBreaks(hand) => {
+            Step::ServiceBreaks(handover) => {
                 self.faults -= 1;
-                self.hands[hand].service = Service::Untouched;
-                let event = match self.twin {
-                    Twin::BrokenIsRefused => handover::Event::Unreachable,
+                self.handovers[handover].service = Service::Idle;
+                let event = match self.mutation {
+                    Mutation::BrokenIsRefused => handover::Event::Unreachable,
                     _ => handover::Event::ConnectionLost,
                 };
-                self.hand(hand, event, Clock::ZERO);
+                self.handle_at_sidecar(handover, event, Clock::ZERO);
             }
-            Step::Waited(hand) => {
-                self.hands[hand].waits = false;
-                self.hand(hand, handover::Event::TimerFired, Clock::ZERO);
+            Step::Waited(handover) => {
+                self.handovers[handover].waiting = false;
+                self.handle_at_sidecar(handover, handover::Event::TimerFired, Clock::ZERO);
             }
-            Step::Gone(hand) => {
-                self.hands[hand].gone = true;
-                self.hand(hand, handover::Event::EntryGone, Clock::ZERO);
+            Step::Gone(handover) => {
+                self.handovers[handover].entry_gone = true;
+                self.handle_at_sidecar(handover, handover::Event::EntryGone, Clock::ZERO);
             }
             Step::EntryDies(entry) => self.entry_dies(entry),
             Step::SidecarDies(sidecar) => self.sidecar_dies(sidecar),
         }
     }
 
-    fn silent(&mut self, entry: usize) {
+    fn time_out_sidecar(&mut self, entry: usize) {
         let request = &mut self.requests[entry];
-        match self.twin {
-            Twin::NoProof => {
-                request.waits = false;
-                request.told = Some(Told::NotRun);
+        match self.mutation {
+            Mutation::NoProof => {
+                request.waiting = false;
+                request.reported = Some(Report::NotRun);
             }
-            Twin::SendsAgain if request.sends < 2 => {
+            Mutation::SendsAgain if request.sends < 2 => {
                 request.sends += 1;
                 let base = self.stored.as_ref().map_or(0, |stored| stored.revision);
                 request.frames.push(Frame::new(request.sends, base));
             }
-            _ => self.entry(
+            _ => self.handle_at_entry(
                 entry,
                 attempt::Event::TimedOut {
                     retry_allowed: false,
@@ -199,35 +205,35 @@
         self.faults -= 1;
         let request = &mut self.requests[entry];
         request.alive = false;
-        request.waits = false;
+        request.waiting = false;
         request.replies.clear();
         if let Some(op) = request.op.take() {
-            self.delay(op);
+            self.delay_write(op);
         }
     }
 
-    /// A frame to a dead process is lost: connections end with the process.
+    /// Frames to a dead process are lost, since connections end with the process.
     fn sidecar_dies(&mut self, sidecar: usize) {
         self.faults -= 1;
         self.seen[sidecar] = Seen::new(8);
         for (entry, request) in self.requests.iter_mut().enumerate() {
             request
                 .frames
-                .retain(|frame| goes_to(entry, frame.send) != sidecar);
+                .retain(|frame| target_sidecar(entry, frame.send) != sidecar);
         }
-        for hand in std::mem::take(&mut self.hands) {
-            if hand.sidecar() != sidecar {
-                self.hands.push(hand);
+        for handover in std::mem::take(&mut self.handovers) {
+            if handover.sidecar() != sidecar {
+                self.handovers.push(handover);
                 continue;
             }
-            if let Some(op) = hand.op {
-                self.delay(op);
+            if let Some(op) = handover.op {
+                self.delay_write(op);
             }
         }
     }
 
-    /// Delivers a frame: the sidecar begins a hand-over with a number of its own.
-    fn frame(&mut self, entry: usize) {
+    /// Delivers a frame. The sidecar starts a handover with its own nonce.
+    fn deliver_frame(&mut self, entry: usize) {
         let frames = &mut self.requests[entry].frames;
         let frame = frames[0].clone();
         if frame.copies > 1 {
@@ -236,21 +242,24 @@
         } else {
             frames.remove(0);
         }
-        let copy = match self.twin {
-            Twin::NonceFromFrame => 0,
+        let copy = match self.mutation {
+            Mutation::NonceFromFrame => 0,
             _ => Nonce::from(frame.copies),
         };
         let number = 100 + 10 * entry as Nonce + 3 * Nonce::from(frame.send);
-        let new = self.seen[goes_to(entry, frame.send)].insert(number);
-        let begins_copies = matches!(self.twin, Twin::CopyBegins | Twin::NonceFromFrame);
-        if !new && !begins_copies {
+        let new = self.seen[target_sidecar(entry, frame.send)].insert(number);
+        let starts_twice = matches!(
+            self.mutation,
+            Mutation::CopyBegins | Mutation::NonceFromFrame
+        );
+        if !new && !starts_twice {
             return;
         }
         let nonce = number + copy;
-        self.begin(entry, frame.send, frame.base, nonce);
+        self.start_handover(entry, frame.send, frame.base, nonce);
     }
 
-    fn begin(&mut self, entry: usize, send: u32, base: Revision, nonce: Nonce) {
+    fn start_handover(&mut self, entry: usize, send: u32, base: Revision, nonce: Nonce) {
         let call = handover::Call {
             base,
             digest: String::new(),
@@ -259,65 +268,65 @@
             status_path: String::new(),
         };
         let settings = handover::Settings {
-            start_timeout: LIMIT,
+            start_timeout: START_TIMEOUT,
             max_write_attempts: 2,
             ..handover::Settings::default()
         };
-        self.hands.push(Hand {
-            machine: Handover::new(call, settings),
+        self.handovers.push(Handover {
+            machine: Machine::new(call, settings),
             entry,
             send,
             op: None,
-            service: Service::Untouched,
-            waits: false,
-            gone: false,
+            service: Service::Idle,
+            waiting: false,
+            entry_gone: false,
         });
-        self.hand(
-            self.hands.len() - 1,
+        self.handle_at_sidecar(
+            self.handovers.len() - 1,
             handover::Event::Requested,
             Clock::ZERO,
         );
     }
 
-    pub(super) fn entry(&mut self, entry: usize, event: attempt::Event) {
+    pub(super) fn handle_at_entry(&mut self, entry: usize, event: attempt::Event) {
         let request = &mut self.requests[entry];
         for action in request.machine.handle(event) {
-            request.act(action);
+            request.perform(action);
         }
     }
 
-    pub(super) fn hand(&mut self, index: usize, event: handover::Event, now: Clock) {
-        let actions = self.hands[index].machine.handle(event, now);
+    pub(super) fn handle_at_sidecar(&mut self, index: usize, event: handover::Event, now: Clock) {
+        let actions = self.handovers[index].machine.handle(event, now);
         for action in actions {
-            let hand = &mut self.hands[index];
+            let handover = &mut self.handovers[index];
             match action {
                 handover::Action::Create { expect, record } => {
-                    hand.op = Some(Op::Create { expect, record });
+                    handover.op = Some(Op::Create { expect, record });
                 }
                 handover::Action::Write { expect, record } => {
-                    hand.op = Some(Op::Write { expect, record });
+                    handover.op = Some(Op::Write { expect, record });
                 }
-                handover::Action::ReadBack => hand.op = Some(Op::Read),
-                handover::Action::HandOver => hand.service = Service::Asked,
-                handover::Action::Wait(_) => hand.waits = true,
-                handover::Action::Reply(reply) => self.reply(index, reply),
+                handover::Action::ReadBack => handover.op = Some(Op::Read),
+                handover::Action::HandOver => handover.service = Service::Requested,
+                handover::Action::Wait(_) => handover.waiting = true,
+                handover::Action::Reply(reply) => self.send_reply(index, reply),
             }
         }
     }
 
-    fn reply(&mut self, index: usize, reply: Reply) {
-        let (entry, send) = (self.hands[index].entry, self.hands[index].send);
-        if self.twin == Twin::SidecarGoesOn
+    fn send_reply(&mut self, index: usize, reply: Reply) {
+        let (entry, send) = (self.handovers[index].entry, self.handovers[index].send);
+        if self.mutation == Mutation::SidecarGoesOn
             && send < 2
             && let Reply::Conflict(Some(standing)) = &reply
-            && matches!(standing.record.state, State::Void { .. })
+            && matches!(standing.record.state, RecordState::Void { .. })
         {
             let nonce = 200 + entry as Nonce;
-            self.begin(entry, 2, standing.revision, nonce);
+            self.start_handover(entry, 2, standing.revision, nonce);
             return;
         }
         let request = &mut self.requests[entry];
-        if request.waits && request.sends == send {
+        if request.waiting && request.sends == send {
             request.replies.push((send, reply));
         }
     }
--- a/components/models/src/contract/step.rs
+++ b/components/models/src/contract/step.rs
@@ -1,61 +1,61 @@
-//! What may happen next.
+//! Steps of the model.
 
-/// Number of a request, which is also the number of its entry.
-pub type Entry = usize;
+/// Index of a request, which is also the index of its entry.
+pub type EntryIndex = usize;
 
-/// Position of a hand-over among those that are under way.
-pub type Hand = usize;
+/// Index of a handover among those in progress.
+pub type HandoverIndex = usize;
 
-/// What becomes of a call to the store.
+/// How a call to the store completes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Fate {
-    /// It takes effect and is answered.
+pub enum Completion {
+    /// The call is executed, and the response arrives.
     Answered,
-    /// It is answered only after the hand-over's time limit.
+    /// The response arrives only after the time limit of the handover.
     AnsweredLate,
-    /// It takes effect, and the answer is lost.
+    /// The call is executed, and the response is lost.
     AnswerLost,
-    /// It times out, and may take effect at any later time, or never.
+    /// The call times out. It may be executed at any later time, or never.
     Delayed,
-    /// The store is out and says so.
+    /// The store responds that it is unavailable.
     Refused,
 }
 
 /// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// The caller's request comes to its entry.
-    Request(Entry),
+    /// The caller's request arrives at its entry.
+    Request(EntryIndex),
     /// The oldest frame of an entry arrives at its sidecar.
-    Frame(Entry),
-    /// The same, and it will arrive once more.
-    FrameTwice(Entry),
-    /// A frame can't be sent.
-    Unsent(Entry),
+    Frame(EntryIndex),
+    /// The oldest frame of an entry arrives at its sidecar and will arrive once more.
+    FrameTwice(EntryIndex),
+    /// Sending a frame fails.
+    Unsent(EntryIndex),
     /// A sidecar's reply arrives.
-    Reply(Entry),
-    /// An entry takes its sidecar for silent.
-    Silent(Entry),
-    /// An entry's call to the store.
-    EntryStore(Entry, Fate),
-    /// A sidecar's call to the store.
-    SidecarStore(Hand, Fate),
-    /// A delayed write takes effect.
+    Reply(EntryIndex),
+    /// An entry's wait for its sidecar times out.
+    Silent(EntryIndex),
+    /// A call of an entry to the store ends.
+    EntryStore(EntryIndex, Completion),
+    /// A call of a sidecar to the store ends.
+    SidecarStore(HandoverIndex, Completion),
+    /// A delayed write is executed.
     LateWrite(usize),
     /// The service refuses the connection.
-    ServiceRefuses(Hand),
-    /// The service takes the call.
-    ServiceTakes(Hand),
-    /// The service answers.
-    ServiceAnswers(Hand),
-    /// The connection to the service breaks while it runs the call.
-    ServiceBreaks(Hand),
-    /// A sidecar's wait is over.
-    Waited(Hand),
+    ServiceRefuses(HandoverIndex),
+    /// The service starts to run the call.
+    ServiceTakes(HandoverIndex),
+    /// The service responds.
+    ServiceAnswers(HandoverIndex),
+    /// The connection to the service breaks while the service runs the call.
+    ServiceBreaks(HandoverIndex),
+    /// A sidecar's timer fires.
+    Waited(HandoverIndex),
     /// A sidecar learns that the entry is gone.
-    Gone(Hand),
+    Gone(HandoverIndex),
     /// An entry dies.
-    EntryDies(Entry),
+    EntryDies(EntryIndex),
     /// A sidecar dies.
     SidecarDies(usize),
 }
--- a/components/models/src/contract/store.rs
+++ b/components/models/src/contract/store.rs
@@ -1,4 +1,4 @@
-//! The store, and what becomes of calls to it.
+//! The store, and how calls to it complete.
 
 use std::time::Duration;
 
@@ -14,79 +14,81 @@
 use names::Clock;
 
 use super::{
-    Fate,
-    Twin,
-    World,
+    Completion,
+    Mutation,
+    State,
     actors::Op, //
 };
 
-/// Longest time to the hand-over.
-pub(super) const LIMIT: Duration = Duration::from_secs(5);
+/// Maximum time until the handover.
+pub(super) const START_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(super) enum Answer {
     Write(Write),
     Read(Read),
 }
 
-impl World {
-    pub(super) fn entry_store(&mut self, entry: usize, fate: Fate) {
+impl State {
+    pub(super) fn finish_entry_call(&mut self, entry: usize, completion: Completion) {
         let Some(op) = self.requests[entry].op.take() else {
             return;
         };
-        let event = match self.store(op, fate) {
+        let event = match self.call_store(op, completion) {
             Answer::Write(write) => attempt::Event::Voided(write),
             Answer::Read(read) => attempt::Event::Read(read),
         };
-        self.entry(entry, event);
+        self.handle_at_entry(entry, event);
     }
 
-    pub(super) fn sidecar_store(&mut self, hand: usize, fate: Fate) {
-        let Some(op) = self.hands[hand].op.take() else {
+    pub(super) fn finish_sidecar_call(&mut self, handover: usize, completion: Completion) {
+        let Some(op) = self.handovers[handover].op.take() else {
             return;
         };
         let creates = matches!(op, Op::Create { .. });
-        let event = match self.store(op, fate) {
-            Answer::Write(Write::Unanswered) if creates && self.twin == Twin::UnansweredIsWon => {
+        let event = match self.call_store(op, completion) {
+            Answer::Write(Write::Unanswered)
+                if creates && self.mutation == Mutation::UnansweredIsWon =>
+            {
                 handover::Event::Created(Write::Applied(self.revision))
             }
             Answer::Write(write) if creates => handover::Event::Created(write),
             Answer::Write(write) => handover::Event::Written(write),
             Answer::Read(read) => handover::Event::Read(read),
         };
-        let now = match fate {
-            Fate::AnsweredLate => LIMIT + LIMIT,
+        let now = match completion {
+            Completion::AnsweredLate => START_TIMEOUT + START_TIMEOUT,
             _ => Clock::ZERO,
         };
-        self.hand(hand, event, now);
+        self.handle_at_sidecar(handover, event, now);
     }
 
-    fn store(&mut self, op: Op, fate: Fate) -> Answer {
-        if fate != Fate::Answered {
+    fn call_store(&mut self, op: Op, completion: Completion) -> Answer {
+        if completion != Completion::Answered {
             self.faults -= 1;
         }
-        match fate {
-            Fate::Answered | Fate::AnsweredLate => self.effect(&op),
-            Fate::AnswerLost => {
-                self.effect(&op);
+        match completion {
+            Completion::Answered | Completion::AnsweredLate => self.execute(&op),
+            Completion::AnswerLost => {
+                self.execute(&op);
                 Answer::Write(Write::Unanswered)
             }
-            Fate::Delayed => {
-                self.delay(op);
+            Completion::Delayed => {
+                self.delay_write(op);
                 Answer::Write(Write::Unanswered)
             }
-            Fate::Refused if op == Op::Read => Answer::Read(Read::Failed),
-            Fate::Refused => Answer::Write(Write::Refused),
+            Completion::Refused if op == Op::Read => Answer::Read(Read::Failed),
+            Completion::Refused => Answer::Write(Write::Refused),
         }
     }
 
-    /// Keeps a write that may still take effect.
-    pub(super) fn delay(&mut self, op: Op) {
+    /// Records a write that may still be applied.
+    pub(super) fn delay_write(&mut self, op: Op) {
         if op != Op::Read {
-            self.late.push(op);
+            self.delayed_writes.push(op);
         }
     }
 
-    pub(super) fn effect(&mut self, op: &Op) -> Answer {
+    pub(super) fn execute(&mut self, op: &Op) -> Answer {
         let (expect, record) = match op {
             Op::Read => {
                 return Answer::Read(self.stored.clone().map_or(Read::Absent, Read::Found));
@@ -94,7 +96,7 @@
             Op::Create { expect, record } | Op::Write { expect, record } => (*expect, record),
         };
         let revision = self.stored.as_ref().map_or(0, |stored| stored.revision);
-        if expect != revision && self.twin != Twin::NoCompare {
+        if expect != revision && self.mutation != Mutation::NoCompare {
             return Answer::Write(Write::Conflict(self.stored.clone()));
         }
         self.revision += 1;
--- a/components/models/src/edits.rs
+++ b/components/models/src/edits.rs
@@ -1,8 +1,8 @@
-//! Two operators edit at once: what each is told agrees with what the store took.
+//! Concurrent edits by several operators: each reported outcome agrees with what the store applied.
 //!
-//! The store and the faults of calls are specified here; how an edit goes is the production code
-//! of [`spread::Edit`]. A write whose answer is lost may have taken effect, may take effect later,
-//! or never.
+//! The store and its faults are specified here; the edits run the production code of
+//! [`spread::Edit`]. A write whose response is lost may have been applied, may be applied later, or
+//! never.
 
 use std::{
     collections::BTreeMap,
@@ -22,40 +22,40 @@
     }, //
 };
 
-/// Environments of the specification.
+/// Names of the two environments.
 const TRIAL: &str = "trial";
 const PRODUCTION: &str = "production";
 
-/// Id of the promotion.
-const PROMOTE: &str = "promote";
+/// Id of the edit that promotes the trial to production.
+const PROMOTION_ID: &str = "promote";
 
-/// Broken variants of the specification.
+/// Defects built into the system, each of which the search must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Twin {
-    /// Nothing is broken.
+pub enum Mutation {
+    /// The system without a defect.
     None,
-    /// A write without an answer counts as one that was refused.
-    SilenceIsNo,
-    /// The store writes whatever stands there.
-    BlindWrite,
-    /// What stands in the store doesn't say what it followed.
+    /// An edit treats a write without a response as refused.
+    UnansweredIsRefused,
+    /// The store writes without comparing the revision.
+    NoCompare,
+    /// Stored documents do not list the ids of earlier edits.
     NoHistory,
-    /// A promotion takes what the trial is now.
+    /// A promotion takes the current trial, whether or not it is the tested one.
     NoPin,
 }
 
-/// One step.
+/// A step of the system. The field is the index of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The store does what an operator's edit asks, and answers.
+    /// The store executes the pending call of an operator's edit and responds.
     Serve(usize),
-    /// It answers that it can't.
+    /// The store responds that it is unavailable.
     Refuse(usize),
-    /// It does it, and the answer is lost.
+    /// The store executes the call, and its response is lost.
     LoseAnswer(usize),
-    /// The write stays on its way, and the operator hears nothing.
+    /// The write is delayed, and the operator receives no response.
     Delay(usize),
-    /// The first write that was on its way arrives.
+    /// The oldest delayed write arrives.
     Arrive,
 }
 
@@ -66,30 +66,32 @@
     id: String,
 }
 
-/// The whole state.
+/// State of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     documents: BTreeMap<String, Stored>,
-    /// The trial as it was tried.
+    /// The trial document as it was tested.
     tried: Stored,
     revision: Revision,
     operators: Vec<Operator>,
-    on_the_way: Vec<Step>,
-    /// Each write that took effect: its id, the revision it meant to replace and the one it did.
-    taken: Vec<(String, Revision, Revision)>,
-    /// The promotion saw that the trial isn't what was tried any more.
+    delayed: Vec<Step>,
+    /// One entry for each applied write: its id, the revision that it expected to replace, and the
+    /// revision that it replaced.
+    applied: Vec<(String, Revision, Revision)>,
+    /// The promotion read a trial that differs from the tested one.
     changed: bool,
     faults: u8,
 }
 
-/// A trial stands at revision 1. One operator promotes it, one puts into production at the same
-/// time, one follows whichever of the two is first, and one changes the trial; `faults` calls go
-/// wrong.
-pub fn start(faults: u8) -> State {
+/// Returns the initial state, in which a trial stands at revision 1.
+///
+/// Four operators edit: one promotes the trial, one writes to production at the same time, one
+/// follows the first of these two, and one changes the trial. At most `faults` calls fail.
+pub fn initial(faults: u8) -> State {
     let (mut edit, _) = Edit::new(draft(TRIAL, "tried", 0));
     let step = edit.answer(Answer::Read(None));
     let Step::Write { envelope, .. } = step else {
-        unreachable!("a put of an absent document goes on with a write");
+        unreachable!("a put of an absent document continues with a write");
     };
     let tried = Stored {
         revision: 1,
@@ -101,8 +103,8 @@
         tried,
         revision: 1,
         operators: Vec::new(),
-        on_the_way: Vec::new(),
-        taken: Vec::new(),
+        delayed: Vec::new(),
+        applied: Vec::new(),
         changed: false,
         faults,
     };
@@ -113,7 +115,7 @@
             digest,
         }),
         text: "tried".into(),
-        ..draft(PRODUCTION, PROMOTE, 0)
+        ..draft(PRODUCTION, PROMOTION_ID, 0)
     };
     let others = [
         draft(PRODUCTION, "put", 0),
@@ -140,112 +142,121 @@
     }
 }
 
-/// The steps that are possible.
-pub fn next(state: &State, twin: Twin) -> Vec<(Action, State)> {
+/// Returns all enabled steps with the states that they lead to.
+pub fn successors(state: &State, mutation: Mutation) -> Vec<(Action, State)> {
     let mut actions = Vec::new();
-    for (at, operator) in state.operators.iter().enumerate() {
+    for (index, operator) in state.operators.iter().enumerate() {
         if matches!(operator.step, Step::Done(_)) {
             continue;
         }
-        actions.push(Action::Serve(at));
+        actions.push(Action::Serve(index));
         if state.faults == 0 {
             continue;
         }
-        actions.push(Action::Refuse(at));
+        actions.push(Action::Refuse(index));
         if matches!(operator.step, Step::Write { .. }) {
-            actions.extend([Action::LoseAnswer(at), Action::Delay(at)]);
+            actions.extend([Action::LoseAnswer(index), Action::Delay(index)]);
         }
     }
-    if !state.on_the_way.is_empty() {
+    if !state.delayed.is_empty() {
         actions.push(Action::Arrive);
     }
-    let following = actions.into_iter().map(|action| {
-        let mut following = state.clone();
-        following.apply(&action, twin);
-        (action, following)
+    let successors = actions.into_iter().map(|action| {
+        let mut successor = state.clone();
+        successor.apply(&action, mutation);
+        (action, successor)
     });
-    following.collect()
+    successors.collect()
 }
 
-/// The invariant that a state breaks.
-pub fn broken(state: &State) -> Option<&'static str> {
+/// Returns the invariant that the state violates.
+pub fn violated_invariant(state: &State) -> Option<&'static str> {
     for operator in &state.operators {
-        let took = state
-            .taken
+        let count = state
+            .applied
             .iter()
-            .filter(|taken| taken.0 == operator.id)
+            .filter(|applied| applied.0 == operator.id)
             .count();
-        if took > 1 {
+        if count > 1 {
             return Some("an edit takes effect at most once");
         }
         let Step::Done(outcome) = &operator.step else {
             continue;
         };
-        let told = match outcome {
-            Outcome::Accepted { .. } => took == 1,
+        let consistent = match outcome {
+            Outcome::Accepted { .. } => count == 1,
             Outcome::Unknown => true,
             Outcome::Raced { .. }
             | Outcome::Changed { .. }
             | Outcome::Large
-            | Outcome::Unavailable => took == 0,
+            | Outcome::Unavailable => count == 0,
         };
-        if !told {
-            return Some("what an operator is told agrees with the store");
+        if !consistent {
+            return Some("the reported outcome agrees with the store");
         }
     }
-    if state.taken.iter().any(|taken| taken.1 != taken.2) {
-        return Some("an edit replaces what its operator had seen");
+    if state.applied.iter().any(|applied| applied.1 != applied.2) {
+        return Some("an edit replaces only the revision that its operator expects");
     }
-    if state.changed && state.taken.iter().any(|taken| taken.0 == PROMOTE) {
-        return Some("a trial that changed isn't promoted");
+    if state.changed
+        && state
+            .applied
+            .iter()
+            .any(|applied| applied.0 == PROMOTION_ID)
+    {
+        return Some("a changed trial is not promoted");
     }
     None
 }
 
 impl State {
-    fn apply(&mut self, action: &Action, twin: Twin) {
+    fn apply(&mut self, action: &Action, mutation: Mutation) {
         match action {
-            Action::Serve(at) => {
-                let step = self.operators[*at].step.clone();
-                let answer = self.serve(&step, twin);
-                self.answer(*at, answer, twin);
+            Action::Serve(index) => {
+                let step = self.operators[*index].step.clone();
+                let answer = self.execute(&step, mutation);
+                self.respond(*index, answer, mutation);
             }
-            Action::Refuse(at) => {
+            Action::Refuse(index) => {
                 self.faults -= 1;
-                self.answer(*at, Answer::Refused, twin);
+                self.respond(*index, Answer::Refused, mutation);
             }
-            Action::LoseAnswer(at) => {
+            Action::LoseAnswer(index) => {
                 self.faults -= 1;
-                let step = self.operators[*at].step.clone();
-                self.serve(&step, twin);
-                self.answer(*at, Answer::Unanswered, twin);
+                let step = self.operators[*index].step.clone();
+                self.execute(&step, mutation);
+                self.respond(*index, Answer::Unanswered, mutation);
             }
-            Action::Delay(at) => {
+            Action::Delay(index) => {
                 self.faults -= 1;
-                self.on_the_way.push(self.operators[*at].step.clone());
-                self.answer(*at, Answer::Unanswered, twin);
+                self.delayed.push(self.operators[*index].step.clone());
+                self.respond(*index, Answer::Unanswered, mutation);
             }
             Action::Arrive => {
-                let step = self.on_the_way.remove(0);
-                self.serve(&step, twin);
+                let step = self.delayed.remove(0);
+                self.execute(&step, mutation);
             }
         }
     }
 
-    fn answer(&mut self, at: usize, answer: Answer, twin: Twin) {
-        let operator = &mut self.operators[at];
-        let promotes = operator.id == PROMOTE && operator.step == Step::Read(TRIAL.into());
+    fn respond(&mut self, index: usize, answer: Answer, mutation: Mutation) {
+        let operator = &mut self.operators[index];
+        let promotes = operator.id == PROMOTION_ID && operator.step == Step::Read(TRIAL.into());
         if let Answer::Read(stored) = &answer
             && promotes
         {
             self.changed = stored.as_ref() != Some(&self.tried);
         }
-        let answer = match (twin, answer) {
-            (Twin::SilenceIsNo, Answer::Unanswered) => Answer::Refused,
-            (Twin::NoHistory, Answer::Conflict(stored)) => Answer::Conflict(stored.map(forget)),
-            (Twin::NoHistory, Answer::Read(stored)) => Answer::Read(stored.map(forget)),
-            // Whatever stands there now passes for what was tried.
-            (Twin::NoPin, Answer::Read(Some(_))) if promotes => {
+        let answer = match (mutation, answer) {
+            (Mutation::UnansweredIsRefused, Answer::Unanswered) => Answer::Refused,
+            (Mutation::NoHistory, Answer::Conflict(stored)) => {
+                Answer::Conflict(stored.map(without_history))
+            }
+            (Mutation::NoHistory, Answer::Read(stored)) => {
+                Answer::Read(stored.map(without_history))
+            }
+            // The current trial is taken for the tested one.
+            (Mutation::NoPin, Answer::Read(Some(_))) if promotes => {
                 Answer::Read(Some(self.tried.clone()))
             }
             (_, answer) => answer,
@@ -253,7 +264,7 @@
         operator.step = operator.edit.answer(answer);
     }
 
-    fn serve(&mut self, step: &Step, twin: Twin) -> Answer {
+    fn execute(&mut self, step: &Step, mutation: Mutation) -> Answer {
         let (environment, expect, envelope) = match step {
             Step::Read(environment) => {
                 return Answer::Read(self.documents.get(environment).cloned());
@@ -265,14 +276,14 @@
             } => (environment, *expect, envelope),
             Step::Done(_) => return Answer::Refused,
         };
-        let stands = self.documents.get(environment);
-        let revision = stands.map_or(0, |stored| stored.revision);
-        if revision != expect && twin != Twin::BlindWrite {
-            return Answer::Conflict(stands.cloned());
+        let current = self.documents.get(environment);
+        let revision = current.map_or(0, |stored| stored.revision);
+        if revision != expect && mutation != Mutation::NoCompare {
+            return Answer::Conflict(current.cloned());
         }
         self.revision += 1;
         let id = envelope.edit.id.clone();
-        self.taken.push((id, expect, revision));
+        self.applied.push((id, expect, revision));
         let stored = Stored {
             revision: self.revision,
             envelope: envelope.clone(),
@@ -282,7 +293,7 @@
     }
 }
 
-fn forget(mut stored: Stored) -> Stored {
+fn without_history(mut stored: Stored) -> Stored {
     stored.envelope.history.clear();
     stored
 }
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -1,10 +1,11 @@
-//! How current knowledge of the store is: whoever serves by it as current has every change that was
-//! acknowledged before the time at which it was confirmed.
+//! Freshness of replicated state: a process whose state was confirmed at a time has every change
+//! that was acknowledged before that time.
 //!
-//! The store, the network, the hosts and their clocks are specified here; what a process knows, what
-//! it confirms and what a beacon claims is the production code of [`spread::Freshness`] and
-//! [`Beacon::claim`]. Messages and answers of the store arrive late, in any order, or never; one that
-//! arrives again is dropped by its number. A host that is started again has another clock.
+//! The store, the network, the hosts and their clocks are specified here. What a process knows,
+//! what it confirms and what a beacon claims is the production code of [`spread::Freshness`] and
+//! [`Beacon::claim`]. Messages and responses of the store arrive late, in any order, or never;
+//! the receiver drops duplicates by their number. The clock of a host changes when the host
+//! restarts.
 
 use std::collections::{
     BTreeMap,
@@ -26,79 +27,81 @@
     freshness::Claim, //
 };
 
-/// One unit of the specification's time, in milliseconds.
-const TICK: u64 = 1000;
+/// Milliseconds in one tick of the specification's time.
+const TICK_MS: u64 = 1000;
 
-/// Clock of a host at the specification's beginning, and how much earlier it starts after each
-/// restart, in ticks.
-const CLOCK: u64 = 10;
-const EARLIER: u64 = 1;
+/// Lead of a host's clock over the specification's time at the start, and by how much each restart
+/// reduces it, in ticks.
+const INITIAL_CLOCK_TICKS: u64 = 10;
+const RESTART_SETBACK_TICKS: u64 = 1;
 
-/// Broken variants of the specification.
+/// Defects built into the system, each of which the search must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Twin {
-    /// Nothing is broken.
+pub enum Mutation {
+    /// The system without a defect.
     None,
-    /// An echo counts whichever run of the host gave the stamp.
-    AnyRun,
-    /// A claim is taken to be as new as the message that brings it.
-    AsRead,
-    /// A claim of changes that aren't known raises what is known.
-    Raises,
-    /// An answer of the store tells of the time at which it arrives.
-    AsAnswered,
+    /// An echo is accepted even if an earlier process of the host sent its timestamp.
+    IgnoreIncarnation,
+    /// A claim is dated to the arrival of its message.
+    DateClaimOnArrival,
+    /// A claim about unknown changes raises the known revision.
+    ClaimRaisesRevision,
+    /// A response of the store is dated to its arrival.
+    DateResponseOnArrival,
 }
 
-/// A message, or an answer of the store.
+/// A message between processes, or a response of the store.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Packet {
     /// A beacon.
     Beacon {
         /// Sender.
         from: usize,
-        /// The sender's run.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
         /// Receiver.
         to: usize,
         /// The sender's clock, in milliseconds.
         stamp: u64,
-        /// The receiver's last stamp: the run that gave it, the stamp, and how long it was held.
+        /// Echo of the receiver's last timestamp: the incarnation that sent it, the timestamp, and
+        /// the delay until this beacon. Times are in milliseconds.
         echo: Option<(Incarnation, u64, u64)>,
-        /// Revision that the sender knows, and milliseconds since it was current.
+        /// Revision that the sender has, and the milliseconds since it was current.
         fresh: Option<(Revision, u64)>,
     },
-    /// Changes up to a revision, for who knows all up to the one before.
+    /// Changes up to a revision, for a receiver that has all earlier ones.
     Changes {
         /// Receiver.
         to: usize,
-        /// The revision.
+        /// The last revision.
         revision: Revision,
     },
-    /// The store's answer to a question for its revision.
+    /// The store's response to a query of its revision.
     Answer {
-        /// The run that asked.
+        /// Incarnation that sent the query.
         incarnation: Incarnation,
-        /// Who asked.
+        /// Receiver.
         to: usize,
-        /// When, by its clock.
+        /// Time of the query by the receiver's clock.
         at: Clock,
         /// The store's revision.
         revision: Revision,
     },
 }
 
-/// One step.
+/// A step of the system. Numbers are indices of hosts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Time passes.
+    /// The time advances by one tick.
     Tick,
     /// The store acknowledges a change.
     Write,
-    /// The store turns a host away from now on.
+    /// The store refuses all further calls of a host.
     TurnAway(usize),
-    /// A process asks for the store's revision.
+    /// A process queries the store's revision.
     Ask(usize),
-    /// A process that listens, or misses changes, reads them and tells its peers.
+    /// A process that watches the store, or misses changes, reads them and forwards them to its
+    /// peers.
     Read(usize),
     /// A process sends a beacon to another.
     Send {
@@ -107,59 +110,59 @@
         /// Receiver.
         to: usize,
     },
-    /// A message or answer arrives.
+    /// A message or response arrives.
     Deliver(Packet),
-    /// A host loses power and starts again.
+    /// A host loses power and restarts.
     Restart(usize),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Host {
     incarnation: Incarnation,
-    /// Its clock is this many ticks ahead of the specification's time.
-    ahead: u64,
-    fresh: Freshness,
-    /// It holds all changes up to this revision, whatever it believes.
-    held: Revision,
-    /// Of each peer: its run, its last stamp, and when that was heard.
+    /// Ticks by which the host's clock is ahead of the specification's time.
+    ticks_ahead: u64,
+    freshness: Freshness,
+    /// The host has all changes up to this revision, whatever its freshness state says.
+    held_revision: Revision,
+    /// The last beacon of each peer: incarnation, timestamp, and arrival time.
     peers: BTreeMap<usize, (Incarnation, u64, Clock)>,
-    turned_away: bool,
+    refused_by_store: bool,
 }
 
-/// The whole state.
+/// State of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     now: u64,
-    /// When each revision was acknowledged; the first stands from the beginning.
+    /// Acknowledgement time of each revision. The first revision exists from the start.
     acknowledged: Vec<u64>,
     hosts: Vec<Host>,
     network: BTreeSet<Packet>,
-    left: Left,
+    budget: Budget,
 }
 
-/// What may still happen.
+/// Number of events of each kind that may still occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Left {
-    /// Units of time.
+pub struct Budget {
+    /// Ticks.
     pub ticks: u64,
     /// Changes.
     pub writes: u8,
-    /// Hosts that are turned away.
+    /// Hosts that the store starts to refuse.
     pub refusals: u8,
     /// Restarts of a host.
     pub restarts: u8,
     /// Beacons.
     pub beacons: u8,
-    /// Questions to the store.
-    pub questions: u8,
+    /// Queries of the store's revision.
+    pub queries: u8,
 }
 
-/// So many hosts that know the first revision.
-pub fn start(hosts: usize, left: Left) -> State {
-    let host = |number: usize| {
-        let mut host = Host::new(number as Incarnation, CLOCK);
+/// Returns the initial state: `hosts` hosts that have the first revision.
+pub fn initial(hosts: usize, budget: Budget) -> State {
+    let host = |index: usize| {
+        let mut host = Host::new(index as Incarnation, INITIAL_CLOCK_TICKS);
         host.read(1);
-        host.fresh.set_rank((number, hosts), number);
+        host.freshness.set_rank((index, hosts), index);
         host
     };
     State {
@@ -167,37 +170,37 @@
         acknowledged: vec![0],
         hosts: (0..hosts).map(host).collect(),
         network: BTreeSet::new(),
-        left,
+        budget,
     }
 }
 
-/// The steps that are possible.
-pub fn next(state: &State, twin: Twin) -> Vec<(Action, State)> {
+/// Returns all enabled steps with the states that they lead to.
+pub fn successors(state: &State, mutation: Mutation) -> Vec<(Action, State)> {
     let mut steps = Vec::new();
     for action in state.actions() {
-        let mut following = state.clone();
-        following.apply(&action, twin);
-        if following != *state {
-            steps.push((action, following));
+        let mut successor = state.clone();
+        successor.apply(&action, mutation);
+        if successor != *state {
+            steps.push((action, successor));
         }
     }
     steps
 }
 
-/// The invariant that a state breaks.
-pub fn broken(state: &State) -> Option<&'static str> {
+/// Returns the invariant that the state violates.
+pub fn violated_invariant(state: &State) -> Option<&'static str> {
     for host in &state.hosts {
-        let Some(confirmed) = host.fresh.confirmed_at() else {
+        let Some(confirmed) = host.freshness.confirmed_at() else {
             continue;
         };
         if confirmed > host.clock(state.now) {
-            return Some("nothing is confirmed before its time");
+            return Some("no confirmation is dated in the future");
         }
-        let held = usize::try_from(host.held).unwrap_or(usize::MAX);
+        let held = usize::try_from(host.held_revision).unwrap_or(usize::MAX);
         let missing = state.acknowledged.iter().skip(held);
-        for at in missing {
-            if host.clock(*at) < confirmed {
-                return Some("what is confirmed holds every change acknowledged before");
+        for acknowledged_at in missing {
+            if host.clock(*acknowledged_at) < confirmed {
+                return Some("a confirmed process has every change acknowledged earlier");
             }
         }
     }
@@ -205,35 +208,38 @@
 }
 
 impl Host {
-    fn new(incarnation: Incarnation, ahead: u64) -> Host {
+    fn new(incarnation: Incarnation, ticks_ahead: u64) -> Host {
         Host {
             incarnation,
-            ahead,
-            fresh: Freshness::default(),
-            held: 0,
+            ticks_ahead,
+            freshness: Freshness::default(),
+            held_revision: 0,
             peers: BTreeMap::new(),
-            turned_away: false,
+            refused_by_store: false,
         }
     }
 
-    /// Takes all changes up to a revision.
+    /// Applies all changes up to a revision.
     fn read(&mut self, revision: Revision) {
-        self.held = revision;
-        self.fresh.advance(revision);
+        self.held_revision = revision;
+        self.freshness.advance(revision);
     }
 
     fn clock(&self, time: u64) -> Clock {
-        Clock::from_millis((time + self.ahead) * TICK)
+        Clock::from_millis((time + self.ticks_ahead) * TICK_MS)
     }
 
-    /// A beacon to a peer.
+    /// Returns a beacon to a peer.
     fn beacon(&self, from: usize, to: usize, now: u64) -> Packet {
         let clock = self.clock(now);
-        let echo = self.peers.get(&to).map(|(incarnation, stamp, heard)| {
-            let held = clock.saturating_sub(*heard);
-            (*incarnation, *stamp, held.as_millis() as u64)
-        });
-        let fresh = self.fresh.claim().map(|claim| {
+        let echo = self
+            .peers
+            .get(&to)
+            .map(|(incarnation, stamp, received_at)| {
+                let delay = clock.saturating_sub(*received_at);
+                (*incarnation, *stamp, delay.as_millis() as u64)
+            });
+        let fresh = self.freshness.claim().map(|claim| {
             let age = clock.saturating_sub(claim.at);
             (claim.revision, age.as_millis() as u64 + 1)
         });
@@ -249,100 +255,100 @@
 }
 
 impl State {
-    fn store(&self) -> Revision {
+    fn store_revision(&self) -> Revision {
         self.acknowledged.len() as Revision
     }
 
     fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
-        if self.left.ticks > 0 {
+        if self.budget.ticks > 0 {
             actions.push(Action::Tick);
         }
-        if self.left.writes > 0 {
+        if self.budget.writes > 0 {
             actions.push(Action::Write);
         }
-        for (at, host) in self.hosts.iter().enumerate() {
-            if self.left.refusals > 0 && !host.turned_away {
-                actions.push(Action::TurnAway(at));
+        for (index, host) in self.hosts.iter().enumerate() {
+            if self.budget.refusals > 0 && !host.refused_by_store {
+                actions.push(Action::TurnAway(index));
             }
-            if self.left.restarts > 0 {
-                actions.push(Action::Restart(at));
+            if self.budget.restarts > 0 {
+                actions.push(Action::Restart(index));
             }
             let now = host.clock(self.now);
-            if !host.turned_away {
-                if self.left.questions > 0 && host.fresh.next_check() <= now {
-                    actions.push(Action::Ask(at));
+            if !host.refused_by_store {
+                if self.budget.queries > 0 && host.freshness.next_check() <= now {
+                    actions.push(Action::Ask(index));
                 }
-                if host.fresh.revision().is_none()
-                    || host.fresh.watches_store(now)
-                    || host.fresh.behind_since().is_some()
+                if host.freshness.revision().is_none()
+                    || host.freshness.watches_store(now)
+                    || host.freshness.behind_since().is_some()
                 {
-                    actions.push(Action::Read(at));
+                    actions.push(Action::Read(index));
                 }
             }
-            if self.left.beacons > 0 {
-                let others = (0..self.hosts.len()).filter(|to| *to != at);
-                actions.extend(others.map(|to| Action::Send { from: at, to }));
+            if self.budget.beacons > 0 {
+                let others = (0..self.hosts.len()).filter(|to| *to != index);
+                actions.extend(others.map(|to| Action::Send { from: index, to }));
             }
         }
         actions.extend(self.network.iter().cloned().map(Action::Deliver));
         actions
     }
 
-    fn apply(&mut self, action: &Action, twin: Twin) {
+    fn apply(&mut self, action: &Action, mutation: Mutation) {
         match action {
             Action::Tick => {
-                self.left.ticks -= 1;
+                self.budget.ticks -= 1;
                 self.now += 1;
             }
             Action::Write => {
-                self.left.writes -= 1;
+                self.budget.writes -= 1;
                 self.acknowledged.push(self.now);
             }
-            Action::TurnAway(at) => {
-                self.left.refusals -= 1;
-                self.hosts[*at].turned_away = true;
+            Action::TurnAway(index) => {
+                self.budget.refusals -= 1;
+                self.hosts[*index].refused_by_store = true;
             }
-            Action::Ask(at) => {
-                self.left.questions -= 1;
-                let host = &self.hosts[*at];
+            Action::Ask(index) => {
+                self.budget.queries -= 1;
+                let host = &self.hosts[*index];
                 self.network.insert(Packet::Answer {
                     incarnation: host.incarnation,
-                    to: *at,
+                    to: *index,
                     at: host.clock(self.now),
-                    revision: self.store(),
+                    revision: self.store_revision(),
                 });
             }
-            Action::Read(at) => {
-                let revision = self.store();
-                self.hosts[*at].read(revision);
-                for to in (0..self.hosts.len()).filter(|to| to != at) {
+            Action::Read(index) => {
+                let revision = self.store_revision();
+                self.hosts[*index].read(revision);
+                for to in (0..self.hosts.len()).filter(|to| to != index) {
                     self.network.insert(Packet::Changes { to, revision });
                 }
             }
             Action::Send { from, to } => {
-                self.left.beacons -= 1;
+                self.budget.beacons -= 1;
                 let beacon = self.hosts[*from].beacon(*from, *to, self.now);
                 self.network.insert(beacon);
             }
             Action::Deliver(packet) => {
                 self.network.remove(packet);
-                self.deliver(packet, twin);
+                self.deliver(packet, mutation);
             }
-            Action::Restart(at) => {
-                self.left.restarts -= 1;
-                let host = &self.hosts[*at];
+            Action::Restart(index) => {
+                self.budget.restarts -= 1;
+                let host = &self.hosts[*index];
                 let incarnation = host.incarnation + self.hosts.len() as Incarnation;
-                let turned_away = host.turned_away;
-                let mut host = Host::new(incarnation, host.ahead - EARLIER);
-                host.turned_away = turned_away;
-                host.fresh.set_rank((*at, self.hosts.len()), *at);
-                self.hosts[*at] = host;
+                let refused_by_store = host.refused_by_store;
+                let mut host = Host::new(incarnation, host.ticks_ahead - RESTART_SETBACK_TICKS);
+                host.refused_by_store = refused_by_store;
+                host.freshness.set_rank((*index, self.hosts.len()), *index);
+                self.hosts[*index] = host;
             }
         }
     }
 
-    fn deliver(&mut self, packet: &Packet, twin: Twin) {
+    fn deliver(&mut self, packet: &Packet, mutation: Mutation) {
         match packet {
             Packet::Beacon {
                 from,
@@ -355,7 +361,7 @@
                 let host = &mut self.hosts[*to];
                 let now = host.clock(self.now);
                 let known = host.peers.get(from);
-                if known.is_some_and(|(run, at, _)| run == incarnation && at >= stamp) {
+                if known.is_some_and(|(last, at, _)| last == incarnation && at >= stamp) {
                     return;
                 }
                 host.peers.insert(*from, (*incarnation, *stamp, now));
@@ -368,24 +374,24 @@
                     }),
                     ..Beacon::default()
                 };
-                let receiver = match (twin, echo) {
-                    (Twin::AnyRun, Some((incarnation, _, _))) => *incarnation,
+                let receiver = match (mutation, echo) {
+                    (Mutation::IgnoreIncarnation, Some((incarnation, _, _))) => *incarnation,
                     _ => host.incarnation,
                 };
                 let Some(mut claim) = beacon.claim(receiver) else {
                     return;
                 };
-                if twin == Twin::AsRead {
+                if mutation == Mutation::DateClaimOnArrival {
                     claim.at = now;
                 }
-                if twin == Twin::Raises {
-                    host.fresh.advance(claim.revision);
+                if mutation == Mutation::ClaimRaisesRevision {
+                    host.freshness.advance(claim.revision);
                 }
-                host.fresh.receive(now, claim);
+                host.freshness.receive(now, claim);
             }
             Packet::Changes { to, revision } => {
                 let host = &mut self.hosts[*to];
-                if host.fresh.revision() == Some(revision - 1) {
+                if host.freshness.revision() == Some(revision - 1) {
                     host.read(*revision);
                 }
             }
@@ -400,12 +406,12 @@
                     return;
                 }
                 let now = host.clock(self.now);
-                let at = match twin {
-                    Twin::AsAnswered => now,
+                let at = match mutation {
+                    Mutation::DateResponseOnArrival => now,
                     _ => *at,
                 };
                 let revision = *revision;
-                host.fresh.confirm(now, Claim { revision, at });
+                host.freshness.confirm(now, Claim { revision, at });
             }
         }
     }
--- a/components/models/src/lib.rs
+++ b/components/models/src/lib.rs
@@ -1,8 +1,9 @@
-//! Small specifications of the core protocols, searched whole over the production decision code.
+//! Small specifications of the core protocols, checked exhaustively against the production state
+//! machines.
 //!
-//! Each module holds one specification: its state, its steps and its invariants. Each invariant has
-//! a broken twin, a variant of the specification that the search must catch; a model that can't
-//! fail proves nothing.
+//! Each module holds one specification: its state, its steps and its invariants. A specification
+//! also defines mutations, which remove one part of the protocol each. The search must find a
+//! violation for every mutation, since a model that cannot fail proves nothing.
 
 pub mod answer;
 pub mod contract;
--- a/components/models/src/orders.rs
+++ b/components/models/src/orders.rs
@@ -1,8 +1,10 @@
-//! Fenced orders: two orderers, one sidecar that restarts, one server that checks or doesn't.
+//! Fenced orders: concurrent issuers, a sidecar that restarts, and a server that checks fencing
+//! tokens or does not.
 //!
-//! An order is written to the store, whose revision is its number, and then sent; messages arrive
-//! in any order. The server carries out what it was sent at any later time. Only a new process of
-//! the server, or the settling time after its connection closed, ends an order that is with it.
+//! An order is first written to the store, where the revision of the write becomes its fencing
+//! token, and then sent. Messages arrive in any order. The server executes an order at any time
+//! after it receives it. An order that the server has received can no longer take effect once the
+//! server's process is replaced, or once the settling time has passed after its connection closed.
 
 use names::{
     Clock,
@@ -24,23 +26,24 @@
     search, //
 };
 
-/// Orders that are given at most.
-const ORDERS: u64 = 3;
+/// Maximum number of orders that are issued.
+const MAX_ORDERS: u64 = 3;
 
-/// A way to get it wrong, which the search must catch.
+/// Defects built into the system, each of which the search must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Twin {
-    /// The production code as it is.
+pub enum Mutation {
+    /// The system without a defect.
     None,
-    /// A sidecar that starts takes any number for the newest.
+    /// A sidecar that starts accepts any token as the newest.
     NoRead,
-    /// A sidecar that starts doesn't wait for what its predecessor left with the server.
+    /// A sidecar that starts does not wait for the orders that its predecessor left in progress at
+    /// the server.
     NoSettle,
-    /// An order that isn't answered in time counts as over.
+    /// An order that times out counts as finished.
     SlowIsOver,
-    /// A timer of an earlier settling ends a later one.
+    /// A timer of an earlier settling period ends a later one.
     StaleCounts,
-    /// The server is taken for one that checks, but ignores the number.
+    /// The server is configured as one that checks tokens, but ignores them.
     IgnoresFence,
 }
 
@@ -49,21 +52,21 @@
 pub enum Step {
     /// An order is written to the store.
     Issue,
-    /// The order with this number arrives at the sidecar.
+    /// The order with this token arrives at the sidecar.
     Arrive(Fence),
-    /// The store answers the sidecar.
+    /// The store responds to the sidecar.
     StoreAnswers,
-    /// The store is out.
+    /// The store is unavailable to the sidecar.
     StoreOut,
-    /// The server carries out an order and answers, if the connection is still there.
+    /// The server executes an order, and responds if the connection is still open.
     Effect(Fence),
-    /// An order takes long.
+    /// An order times out.
     Slow,
     /// The connection to the server closes.
     Close,
-    /// The settling time is over.
+    /// The settling period ends.
     Settled,
-    /// A timer of an earlier settling ends.
+    /// A timer of an earlier settling period fires.
     StaleTimer,
     /// The sidecar's process is replaced.
     SidecarRestarts,
@@ -79,83 +82,87 @@
 
 /// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World {
-    twin: Twin,
+pub struct State {
+    mutation: Mutation,
     settings: Settings,
     faults: u32,
     newest: Fence,
-    on_the_way: Vec<Fence>,
+    in_transit: Vec<Fence>,
     sequencer: Sequencer,
-    reads: bool,
-    settles: bool,
-    timers: bool,
+    reading_store: bool,
+    settling: bool,
+    stale_timer: bool,
     pending: Vec<Pending>,
-    /// Highest number that a server which checks has taken.
-    taken: Fence,
+    /// Highest token that the server has accepted.
+    highest_accepted: Fence,
     effects: Vec<Fence>,
 }
 
-/// Searches every state within a budget of faults.
-pub fn check(twin: Twin, checks: bool, faults: u32) -> Outcome<Step> {
-    search(World::new(twin, checks, faults), World::next, World::broken)
+/// Searches all states with at most `faults` faults.
+pub fn check(mutation: Mutation, checks: bool, faults: u32) -> Outcome<Step> {
+    search(
+        State::new(mutation, checks, faults),
+        State::successors,
+        State::violated_invariant,
+    )
 }
 
-impl World {
-    fn new(twin: Twin, checks: bool, faults: u32) -> Self {
+impl State {
+    fn new(mutation: Mutation, checks: bool, faults: u32) -> Self {
         let settings = Settings {
             checks_fence: checks,
             ..Settings::default()
         };
-        let mut world = Self {
-            twin,
+        let mut state = Self {
+            mutation,
             settings,
             faults,
             newest: 0,
-            on_the_way: Vec::new(),
+            in_transit: Vec::new(),
             sequencer: Sequencer::new(settings),
-            reads: false,
-            settles: false,
-            timers: false,
+            reading_store: false,
+            settling: false,
+            stale_timer: false,
             pending: Vec::new(),
-            taken: 0,
+            highest_accepted: 0,
             effects: Vec::new(),
         };
-        world.start();
-        world
+        state.start();
+        state
     }
 
-    fn broken(&self) -> Option<&'static str> {
-        let old = self.effects.windows(2).any(|pair| pair[1] < pair[0]);
-        old.then_some("no order takes effect after a newer one")
+    fn violated_invariant(&self) -> Option<&'static str> {
+        let reordered = self.effects.windows(2).any(|pair| pair[1] < pair[0]);
+        reordered.then_some("no order takes effect after a newer one")
     }
 
-    fn next(&self) -> Vec<(Step, Self)> {
+    fn successors(&self) -> Vec<(Step, Self)> {
         let mut steps = Vec::new();
-        if self.newest < ORDERS {
+        if self.newest < MAX_ORDERS {
             steps.push(Step::Issue);
         }
-        steps.extend(self.on_the_way.iter().copied().map(Step::Arrive));
-        if self.reads {
+        steps.extend(self.in_transit.iter().copied().map(Step::Arrive));
+        if self.reading_store {
             steps.push(Step::StoreAnswers);
         }
         let pending = self.pending.iter();
         steps.extend(pending.map(|pending| Step::Effect(pending.fence)));
-        if self.settles && self.settled() {
+        if self.settling && self.may_settle() {
             steps.push(Step::Settled);
         }
-        if self.timers {
+        if self.stale_timer {
             steps.push(Step::StaleTimer);
         }
         if self.faults > 0 {
-            steps.extend(self.faulty());
+            steps.extend(self.fault_steps());
         }
-        let lead = |step| (step, self.after(step));
-        steps.into_iter().map(lead).collect()
+        let with_successor = |step| (step, self.successor(step));
+        steps.into_iter().map(with_successor).collect()
     }
 
-    fn faulty(&self) -> Vec<Step> {
+    fn fault_steps(&self) -> Vec<Step> {
         let mut steps = vec![Step::SidecarRestarts, Step::ServerRestarts];
-        if self.reads {
+        if self.reading_store {
             steps.push(Step::StoreOut);
         }
         if self.pending.iter().any(|pending| pending.connected) {
@@ -164,53 +171,53 @@
         steps
     }
 
-    /// The settling time ends only when nothing of a closed connection is left with the server.
-    fn settled(&self) -> bool {
-        self.twin == Twin::NoSettle || self.pending.iter().all(|pending| pending.connected)
+    /// The settling period ends only when the server has no order left from a closed connection.
+    fn may_settle(&self) -> bool {
+        self.mutation == Mutation::NoSettle || self.pending.iter().all(|pending| pending.connected)
     }
 
-    fn after(&self, step: Step) -> Self {
-        let mut world = self.clone();
-        world.take(step);
-        world
+    fn successor(&self, step: Step) -> Self {
+        let mut state = self.clone();
+        state.apply(step);
+        state
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Issue => {
                 self.newest += 1;
-                self.on_the_way.push(self.newest);
+                self.in_transit.push(self.newest);
             }
             Step::Arrive(fence) => {
-                self.on_the_way.retain(|other| *other != fence);
-                self.tell(Event::Order(numbered(fence)));
+                self.in_transit.retain(|other| *other != fence);
+                self.handle(Event::Order(fenced_order(fence)));
             }
             Step::StoreAnswers => {
-                self.reads = false;
-                let newest = match self.twin {
-                    Twin::NoRead => 0,
+                self.reading_store = false;
+                let newest = match self.mutation {
+                    Mutation::NoRead => 0,
                     _ => self.newest,
                 };
-                self.tell(Event::NewestRead(newest));
+                self.handle(Event::NewestRead(newest));
             }
             Step::StoreOut => {
                 self.faults -= 1;
-                self.reads = false;
-                self.tell(Event::StoreOut);
+                self.reading_store = false;
+                self.handle(Event::StoreOut);
             }
-            Step::Effect(fence) => self.effect(fence),
-            Step::Slow => self.slow(),
-            Step::Close => self.close(),
+            Step::Effect(fence) => self.execute(fence),
+            Step::Slow => self.time_out(),
+            Step::Close => self.close_connection(),
             Step::Settled => {
-                self.settles = false;
-                self.tell_at(Event::TimerFired, self.settings.settle_time);
+                self.settling = false;
+                self.handle_at(Event::TimerFired, self.settings.settle_time);
             }
             Step::StaleTimer => {
-                let now = match self.twin {
-                    Twin::StaleCounts => self.settings.settle_time,
+                let now = match self.mutation {
+                    Mutation::StaleCounts => self.settings.settle_time,
                     _ => Clock::ZERO,
                 };
-                self.tell_at(Event::TimerFired, now);
+                self.handle_at(Event::TimerFired, now);
             }
             Step::SidecarRestarts => {
                 self.faults -= 1;
@@ -223,52 +230,52 @@
             Step::ServerRestarts => {
                 self.faults -= 1;
                 self.pending.clear();
-                self.taken = 0;
-                self.tell(Event::Restarted);
+                self.highest_accepted = 0;
+                self.handle(Event::Restarted);
             }
         }
     }
 
     fn start(&mut self) {
-        self.reads = false;
-        self.settles = false;
-        self.timers = false;
-        self.tell(Event::Started);
+        self.reading_store = false;
+        self.settling = false;
+        self.stale_timer = false;
+        self.handle(Event::Started);
     }
 
-    fn effect(&mut self, fence: Fence) {
-        let Some(at) = self.pending.iter().position(|p| p.fence == fence) else {
+    fn execute(&mut self, fence: Fence) {
+        let Some(index) = self.pending.iter().position(|p| p.fence == fence) else {
             return;
         };
-        let pending = self.pending.remove(at);
-        let checks = self.settings.checks_fence && self.twin != Twin::IgnoresFence;
-        if checks && fence < self.taken {
-            let highest = self.taken;
-            return self.answer(&pending, Event::Refused { fence, highest });
+        let pending = self.pending.remove(index);
+        let checks = self.settings.checks_fence && self.mutation != Mutation::IgnoresFence;
+        if checks && fence < self.highest_accepted {
+            let highest = self.highest_accepted;
+            return self.respond(&pending, Event::Refused { fence, highest });
         }
-        self.taken = fence;
+        self.highest_accepted = fence;
         self.effects.push(fence);
-        self.answer(&pending, Event::Applied(fence));
+        self.respond(&pending, Event::Applied(fence));
     }
 
-    fn answer(&mut self, pending: &Pending, event: Event) {
+    fn respond(&mut self, pending: &Pending, event: Event) {
         if pending.connected {
-            self.tell(event);
+            self.handle(event);
         }
     }
 
-    fn slow(&mut self) {
+    fn time_out(&mut self) {
         self.faults -= 1;
         let Some(fence) = self.first_connected() else {
             return;
         };
-        match self.twin {
-            Twin::SlowIsOver => self.tell(Event::Restarted),
-            _ => self.tell(Event::TimedOut(fence)),
+        match self.mutation {
+            Mutation::SlowIsOver => self.handle(Event::Restarted),
+            _ => self.handle(Event::TimedOut(fence)),
         }
     }
 
-    fn close(&mut self) {
+    fn close_connection(&mut self) {
         self.faults -= 1;
         let Some(fence) = self.first_connected() else {
             return;
@@ -276,7 +283,7 @@
         for pending in &mut self.pending {
             pending.connected &= pending.fence != fence;
         }
-        self.tell(Event::Closed(fence));
+        self.handle(Event::Closed(fence));
     }
 
     fn first_connected(&self) -> Option<Fence> {
@@ -284,17 +291,17 @@
         pending.find(|p| p.connected).map(|p| p.fence)
     }
 
-    fn tell(&mut self, event: Event) {
-        self.tell_at(event, Clock::ZERO);
+    fn handle(&mut self, event: Event) {
+        self.handle_at(event, Clock::ZERO);
     }
 
-    fn tell_at(&mut self, event: Event, now: Clock) {
+    fn handle_at(&mut self, event: Event, now: Clock) {
         for action in self.sequencer.handle(event, now) {
             match action {
-                Action::ReadStore => self.reads = true,
+                Action::ReadStore => self.reading_store = true,
                 Action::Wait(_) => {
-                    self.timers = self.settles;
-                    self.settles = true;
+                    self.stale_timer = self.settling;
+                    self.settling = true;
                 }
                 Action::Answer { .. } => {}
                 Action::Send(order) => self.pending.push(Pending {
@@ -306,7 +313,7 @@
     }
 }
 
-fn numbered(fence: Fence) -> Fenced {
+fn fenced_order(fence: Fence) -> Fenced {
     Fenced {
         fence,
         order: Order::Role {
--- a/components/models/src/search.rs
+++ b/components/models/src/search.rs
@@ -1,4 +1,4 @@
-//! Breadth-first search of a whole state space, by the `pathfinding` library.
+//! Exhaustive breadth-first search of a state space, built on the `pathfinding` library.
 
 use std::{
     cell::Cell,
@@ -12,70 +12,70 @@
 
 use pathfinding::directed::bfs::bfs;
 
-/// What a search found.
+/// Result of a search.
 #[derive(Clone, Debug)]
 pub enum Outcome<A> {
-    /// Every reachable state was seen and kept every invariant.
+    /// All reachable states satisfy all invariants.
     Holds {
-        /// Number of states.
+        /// Number of reachable states.
         states: usize,
-        /// Number of steps between them.
+        /// Number of transitions between them.
         steps: usize,
-        /// Time that the search took.
+        /// Duration of the search.
         took: Duration,
     },
-    /// A state broke an invariant; the trace is the shortest way there.
+    /// A reachable state violates an invariant.
     Broken {
-        /// The invariant.
+        /// The violated invariant.
         invariant: &'static str,
-        /// The steps from the first state to the broken one.
+        /// A shortest sequence of steps from the initial state to the violating one.
         trace: Vec<A>,
     },
 }
 
-/// Searches every state reachable from `start`.
+/// Searches all states that are reachable from `initial`.
 ///
-/// `next` gives the steps that are possible in a state, `broken` the invariant that a state breaks.
-/// The search ends only when the state space is finite: bound losses, repetitions and epochs in
-/// the specification.
+/// `successors` returns the enabled steps of a state with the states that they lead to, and
+/// `violated` the invariant that a state violates. The search terminates only if the state space is
+/// finite, so a specification must bound losses, repetitions and epochs.
 pub fn search<S, A>(
-    start: S,
-    next: impl Fn(&S) -> Vec<(A, S)>,
-    broken: impl Fn(&S) -> Option<&'static str>,
+    initial: S,
+    successors: impl Fn(&S) -> Vec<(A, S)>,
+    violated: impl Fn(&S) -> Option<&'static str>,
 ) -> Outcome<A>
 where
     S: Clone + Eq + Hash,
     A: Clone + Debug,
 {
-    let began = Instant::now();
+    let started = Instant::now();
     let states = Cell::new(0);
     let steps = Cell::new(0);
     let path = bfs(
-        &start,
+        &initial,
         |state| {
-            let following = next(state);
+            let enabled = successors(state);
             states.set(states.get() + 1);
-            steps.set(steps.get() + following.len());
-            following
+            steps.set(steps.get() + enabled.len());
+            enabled
                 .into_iter()
                 .map(|(_, state)| state)
                 .collect::<Vec<_>>()
         },
-        |state| broken(state).is_some(),
+        |state| violated(state).is_some(),
     );
     let Some(path) = path else {
         return Outcome::Holds {
             states: states.get(),
             steps: steps.get(),
-            took: began.elapsed(),
+            took: started.elapsed(),
         };
     };
-    let invariant = path.last().and_then(&broken).unwrap_or("unnamed");
+    let invariant = path.last().and_then(&violated).unwrap_or("unnamed");
     let trace = path
         .windows(2)
         .filter_map(|pair| {
-            let mut following = next(&pair[0]).into_iter();
-            following
+            let mut enabled = successors(&pair[0]).into_iter();
+            enabled
                 .find(|(_, state)| *state == pair[1])
                 .map(|(step, _)| step)
         })
--- a/components/models/src/spread.rs
+++ b/components/models/src/spread.rs
@@ -1,10 +1,12 @@
-//! Documents in three processes: no host serves by an older document than it served by before.
+//! Replication of documents: no host serves with an older document than it has served with before.
 //!
-//! The store, a host's life and the network are specified here; what a process holds and when it
-//! may serve is the production code of [`spread::Slot`] and [`spread::Gate`]. Messages are never
-//! taken out of the network: each may be delivered again, late, in any order, or never.
+//! The store, the lifecycle of the hosts and the network are specified here. Which documents a
+//! process holds and when it may serve is the production code of [`spread::Slot`] and
+//! [`spread::Gate`]. Messages are never removed from the network: each may be delivered repeatedly,
+//! late, in any order, or never.
 //!
-//! The assumption on faults is one of [`Deaths`]. Without one nobody may be left who could know.
+//! [`Assumption`] limits which processes may crash. Without a limit, all processes that know the
+//! newest document could be lost.
 
 use std::collections::BTreeSet;
 
@@ -18,101 +20,102 @@
     Slot, //
 };
 
-/// Name of the one environment.
+/// Name of the only environment.
 const ENVIRONMENT: &str = "e";
 
-/// Number of hosts that go on reading the store once they are ready.
-const READERS: usize = 2;
+/// Number of hosts that continue to read the store once they are ready.
+const STORE_READERS: usize = 2;
 
-/// Which processes may die.
+/// Assumption on crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Deaths {
-    /// One, while all others are ready.
+pub enum Assumption {
+    /// One process may crash, while all others are ready.
     Single,
-    /// Any, as long as one that holds the newest document which any host served by stays ready; or
-    /// all at once. Answers to questions aren't late here, to keep the search small.
+    /// Any process may crash, as long as another one stays ready that holds the newest document
+    /// with which any host has served. The last ready process may crash too, and all others then
+    /// crash with it. Answers arrive immediately, which limits the size of the state space.
     Several,
 }
 
-/// Broken variants of the specification.
+/// Defects built into the system, each of which the search must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Twin {
-    /// Nothing is broken.
+pub enum Mutation {
+    /// The system without a defect.
     None,
     /// A document from the store is in force before another process holds it.
     Unshared,
-    /// A new process serves once one neighbour has answered.
+    /// A new process serves as soon as one neighbour has answered.
     FirstAnswer,
-    /// The answers of processes that aren't ready count.
-    Unready,
-    /// An answer counts whichever question it was given to.
-    AnyQuestion,
-    /// A message replaces what is held, whatever its revision.
+    /// Answers of processes that are not ready count.
+    UnreadyAnswer,
+    /// An answer counts whatever nonce it carries.
+    IgnoreNonce,
+    /// A message replaces the held document, whatever its revision.
     Overwrite,
 }
 
 /// A message.
 ///
-/// Documents and acknowledgements carry no sender, so that a state has fewer of them. Whoever waits
-/// for a revision may take an acknowledgement as meant for it.
+/// Documents and acknowledgements have no sender, which reduces the number of states. A host that
+/// waits for a revision accepts any acknowledgement of it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Packet {
     /// A document.
     Push {
         /// Receiver.
         to: usize,
-        /// The document's revision.
+        /// Revision of the document.
         revision: Revision,
     },
     /// Another host holds a document.
     Ack {
         /// Receiver.
         to: usize,
-        /// The document's revision.
+        /// Revision of the document.
         revision: Revision,
     },
-    /// What a host holds, asked for by a new process.
+    /// Answer to a new process that asks for the held revision.
     Answer {
         /// Sender.
         from: usize,
         /// Receiver.
         to: usize,
-        /// Number of the question.
+        /// Nonce of the query.
         question: Nonce,
-        /// The sender may serve.
+        /// The sender is ready.
         ready: bool,
-        /// Revision that it holds.
+        /// Revision that the sender holds.
         revision: Revision,
     },
 }
 
-/// One step.
+/// A step of the system. Numbers are indices of hosts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// An operator's document is accepted.
+    /// The store accepts a document from an operator.
     Write,
-    /// The store goes out.
+    /// The store becomes unavailable.
     StoreOut,
-    /// It is back.
+    /// The store becomes available.
     StoreBack,
     /// A host reads the store.
     Read(usize),
-    /// A host tries to read the store, which is out.
+    /// A host fails to read the store, which is unavailable.
     ReadFails(usize),
     /// A message arrives.
     Deliver(Packet),
-    /// A host answers the question of another.
+    /// A host answers the query of another.
     Answer {
-        /// Who answers.
+        /// Host that answers.
         from: usize,
-        /// Who asked.
+        /// Host that asked.
         to: usize,
     },
-    /// A host brings a document into force, as no other host is up.
+    /// A host brings a document into force because no other host is up.
     Alone(usize),
-    /// A host becomes ready.
+    /// A host becomes ready if its gate allows it.
     Open(usize),
-    /// A host's process dies.
+    /// A host's process crashes.
     Crash(usize),
     /// A host's process starts.
     Start(usize),
@@ -127,71 +130,78 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Host {
     process: Option<Process>,
-    lives: u64,
-    /// Highest revision that it ever served by.
-    served: Revision,
+    starts: u64,
+    /// Highest revision with which the host has ever served.
+    highest_served: Revision,
 }
 
-/// The whole state.
+/// State of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    store: Revision,
-    out: bool,
+    store_revision: Revision,
+    store_unavailable: bool,
     hosts: Vec<Host>,
     network: BTreeSet<Packet>,
     writes: u8,
     outages: u8,
     crashes: u8,
-    deaths: Deaths,
+    assumption: Assumption,
 }
 
-/// So many hosts, all ready and with revision 1; so many writes, outages and crashes will come.
-pub fn start(hosts: usize, writes: u8, outages: u8, crashes: u8, deaths: Deaths) -> State {
+/// Returns the initial state: `hosts` hosts, all ready and holding revision 1. The other counts
+/// limit the writes, store outages and crashes to come.
+pub fn initial(
+    hosts: usize,
+    writes: u8,
+    outages: u8,
+    crashes: u8,
+    assumption: Assumption,
+) -> State {
     let mut state = State {
-        store: 1,
-        out: false,
+        store_revision: 1,
+        store_unavailable: false,
         hosts: Vec::new(),
         network: BTreeSet::new(),
         writes,
         outages,
         crashes,
-        deaths,
+        assumption,
     };
     for host in 0..hosts {
-        let mut process = process(host, 0);
+        let mut process = new_process(host, 0);
         process.slot.receive(edition(1));
         process.gate.store_read();
         process.gate.try_open(&BTreeSet::new(), false, |_| 1);
         state.hosts.push(Host {
             process: Some(process),
-            lives: 0,
-            served: 1,
+            starts: 0,
+            highest_served: 1,
         });
     }
     state
 }
 
-/// The steps that are possible.
-pub fn next(state: &State, twin: Twin) -> Vec<(Action, State)> {
+/// Returns all enabled steps with the states that they lead to.
+pub fn successors(state: &State, mutation: Mutation) -> Vec<(Action, State)> {
     let mut steps = Vec::new();
     for action in state.actions() {
-        let mut following = state.clone();
-        following.apply(&action, twin);
-        following.note();
-        if following != *state {
-            steps.push((action, following));
+        let mut successor = state.clone();
+        successor.apply(&action, mutation);
+        successor.normalize();
+        if successor != *state {
+            steps.push((action, successor));
         }
     }
     steps
 }
 
-/// The invariant that a state breaks.
-pub fn broken(state: &State) -> Option<&'static str> {
-    let back = state.hosts.iter().any(|host| {
+/// Returns the invariant that the state violates.
+pub fn violated_invariant(state: &State) -> Option<&'static str> {
+    let rolled_back = state.hosts.iter().any(|host| {
         let process = host.process.as_ref();
-        process.is_some_and(|p| p.gate.is_open() && p.in_force() < host.served)
+        process.is_some_and(|p| p.gate.is_open() && p.in_force() < host.highest_served)
     });
-    back.then_some("no host serves by an older document than before")
+    rolled_back.then_some("no host goes back to an older document")
 }
 
 impl Process {
@@ -207,10 +217,10 @@
 impl State {
     fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.out && self.writes > 0 {
+        if !self.store_unavailable && self.writes > 0 {
             actions.push(Action::Write);
         }
-        match self.out {
+        match self.store_unavailable {
             true => actions.push(Action::StoreBack),
             false if self.outages > 0 => actions.push(Action::StoreOut),
             false => {}
@@ -220,10 +230,10 @@
                 actions.push(Action::Start(at));
                 continue;
             };
-            match self.out {
+            match self.store_unavailable {
                 true => actions.push(Action::ReadFails(at)),
-                // A ready process reads only if it is a reader.
-                false if at < READERS || !process.ready() => actions.push(Action::Read(at)),
+                // Of the ready processes, only the first `STORE_READERS` hosts read the store.
+                false if at < STORE_READERS || !process.ready() => actions.push(Action::Read(at)),
                 false => {}
             }
             if process.slot.is_pending() && self.others(at).is_empty() {
@@ -242,7 +252,7 @@
         actions
     }
 
-    /// The other hosts whose process is up.
+    /// Returns the other hosts whose process is up.
     fn others(&self, host: usize) -> Vec<usize> {
         (0..self.hosts.len())
             .filter(|other| *other != host && self.hosts[*other].process.is_some())
@@ -250,45 +260,50 @@
     }
 
     fn may_crash(&self, host: usize) -> bool {
-        let newest = self.hosts.iter().map(|host| host.served).max().unwrap_or(0);
+        let newest = self
+            .hosts
+            .iter()
+            .map(|host| host.highest_served)
+            .max()
+            .unwrap_or(0);
         let others = self.others(host).into_iter();
         let ready: Vec<_> = others
             .filter_map(|other| self.hosts[other].process.as_ref())
             .filter(|process| process.ready())
             .collect();
-        match self.deaths {
-            Deaths::Single => ready.len() == self.hosts.len() - 1,
-            Deaths::Several => {
+        match self.assumption {
+            Assumption::Single => ready.len() == self.hosts.len() - 1,
+            Assumption::Several => {
                 ready.is_empty() || ready.iter().any(|process| process.in_force() >= newest)
             }
         }
     }
 
-    fn apply(&mut self, action: &Action, twin: Twin) {
+    fn apply(&mut self, action: &Action, mutation: Mutation) {
         match action {
             Action::Write => {
                 self.writes -= 1;
-                self.store += 1;
+                self.store_revision += 1;
             }
             Action::StoreOut => {
                 self.outages -= 1;
-                self.out = true;
+                self.store_unavailable = true;
             }
-            Action::StoreBack => self.out = false,
-            Action::Read(at) => self.read(*at, twin),
+            Action::StoreBack => self.store_unavailable = false,
+            Action::Read(at) => self.read(*at, mutation),
             Action::ReadFails(at) => {
                 if let Some(process) = &mut self.hosts[*at].process {
                     process.gate.store_failed();
                 }
             }
-            Action::Deliver(packet) => self.deliver(packet, twin),
-            Action::Answer { from, to } => self.answer(*from, *to, twin),
+            Action::Deliver(packet) => self.deliver(packet, mutation),
+            Action::Answer { from, to } => self.answer(*from, *to, mutation),
             Action::Alone(at) => {
                 if let Some(process) = &mut self.hosts[*at].process {
                     process.slot.activate();
                 }
             }
-            Action::Open(at) => self.open(*at, twin),
+            Action::Open(at) => self.open(*at, mutation),
             Action::Crash(at) => {
                 self.crashes -= 1;
                 self.hosts[*at].process = None;
@@ -301,41 +316,41 @@
             }
             Action::Start(at) => {
                 let host = &mut self.hosts[*at];
-                host.lives += 1;
-                host.process = Some(process(*at, host.lives));
+                host.starts += 1;
+                host.process = Some(new_process(*at, host.starts));
             }
         }
     }
 
-    fn read(&mut self, at: usize, twin: Twin) {
-        let revision = self.store;
+    fn read(&mut self, at: usize, mutation: Mutation) {
+        let revision = self.store_revision;
         let Some(process) = &mut self.hosts[at].process else {
             return;
         };
         process.slot.stage(edition(revision));
-        if twin == Twin::Unshared {
+        if mutation == Mutation::Unshared {
             process.slot.activate();
         }
         process.gate.store_read();
-        if process.slot.is_pending() || twin == Twin::Unshared {
+        if process.slot.is_pending() || mutation == Mutation::Unshared {
             for to in self.others(at) {
                 self.network.insert(Packet::Push { to, revision });
             }
         }
     }
 
-    fn deliver(&mut self, packet: &Packet, twin: Twin) {
+    fn deliver(&mut self, packet: &Packet, mutation: Mutation) {
         match packet {
             Packet::Push { to, revision } => {
                 let Some(process) = &mut self.hosts[*to].process else {
                     return;
                 };
-                if twin == Twin::Overwrite {
+                if mutation == Mutation::Overwrite {
                     process.slot = Slot::default();
                 }
                 process.slot.receive(edition(*revision));
                 let revision = process.slot.revision();
-                // Revision 1 is everywhere from the start.
+                // All hosts hold revision 1 from the start.
                 for other in (0..self.hosts.len()).filter(|other| other != to && revision > 1) {
                     let to = other;
                     self.network.insert(Packet::Ack { to, revision });
@@ -356,43 +371,43 @@
                 let Some(process) = &mut self.hosts[*to].process else {
                     return;
                 };
-                let question = match twin {
-                    Twin::AnyQuestion => process.gate.nonce(),
+                let question = match mutation {
+                    Mutation::IgnoreNonce => process.gate.nonce(),
                     _ => *question,
                 };
-                let ready = *ready || twin == Twin::Unready;
+                let ready = *ready || mutation == Mutation::UnreadyAnswer;
                 let held = [(ENVIRONMENT.to_string(), *revision)];
                 process.gate.answer(from.to_string(), question, ready, held);
             }
         }
     }
 
-    /// A host answers a question, and sends what it holds along.
-    fn answer(&mut self, from: usize, to: usize, twin: Twin) {
-        let (Some(asked), Some(asking)) = (&self.hosts[from].process, &self.hosts[to].process)
+    /// Answers the query of a new process and sends the held document along.
+    fn answer(&mut self, from: usize, to: usize, mutation: Mutation) {
+        let (Some(answering), Some(asking)) = (&self.hosts[from].process, &self.hosts[to].process)
         else {
             return;
         };
-        let revision = asked.slot.revision();
+        let revision = answering.slot.revision();
         let answer = Packet::Answer {
             from,
             to,
             question: asking.gate.nonce(),
-            ready: asked.ready(),
+            ready: answering.ready(),
             revision,
         };
-        match self.deaths {
-            Deaths::Single => {
+        match self.assumption {
+            Assumption::Single => {
                 self.network.insert(answer);
             }
-            Deaths::Several => self.deliver(&answer, twin),
+            Assumption::Several => self.deliver(&answer, mutation),
         }
         if revision > 0 {
             self.network.insert(Packet::Push { to, revision });
         }
     }
 
-    fn open(&mut self, at: usize, twin: Twin) {
+    fn open(&mut self, at: usize, mutation: Mutation) {
         let mut neighbours: Vec<_> = self.others(at).iter().map(ToString::to_string).collect();
         let Some(process) = &mut self.hosts[at].process else {
             return;
@@ -401,7 +416,7 @@
             return;
         }
         let held = process.slot.revision();
-        if twin != Twin::FirstAnswer {
+        if mutation != Mutation::FirstAnswer {
             let neighbours = neighbours.into_iter().collect();
             process.gate.try_open(&neighbours, false, |_| held);
             return;
@@ -411,37 +426,38 @@
         }
     }
 
-    /// Notes what hosts serve by, and drops what makes no difference between states.
-    fn note(&mut self) {
+    /// Records the revisions with which hosts serve, and removes differences between states that
+    /// have no effect.
+    fn normalize(&mut self) {
         for host in &mut self.hosts {
             let Some(process) = &mut host.process else {
                 continue;
             };
-            process.slot = plain(&process.slot);
+            process.slot = without_previous(&process.slot);
             if process.ready() {
-                host.served = host.served.max(process.in_force());
+                host.highest_served = host.highest_served.max(process.in_force());
             }
         }
     }
 }
 
-fn process(host: usize, life: u64) -> Process {
+fn new_process(host: usize, start_number: u64) -> Process {
     Process {
         slot: Slot::default(),
-        gate: Gate::new(host as u64 * 100 + life + 1),
+        gate: Gate::new(host as u64 * 100 + start_number + 1),
     }
 }
 
-/// The same slot without what it held before, which matters for the size of messages only.
-fn plain(slot: &Slot) -> Slot {
-    let mut plain = Slot::default();
+/// Returns the slot without its earlier document, which only affects the size of messages.
+fn without_previous(slot: &Slot) -> Slot {
+    let mut current = Slot::default();
     if let Some(edition) = slot.in_force() {
-        plain.receive(edition.clone());
+        current.receive(edition.clone());
     }
     if let Some(edition) = slot.newest().filter(|_| slot.is_pending()) {
-        plain.stage(edition.clone());
+        current.stage(edition.clone());
     }
-    plain
+    current
 }
 
 fn edition(revision: Revision) -> Edition {
--- a/components/models/tests/answer.rs
+++ b/components/models/tests/answer.rs
@@ -1,17 +1,17 @@
-//! The answer's specification, searched whole, and its broken twins.
+//! Answers: exhaustive search of the protocol, and the mutations that violate its invariants.
 
 use models::{
     answer::{
         Model,
+        Mutation,
         Step,
-        Variant,
         invariants::{
-            ENDS,
-            Known,
+            COMPLETE,
+            Cache,
             NO_HOLE,
             NO_REPEAT,
-            ONE_GENERATION,
-            WHOLE, //
+            SINGLE_GENERATION,
+            TERMINATES, //
         }, //
     },
     search::{
@@ -21,71 +21,75 @@
 };
 use rstest::rstest;
 
-const WHOLE_MODEL: Model = Model {
-    variant: Variant::Sound,
-    length: 2,
-    losses: 2,
-    epochs: 2,
+const BASE_MODEL: Model = Model {
+    mutation: Mutation::None,
+    answer_tokens: 2,
+    max_losses: 2,
+    max_epochs: 2,
 };
 
 fn run(model: Model) -> Outcome<Step> {
-    let known = Known::default();
+    let known = Cache::default();
     search(
-        model.start(),
-        |world| model.next(world),
-        |world| model.broken(world, &known),
+        model.initial(),
+        |state| model.successors(state),
+        |state| model.violated_invariant(state, &known),
     )
 }
 
-/// Two entries, three sidecars, two losses; messages lost, repeated and reordered without bound.
+/// Two entries, three sidecars, two losses, and unbounded loss, duplication and reordering of
+/// messages.
 #[test]
-fn every_reachable_state_keeps_the_promises() {
-    match run(WHOLE_MODEL) {
+fn every_reachable_state_satisfies_the_invariants() {
+    match run(BASE_MODEL) {
         Outcome::Holds {
             states,
             steps,
             took,
         } => {
             println!("answer: {states} states, {steps} steps, {took:?}");
-            // A smaller space would say that the specification lost some of its steps.
+            // A smaller state space would mean that the specification lost some of its steps.
             assert!(states > 50_000, "only {states} states");
         }
         Outcome::Broken { invariant, trace } => panic!("{invariant}: {trace:#?}"),
     }
 }
 
-/// Each promise is kept by one part of the protocol. Without the part, callers would get a mixed
-/// text, a hole, a repeat, half an answer or none; the trace shows how.
+/// Each invariant depends on one part of the protocol. Without that part a caller would receive a
+/// mixed text, a hole, a repeat, an incomplete answer, or none at all. The trace shows the failure.
 #[rstest]
-#[case::unfenced(Variant::Unfenced, 0, ONE_GENERATION)]
-#[case::index_only(Variant::IndexOnly, 0, ONE_GENERATION)]
-#[case::wrong_prefix(Variant::WrongPrefix, 0, ONE_GENERATION)]
-#[case::blind_log_skips(Variant::BlindLog, 1, NO_HOLE)]
-#[case::blind_log_repeats(Variant::BlindLog, 1, NO_REPEAT)]
-#[case::early_end(Variant::EarlyEnd, 0, WHOLE)]
-#[case::no_clock(Variant::NoClock, 1, ENDS)]
-fn a_missing_part_is_noticed(
-    #[case] variant: Variant,
-    #[case] losses: u32,
+#[case::unfenced(Mutation::Unfenced, 0, SINGLE_GENERATION)]
+#[case::index_only(Mutation::IndexOnly, 0, SINGLE_GENERATION)]
+#[case::wrong_prefix(Mutation::WrongPrefix, 0, SINGLE_GENERATION)]
+#[case::blind_log_skips(Mutation::BlindLog, 1, NO_HOLE)]
+#[case::blind_log_repeats(Mutation::BlindLog, 1, NO_REPEAT)]
+#[case::early_end(Mutation::EarlyEnd, 0, COMPLETE)]
+#[case::no_clock(Mutation::NoClock, 1, TERMINATES)]
+fn every_mutation_is_found(
+    #[case] mutation: Mutation,
+    #[case] max_losses: u32,
     #[case] expected: &str,
 ) {
     let model = Model {
-        variant,
-        losses,
-        ..WHOLE_MODEL
+        mutation,
+        max_losses,
+        ..BASE_MODEL
     };
-    let known = Known::default();
+    let known = Cache::default();
     let outcome = search(
-        model.start(),
-        |world| model.next(world),
-        |world| {
-            let broken = model.broken(world, &known);
-            broken.filter(|invariant| *invariant == expected)
+        model.initial(),
+        |state| model.successors(state),
+        |state| {
+            let violated = model.violated_invariant(state, &known);
+            violated.filter(|invariant| *invariant == expected)
         },
     );
     let Outcome::Broken { invariant, trace } = outcome else {
-        panic!("{variant:?} keeps every promise");
+        panic!("the search found no violation for {mutation:?}");
     };
     assert_eq!(invariant, expected);
-    insta::assert_debug_snapshot!(format!("{variant:?}-{}", expected.replace(' ', "-")), trace);
+    insta::assert_debug_snapshot!(
+        format!("{mutation:?}-{}", expected.replace(' ', "-")),
+        trace
+    );
 }
--- a/components/models/tests/contract.rs
+++ b/components/models/tests/contract.rs
@@ -1,35 +1,36 @@
-//! Kept calls, searched whole, and each way to get them wrong.
+//! Recorded calls: exhaustive search of the protocol, and the mutations that violate its
+//! invariants.
 
 use assert_matches::assert_matches;
 use models::{
     contract::{
-        Twin,
+        Mutation,
         check, //
     },
     search::Outcome, //
 };
 use rstest::rstest;
 
-/// Every order of events with two faults. A caller would notice a break as money taken twice, or
-/// taken although it was told `not_run`.
+/// All interleavings with two faults. A violation would mean that a call ran twice, such as a
+/// payment taken twice, or that it ran although the caller received `not_run`.
 #[test]
-fn calls_run_at_most_once_and_not_run_holds() {
-    assert_matches!(check(Twin::None, 2), Outcome::Holds { states, steps, took } => {
-        println!("kept calls, 2 faults: {states} states, {steps} steps, {took:?}");
+fn calls_run_at_most_once_and_not_run_is_never_wrong() {
+    assert_matches!(check(Mutation::None, 2), Outcome::Holds { states, steps, took } => {
+        println!("recorded calls, 2 faults: {states} states, {steps} steps, {took:?}");
     });
 }
 
 #[rstest]
-#[case::copy_begins(Twin::CopyBegins)]
-#[case::nonce_from_frame(Twin::NonceFromFrame)]
-#[case::unanswered_is_won(Twin::UnansweredIsWon)]
-#[case::no_compare(Twin::NoCompare)]
-#[case::sidecar_goes_on(Twin::SidecarGoesOn)]
-#[case::no_proof(Twin::NoProof)]
-#[case::broken_is_refused(Twin::BrokenIsRefused)]
-#[case::sends_again(Twin::SendsAgain)]
-fn a_broken_twin_is_caught(#[case] twin: Twin) {
-    assert_matches!(check(twin, 2), Outcome::Broken { invariant, trace } => {
-        insta::assert_debug_snapshot!(format!("contract_{twin:?}"), (invariant, trace));
+#[case::copy_begins(Mutation::CopyBegins)]
+#[case::nonce_from_frame(Mutation::NonceFromFrame)]
+#[case::unanswered_is_won(Mutation::UnansweredIsWon)]
+#[case::no_compare(Mutation::NoCompare)]
+#[case::sidecar_goes_on(Mutation::SidecarGoesOn)]
+#[case::no_proof(Mutation::NoProof)]
+#[case::broken_is_refused(Mutation::BrokenIsRefused)]
+#[case::sends_again(Mutation::SendsAgain)]
+fn every_mutation_is_found(#[case] mutation: Mutation) {
+    assert_matches!(check(mutation, 2), Outcome::Broken { invariant, trace } => {
+        insta::assert_debug_snapshot!(format!("contract_{mutation:?}"), (invariant, trace));
     });
 }
--- a/components/models/tests/edits.rs
+++ b/components/models/tests/edits.rs
@@ -1,12 +1,12 @@
-//! Edits: what operators are told agrees with the store; each broken twin is caught.
+//! Edits: reported outcomes agree with the store, and the search finds every mutation.
 
 use models::{
     edits::{
         Action,
-        Twin,
-        broken,
-        next,
-        start, //
+        Mutation,
+        initial,
+        successors,
+        violated_invariant, //
     },
     search::{
         Outcome,
@@ -15,28 +15,32 @@
 };
 use rstest::rstest;
 
-fn run(twin: Twin, faults: u8) -> Outcome<Action> {
-    search(start(faults), |state| next(state, twin), broken)
+fn run(mutation: Mutation, faults: u8) -> Outcome<Action> {
+    search(
+        initial(faults),
+        |state| successors(state, mutation),
+        violated_invariant,
+    )
 }
 
 #[test]
-fn operators_are_told_the_truth() {
-    let outcome = run(Twin::None, 3);
+fn reported_outcomes_agree_with_the_store() {
+    let outcome = run(Mutation::None, 3);
     println!("{outcome:?}");
     assert!(matches!(outcome, Outcome::Holds { .. }), "{outcome:?}");
 }
 
 #[rstest]
-#[case("silence_is_no", Twin::SilenceIsNo, 5)]
-#[case("blind_write", Twin::BlindWrite, 0)]
-#[case("no_history", Twin::NoHistory, 1)]
-#[case("no_pin", Twin::NoPin, 0)]
-fn a_broken_twin_is_caught(#[case] name: &str, #[case] twin: Twin, #[case] faults: u8) {
-    match run(twin, faults) {
+#[case("unanswered_is_refused", Mutation::UnansweredIsRefused, 5)]
+#[case("no_compare", Mutation::NoCompare, 0)]
+#[case("no_history", Mutation::NoHistory, 1)]
+#[case("no_pin", Mutation::NoPin, 0)]
+fn every_mutation_is_found(#[case] name: &str, #[case] mutation: Mutation, #[case] faults: u8) {
+    match run(mutation, faults) {
         Outcome::Broken { invariant, trace } => {
             let trace: Vec<_> = trace.iter().map(|step| format!("{step:?}")).collect();
             insta::assert_snapshot!(name, format!("{invariant}\n{}", trace.join("\n")));
         }
-        Outcome::Holds { .. } => panic!("the search doesn't catch {name}"),
+        Outcome::Holds { .. } => panic!("the search found no violation for {name}"),
     }
 }
--- a/components/models/tests/freshness.rs
+++ b/components/models/tests/freshness.rs
@@ -1,13 +1,13 @@
-//! Knowledge of the store: nothing is called current that isn't; each broken twin is caught.
+//! Freshness: no process confirms a state that is not current, and the search finds every mutation.
 
 use models::{
     freshness::{
         Action,
-        Left,
-        Twin,
-        broken,
-        next,
-        start, //
+        Budget,
+        Mutation,
+        initial,
+        successors,
+        violated_invariant, //
     },
     search::{
         Outcome,
@@ -16,40 +16,44 @@
 };
 use rstest::rstest;
 
-const LEFT: Left = Left {
+const BUDGET: Budget = Budget {
     ticks: 1,
     writes: 1,
     refusals: 0,
     restarts: 1,
     beacons: 2,
-    questions: 1,
+    queries: 1,
 };
 
-fn run(twin: Twin, hosts: usize, left: Left) -> Outcome<Action> {
-    search(start(hosts, left), |state| next(state, twin), broken)
+fn run(mutation: Mutation, hosts: usize, budget: Budget) -> Outcome<Action> {
+    search(
+        initial(hosts, budget),
+        |state| successors(state, mutation),
+        violated_invariant,
+    )
 }
 
 #[rstest]
-#[case::a_host_starts_again(2, LEFT)]
-#[case::a_host_is_turned_away(2, Left { refusals: 1, restarts: 0, questions: 2, ..LEFT })]
-#[case::three_hosts(3, Left { refusals: 1, restarts: 0, beacons: 1, ..LEFT })]
-fn what_is_confirmed_is_known(#[case] hosts: usize, #[case] left: Left) {
-    let outcome = run(Twin::None, hosts, left);
+#[case::host_restarts(2, BUDGET)]
+#[case::host_is_refused_by_the_store(2, Budget { refusals: 1, restarts: 0, queries: 2, ..BUDGET })]
+#[case::three_hosts(3, Budget { refusals: 1, restarts: 0, beacons: 1, ..BUDGET })]
+fn confirmed_processes_have_all_earlier_changes(#[case] hosts: usize, #[case] budget: Budget) {
+    let outcome = run(Mutation::None, hosts, budget);
     println!("{hosts} {outcome:?}");
     assert!(matches!(outcome, Outcome::Holds { .. }), "{outcome:?}");
 }
 
 #[rstest]
-#[case("any_run", Twin::AnyRun, LEFT)]
-#[case("as_read", Twin::AsRead, LEFT)]
-#[case("raises", Twin::Raises, LEFT)]
-#[case("as_answered", Twin::AsAnswered, LEFT)]
-fn a_broken_twin_is_caught(#[case] name: &str, #[case] twin: Twin, #[case] left: Left) {
-    match run(twin, 2, left) {
+#[case("ignore_incarnation", Mutation::IgnoreIncarnation, BUDGET)]
+#[case("date_claim_on_arrival", Mutation::DateClaimOnArrival, BUDGET)]
+#[case("claim_raises_revision", Mutation::ClaimRaisesRevision, BUDGET)]
+#[case("date_response_on_arrival", Mutation::DateResponseOnArrival, BUDGET)]
+fn every_mutation_is_found(#[case] name: &str, #[case] mutation: Mutation, #[case] budget: Budget) {
+    match run(mutation, 2, budget) {
         Outcome::Broken { invariant, trace } => {
             let trace: Vec<_> = trace.iter().map(|step| format!("{step:?}")).collect();
             insta::assert_snapshot!(name, format!("{invariant}\n{}", trace.join("\n")));
         }
-        Outcome::Holds { .. } => panic!("the search doesn't catch {name}"),
+        Outcome::Holds { .. } => panic!("the search found no violation for {name}"),
     }
 }
--- a/components/models/tests/moves.rs
+++ b/components/models/tests/moves.rs
@@ -1,10 +1,11 @@
-//! Moves: vetoes, outcomes and their record, over all interleavings.
+//! Traffic moves: invariants of vetoes, outcomes and their record, and the mutations that violate
+//! them.
 
 use assert_matches::assert_matches;
 use models::{
     moves::{
         Model,
-        Variant, //
+        Mutation, //
     },
     search::Outcome, //
 };
@@ -13,33 +14,36 @@
 #[rstest]
 #[case::one_loss(1, 0)]
 #[case::one_restart(0, 1)]
-fn vetoes_and_outcomes_hold(#[case] losses: u8, #[case] restarts: u8) {
+fn every_reachable_state_satisfies_the_invariants(
+    #[case] max_losses: u8,
+    #[case] max_restarts: u8,
+) {
     let outcome = Model {
-        variant: Variant::Right,
-        losses,
-        restarts,
+        mutation: Mutation::None,
+        max_losses,
+        max_restarts,
     }
     .search();
-    println!("moves, {losses} losses, {restarts} restarts: {outcome:?}");
+    println!("moves, {max_losses} losses, {max_restarts} restarts: {outcome:?}");
     assert_matches!(outcome, Outcome::Holds { .. });
 }
 
-/// Each is a way to build it wrongly that a reader might think harmless.
+/// Each mutation is a plausible implementation error.
 #[rstest]
-#[case::late_share(Variant::LateShare)]
-#[case::blind_writes(Variant::BlindWrites)]
-#[case::hasty_restart(Variant::HastyRestart)]
-#[case::report_on_write(Variant::ReportOnWrite)]
-fn broken_twins_are_caught(#[case] variant: Variant) {
+#[case::late_share(Mutation::LateShare)]
+#[case::blind_writes(Mutation::BlindWrites)]
+#[case::hasty_restart(Mutation::HastyRestart)]
+#[case::report_on_write(Mutation::ReportOnWrite)]
+fn every_mutation_is_found(#[case] mutation: Mutation) {
     let outcome = Model {
-        variant,
-        losses: 1,
-        restarts: 1,
+        mutation,
+        max_losses: 1,
+        max_restarts: 1,
     }
     .search();
     assert_matches!(outcome, Outcome::Broken { invariant, trace } => {
         let lines: Vec<_> = trace.iter().map(|step| format!("{step:?}")).collect();
         let text = format!("{invariant}\n{}", lines.join("\n"));
-        insta::assert_snapshot!(format!("moves_{variant:?}"), text);
+        insta::assert_snapshot!(format!("moves_{mutation:?}"), text);
     });
 }
--- a/components/models/tests/orders.rs
+++ b/components/models/tests/orders.rs
@@ -1,34 +1,35 @@
-//! Fenced orders, searched whole, and each way to get them wrong.
+//! Fenced orders: exhaustive search of the protocol, and the mutations that violate its invariants.
 
 use assert_matches::assert_matches;
 use models::{
     orders::{
-        Twin,
+        Mutation,
         check, //
     },
     search::Outcome, //
 };
 use rstest::rstest;
 
-/// Orders race, sidecar and server are replaced, connections close, the store goes out. An operator
-/// would notice a break as a server that serves an old version after a newer one was ordered.
+/// Orders race, sidecar and server are replaced, connections close, and the store becomes
+/// unavailable. A violation would mean that a server serves an old version after a newer one was
+/// ordered.
 #[rstest]
 #[case::checks(true)]
 #[case::does_not_check(false)]
-fn an_old_order_never_follows_a_newer_one(#[case] checks: bool) {
-    assert_matches!(check(Twin::None, checks, 3), Outcome::Holds { states, steps, took } => {
+fn no_order_takes_effect_after_a_newer_one(#[case] checks: bool) {
+    assert_matches!(check(Mutation::None, checks, 3), Outcome::Holds { states, steps, took } => {
         println!("orders, checks {checks}, 3 faults: {states} states, {steps} steps, {took:?}");
     });
 }
 
 #[rstest]
-#[case::no_read(Twin::NoRead, false)]
-#[case::no_settle(Twin::NoSettle, false)]
-#[case::slow_is_over(Twin::SlowIsOver, false)]
-#[case::stale_counts(Twin::StaleCounts, false)]
-#[case::ignores_fence(Twin::IgnoresFence, true)]
-fn a_broken_twin_is_caught(#[case] twin: Twin, #[case] checks: bool) {
-    assert_matches!(check(twin, checks, 3), Outcome::Broken { invariant, trace } => {
-        insta::assert_debug_snapshot!(format!("orders_{twin:?}"), (invariant, trace));
+#[case::no_read(Mutation::NoRead, false)]
+#[case::no_settle(Mutation::NoSettle, false)]
+#[case::slow_is_over(Mutation::SlowIsOver, false)]
+#[case::stale_counts(Mutation::StaleCounts, false)]
+#[case::ignores_fence(Mutation::IgnoresFence, true)]
+fn every_mutation_is_found(#[case] mutation: Mutation, #[case] checks: bool) {
+    assert_matches!(check(mutation, checks, 3), Outcome::Broken { invariant, trace } => {
+        insta::assert_debug_snapshot!(format!("orders_{mutation:?}"), (invariant, trace));
     });
 }
--- a/components/models/tests/search.rs
+++ b/components/models/tests/search.rs
@@ -1,4 +1,4 @@
-//! The search itself: it sees every state, and gives the shortest trace.
+//! The search visits every state and returns a shortest trace.
 
 use assert_matches::assert_matches;
 use models::search::{
@@ -6,7 +6,7 @@
     search, //
 };
 
-fn next(state: &u32) -> Vec<(&'static str, u32)> {
+fn successors(state: &u32) -> Vec<(&'static str, u32)> {
     if *state >= 10 {
         return Vec::new();
     }
@@ -14,13 +14,16 @@
 }
 
 #[test]
-fn a_space_that_keeps_its_invariant_is_counted() {
-    assert_matches!(search(0, next, |_| None), Outcome::Holds { states: 12, .. });
+fn counts_states_when_the_invariant_holds() {
+    assert_matches!(
+        search(0, successors, |_| None),
+        Outcome::Holds { states: 12, .. }
+    );
 }
 
 #[test]
-fn a_broken_invariant_comes_with_the_shortest_trace() {
-    let outcome = search(0, next, |state| (*state == 4).then_some("not four"));
+fn returns_a_shortest_trace_to_a_violation() {
+    let outcome = search(0, successors, |state| (*state == 4).then_some("not four"));
     assert_matches!(outcome, Outcome::Broken { invariant: "not four", trace } => {
         assert_eq!(trace, ["two", "two"]);
     });
--- a/components/models/tests/spread.rs
+++ b/components/models/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Documents: no host goes back; each broken twin is caught.
+//! Documents: no host goes back to an older one, and the search finds every mutation.
 
 use models::{
     search::{
@@ -7,47 +7,75 @@
     },
     spread::{
         Action,
-        Deaths,
+        Assumption,
+        Mutation,
         State,
-        Twin,
-        broken,
-        next,
-        start, //
+        initial,
+        successors,
+        violated_invariant, //
     }, //
 };
 use rstest::rstest;
 
-fn run(twin: Twin, first: State) -> Outcome<Action> {
-    search(first, |state| next(state, twin), broken)
+fn run(mutation: Mutation, initial_state: State) -> Outcome<Action> {
+    search(
+        initial_state,
+        |state| successors(state, mutation),
+        violated_invariant,
+    )
 }
 
 #[test]
-fn no_host_goes_back() {
-    let outcome = run(Twin::None, start(3, 1, 1, 1, Deaths::Single));
+fn no_host_goes_back_to_an_older_document() {
+    let outcome = run(Mutation::None, initial(3, 1, 1, 1, Assumption::Single));
     println!("{outcome:?}");
     assert!(matches!(outcome, Outcome::Holds { .. }), "{outcome:?}");
 }
 
-// All processes die one after the other and start again while the store is out.
+// All processes crash one after the other and restart while the store is unavailable.
 #[test]
-fn no_host_goes_back_when_all_die() {
-    let outcome = run(Twin::None, start(2, 1, 1, 2, Deaths::Several));
+fn no_host_goes_back_when_all_crash() {
+    let outcome = run(Mutation::None, initial(2, 1, 1, 2, Assumption::Several));
     println!("{outcome:?}");
     assert!(matches!(outcome, Outcome::Holds { .. }), "{outcome:?}");
 }
 
 #[rstest]
-#[case("unshared", Twin::Unshared, start(3, 1, 1, 1, Deaths::Single))]
-#[case("first_answer", Twin::FirstAnswer, start(3, 1, 1, 1, Deaths::Single))]
-#[case("unready", Twin::Unready, start(2, 0, 1, 2, Deaths::Several))]
-#[case("any_question", Twin::AnyQuestion, start(2, 1, 1, 2, Deaths::Single))]
-#[case("overwrite", Twin::Overwrite, start(3, 2, 0, 0, Deaths::Single))]
-fn a_broken_twin_is_caught(#[case] name: &str, #[case] twin: Twin, #[case] first: State) {
-    match run(twin, first) {
+#[case(
+    "unshared",
+    Mutation::Unshared,
+    initial(3, 1, 1, 1, Assumption::Single)
+)]
+#[case(
+    "first_answer",
+    Mutation::FirstAnswer,
+    initial(3, 1, 1, 1, Assumption::Single)
+)]
+#[case(
+    "unready_answer",
+    Mutation::UnreadyAnswer,
+    initial(2, 0, 1, 2, Assumption::Several)
+)]
+#[case(
+    "ignore_nonce",
+    Mutation::IgnoreNonce,
+    initial(2, 1, 1, 2, Assumption::Single)
+)]
+#[case(
+    "overwrite",
+    Mutation::Overwrite,
+    initial(3, 2, 0, 0, Assumption::Single)
+)]
+fn every_mutation_is_found(
+    #[case] name: &str,
+    #[case] mutation: Mutation,
+    #[case] initial_state: State,
+) {
+    match run(mutation, initial_state) {
         Outcome::Broken { invariant, trace } => {
             let trace: Vec<_> = trace.iter().map(|step| format!("{step:?}")).collect();
             insta::assert_snapshot!(name, format!("{invariant}\n{}", trace.join("\n")));
         }
-        Outcome::Holds { .. } => panic!("the search doesn't catch {name}"),
+        Outcome::Holds { .. } => panic!("the search found no violation for {name}"),
     }
 }
