--- a/components/entry/src/hosts/connector.rs
+++ b/components/entry/src/hosts/connector.rs
@@ -83,7 +83,7 @@
             }
             Err(error) => {
                 if !unavailable {
-                    events::emit!(messages::HOSTS, "reason=\"{error}\"");
+                    events::emit!(messages::HOSTS_UNREADABLE, "reason=\"{error}\"");
                 }
                 unavailable = true;
             }
--- a/components/entry/src/links.rs
+++ b/components/entry/src/links.rs
@@ -6,9 +6,9 @@
     time::Duration, //
 };
 
-use daemon::greeting::{
+use daemon::handshake::{
     self,
-    Pace, //
+    Intervals, //
 };
 use events::links;
 use tokio::{
@@ -84,9 +84,9 @@
 ) -> Result<(Link, Stream, Hello), Error> {
     // A socket of its own: a new link must get through even if the path of the last one, with the
     // same addresses and ports, no longer carries packets.
-    let link = state.node.dial_apart(address, host).await?;
+    let link = state.node.dial_from_new_socket(address, host).await?;
     let silence = state.settings.times.silence;
-    let (stream, hello) = greeting::dialled(&link, &state.hello, silence).await?;
+    let (stream, hello) = handshake::initiate(&link, &state.hello, silence).await?;
     Ok((link, stream, hello))
 }
 
@@ -109,8 +109,8 @@
     let address = incoming.address();
     let silence = state.settings.times.silence;
     let handshake = async {
-        let link = incoming.answer().await?;
-        let (stream, hello) = greeting::answered(&link, &state.hello, silence).await?;
+        let link = incoming.accept().await?;
+        let (stream, hello) = handshake::respond(&link, &state.hello, silence).await?;
         Ok((link, stream, hello))
     };
     match handshake.await {
@@ -135,9 +135,9 @@
     let (frames, queued) = mpsc::channel(FRAME_QUEUE);
     let heartbeats = state.heartbeat.subscribe();
     let times = &state.settings.times;
-    let pace = Pace {
+    let pace = Intervals {
         busy: times.heartbeat,
-        rest: times.rest,
+        idle: times.rest,
     };
     let received_any = {
         let link = link.clone();
@@ -149,7 +149,7 @@
             received_any
         }
     };
-    tokio::spawn(greeting::beat(
+    tokio::spawn(handshake::send_heartbeats(
         stream.sender,
         heartbeats,
         queued,
@@ -158,7 +158,7 @@
         received_any,
     ));
     let (shared, sender) = (state.clone(), frames.clone());
-    tokio::spawn(async move { shared.suspects.tell(sender).await });
+    tokio::spawn(async move { shared.suspects.send_changes(sender).await });
     let connection = Connection {
         link: link.clone(),
         hello,
--- a/components/entry/src/moves/observer.rs
+++ b/components/entry/src/moves/observer.rs
@@ -156,5 +156,5 @@
     let now = state.now();
     state
         .lateness
-        .part(now.saturating_sub(started.elapsed()), now)
+        .fraction(now.saturating_sub(started.elapsed()), now)
 }
--- a/components/gateway/src/retry_budget.rs
+++ b/components/gateway/src/retry_budget.rs
@@ -13,7 +13,7 @@
     Totals, //
 };
 use events::{
-    direct,
+    forwarding,
     note, //
 };
 use names::Service;
@@ -53,7 +53,7 @@
         if !granted {
             let others = retries.peers(known);
             note!(
-                direct::SPENT,
+                forwarding::RETRY_BUDGET_SPENT,
                 service = service.as_str(),
                 requests = own.requests,
                 retries = own.retries,
--- /dev/null
+++ b/components/sidecar/src/recorded.rs
@@ -0,0 +1,188 @@
+//! Recorded calls: the driver of the state machine in [`contract::handover`].
+
+use std::{
+    pin::Pin,
+    time::Duration, //
+};
+
+use contract::{
+    handover::{
+        Action,
+        Call,
+        Event,
+        Handover,
+        Settings, //
+    },
+    record::{
+        self,
+        Response, //
+    },
+    store::Write,
+};
+use events::calls;
+use tokio::time::sleep;
+use wire::{
+    Frame,
+    Stream,
+    frame::{
+        self,
+        Recording,
+        Reply, //
+    }, //
+};
+
+use crate::{
+    context::Context,
+    inflight::Guard,
+    service::{
+        Outcome,
+        Service, //
+    },
+};
+
+type NextEvent<'a> = Pin<Box<dyn Future<Output = Event> + Send + 'a>>;
+
+/// Runs a recorded call to its end: creates the record, forwards the call and records the outcome.
+/// Continues when the entry is gone.
+pub(crate) async fn run(
+    context: &Context,
+    service: &Service,
+    call: &frame::Call,
+    recording: &Recording,
+    guard: &Guard,
+    stream: Stream,
+) {
+    let mut driver = Driver {
+        context,
+        service,
+        call,
+        key: record::key(
+            &call.service,
+            &call.team,
+            call.key.as_deref().unwrap_or_default(),
+        ),
+        machine: Handover::new(
+            Call {
+                base: recording.base_revision,
+                digest: recording.digest.clone(),
+                server: context.settings.server.name.clone(),
+                nonce: rand::random(),
+                status_path: recording.status_path.clone(),
+            },
+            Settings::default(),
+        ),
+        guard,
+        stream,
+        entry_gone: false,
+    };
+    let mut next = driver.handle(Event::Requested).await;
+    while let Some(mut event) = next.take() {
+        let silence_timeout = sleep(context.settings.times.call);
+        tokio::pin!(silence_timeout);
+        let mut silence_reported = false;
+        let completed = loop {
+            tokio::select! {
+                completed = &mut event => break completed,
+                () = driver.stream.sender.stopped(), if !driver.entry_gone => {
+                    driver.entry_gone = true;
+                    driver.handle(Event::EntryGone).await;
+                }
+                () = &mut silence_timeout, if driver.machine.running() && !silence_reported => {
+                    silence_reported = true;
+                    driver.handle(Event::TimedOut).await;
+                }
+            }
+        };
+        drop(event);
+        next = driver.handle(completed).await;
+    }
+}
+
+struct Driver<'a> {
+    context: &'a Context,
+    service: &'a Service,
+    call: &'a frame::Call,
+    guard: &'a Guard,
+    key: String,
+    machine: Handover,
+    stream: Stream,
+    entry_gone: bool,
+}
+
+impl<'a> Driver<'a> {
+    /// Passes an event to the state machine and carries out its actions; returns the future that
+    /// yields the next event.
+    async fn handle(&mut self, event: Event) -> Option<NextEvent<'a>> {
+        let mut next = None;
+        let actions = self.machine.handle(event, self.context.now());
+        for action in actions {
+            let (context, service, call, guard) =
+                (self.context, self.service, self.call, self.guard);
+            let key = self.key.clone();
+            next = match action {
+                Action::Reply(reply) => {
+                    self.reply(reply).await;
+                    continue;
+                }
+                Action::Create { expect, record } => boxed(async move {
+                    Event::Created(context.records.write(&key, expect, &record).await)
+                }),
+                Action::Write { expect, record } => boxed(async move {
+                    let write = context.records.write(&key, expect, &record).await;
+                    report_unrecorded(&key, &write);
+                    Event::Written(write)
+                }),
+                Action::ReadBack => {
+                    boxed(async move { Event::Read(context.records.read(&key).await) })
+                }
+                Action::HandOver => {
+                    boxed(async move { outcome_event(service.forward(call, guard).await) })
+                }
+                Action::Wait(time) => boxed(wait(time)),
+            };
+        }
+        next
+    }
+
+    async fn reply(&mut self, reply: contract::handover::Reply) {
+        let frame = Frame::Reply(Reply::Kept(Box::new(reply)));
+        if self.stream.send(&frame).await.is_ok() {
+            self.stream.sender.finish();
+        }
+        // The remaining actions don't need the entry.
+        self.entry_gone = true;
+    }
+}
+
+fn boxed<'a>(future: impl Future<Output = Event> + Send + 'a) -> Option<NextEvent<'a>> {
+    Some(Box::pin(future))
+}
+
+async fn wait(time: Duration) -> Event {
+    sleep(time).await;
+    Event::TimerFired
+}
+
+fn outcome_event(outcome: Outcome) -> Event {
+    match outcome {
+        Outcome::Answered {
+            status,
+            content_type,
+            body,
+        } => Event::Answered(Response {
+            status,
+            content_type: content_type.unwrap_or_default(),
+            body,
+        }),
+        Outcome::NotSent => Event::Unreachable,
+        Outcome::Lost => Event::ConnectionLost,
+    }
+}
+
+/// Reports an outcome that could not be recorded; a later request with the same key then gets
+/// `unknown`.
+fn report_unrecorded(key: &str, write: &Write) {
+    if matches!(write, Write::Refused | Write::Unanswered) {
+        events::emit!(calls::UNRECORDED, "key={key}");
+    }
+}
