--- /dev/null
+++ b/components/models/src/contract/state.rs
@@ -0,0 +1,341 @@
+//! State of the model, and the effects of its steps.
+
+use contract::{
+    attempt,
+    handover::{
+        self,
+        Handover as Machine,
+        Reply, //
+    },
+    record::{
+        Response,
+        State as RecordState, //
+    },
+    seen::Seen,
+    store::Stored, //
+};
+use names::{
+    Clock,
+    Nonce,
+    Revision, //
+};
+
+use super::{
+    Mutation,
+    Step,
+    actors::{
+        Frame,
+        Handover,
+        Op,
+        Report,
+        Request,
+        Service,
+        target_sidecar, //
+    },
+    store::START_TIMEOUT, //
+};
+
+/// Number of entries, of sidecars, and of requests with the same key, one at each entry.
+pub(super) const NODE_COUNT: usize = 2;
+
+/// A state of the model.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct State {
+    pub(super) mutation: Mutation,
+    pub(super) faults: u32,
+    pub(super) revision: Revision,
+    pub(super) stored: Option<Stored>,
+    pub(super) delayed_writes: Vec<Op>,
+    pub(super) requests: Vec<Request>,
+    pub(super) handovers: Vec<Handover>,
+    /// Sends for which each sidecar has started a handover.
+    pub(super) seen: Vec<Seen>,
+    /// The entry of each call that was handed over, in order.
+    pub(super) handed_over: Vec<usize>,
+}
+
+impl State {
+    /// Returns the initial state.
+    pub fn new(mutation: Mutation, faults: u32) -> Self {
+        let requests = (0..NODE_COUNT).map(|entry| Request::new(entry as Nonce));
+        Self {
+            mutation,
+            faults,
+            revision: 0,
+            stored: None,
+            delayed_writes: Vec::new(),
+            requests: requests.collect(),
+            handovers: Vec::new(),
+            seen: vec![Seen::new(8); NODE_COUNT],
+            handed_over: Vec::new(),
+        }
+    }
+
+    /// Returns the invariant that the state violates.
+    pub fn violated_invariant(&self) -> Option<&'static str> {
+        if self.handed_over.len() > 1 {
+            return Some("at most one handover per key");
+        }
+        for (entry, request) in self.requests.iter().enumerate() {
+            if request.reported == Some(Report::NotRun) && self.handed_over.contains(&entry) {
+                return Some("not_run implies no handover ever");
+            }
+            if request.reported == Some(Report::Ran) && self.handed_over.is_empty() {
+                return Some("ran implies a handover");
+            }
+        }
+        None
+    }
+
+    pub(super) fn successor(&self, step: Step) -> Self {
+        let mut state = self.clone();
+        state.apply(step);
+        state.prune();
+        state
+    }
+
+    /// Removes what can have no further effect, which keeps the state space small: finished
+    /// handovers, and delayed writes whose expected revision has been replaced.
+    fn prune(&mut self) {
+        self.handovers
+            .retain(|handover| !handover.machine.done() || handover.op.is_some());
+        let revision = self.stored.as_ref().map_or(0, |stored| stored.revision);
+        let compares = self.mutation != Mutation::NoCompare;
+        self.delayed_writes
+            .retain(|op| !compares || op.expect() == Some(revision));
+    }
+
+    fn apply(&mut self, step: Step) {
+        match step {
+            Step::Request(entry) => {
+                self.requests[entry].started = true;
+                self.handle_at_entry(
+                    entry,
+                    attempt::Event::Start {
+                        store_available: true,
+                    },
+                );
+            }
+            Step::Frame(entry) => self.deliver_frame(entry),
+            Step::FrameTwice(entry) => {
+                self.faults -= 1;
+                self.requests[entry].frames[0].copies += 1;
+                self.deliver_frame(entry);
+            }
+            Step::Unsent(entry) => {
+                self.faults -= 1;
+                self.requests[entry].frames.pop();
+                self.handle_at_entry(entry, attempt::Event::Unsent);
+            }
+            Step::Reply(entry) => {
+                let (_, reply) = self.requests[entry].replies.remove(0);
+                self.handle_at_entry(entry, attempt::Event::Replied(reply));
+            }
+            Step::Silent(entry) => self.time_out_sidecar(entry),
+            Step::EntryStore(entry, completion) => self.finish_entry_call(entry, completion),
+            Step::SidecarStore(handover, completion) => {
+                self.finish_sidecar_call(handover, completion)
+            }
+            Step::LateWrite(write) => {
+                let op = self.delayed_writes.remove(write);
+                self.execute(&op);
+            }
+            Step::ServiceRefuses(handover) => {
+                self.faults -= 1;
+                self.handovers[handover].service = Service::Idle;
+                self.handle_at_sidecar(handover, handover::Event::Unreachable, Clock::ZERO);
+            }
+            Step::ServiceTakes(handover) => {
+                self.handovers[handover].service = Service::Running;
+                let entry = self.handovers[handover].entry;
+                self.handed_over.push(entry);
+            }
+            Step::ServiceAnswers(handover) => {
+                self.handovers[handover].service = Service::Idle;
+                self.handle_at_sidecar(
+                    handover,
+                    handover::Event::Answered(response()),
+                    Clock::ZERO,
+                );
+            }
+            Step::ServiceBreaks(handover) => {
+                self.faults -= 1;
+                self.handovers[handover].service = Service::Idle;
+                let event = match self.mutation {
+                    Mutation::BrokenIsRefused => handover::Event::Unreachable,
+                    _ => handover::Event::ConnectionLost,
+                };
+                self.handle_at_sidecar(handover, event, Clock::ZERO);
+            }
+            Step::Waited(handover) => {
+                self.handovers[handover].waiting = false;
+                self.handle_at_sidecar(handover, handover::Event::TimerFired, Clock::ZERO);
+            }
+            Step::Gone(handover) => {
+                self.handovers[handover].entry_gone = true;
+                self.handle_at_sidecar(handover, handover::Event::EntryGone, Clock::ZERO);
+            }
+            Step::EntryDies(entry) => self.entry_dies(entry),
+            Step::SidecarDies(sidecar) => self.sidecar_dies(sidecar),
+        }
+    }
+
+    fn time_out_sidecar(&mut self, entry: usize) {
+        let request = &mut self.requests[entry];
+        match self.mutation {
+            Mutation::NoProof => {
+                request.waiting = false;
+                request.reported = Some(Report::NotRun);
+            }
+            Mutation::SendsAgain if request.sends < 2 => {
+                request.sends += 1;
+                let base = self.stored.as_ref().map_or(0, |stored| stored.revision);
+                request.frames.push(Frame::new(request.sends, base));
+            }
+            _ => self.handle_at_entry(
+                entry,
+                attempt::Event::TimedOut {
+                    retry_allowed: false,
+                },
+            ),
+        }
+    }
+
+    fn entry_dies(&mut self, entry: usize) {
+        self.faults -= 1;
+        let request = &mut self.requests[entry];
+        request.alive = false;
+        request.waiting = false;
+        request.replies.clear();
+        if let Some(op) = request.op.take() {
+            self.delay_write(op);
+        }
+    }
+
+    /// Frames to a dead process are lost, since connections end with the process.
+    fn sidecar_dies(&mut self, sidecar: usize) {
+        self.faults -= 1;
+        self.seen[sidecar] = Seen::new(8);
+        for (entry, request) in self.requests.iter_mut().enumerate() {
+            request
+                .frames
+                .retain(|frame| target_sidecar(entry, frame.send) != sidecar);
+        }
+        for handover in std::mem::take(&mut self.handovers) {
+            if handover.sidecar() != sidecar {
+                self.handovers.push(handover);
+                continue;
+            }
+            if let Some(op) = handover.op {
+                self.delay_write(op);
+            }
+        }
+    }
+
+    /// Delivers a frame. The sidecar starts a handover with its own nonce.
+    fn deliver_frame(&mut self, entry: usize) {
+        let frames = &mut self.requests[entry].frames;
+        let frame = frames[0].clone();
+        if frame.copies > 1 {
+            frames[0].copies -= 1;
+            frames[0].arrived = true;
+        } else {
+            frames.remove(0);
+        }
+        let copy = match self.mutation {
+            Mutation::NonceFromFrame => 0,
+            _ => Nonce::from(frame.copies),
+        };
+        let number = 100 + 10 * entry as Nonce + 3 * Nonce::from(frame.send);
+        let new = self.seen[target_sidecar(entry, frame.send)].insert(number);
+        let starts_twice = matches!(
+            self.mutation,
+            Mutation::CopyBegins | Mutation::NonceFromFrame
+        );
+        if !new && !starts_twice {
+            return;
+        }
+        let nonce = number + copy;
+        self.start_handover(entry, frame.send, frame.base, nonce);
+    }
+
+    fn start_handover(&mut self, entry: usize, send: u32, base: Revision, nonce: Nonce) {
+        let call = handover::Call {
+            base,
+            digest: String::new(),
+            server: String::new(),
+            nonce,
+            status_path: String::new(),
+        };
+        let settings = handover::Settings {
+            start_timeout: START_TIMEOUT,
+            max_write_attempts: 2,
+            ..handover::Settings::default()
+        };
+        self.handovers.push(Handover {
+            machine: Machine::new(call, settings),
+            entry,
+            send,
+            op: None,
+            service: Service::Idle,
+            waiting: false,
+            entry_gone: false,
+        });
+        self.handle_at_sidecar(
+            self.handovers.len() - 1,
+            handover::Event::Requested,
+            Clock::ZERO,
+        );
+    }
+
+    pub(super) fn handle_at_entry(&mut self, entry: usize, event: attempt::Event) {
+        let request = &mut self.requests[entry];
+        for action in request.machine.handle(event) {
+            request.perform(action);
+        }
+    }
+
+    pub(super) fn handle_at_sidecar(&mut self, index: usize, event: handover::Event, now: Clock) {
+        let actions = self.handovers[index].machine.handle(event, now);
+        for action in actions {
+            let handover = &mut self.handovers[index];
+            match action {
+                handover::Action::Create { expect, record } => {
+                    handover.op = Some(Op::Create { expect, record });
+                }
+                handover::Action::Write { expect, record } => {
+                    handover.op = Some(Op::Write { expect, record });
+                }
+                handover::Action::ReadBack => handover.op = Some(Op::Read),
+                handover::Action::HandOver => handover.service = Service::Requested,
+                handover::Action::Wait(_) => handover.waiting = true,
+                handover::Action::Reply(reply) => self.send_reply(index, reply),
+            }
+        }
+    }
+
+    fn send_reply(&mut self, index: usize, reply: Reply) {
+        let (entry, send) = (self.handovers[index].entry, self.handovers[index].send);
+        if self.mutation == Mutation::SidecarGoesOn
+            && send < 2
+            && let Reply::Conflict(Some(standing)) = &reply
+            && matches!(standing.record.state, RecordState::Void { .. })
+        {
+            let nonce = 200 + entry as Nonce;
+            self.start_handover(entry, 2, standing.revision, nonce);
+            return;
+        }
+        let request = &mut self.requests[entry];
+        if request.waiting && request.sends == send {
+            request.replies.push((send, reply));
+        }
+    }
+}
+
+fn response() -> Response {
+    Response {
+        status: 201,
+        content_type: String::new(),
+        body: Vec::new(),
+    }
+}
