--- a/components/sidecar/src/daemon.rs
+++ b/components/sidecar/src/daemon.rs
@@ -92,8 +92,7 @@
         })?;
         let ended = CancellationToken::new();
         let state = Arc::new(state(settings, stop.clone())?);
-        let (ready, readiness) =
-            watch::channel(Readiness::Waiting("backend server not checked yet".into()));
+        let (ready, readiness) = watch::channel(Readiness::Waiting("backend server unseen".into()));
         let served = http::serve(
             state.context.settings.operators,
             probe::router(metering::install(), readiness),
