--- a/components/events/src/lib.rs
+++ b/components/events/src/lib.rs
@@ -7,13 +7,13 @@
 pub mod answers;
 pub mod calls;
 pub mod documents;
-pub mod fast_moves;
 pub mod forwarding;
 pub mod limits;
 pub mod links;
 pub mod moves;
 pub mod orders;
 pub mod process;
+pub mod rollout;
 
 use std::fmt;
 
@@ -50,7 +50,7 @@
         links::ALL,
         answers::ALL,
         calls::ALL,
-        fast_moves::ALL,
+        rollout::ALL,
         forwarding::ALL,
         documents::ALL,
         moves::ALL,
--- a/components/gateway/src/rollout.rs
+++ b/components/gateway/src/rollout.rs
@@ -10,8 +10,8 @@
 };
 
 use events::{
-    fast_moves as event,
-    note, //
+    note,
+    rollout as event, //
 };
 use moves::{
     Side,
