--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -148,7 +148,7 @@
     }
 
     /// Waits until the entry has stopped.
-    pub async fn ended(self) {
+    pub async fn stopped(self) {
         let _ = self.task.await;
     }
 }
--- a/components/sidecar/src/daemon.rs
+++ b/components/sidecar/src/daemon.rs
@@ -127,7 +127,7 @@
     }
 
     /// Waits until the sidecar has stopped.
-    pub async fn ended(self) {
+    pub async fn stopped(self) {
         let _ = self.task.await;
     }
 
--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -22,6 +22,6 @@
     println!("callers {}", entry.callers);
     println!("operators {}", entry.operators);
     println!("links {}", entry.links);
-    entry.ended().await;
+    entry.stopped().await;
     Ok(())
 }
--- a/src/cmd/sidecar.rs
+++ b/src/cmd/sidecar.rs
@@ -21,6 +21,6 @@
         .map_err(|error| Failure::Failed(error.to_string()))?;
     println!("links {}", sidecar.links);
     println!("operators {}", sidecar.operators);
-    sidecar.ended().await;
+    sidecar.stopped().await;
     Ok(())
 }
