--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -1,10 +1,10 @@
 //! The entry's side of one call: sends it, and proves `not_run` when its sidecar stops responding.
 //!
-//! The proof is a conditional write. A sidecar hands the call over only if its write of the record
-//! applies at the attempt's base revision (see [`crate::handover`]). The entry writes a void record
-//! at the same base. If that write applies, the sidecar's write must fail, however late it
-//! arrives. If it conflicts, the stored record tells whether the call ran or that its outcome is
-//! unknown.
+//! The proof is a conditional write. A sidecar forwards the call only if its write of the record
+//! applies at the attempt's base revision (see [`crate::forwarder`]). The entry writes a void
+//! record at the same base revision. If that write applies, the sidecar's write must fail, however
+//! late it arrives. If it conflicts, the stored record tells whether the call ran or that its
+//! outcome is unknown.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 };
 
 use crate::{
-    handover::Reply,
+    forwarder::Reply,
     outcome::{
         Outcome,
         Reason, //
@@ -117,8 +117,8 @@
 pub enum Action {
     /// Send the call with this base revision to a sidecar that was not tried yet.
     Send {
-        /// Revision for [`crate::handover::Call::base`].
-        base: Revision,
+        /// Revision for [`crate::forwarder::Call::base_revision`].
+        base_revision: Revision,
     },
     /// Write the void record if the record's revision is still `expect`.
     Void {
@@ -148,7 +148,7 @@
     call: Call,
     settings: Settings,
     stage: Stage,
-    base: Revision,
+    base_revision: Revision,
     sends: u32,
     voids: u32,
 }
@@ -160,7 +160,7 @@
             call,
             settings,
             stage: Stage::Initial,
-            base: 0,
+            base_revision: 0,
             sends: 0,
             voids: 0,
         }
@@ -188,7 +188,7 @@
     /// deadline.
     fn start(&mut self, store_available: bool) -> Vec<Action> {
         if self.call.class == Class::Recorded && !store_available {
-            return self.refuse(Reason::StoreOut);
+            return self.refuse(Reason::StoreUnavailable);
         }
         self.send()
     }
@@ -196,7 +196,9 @@
     fn send(&mut self) -> Vec<Action> {
         self.stage = Stage::Sent;
         self.sends += 1;
-        vec![Action::Send { base: self.base }]
+        vec![Action::Send {
+            base_revision: self.base_revision,
+        }]
     }
 
     fn unsent(&mut self) -> Vec<Action> {
@@ -218,7 +220,7 @@
             Reply::Conflict(stored) => stored,
         };
         let Some(stored) = stored else {
-            // The record expired between two attempts; the next one expects no record.
+            // The record expired between two sends; the next one expects no record.
             return self.retry(0);
         };
         if let Some(outcome) = stored.record.outcome_for(&self.call.digest) {
@@ -226,16 +228,17 @@
         }
         match stored.record.state {
             State::Void { .. } => self.retry(stored.revision),
-            State::Handed { .. } | State::Answered { .. } => self.unknown(),
+            State::Forwarding { .. } | State::Answered { .. } => self.unknown(),
         }
     }
 
-    /// Starts the next attempt. The previous one lost its only write and can no longer hand over.
-    fn retry(&mut self, base: Revision) -> Vec<Action> {
+    /// Sends the call again. The previous sidecar lost its only write of the record and can no
+    /// longer forward the call.
+    fn retry(&mut self, base_revision: Revision) -> Vec<Action> {
         if self.sends >= self.settings.max_sends {
             return self.refuse(Reason::NoServer);
         }
-        self.base = base;
+        self.base_revision = base_revision;
         self.send()
     }
 
@@ -253,7 +256,7 @@
         self.stage = Stage::Voiding;
         self.voids += 1;
         vec![Action::Void {
-            expect: self.base,
+            expect: self.base_revision,
             record: Record {
                 state: State::Void {
                     nonce: self.call.nonce,
@@ -266,7 +269,7 @@
 
     fn voided(&mut self, write: Write) -> Vec<Action> {
         match write {
-            Write::Applied(_) => self.refuse(Reason::Silent),
+            Write::Applied(_) => self.refuse(Reason::Unresponsive),
             Write::Conflict(Some(stored)) => self.resolve(stored),
             Write::Conflict(None) | Write::Refused => self.unknown(),
             Write::Unanswered => {
@@ -278,7 +281,7 @@
 
     fn read(&mut self, read: Read) -> Vec<Action> {
         match read {
-            Read::Found(stored) if stored.revision > self.base => self.resolve(stored),
+            Read::Found(stored) if stored.revision > self.base_revision => self.resolve(stored),
             // The void record isn't stored yet. Its write may be lost or delayed; a second write is
             // harmless.
             Read::Found(_) | Read::Absent if self.voids < self.settings.max_voids => self.void(),
@@ -293,10 +296,11 @@
             return self.finish(outcome);
         }
         match stored.record.state {
-            // Regardless of who voided it, the attempt never hands over: a hand-over leaves a
-            // record that only an answer replaces, or a void by the sidecar that abandoned it.
-            State::Void { .. } => self.refuse(Reason::Silent),
-            State::Handed { .. } | State::Answered { .. } => self.unknown(),
+            // Regardless of who voided it, the sidecar doesn't forward the call: once it forwards,
+            // nobody else replaces its record, and it writes a void record itself only after it
+            // has abandoned the call.
+            State::Void { .. } => self.refuse(Reason::Unresponsive),
+            State::Forwarding { .. } | State::Answered { .. } => self.unknown(),
         }
     }
 
--- a/components/contract/src/lib.rs
+++ b/components/contract/src/lib.rs
@@ -1,12 +1,12 @@
 //! At-most-once calls, their outcomes, and detection of poisonous requests.
 //!
 //! A recorded call has a record in the platform's store. Two state machines share the record:
-//! [`handover::Handover`] in the sidecar, the only one that hands the call to its service, and
+//! [`forwarder::Forwarder`] in the sidecar, the only one that forwards the call to its service, and
 //! [`attempt::Attempt`] in the entry, which proves `not_run` when a sidecar stops responding.
 //! A third one, [`poison::Detector`], finds requests that crash every server that runs them.
 
 pub mod attempt;
-pub mod handover;
+pub mod forwarder;
 pub mod outcome;
 pub mod poison;
 pub mod record;
--- a/components/contract/src/outcome.rs
+++ b/components/contract/src/outcome.rs
@@ -12,10 +12,12 @@
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
     /// The platform's store is unavailable or slow, so the call can't be recorded.
-    StoreOut,
-    /// The sidecar stopped responding, and the record was voided before it could hand the call
-    /// over.
-    Silent,
+    #[serde(rename = "store_out")]
+    StoreUnavailable,
+    /// The sidecar stopped responding, and the record was voided before it could forward the
+    /// call.
+    #[serde(rename = "silent")]
+    Unresponsive,
     /// No sidecar was reachable.
     NoServer,
     /// The backend server refused the connection; no byte of the call left the sidecar.
@@ -24,7 +26,7 @@
     Leaving,
     /// The record was created too late; the caller may no longer be waiting.
     Late,
-    /// The caller disconnected before the call was handed over.
+    /// The caller disconnected before the call was forwarded.
     CallerGone,
     /// Another request with different content already used the key.
     KeyReused,
@@ -35,7 +37,7 @@
 /// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The call was not handed to its service and never will be.
+    /// The call was not forwarded to its service and never will be.
     NotRun {
         /// Reason for the refusal.
         reason: Reason,
--- a/components/contract/src/record.rs
+++ b/components/contract/src/record.rs
@@ -40,19 +40,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// A sidecar is about to hand the call to its service, or has done so.
-    Handed {
-        /// Unique nonce of the hand-over.
+    /// A sidecar is about to forward the call to its service, or has done so.
+    #[serde(rename = "handed")]
+    Forwarding {
+        /// Unique nonce of the sidecar's attempt.
         nonce: Nonce,
     },
-    /// The attempt at this revision can no longer hand the call over.
+    /// The attempt at this revision can no longer forward the call.
     Void {
         /// Unique nonce of the void record.
         nonce: Nonce,
     },
     /// The service responded.
     Answered {
-        /// Nonce of the hand-over.
+        /// Nonce of the sidecar's attempt.
         nonce: Nonce,
         /// The recorded response.
         answer: Answer,
@@ -150,7 +151,7 @@
     /// Returns the outcome for a request that finds this record, or `None` if the record doesn't
     /// determine it yet.
     ///
-    /// A handed call may still be running, and the key of a void record is free for another
+    /// A forwarded call may still be running, and the key of a void record is free for another
     /// attempt.
     pub fn outcome_for(&self, digest: &str) -> Option<Outcome> {
         if self.digest != digest {
@@ -161,7 +162,7 @@
         }
         match &self.state {
             State::Answered { answer, .. } => Some(answer.replay()),
-            State::Handed { .. } | State::Void { .. } => None,
+            State::Forwarding { .. } | State::Void { .. } => None,
         }
     }
 
@@ -173,7 +174,7 @@
     pub fn status(&self, status_path: &str) -> Outcome {
         match &self.state {
             State::Answered { answer, .. } => answer.replay(),
-            State::Handed { .. } | State::Void { .. } => Outcome::Unknown {
+            State::Forwarding { .. } | State::Void { .. } => Outcome::Unknown {
                 status_path: Some(status_path.to_string()),
             },
         }
--- a/components/contract/src/seen.rs
+++ b/components/contract/src/seen.rs
@@ -9,10 +9,10 @@
 
 /// Bounded set of the nonces of the most recent sends.
 ///
-/// A send that is delivered twice would start two hand-overs. Only one of them can create the
-/// record, but if the store becomes unavailable in between, the other one is refused and reports
-/// `not_run` for a call that runs: a payout would be made after its caller was told that it was
-/// not. Each nonce therefore starts one hand-over.
+/// A send that is delivered twice would start two attempts. Only one of them can create the record,
+/// but if the store becomes unavailable in between, the other one is refused and reports `not_run`
+/// for a call that runs: a payout would be made although its caller received `not_run`. Each nonce
+/// therefore starts one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Seen {
     capacity: usize,
--- a/components/contract/tests/attempt.rs
+++ b/components/contract/tests/attempt.rs
@@ -13,7 +13,7 @@
         Event,
         Settings, //
     },
-    handover::Reply,
+    forwarder::Reply,
     outcome::Reason,
     record::{
         Answer,
@@ -55,8 +55,8 @@
     Some(Stored { record, revision })
 }
 
-fn handed() -> Option<Stored> {
-    stored(State::Handed { nonce: 5 }, "d")
+fn forwarding() -> Option<Stored> {
+    stored(State::Forwarding { nonce: 5 }, "d")
 }
 
 fn void() -> Option<Stored> {
@@ -87,25 +87,25 @@
 #[case::key_reused(Class::Recorded, &[conflict(answered("other"))], "NotRun KeyReused")]
 #[case::key_reused_while_running(
     Class::Recorded,
-    &[conflict(stored(State::Handed { nonce: 5 }, "other"))],
+    &[conflict(stored(State::Forwarding { nonce: 5 }, "other"))],
     "NotRun KeyReused"
 )]
-#[case::handed_over_by_another_entry(Class::Recorded, &[conflict(handed())], "Unknown /v1/calls/k")]
+#[case::forwarded_by_another_entry(Class::Recorded, &[conflict(forwarding())], "Unknown /v1/calls/k")]
 #[case::voided_earlier(Class::Recorded, &[conflict(void())], "Send at 9")]
 #[case::record_expired(Class::Recorded, &[conflict(None)], "Send at 0")]
 #[case::leaving(Class::Recorded, &[refused(Reason::Leaving)], "Send at 0")]
-#[case::refused(Class::Recorded, &[refused(Reason::StoreOut)], "NotRun StoreOut")]
+#[case::refused(Class::Recorded, &[refused(Reason::StoreUnavailable)], "NotRun StoreUnavailable")]
 #[case::timed_out(Class::Recorded, &[TIMED_OUT], "Void at 0")]
 #[case::timed_out_on_second_send(Class::Recorded, &[conflict(void()), TIMED_OUT], "Void at 9")]
-#[case::void_applied(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Applied(3))], "NotRun Silent")]
-#[case::void_conflicts_with_handover(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(handed()))], "Unknown /v1/calls/k")]
+#[case::void_applied(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Applied(3))], "NotRun Unresponsive")]
+#[case::void_conflicts_with_forwarding(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(forwarding()))], "Unknown /v1/calls/k")]
 #[case::void_conflicts_with_answer(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(answered("d")))], "Ran 201 again")]
-#[case::void_conflicts_with_void(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(void()))], "NotRun Silent")]
+#[case::void_conflicts_with_void(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(void()))], "NotRun Unresponsive")]
 #[case::store_unavailable(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Refused)], "Unknown /v1/calls/k")]
 #[case::void_answer_lost(
     Class::Recorded,
     &[TIMED_OUT, Event::Voided(Write::Unanswered), Event::Read(Read::Found(void().unwrap()))],
-    "NotRun Silent"
+    "NotRun Unresponsive"
 )]
 #[case::void_write_lost(
     Class::Recorded,
@@ -135,7 +135,7 @@
     #[case] last: &str,
 ) {
     let (mut attempt, mut actions) = start(class, true);
-    assert_eq!(actions, [Action::Send { base: 0 }]);
+    assert_eq!(actions, [Action::Send { base_revision: 0 }]);
     for event in events {
         actions = attempt.handle(event.clone());
     }
@@ -145,7 +145,7 @@
 /// While the store is unavailable, a recorded call is refused at once, so that its caller can still
 /// retry before its deadline. Calls that need no record proceed.
 #[rstest]
-#[case::recorded(Class::Recorded, "NotRun StoreOut")]
+#[case::recorded(Class::Recorded, "NotRun StoreUnavailable")]
 #[case::once(Class::Once, "Send at 0")]
 #[case::repeatable(Class::Repeatable, "Send at 0")]
 fn store_outage_refuses_only_recorded_calls(#[case] class: Class, #[case] first: &str) {
@@ -172,7 +172,7 @@
 /// still be in transit, and a caller that then chose a new key would pay twice.
 #[test]
 fn status_query_never_reports_not_run() {
-    for stored in [void(), handed()].into_iter().flatten() {
+    for stored in [void(), forwarding()].into_iter().flatten() {
         assert_matches!(stored.record.status("/v1/calls/k"), Outcome::Unknown { .. });
     }
     let stored = answered("d").unwrap();
@@ -184,7 +184,7 @@
 
 fn text(action: &Action) -> String {
     match action {
-        Action::Send { base } => format!("Send at {base}"),
+        Action::Send { base_revision } => format!("Send at {base_revision}"),
         Action::Void { expect, .. } => format!("Void at {expect}"),
         Action::ReadBack => "ReadBack".into(),
         Action::Reply(Outcome::NotRun { reason, .. }) => format!("NotRun {reason:?}"),
--- a/components/contract/tests/handover.rs
+++ b/components/contract/tests/forwarder.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use contract::{
-    handover::{
+    forwarder::{
         Action,
         Call,
         Event,
-        Handover,
+        Forwarder,
         Settings, //
     },
     record::{
@@ -26,9 +26,9 @@
 
 const OWN_NONCE: u64 = 7;
 
-fn call(base: u64) -> Call {
+fn call(base_revision: u64) -> Call {
     Call {
-        base,
+        base_revision,
         digest: "d".into(),
         server: "ledger-1".into(),
         nonce: OWN_NONCE,
@@ -45,8 +45,8 @@
     Stored { record, revision }
 }
 
-fn handed(nonce: u64, revision: u64) -> Stored {
-    stored(State::Handed { nonce }, revision)
+fn forwarding(nonce: u64, revision: u64) -> Stored {
+    stored(State::Forwarding { nonce }, revision)
 }
 
 fn answer(length: usize) -> Event {
@@ -72,7 +72,7 @@
 #[rstest]
 #[case::success("success", &[Event::Created(Write::Applied(1)), answer(2), Event::Written(Write::Applied(2))])]
 #[case::store_unavailable("store_unavailable", &[Event::Created(Write::Refused)])]
-#[case::create_answer_lost("create_answer_lost", &[Event::Created(Write::Unanswered), Event::Read(Read::Found(handed(OWN_NONCE, 4)))])]
+#[case::create_answer_lost("create_answer_lost", &[Event::Created(Write::Unanswered), Event::Read(Read::Found(forwarding(OWN_NONCE, 4)))])]
 #[case::create_lost("create_lost", &[
     Event::Created(Write::Unanswered),
     Event::Read(Read::Absent),
@@ -81,7 +81,7 @@
 #[case::create_delayed("create_delayed", &[
     Event::Created(Write::Unanswered),
     Event::Read(Read::Absent),
-    Event::Written(Write::Conflict(Some(handed(OWN_NONCE, 4)))),
+    Event::Written(Write::Conflict(Some(forwarding(OWN_NONCE, 4)))),
     Event::Written(Write::Applied(5)),
 ])]
 #[case::store_unresponsive("store_unresponsive", &[
@@ -93,10 +93,10 @@
     Event::TimerFired,
     Event::Written(Write::Refused),
 ])]
-#[case::created_by_another("created_by_another", &[Event::Created(Write::Conflict(Some(handed(8, 4))))])]
+#[case::created_by_another("created_by_another", &[Event::Created(Write::Conflict(Some(forwarding(8, 4))))])]
 #[case::created_by_another_unanswered("created_by_another_unanswered", &[
     Event::Created(Write::Unanswered),
-    Event::Read(Read::Found(handed(8, 4))),
+    Event::Read(Read::Found(forwarding(8, 4))),
 ])]
 #[case::entry_gone("entry_gone", &[Event::EntryGone, Event::Created(Write::Applied(1)), Event::Written(Write::Applied(2))])]
 #[case::entry_gone_while_running("entry_gone_while_running", &[Event::Created(Write::Applied(1)), Event::EntryGone, answer(2)])]
@@ -111,12 +111,12 @@
     Event::Written(Write::Conflict(None)),
 ])]
 #[case::requested_twice("requested_twice", &[Event::Requested, Event::Created(Write::Applied(1)), Event::Created(Write::Applied(1))])]
-fn hand_over_follows_the_recorded_trace(#[case] name: &str, #[case] events: &[Event]) {
+fn forwarder_follows_the_recorded_trace(#[case] name: &str, #[case] events: &[Event]) {
     let settings = Settings {
         max_write_attempts: 2,
         ..Settings::default()
     };
-    let mut machine = Handover::new(call(0), settings);
+    let mut machine = Forwarder::new(call(0), settings);
     let mut lines = vec!["Requested".to_string()];
     let requested = machine.handle(Event::Requested, Duration::ZERO);
     lines.extend(requested.iter().map(|action| format!("  {}", line(action))));
@@ -133,7 +133,7 @@
 /// `unknown` to the caller. The call must not start that late.
 #[test]
 fn create_answered_after_the_start_timeout_is_voided() {
-    let mut machine = Handover::new(call(3), Settings::default());
+    let mut machine = Forwarder::new(call(3), Settings::default());
     machine.handle(Event::Requested, Duration::from_secs(100));
     let actions = machine.handle(Event::Created(Write::Applied(4)), Duration::from_secs(106));
     let lines: Vec<String> = actions.iter().map(line).collect();
@@ -144,7 +144,7 @@
 /// only the record omits the body.
 #[test]
 fn oversized_body_reaches_the_caller() {
-    let mut machine = Handover::new(call(0), Settings::default());
+    let mut machine = Forwarder::new(call(0), Settings::default());
     machine.handle(Event::Requested, Duration::ZERO);
     machine.handle(Event::Created(Write::Applied(1)), Duration::ZERO);
     let actions = machine.handle(answer(MAX_BODY_BYTES + 1), Duration::ZERO);
--- a/components/contract/tests/record.rs
+++ b/components/contract/tests/record.rs
@@ -37,7 +37,7 @@
 #[test]
 fn record_encoding() {
     let states = [
-        State::Handed { nonce: 1 },
+        State::Forwarding { nonce: 1 },
         State::Void { nonce: 2 },
         State::Answered {
             nonce: 1,
@@ -72,7 +72,7 @@
 #[test]
 fn outcome_encoding() {
     let outcomes = [
-        Outcome::not_run(Reason::StoreOut, Duration::from_millis(1500)),
+        Outcome::not_run(Reason::StoreUnavailable, Duration::from_millis(1500)),
         Outcome::NotRun {
             reason: Reason::KeyReused,
             retry_after: None,
--- a/components/entry/src/calls.rs
+++ b/components/entry/src/calls.rs
@@ -14,7 +14,7 @@
         Event,
         Settings, //
     },
-    handover,
+    forwarder,
     outcome::Reason,
     poison::{
         self,
@@ -191,7 +191,7 @@
         loop {
             let mut actions = self.attempt.handle(event).into_iter();
             event = match actions.next() {
-                Some(Action::Send { base }) => self.send(base).await,
+                Some(Action::Send { base_revision }) => self.send(base_revision).await,
                 Some(Action::Void { expect, record }) => {
                     let key = self.key();
                     let write = self.state.records.write(&key, expect, &record).await;
@@ -210,7 +210,7 @@
     /// Logs and records an outage of the store, if that is the reason for the outcome.
     fn record_outage(&self, outcome: Outcome) -> Outcome {
         if let Outcome::NotRun {
-            reason: Reason::StoreOut,
+            reason: Reason::StoreUnavailable,
             ..
         } = &outcome
         {
@@ -227,7 +227,7 @@
     }
 
     /// Sends the call to a replica that has not been tried yet, and waits for the result.
-    async fn send(&mut self, base: Revision) -> Event {
+    async fn send(&mut self, base_revision: Revision) -> Event {
         let criteria = Criteria {
             service: &self.provision.name,
             release: self.release,
@@ -241,7 +241,7 @@
         self.avoid.push(replica.server.clone());
         self.call.recording = (self.class == Class::Recorded).then(|| Recording {
             send_id: rand::random(),
-            base_revision: base,
+            base_revision,
             digest: self.digest.clone(),
             status_path: self.status_path.clone(),
         });
@@ -288,7 +288,7 @@
     let Some(event) = event else {
         return Health::Failed;
     };
-    let Event::Replied(handover::Reply::Outcome(outcome)) = event else {
+    let Event::Replied(forwarder::Reply::Outcome(outcome)) = event else {
         return Health::Unknown;
     };
     match outcome {
@@ -306,7 +306,7 @@
         Reply::Kept(reply) => Some(Event::Replied(*reply)),
         Reply::NotRun(refused) if refused.reason == wire::frame::Reason::Poisonous => {
             let outcome = Outcome::not_run(Reason::Poisonous, refused.retry_after);
-            Some(Event::Replied(handover::Reply::Outcome(outcome)))
+            Some(Event::Replied(forwarder::Reply::Outcome(outcome)))
         }
         // The sidecar refused before it sent anything to the service.
         Reply::NotRun(_) => Some(Event::Unsent),
@@ -316,7 +316,7 @@
             content_type,
             body,
             replayed,
-        } => Some(Event::Replied(handover::Reply::Outcome(Outcome::Ran {
+        } => Some(Event::Replied(forwarder::Reply::Outcome(Outcome::Ran {
             status,
             content_type: content_type.unwrap_or_default(),
             body,
@@ -355,8 +355,8 @@
 /// Creates the problem for a call or request that was not run.
 pub(crate) fn refusal(reason: Reason, retry_after: Option<Duration>) -> Problem {
     let (code, message) = match reason {
-        Reason::StoreOut => (Code::Unavailable, "the call can't be recorded now"),
-        Reason::Silent => (Code::Unavailable, "the replica fell silent before the call"),
+        Reason::StoreUnavailable => (Code::Unavailable, "the call can't be recorded now"),
+        Reason::Unresponsive => (Code::Unavailable, "the replica fell silent before the call"),
         Reason::NoServer => (
             Code::Unavailable,
             "no replica of the service takes the call",
--- a/components/measure/src/calls/latency.rs
+++ b/components/measure/src/calls/latency.rs
@@ -128,7 +128,7 @@
 
 fn record() -> Record {
     Record {
-        state: State::Handed { nonce: 1 },
+        state: State::Forwarding { nonce: 1 },
         digest: String::new(),
         server: String::new(),
     }
--- a/components/models/src/contract/actors.rs
+++ b/components/models/src/contract/actors.rs
@@ -8,8 +8,8 @@
         Attempt,
         Class, //
     },
-    handover::{
-        Handover,
+    forwarder::{
+        Forwarder,
         Reply, //
     }, //
 };
@@ -68,7 +68,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Hand {
-    pub(super) machine: Handover,
+    pub(super) machine: Forwarder,
     pub(super) entry: usize,
     pub(super) send: u32,
     pub(super) op: Option<Op>,
@@ -115,10 +115,10 @@
         self.waits = false;
         self.replies.clear();
         match action {
-            attempt::Action::Send { base } => {
+            attempt::Action::Send { base_revision } => {
                 self.waits = true;
                 self.sends += 1;
-                self.frames.push(Frame::new(self.sends, base));
+                self.frames.push(Frame::new(self.sends, base_revision));
             }
             attempt::Action::Void { expect, record } => {
                 self.op = Some(Op::Write { expect, record })
--- a/components/models/src/contract/store.rs
+++ b/components/models/src/contract/store.rs
@@ -4,7 +4,7 @@
 
 use contract::{
     attempt,
-    handover,
+    forwarder,
     store::{
         Read,
         Stored,
@@ -47,11 +47,11 @@
         let creates = matches!(op, Op::Create { .. });
         let event = match self.store(op, fate) {
             Answer::Write(Write::Unanswered) if creates && self.twin == Twin::UnansweredIsWon => {
-                handover::Event::Created(Write::Applied(self.revision))
+                forwarder::Event::Created(Write::Applied(self.revision))
             }
-            Answer::Write(write) if creates => handover::Event::Created(write),
-            Answer::Write(write) => handover::Event::Written(write),
-            Answer::Read(read) => handover::Event::Read(read),
+            Answer::Write(write) if creates => forwarder::Event::Created(write),
+            Answer::Write(write) => forwarder::Event::Written(write),
+            Answer::Read(read) => forwarder::Event::Read(read),
         };
         let now = match fate {
             Fate::AnsweredLate => LIMIT + LIMIT,
--- a/components/models/src/contract/world.rs
+++ b/components/models/src/contract/world.rs
@@ -2,9 +2,9 @@
 
 use contract::{
     attempt,
-    handover::{
+    forwarder::{
         self,
-        Handover,
+        Forwarder,
         Reply, //
     },
     record::{
@@ -141,7 +141,7 @@
             Step::ServiceRefuses(hand) => {
                 self.faults -= 1;
                 self.hands[hand].service = Service::Untouched;
-                self.hand(hand, handover::Event::Unreachable, Clock::ZERO);
+                self.hand(hand, forwarder::Event::Unreachable, Clock::ZERO);
             }
             Step::ServiceTakes(hand) => {
                 self.hands[hand].service = Service::Running;
@@ -150,24 +150,24 @@
             }
             Step::ServiceAnswers(hand) => {
                 self.hands[hand].service = Service::Untouched;
-                self.hand(hand, handover::Event::Answered(response()), Clock::ZERO);
+                self.hand(hand, forwarder::Event::Answered(response()), Clock::ZERO);
             }
             Step::ServiceBreaks(hand) => {
                 self.faults -= 1;
                 self.hands[hand].service = Service::Untouched;
                 let event = match self.twin {
-                    Twin::BrokenIsRefused => handover::Event::Unreachable,
-                    _ => handover::Event::ConnectionLost,
+                    Twin::BrokenIsRefused => forwarder::Event::Unreachable,
+                    _ => forwarder::Event::ConnectionLost,
                 };
                 self.hand(hand, event, Clock::ZERO);
             }
             Step::Waited(hand) => {
                 self.hands[hand].waits = false;
-                self.hand(hand, handover::Event::TimerFired, Clock::ZERO);
+                self.hand(hand, forwarder::Event::TimerFired, Clock::ZERO);
             }
             Step::Gone(hand) => {
                 self.hands[hand].gone = true;
-                self.hand(hand, handover::Event::EntryGone, Clock::ZERO);
+                self.hand(hand, forwarder::Event::EntryGone, Clock::ZERO);
             }
             Step::EntryDies(entry) => self.entry_dies(entry),
             Step::SidecarDies(sidecar) => self.sidecar_dies(sidecar),
@@ -251,20 +251,20 @@
     }
 
     fn begin(&mut self, entry: usize, send: u32, base: Revision, nonce: Nonce) {
-        let call = handover::Call {
-            base,
+        let call = forwarder::Call {
+            base_revision: base,
             digest: String::new(),
             server: String::new(),
             nonce,
             status_path: String::new(),
         };
-        let settings = handover::Settings {
+        let settings = forwarder::Settings {
             start_timeout: LIMIT,
             max_write_attempts: 2,
-            ..handover::Settings::default()
+            ..forwarder::Settings::default()
         };
         self.hands.push(Hand {
-            machine: Handover::new(call, settings),
+            machine: Forwarder::new(call, settings),
             entry,
             send,
             op: None,
@@ -274,7 +274,7 @@
         });
         self.hand(
             self.hands.len() - 1,
-            handover::Event::Requested,
+            forwarder::Event::Requested,
             Clock::ZERO,
         );
     }
@@ -286,21 +286,21 @@
         }
     }
 
-    pub(super) fn hand(&mut self, index: usize, event: handover::Event, now: Clock) {
+    pub(super) fn hand(&mut self, index: usize, event: forwarder::Event, now: Clock) {
         let actions = self.hands[index].machine.handle(event, now);
         for action in actions {
             let hand = &mut self.hands[index];
             match action {
-                handover::Action::Create { expect, record } => {
+                forwarder::Action::Create { expect, record } => {
                     hand.op = Some(Op::Create { expect, record });
                 }
-                handover::Action::Write { expect, record } => {
+                forwarder::Action::Write { expect, record } => {
                     hand.op = Some(Op::Write { expect, record });
                 }
-                handover::Action::ReadBack => hand.op = Some(Op::Read),
-                handover::Action::HandOver => hand.service = Service::Asked,
-                handover::Action::Wait(_) => hand.waits = true,
-                handover::Action::Reply(reply) => self.reply(index, reply),
+                forwarder::Action::ReadBack => hand.op = Some(Op::Read),
+                forwarder::Action::Forward => hand.service = Service::Asked,
+                forwarder::Action::Wait(_) => hand.waits = true,
+                forwarder::Action::Reply(reply) => self.reply(index, reply),
             }
         }
     }
--- a/components/models/src/orders.rs
+++ b/components/models/src/orders.rs
@@ -196,7 +196,7 @@
             Step::StoreOut => {
                 self.faults -= 1;
                 self.reads = false;
-                self.tell(Event::StoreOut);
+                self.tell(Event::StoreUnavailable);
             }
             Step::Effect(fence) => self.effect(fence),
             Step::Slow => self.slow(),
--- a/components/orders/src/sequencer.rs
+++ b/components/orders/src/sequencer.rs
@@ -50,7 +50,7 @@
     /// The store returned the token of the server's newest order; 0 if there has never been one.
     NewestRead(Fence),
     /// The store did not answer.
-    StoreOut,
+    StoreUnavailable,
     /// An order arrived.
     Order(Fenced),
     /// The server carried out the order with this token.
@@ -164,7 +164,7 @@
         match event {
             Event::Started => self.started(now),
             Event::NewestRead(fence) => self.newest_read(fence),
-            Event::StoreOut => self.store_unavailable(),
+            Event::StoreUnavailable => self.store_unavailable(),
             Event::Order(order) => self.order(order),
             Event::Applied(fence) => self.answered(fence, Answer::Applied),
             Event::Refused { fence, highest } => self.refused(fence, highest),
--- a/components/orders/tests/orders.rs
+++ b/components/orders/tests/orders.rs
@@ -45,11 +45,11 @@
 /// actions that follow the last event.
 #[rstest]
 #[case::first_order(false, &[sequencer::Event::NewestRead(0), sequencer::Event::TimerFired, order(3)], "send 3")]
-#[case::store_unavailable(false, &[sequencer::Event::StoreOut, order(3)], "3: StoreOut, read")]
+#[case::store_unavailable(false, &[sequencer::Event::StoreUnavailable, order(3)], "3: StoreOut, read")]
 #[case::store_not_answered_yet(false, &[order(3)], "3: StoreOut")]
 #[case::store_available_again(
     false,
-    &[sequencer::Event::StoreOut, order(3), sequencer::Event::NewestRead(3), sequencer::Event::TimerFired, order(3)],
+    &[sequencer::Event::StoreUnavailable, order(3), sequencer::Event::NewestRead(3), sequencer::Event::TimerFired, order(3)],
     "send 3"
 )]
 #[case::old_after_restart(false, &[sequencer::Event::NewestRead(9), order(3)], "3: old, 9")]
--- a/components/sidecar/src/recorded.rs
+++ b/components/sidecar/src/recorded.rs
@@ -1,4 +1,4 @@
-//! Recorded calls: the driver of the state machine in [`contract::handover`].
+//! Recorded calls: the driver of the state machine in [`contract::forwarder`].
 
 use std::{
     pin::Pin,
@@ -6,11 +6,11 @@
 };
 
 use contract::{
-    handover::{
+    forwarder::{
         Action,
         Call,
         Event,
-        Handover,
+        Forwarder,
         Settings, //
     },
     record::{
@@ -61,9 +61,9 @@
             &call.team,
             call.key.as_deref().unwrap_or_default(),
         ),
-        machine: Handover::new(
+        machine: Forwarder::new(
             Call {
-                base: recording.base_revision,
+                base_revision: recording.base_revision,
                 digest: recording.digest.clone(),
                 server: context.settings.server.name.clone(),
                 nonce: rand::random(),
@@ -104,7 +104,7 @@
     call: &'a frame::Call,
     guard: &'a Guard,
     key: String,
-    machine: Handover,
+    machine: Forwarder,
     stream: Stream,
     entry_gone: bool,
 }
@@ -135,7 +135,7 @@
                 Action::ReadBack => {
                     boxed(async move { Event::Read(context.records.read(&key).await) })
                 }
-                Action::HandOver => {
+                Action::Forward => {
                     boxed(async move { outcome_event(service.forward(call, guard).await) })
                 }
                 Action::Wait(time) => boxed(wait(time)),
@@ -144,7 +144,7 @@
         next
     }
 
-    async fn reply(&mut self, reply: contract::handover::Reply) {
+    async fn reply(&mut self, reply: contract::forwarder::Reply) {
         let frame = Frame::Reply(Reply::Kept(Box::new(reply)));
         if self.stream.send(&frame).await.is_ok() {
             self.stream.sender.finish();
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -9,7 +9,7 @@
     pointer::Pointer, //
 };
 use contract::{
-    handover,
+    forwarder,
     poison, //
 };
 use names::{
@@ -294,5 +294,5 @@
     /// The call was sent, but no complete answer arrived.
     Unknown,
     /// Outcome of a recorded call.
-    Kept(Box<handover::Reply>),
+    Kept(Box<forwarder::Reply>),
 }
