--- a/components/daemon/src/drain.rs
+++ b/components/daemon/src/drain.rs
@@ -16,7 +16,7 @@
     let end = Instant::now() + limit;
     while in_progress() > 0 {
         if Instant::now() >= end {
-            events::emit!(process::CUT, "in_progress={}", in_progress());
+            events::emit!(process::ABORTED, "in_progress={}", in_progress());
             return;
         }
         sleep(CHECK_INTERVAL).await;
--- a/components/entry/src/documents/driver.rs
+++ b/components/entry/src/documents/driver.rs
@@ -134,7 +134,7 @@
             Event::Failed { call } => {
                 self.calls.remove(call);
                 if !self.store_unavailable {
-                    events::emit!(documents::STORE_OUT, "call={call}");
+                    events::emit!(documents::STORE_UNREADABLE, "call={call}");
                 }
                 self.store_unavailable = true;
             }
--- a/components/entry/src/moves/log.rs
+++ b/components/entry/src/moves/log.rs
@@ -10,7 +10,7 @@
         Notice::Vetoed(veto) => {
             let finding = &veto.finding;
             events::emit!(
-                messages::TRIPPED,
+                messages::FOUND_BAD,
                 "move={name} metric={:?} route={:?} new={}/{} old={}/{}",
                 finding.metric,
                 finding.route,
@@ -22,11 +22,19 @@
         }
         Notice::Late => events::emit!(messages::OVERDUE, "move={name}"),
         Notice::Reported(outcome) => {
-            events::emit!(messages::REPORTED, "move={name} end={:?}", outcome.end);
+            events::emit!(
+                messages::OUTCOME_STORED,
+                "move={name} end={:?}",
+                outcome.end
+            );
         }
         Notice::Learned(outcome) => {
-            events::emit!(messages::LEARNED, "move={name} end={:?}", outcome.end);
+            events::emit!(
+                messages::OUTCOME_LEARNED,
+                "move={name} end={:?}",
+                outcome.end
+            );
         }
-        Notice::Overruled(_) => events::emit!(messages::OVERRULED, "move={name}"),
+        Notice::Overruled(_) => events::emit!(messages::FOUND_BAD_LATE, "move={name}"),
     }
 }
--- a/components/events/src/forwarding.rs
+++ b/components/events/src/forwarding.rs
@@ -17,7 +17,7 @@
     /// A stream continues on another backend server.
     RESUMED = 1006, Info, "Stream resumed on another backend server";
     /// An answer ended before it was complete.
-    CUT = 1007, Warn, "Answer ended before it was complete";
+    INCOMPLETE = 1007, Warn, "Answer ended before it was complete";
     /// The caller disconnected before its answer was complete.
     ABANDONED = 1008, Info, "Caller disconnected";
     /// The entry asked a server to copy a run's KV cache to another server; the copy may have
--- a/components/events/src/links.rs
+++ b/components/events/src/links.rs
@@ -16,7 +16,7 @@
     /// The platform's host list can't be read; the last one stays in use.
     HOSTS_UNREADABLE = 206, Warn, "Host list can't be read";
     /// A peer missed several of its beacons; its work no longer counts.
-    SILENT = 207, Info, "Peer sends no more beacons";
+    BEACONS_LOST = 207, Info, "Peer sends no more beacons";
     /// Beacons arrive from a new peer, or again from one that was silent.
-    HEARD = 208, Info, "Peer sends beacons";
+    BEACONS_RECEIVED = 208, Info, "Peer sends beacons";
 }
--- a/components/events/src/moves.rs
+++ b/components/events/src/moves.rs
@@ -2,13 +2,13 @@
 
 crate::declare! {
     /// This entry found that the new version of a move is bad; it sends it no more requests.
-    TRIPPED = 600, Error, "New version found bad";
+    FOUND_BAD = 600, Error, "New version found bad";
     /// The time that the operator gave has passed, and the traffic hasn't moved completely.
     OVERDUE = 601, Warn, "Move is overdue";
     /// A move ended, and this entry stored its outcome.
-    REPORTED = 602, Info, "Move ended";
+    OUTCOME_STORED = 602, Info, "Move ended";
     /// A move ended; another entry stored its outcome.
-    LEARNED = 603, Info, "Outcome of a move learned";
+    OUTCOME_LEARNED = 603, Info, "Outcome of a move learned";
     /// A move's version was found bad after its outcome was stored as done.
-    OVERRULED = 604, Error, "Version found bad after its move was done";
+    FOUND_BAD_LATE = 604, Error, "Version found bad after its move was done";
 }
--- a/components/events/src/process.rs
+++ b/components/events/src/process.rs
@@ -8,7 +8,7 @@
     /// The process has stopped.
     STOPPED = 102, Info, "Process stopped";
     /// Work was still in progress when the drain time was over.
-    CUT = 103, Error, "Work in progress aborted at the end of the drain time";
+    ABORTED = 103, Error, "Work in progress aborted at the end of the drain time";
     /// The process became ready for traffic.
     READY = 104, Info, "Process is ready";
 }
--- a/components/gateway/src/daemon.rs
+++ b/components/gateway/src/daemon.rs
@@ -324,7 +324,7 @@
             sleep(DRAIN_POLL_INTERVAL).await;
         }
         if context.running.get() > 0 {
-            note!(process::CUT, running = context.running.get());
+            note!(process::ABORTED, running = context.running.get());
         }
         stopped.cancel();
     }
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -194,7 +194,11 @@
     fn tick(&mut self) {
         let mut fleet = self.shared.fleet.borrow_mut();
         for silent in self.table.expire(clock::now()) {
-            note!(links::SILENT, peer = silent, alive = self.table.rank().1);
+            note!(
+                links::BEACONS_LOST,
+                peer = silent,
+                alive = self.table.rank().1
+            );
             fleet.remove_peer(silent);
             self.shared.queue.remove_peer(silent);
             self.shared.retry_budgets.borrow_mut().remove_peer(silent);
@@ -376,7 +380,7 @@
         }
         if returned {
             note!(
-                links::HEARD,
+                links::BEACONS_RECEIVED,
                 peer = beacon.incarnation,
                 host = beacon.host.as_str(),
                 alive = self.table.rank().1
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -296,7 +296,7 @@
             self.abandon_guard.done = true;
             meter::outcome("cut", self.call.arrived.elapsed());
             note!(
-                forwarding::CUT,
+                forwarding::INCOMPLETE,
                 id = self.call.request.metadata.id.as_str(),
                 reason = reason,
                 attempts = self.ran_at.len(),
