--- a/components/contract/src/sends.rs
+++ b/components/contract/src/sends.rs
@@ -29,7 +29,7 @@
 
 /// Next step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum Step {
     /// Return the server's response to the caller; the last one if there were several.
     Answer,
     /// Send the request to another server.
@@ -76,9 +76,9 @@
     }
 
     /// Records the result of a send and returns the next step.
-    pub fn record(&mut self, ending: Ending) -> Verdict {
+    pub fn record(&mut self, ending: Ending) -> Step {
         match ending {
-            Ending::Answered => return Verdict::Answer,
+            Ending::Answered => return Step::Answer,
             Ending::Failed => {
                 self.reached += 1;
                 self.may_have_run = true;
@@ -93,17 +93,17 @@
         }
         let repeatable = !self.may_have_run || self.class == Class::Repeatable;
         if repeatable && self.reached < self.max_servers && self.unsent < MAX_UNSENT {
-            return Verdict::Send;
+            return Step::Send;
         }
         self.give_up()
     }
 
     /// Returns the final step when no further send is possible or the deadline has passed.
-    pub fn give_up(&self) -> Verdict {
+    pub fn give_up(&self) -> Step {
         match (self.failed, self.may_have_run) {
-            (true, _) => Verdict::Answer,
-            (false, true) => Verdict::Unknown,
-            (false, false) => Verdict::NotRun,
+            (true, _) => Step::Answer,
+            (false, true) => Step::Unknown,
+            (false, false) => Step::NotRun,
         }
     }
 }
--- a/components/contract/tests/sends.rs
+++ b/components/contract/tests/sends.rs
@@ -5,7 +5,7 @@
     sends::{
         Ending,
         Sends,
-        Verdict, //
+        Step, //
     },
 };
 use rstest::rstest;
@@ -13,20 +13,20 @@
 /// A payout reaches a server and no response arrives. If it were sent again, or reported as not run
 /// and then repeated by its caller, it could be paid twice.
 #[rstest]
-#[case::no_answer(&[Ending::Lost], Verdict::Unknown)]
-#[case::server_error(&[Ending::Failed], Verdict::Answer)]
-#[case::declined(&[Ending::Declined], Verdict::NotRun)]
-#[case::misdirected_then_no_answer(&[Ending::Misdirected, Ending::Lost], Verdict::Unknown)]
-#[case::unreachable_then_declined(&[Ending::Unsent, Ending::Declined], Verdict::NotRun)]
-fn unrepeatable_call_reaches_one_server(#[case] endings: &[Ending], #[case] last: Verdict) {
+#[case::no_answer(&[Ending::Lost], Step::Unknown)]
+#[case::server_error(&[Ending::Failed], Step::Answer)]
+#[case::declined(&[Ending::Declined], Step::NotRun)]
+#[case::misdirected_then_no_answer(&[Ending::Misdirected, Ending::Lost], Step::Unknown)]
+#[case::unreachable_then_declined(&[Ending::Unsent, Ending::Declined], Step::NotRun)]
+fn unrepeatable_call_reaches_one_server(#[case] endings: &[Ending], #[case] last: Step) {
     let mut sends = Sends::new(Class::Once, 1);
     for (number, ending) in endings.iter().enumerate() {
-        let verdict = sends.record(*ending);
+        let step = sends.record(*ending);
         let expected = match number + 1 == endings.len() {
             true => last,
-            false => Verdict::Send,
+            false => Step::Send,
         };
-        assert_eq!(verdict, expected, "{endings:?}");
+        assert_eq!(step, expected, "{endings:?}");
     }
 }
 
@@ -34,9 +34,9 @@
 #[test]
 fn declined_call_tries_other_servers_up_to_the_limit() {
     let mut sends = Sends::new(Class::Once, 3);
-    assert_eq!(sends.record(Ending::Declined), Verdict::Send);
-    assert_eq!(sends.record(Ending::Declined), Verdict::Send);
-    assert_eq!(sends.record(Ending::Lost), Verdict::Unknown);
+    assert_eq!(sends.record(Ending::Declined), Step::Send);
+    assert_eq!(sends.record(Ending::Declined), Step::Send);
+    assert_eq!(sends.record(Ending::Lost), Step::Unknown);
 }
 
 /// A lookup fails at one server and gets no response from the next. The caller receives the error
@@ -44,8 +44,8 @@
 #[test]
 fn repeatable_call_returns_its_last_response_at_the_limit() {
     let mut sends = Sends::new(Class::Repeatable, 2);
-    assert_eq!(sends.record(Ending::Failed), Verdict::Send);
-    assert_eq!(sends.record(Ending::Lost), Verdict::Answer);
+    assert_eq!(sends.record(Ending::Failed), Step::Send);
+    assert_eq!(sends.record(Ending::Lost), Step::Answer);
 }
 
 /// For every sequence of results, "not run" is reported only if no send can have run, and a call
@@ -69,15 +69,15 @@
                 may_have_run |= matches!(ending, Ending::Failed | Ending::Lost);
                 reached += u32::from(!matches!(ending, Ending::Misdirected | Ending::Unsent));
                 match sends.record(ending) {
-                    Verdict::Send => {
+                    Step::Send => {
                         assert!(!may_have_run || class == Class::Repeatable);
                         assert!(reached < 3);
                     }
-                    Verdict::NotRun => {
+                    Step::NotRun => {
                         assert!(!may_have_run);
                         break;
                     }
-                    Verdict::Answer | Verdict::Unknown => {
+                    Step::Answer | Step::Unknown => {
                         assert!(may_have_run);
                         break;
                     }
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -13,7 +13,7 @@
     sends::{
         Ending,
         Sends,
-        Verdict, //
+        Step, //
     },
 };
 use environment::document::Repeats;
@@ -139,18 +139,18 @@
             let Ok(results) = timeout_at(until, self.race(target)).await else {
                 return self.timed_out();
             };
-            let mut verdict = Verdict::Send;
+            let mut step = Step::Send;
             for result in results {
                 self.unsent += u32::from(result.ending == Ending::Unsent);
                 self.response = result.response.or(self.response.take());
-                verdict = self.sends.record(result.ending);
+                step = self.sends.record(result.ending);
             }
-            if verdict != Verdict::Send {
-                return self.finish(verdict);
+            if step != Step::Send {
+                return self.finish(step);
             }
         }
-        let verdict = self.sends.give_up();
-        self.finish(verdict)
+        let step = self.sends.give_up();
+        self.finish(step)
     }
 
     /// Chooses the next server, if there is one and the retry budget allows another send.
@@ -220,23 +220,23 @@
 
     fn timed_out(mut self) -> Response<Body> {
         // An attempt that was in progress at the deadline may have run.
-        let verdict = self.sends.record(Ending::Lost);
-        match (verdict, self.response.take()) {
-            (Verdict::Answer, Some(response)) => response,
+        let step = self.sends.record(Ending::Lost);
+        match (step, self.response.take()) {
+            (Step::Answer, Some(response)) => response,
             _ => self.call.refuse(&Refusal::DeadlineExceeded),
         }
     }
 
-    fn finish(mut self, verdict: Verdict) -> Response<Body> {
-        match (verdict, self.response.take()) {
-            (Verdict::Answer, Some(response)) => {
+    fn finish(mut self, step: Step) -> Response<Body> {
+        match (step, self.response.take()) {
+            (Step::Answer, Some(response)) => {
                 let shutdown = &self.context.shutdown;
                 let time = self.call.arrived.elapsed();
                 shutdown.record_duration(&self.call.route, time);
                 meter::outcome("answered", time);
                 response
             }
-            (Verdict::NotRun, _) => self.call.refuse(&Refusal::NoServer),
+            (Step::NotRun, _) => self.call.refuse(&Refusal::NoServer),
             _ => self.call.refuse(&Refusal::Lost),
         }
     }
