--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -297,8 +297,8 @@
         }
         match stored.record.state {
             // Regardless of who voided it, the sidecar doesn't forward the call: once it forwards,
-            // nobody else replaces its record, and it writes a void record itself only after it
-            // has abandoned the call.
+            // nobody else replaces its record, and it writes a void record itself only after it has
+            // abandoned the call.
             State::Void { .. } => self.refuse(Reason::Unresponsive),
             State::Forwarding { .. } | State::Answered { .. } => self.unknown(),
         }
--- a/components/contract/src/forwarder.rs
+++ b/components/contract/src/forwarder.rs
@@ -1,5 +1,5 @@
-//! The sidecar's side of one recorded call: creates the record, forwards the call once, and
-//! records the outcome.
+//! The sidecar's side of one recorded call: creates the record, forwards the call once, and records
+//! the outcome.
 //!
 //! Safety rests on one rule. An attempt writes the record **once**, by compare-and-swap against the
 //! revision that the entry gave it (`base_revision`, 0 for "only when absent"), and forwards the
@@ -135,8 +135,8 @@
 pub enum Reply {
     /// The outcome of the call.
     Outcome(Outcome),
-    /// The attempt lost the write of the record and will never forward the call. Holds the
-    /// stored record, if any.
+    /// The attempt lost the write of the record and will never forward the call. Holds the stored
+    /// record, if any.
     Conflict(Option<Stored>),
 }
 
--- a/components/contract/src/lib.rs
+++ b/components/contract/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A recorded call has a record in the platform's store. Two state machines share the record:
 //! [`forwarder::Forwarder`] in the sidecar, the only one that forwards the call to its service, and
-//! [`attempt::Attempt`] in the entry, which proves `not_run` when a sidecar stops responding.
-//! A third one, [`poison::Detector`], finds requests that crash every server that runs them.
+//! [`attempt::Attempt`] in the entry, which proves `not_run` when a sidecar stops responding. A
+//! third one, [`poison::Detector`], finds requests that crash every server that runs them.
 
 pub mod attempt;
 pub mod forwarder;
--- a/components/contract/src/outcome.rs
+++ b/components/contract/src/outcome.rs
@@ -14,8 +14,7 @@
     /// The platform's store is unavailable or slow, so the call can't be recorded.
     #[serde(rename = "store_out")]
     StoreUnavailable,
-    /// The sidecar stopped responding, and the record was voided before it could forward the
-    /// call.
+    /// The sidecar stopped responding, and the record was voided before it could forward the call.
     #[serde(rename = "silent")]
     Unresponsive,
     /// No sidecar was reachable.
--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -34,7 +34,7 @@
     pub refusal_ttl: Duration,
     /// Maximum number of stored deaths, of refusals, and of cleared suspects.
     pub max_facts: usize,
-    /// Maximum number of in-flight requests stored per death; those that ran shortest are kept.
+    /// Maximum number of in-flight requests stored per death; those that ran shortest are stored.
     pub max_flights: usize,
 }
 
--- a/components/contract/tests/poison.rs
+++ b/components/contract/tests/poison.rs
@@ -81,7 +81,7 @@
             let crashes =
                 |flight: &Flight| flight.fingerprint == POISONOUS && flight.elapsed >= crash;
             if flights.iter().any(crashes) {
-                self.die(server);
+                self.kill_server(server);
                 continue;
             }
             let completed = flights.extract_if(.., |flight| flight.elapsed >= length);
@@ -94,7 +94,7 @@
         }
     }
 
-    fn die(&mut self, server: usize) {
+    fn kill_server(&mut self, server: usize) {
         self.servers_lost += 1;
         let flights = std::mem::take(&mut self.servers[server]);
         self.waiting.extend(flights.iter().map(|f| f.fingerprint));
--- a/components/daemon/src/lateness.rs
+++ b/components/daemon/src/lateness.rs
@@ -35,9 +35,9 @@
 /// Shortest period over which lateness is computed: a shorter one may contain no tick.
 const MIN_PERIOD: Duration = Duration::from_millis(20);
 
-/// Maximum number of late ticks and scheduling delays that are remembered: enough for ten seconds
-/// in which all are late.
-const MAX_REMEMBERED: usize = 4_000;
+/// Maximum number of late ticks and scheduling delays that are stored: enough for ten seconds in
+/// which all are late.
+const MAX_LATE_EVENTS: usize = 4_000;
 
 /// Late ticks and long scheduling delays of this process.
 #[derive(Debug, Default)]
@@ -45,7 +45,7 @@
 
 #[derive(Debug, Default)]
 struct Ticks {
-    /// When the next tick is due; none before the first tick.
+    /// Time at which the next tick is due; none before the first tick.
     due: Option<Clock>,
     /// Time of each late tick or scheduling delay, and by how much it was late.
     late: VecDeque<(Clock, Duration)>,
@@ -85,13 +85,13 @@
         (late.as_secs_f64() / time.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
-    /// Runs the timer until the process ends. `clock` is the process's monotonic clock.
-    pub async fn monitor(&self, clock: impl Fn() -> Clock, ended: &CancellationToken) {
+    /// Runs the timer until `stop` is cancelled. `clock` is the process's monotonic clock.
+    pub async fn monitor(&self, clock: impl Fn() -> Clock, stop: &CancellationToken) {
         let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                () = ended.cancelled() => return,
+                () = stop.cancelled() => return,
                 _ = ticks.tick() => {}
             }
             let ticked = clock();
@@ -104,13 +104,15 @@
 }
 
 impl Ticks {
+    /// Stores a late tick or scheduling delay.
     fn push(&mut self, now: Clock, late: Duration) {
         self.late.push_back((now, late));
-        if self.late.len() > MAX_REMEMBERED {
+        if self.late.len() > MAX_LATE_EVENTS {
             self.late.pop_front();
         }
     }
 
+    /// Returns by how much the next tick is late at `now`, beyond the normal delay.
     fn overdue(&self, now: Clock) -> Duration {
         let due = self.due.unwrap_or(now);
         now.saturating_sub(due).saturating_sub(NORMAL_TICK_DELAY)
--- a/components/daemon/src/records.rs
+++ b/components/daemon/src/records.rs
@@ -26,8 +26,8 @@
     time::Instant, //
 };
 
-/// Minimum time for which a record is kept. A key that is used again later starts a new call.
-pub const RETENTION: Duration = Duration::from_secs(24 * 3600);
+/// Minimum time for which a record is stored. A key that is used again later starts a new call.
+pub const RECORD_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
 /// Period in which all written records share one lease, so that leases cost next to no store calls.
 pub const LEASE_SHARING_PERIOD: Duration = Duration::from_secs(3600);
@@ -63,8 +63,8 @@
             return match self.client.put(key, &value, expect, Some(lease)).await {
                 Ok(Put::Done { revision }) => Write::Applied(revision),
                 Ok(Put::Conflict { entry: None }) => Write::Conflict(None),
-                Ok(Put::Conflict { entry: Some(entry) }) => match standing(&entry) {
-                    Some(standing) => Write::Conflict(Some(standing)),
+                Ok(Put::Conflict { entry: Some(entry) }) => match decode(&entry) {
+                    Some(stored) => Write::Conflict(Some(stored)),
                     None => Write::Refused,
                 },
                 Err(Error::Unanswered | Error::Malformed(_)) => Write::Unanswered,
@@ -84,7 +84,7 @@
     pub async fn read(&self, key: &str) -> Read {
         match self.client.get(key).await {
             Ok(None) => Read::Absent,
-            Ok(Some(entry)) => standing(&entry).map_or(Read::Failed, Read::Found),
+            Ok(Some(entry)) => decode(&entry).map_or(Read::Failed, Read::Found),
             Err(_) => Read::Failed,
         }
     }
@@ -100,7 +100,7 @@
         let granted_at = Instant::now();
         let lease = self
             .client
-            .grant_lease(RETENTION + LEASE_SHARING_PERIOD)
+            .grant_lease(RECORD_RETENTION + LEASE_SHARING_PERIOD)
             .await?;
         *current = Some((lease, granted_at));
         Ok(lease)
@@ -114,7 +114,7 @@
     }
 }
 
-fn standing(entry: &Entry) -> Option<Stored> {
+fn decode(entry: &Entry) -> Option<Stored> {
     Some(Stored {
         record: Record::decode(&entry.value)?,
         revision: entry.revision,
--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -26,16 +26,17 @@
 };
 use wire::Frame;
 
-/// Maximum number of deaths, of refusals and of passes that a process keeps and sends in one
-/// message.
+/// Maximum number of deaths, of refusals and of cleared suspects that a process stores and sends in
+/// one message.
 const MAX_FACTS: usize = 32;
 
-/// Maximum number of requests that are kept for one death.
+/// Maximum number of in-flight requests that are stored for one death.
 const MAX_FLIGHTS_PER_DEATH: usize = 128;
 
-/// The ledger of suspects of one process, and its facts for the links.
+/// Detector of poisonous requests in one process, and its facts, which links send to other
+/// processes.
 pub struct Suspects {
-    ledger: Mutex<Detector>,
+    detector: Mutex<Detector>,
     facts: watch::Sender<Facts>,
 }
 
@@ -47,20 +48,20 @@
             ..Settings::default()
         };
         Self {
-            ledger: Mutex::new(Detector::new(settings)),
+            detector: Mutex::new(Detector::new(settings)),
             facts: watch::Sender::default(),
         }
     }
 }
 
 impl Suspects {
-    /// Returns whether a request is clear, suspected or refused.
+    /// Returns whether a request is clear, suspected, isolated or refused.
     pub fn verdict(&self, fingerprint: Fingerprint) -> Verdict {
         self.lock().verdict(fingerprint, wall_clock())
     }
 
     /// Returns whether a request may start beside those that run on a server.
-    pub fn place(&self, fingerprint: Fingerprint, running: &[Flight]) -> Placement {
+    pub fn placement(&self, fingerprint: Fingerprint, running: &[Flight]) -> Placement {
         self.lock().placement(fingerprint, running, wall_clock())
     }
 
@@ -71,32 +72,32 @@
 
     /// Merges the facts that another process sent.
     pub fn merge(&self, facts: &Facts) {
-        let mut ledger = self.lock();
-        if ledger.merge(facts, wall_clock()) {
-            self.facts.send_replace(ledger.facts().clone());
+        let mut detector = self.lock();
+        if detector.merge(facts, wall_clock()) {
+            self.facts.send_replace(detector.facts().clone());
         }
     }
 
     /// Records that the server behind this sidecar died, and which requests were in flight.
     pub fn record_death(&self, server: &str, flights: Vec<Flight>) {
-        let mut ledger = self.lock();
+        let mut detector = self.lock();
         let death = Death {
             server: server.to_string(),
             at: wall_clock(),
             flights,
         };
-        ledger.record_death(rand::random(), death, wall_clock());
-        self.facts.send_replace(ledger.facts().clone());
+        detector.record_death(rand::random(), death, wall_clock());
+        self.facts.send_replace(detector.facts().clone());
     }
 
     /// Records that a request ran to its end.
     pub fn record_completion(&self, fingerprint: Fingerprint) {
-        let mut ledger = self.lock();
-        if ledger.verdict(fingerprint, wall_clock()) == Verdict::Clear {
+        let mut detector = self.lock();
+        if detector.verdict(fingerprint, wall_clock()) == Verdict::Clear {
             return;
         }
-        ledger.record_completion(fingerprint, wall_clock());
-        self.facts.send_replace(ledger.facts().clone());
+        detector.record_completion(fingerprint, wall_clock());
+        self.facts.send_replace(detector.facts().clone());
     }
 
     /// Sends the facts over a link, first all that are known and then after each change, until the
@@ -126,7 +127,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Detector> {
-        self.ledger.lock().expect("no panic while held")
+        self.detector.lock().expect("no panic while held")
     }
 }
 
--- a/components/entry/src/fleet.rs
+++ b/components/entry/src/fleet.rs
@@ -52,7 +52,7 @@
     work_at_heartbeat: AtomicU32,
 }
 
-/// A link that is up, with the peer's greeting.
+/// A link that is up, with the peer's hello frame.
 #[derive(Clone)]
 pub(crate) struct Connection {
     pub(crate) link: Link,
--- a/components/entry/src/links.rs
+++ b/components/entry/src/links.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Dials a host, and exchanges greetings within the silence timeout.
+/// Dials a host, and performs the handshake within the silence timeout.
 pub(crate) async fn dial(
     state: &State,
     host: &str,
--- a/components/environment/src/check.rs
+++ b/components/environment/src/check.rs
@@ -181,9 +181,9 @@
                         self.name(&path, prefix);
                     }
                     let other = seen.iter().find(|(other, _)| overlap(pattern, other));
-                    if let Some((other, place)) = other {
+                    if let Some((other, location)) = other {
                         let message = format!(
-                            "`{pattern}` matches servers that `{other}` at {place} also matches"
+                            "`{pattern}` matches servers that `{other}` at {location} also matches"
                         );
                         self.add(path.clone(), message);
                     }
@@ -297,12 +297,12 @@
             self.add(path.field("by"), "`by` must be later than `start`");
         }
         for (index, name) in plan.routes.iter().enumerate() {
-            let place = path.field("routes").index(index);
+            let route_path = path.field("routes").index(index);
             match self.document.routes.iter().find(|rule| rule.name == *name) {
-                None => self.add(place, format!("there is no route `{name}`")),
+                None => self.add(route_path, format!("there is no route `{name}`")),
                 Some(rule) if rule.service != plan.service => {
                     self.add(
-                        place,
+                        route_path,
                         format!("route `{name}` goes to service `{}`", rule.service),
                     );
                 }
@@ -377,7 +377,7 @@
     }
 }
 
-/// Lists the accepted names for an error message.
+/// Lists the existing names for an error message.
 fn known<'a>(names: impl Iterator<Item = &'a str>) -> String {
     let names: Vec<_> = names.map(|name| format!("`{name}`")).collect();
     if names.is_empty() {
--- a/components/environment/src/document.rs
+++ b/components/environment/src/document.rs
@@ -22,7 +22,7 @@
     Serialize, //
 };
 
-/// Name of the entry in `teams` whose limits apply to all teams without an entry of their own.
+/// Key in `teams` whose limits apply to all teams without an entry of their own.
 pub const DEFAULT_TEAM: &str = "default";
 
 /// The document of one environment. Unknown fields are rejected.
@@ -314,7 +314,7 @@
 }
 
 impl Plan {
-    /// Default of `watch`.
+    /// Returns the default of [`Plan::watch`].
     fn default_watch() -> Duration {
         Duration::from_secs(15 * 60)
     }
--- a/components/events/src/answers.rs
+++ b/components/events/src/answers.rs
@@ -9,8 +9,8 @@
     INTERRUPTED = 302, Error, "Answer interrupted";
     /// A generation had no listener for the grace time.
     ABANDONED = 303, Info, "Generation cancelled: no listener";
-    /// The engine doesn't answer its health check.
-    ENGINE_DOWN = 304, Warn, "Backend server doesn't answer its health check";
-    /// The engine answers its health check again.
-    ENGINE_UP = 305, Info, "Backend server answers its health check";
+    /// The backend server doesn't answer its health check.
+    BACKEND_DOWN = 304, Warn, "Backend server doesn't answer its health check";
+    /// The backend server answers its health check.
+    BACKEND_UP = 305, Info, "Backend server answers its health check";
 }
--- a/components/events/src/limits.rs
+++ b/components/events/src/limits.rs
@@ -1,3 +1,3 @@
-//! Events of limits and routing: 700 to 799.
+//! Events of limits and routing: 700 to 799, of which none is declared yet.
 
 crate::declare! {}
--- a/components/events/tests/catalogue.rs
+++ b/components/events/tests/catalogue.rs
@@ -1,20 +1,20 @@
-//! The catalogue in docs/EVENTS.md is in step with the code.
+//! The catalogue in docs/EVENTS.md lists the declared events.
 
 use std::{
     collections::BTreeSet,
     fs, //
 };
 
-/// The line that the catalogue must have for an event.
+/// Returns the line that the catalogue must have for an event.
 fn row(event: &events::Event) -> String {
     let level = event.level.as_str().to_lowercase();
     format!("| {event} | {level} | {} |", event.meaning)
 }
 
 #[test]
-fn every_event_stands_in_the_catalogue_and_nothing_else() {
+fn catalogue_lists_every_event_and_nothing_else() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/EVENTS.md");
-    let page = fs::read_to_string(path).expect("docs/EVENTS.md is there");
+    let page = fs::read_to_string(path).expect("docs/EVENTS.md is readable");
     let listed: BTreeSet<String> = page
         .lines()
         .filter(|line| line.starts_with("| MH"))
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn no_number_stands_for_two_events() {
+fn event_numbers_are_unique() {
     let numbers: Vec<u16> = events::all().iter().map(|event| event.number).collect();
     let distinct: BTreeSet<u16> = numbers.iter().copied().collect();
     assert_eq!(numbers.len(), distinct.len());
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -40,12 +40,13 @@
     time::Instant, //
 };
 
-/// Retry-After for a waiting request whose gate was dropped without a decision.
+/// Retry delay of a waiting request whose gate was dropped without a decision.
 const DROPPED_GATE_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Admission gates, one per service, and their waiting requests.
 pub struct Gates {
     state: Mutex<State>,
+    /// Start of the gates' clocks.
     origin: Instant,
 }
 
@@ -60,7 +61,7 @@
     waiting: HashMap<Ticket, Waiter>,
 }
 
-/// What a gate needs to know about a request from its arrival to its end.
+/// Data about a request that its gate needs from the request's arrival to its end.
 struct Work {
     team: Team,
     priority: u8,
@@ -123,14 +124,14 @@
 }
 
 /// Removes a waiting request from its gate when its caller disconnects.
-struct Guard<'a> {
+struct WaitGuard<'a> {
     gates: &'a Gates,
     service: &'a Service,
     ticket: Ticket,
 }
 
 impl Gates {
-    /// Creates a set without gates. Gates count time from `origin`.
+    /// Creates a set without gates. The gates' clocks start at `origin`.
     pub fn new(origin: Instant) -> Arc<Gates> {
         Arc::new(Gates {
             state: Mutex::new(State {
@@ -156,7 +157,7 @@
         let Some((ticket, decision)) = self.arrive(&request)? else {
             return Ok(self.permit(request.service, Work::new(&request)));
         };
-        let _guard = Guard {
+        let _guard = WaitGuard {
             gates: self,
             service: request.service,
             ticket,
@@ -270,7 +271,7 @@
             .map_or(0, |queue| queue.gate.waiting())
     }
 
-    /// Whether any request waits at any gate.
+    /// Returns whether any request waits at any gate.
     pub fn any_waiting(&self) -> bool {
         let state = self.lock();
         state.gates.values().any(|queue| !queue.waiting.is_empty())
@@ -292,8 +293,8 @@
     }
 
     /// Updates the capacity of each service's gate from `report`, whose second argument is the
-    /// number of this process's own requests in progress. `None` stands for an unknown capacity
-    /// and leaves the gate as it is: requests that can't be served are then rejected for lack of a
+    /// number of this process's own requests in progress. `None` stands for an unknown capacity and
+    /// leaves the gate as it is: requests that can't be served are then rejected for lack of a
     /// server.
     pub fn report(&self, mut report: impl FnMut(&Service, u32) -> Option<Report>) {
         let mut state = self.lock();
@@ -354,7 +355,7 @@
     }
 }
 
-impl Drop for Guard<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.gates.lock();
         let Some(queue) = state.gates.get_mut(self.service) else {
--- a/components/orders/src/sequencer.rs
+++ b/components/orders/src/sequencer.rs
@@ -3,9 +3,9 @@
 //! A server that checks fencing tokens rejects old orders itself. For a server that doesn't, the
 //! sequencer forwards one order at a time and holds the next one back until the previous one can no
 //! longer take effect. A sequencer that has just started knows neither the newest token nor which
-//! orders its predecessor left in progress at the server. It reads the former from the store and
-//! waits for the latter to settle. Until it knows the newest token it refuses orders, while the
-//! sidecar serves requests.
+//! orders its predecessor left in progress at the server. It reads the token from the store and
+//! waits until those orders can no longer take effect. Until it knows the newest token, it refuses
+//! orders, while the sidecar serves requests.
 
 use std::time::Duration;
 
@@ -112,15 +112,17 @@
     Unknown,
 }
 
+/// What the sequencer knows about the newest token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Newest {
+enum NewestToken {
     Unknown,
     Reading,
     Known(Fence),
 }
 
+/// Which order may still take effect at the server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Server {
+enum Progress {
     /// No order can still take effect.
     Idle,
     /// The order with this token is in progress.
@@ -133,8 +135,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Sequencer {
     settings: Settings,
-    newest: Newest,
-    server: Server,
+    newest: NewestToken,
+    progress: Progress,
     pending: Option<Fenced>,
     highest_applied: Fence,
 }
@@ -144,8 +146,8 @@
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            newest: Newest::Unknown,
-            server: Server::Idle,
+            newest: NewestToken::Unknown,
+            progress: Progress::Idle,
             pending: None,
             highest_applied: 0,
         }
@@ -154,8 +156,8 @@
     /// Returns the newest token that the sequencer has accepted or read, if known.
     pub fn newest(&self) -> Option<Fence> {
         match self.newest {
-            Newest::Known(fence) => Some(fence),
-            Newest::Unknown | Newest::Reading => None,
+            NewestToken::Known(fence) => Some(fence),
+            NewestToken::Unknown | NewestToken::Reading => None,
         }
     }
 
@@ -176,7 +178,7 @@
     }
 
     fn started(&mut self, now: Clock) -> Vec<Action> {
-        self.newest = Newest::Reading;
+        self.newest = NewestToken::Reading;
         let mut actions = vec![Action::ReadStore];
         // The previous sidecar may have left an order in progress at a server that doesn't check
         // tokens.
@@ -187,21 +189,21 @@
     }
 
     fn newest_read(&mut self, fence: Fence) -> Vec<Action> {
-        if self.newest == Newest::Reading {
-            self.newest = Newest::Known(fence);
+        if self.newest == NewestToken::Reading {
+            self.newest = NewestToken::Known(fence);
         }
         Vec::new()
     }
 
     fn store_unavailable(&mut self) -> Vec<Action> {
-        if self.newest == Newest::Reading {
-            self.newest = Newest::Unknown;
+        if self.newest == NewestToken::Reading {
+            self.newest = NewestToken::Unknown;
         }
         Vec::new()
     }
 
     fn order(&mut self, order: Fenced) -> Vec<Action> {
-        let Newest::Known(highest) = self.newest else {
+        let NewestToken::Known(highest) = self.newest else {
             return self.refuse_unready(order.fence);
         };
         if order.fence < highest {
@@ -210,8 +212,8 @@
         if order.fence == self.highest_applied {
             return vec![answer(order.fence, Answer::Applied)];
         }
-        self.newest = Newest::Known(order.fence);
-        if self.settings.checks_fence || self.server == Server::Idle {
+        self.newest = NewestToken::Known(order.fence);
+        if self.settings.checks_fence || self.progress == Progress::Idle {
             return self.send(order);
         }
         self.hold(order)
@@ -225,21 +227,21 @@
                 retry_after: self.settings.retry_after,
             },
         );
-        if self.newest == Newest::Reading {
+        if self.newest == NewestToken::Reading {
             return vec![refusal];
         }
-        self.newest = Newest::Reading;
+        self.newest = NewestToken::Reading;
         vec![refusal, Action::ReadStore]
     }
 
     fn send(&mut self, order: Fenced) -> Vec<Action> {
-        self.server = Server::Busy(order.fence);
+        self.progress = Progress::Busy(order.fence);
         vec![Action::Send(order)]
     }
 
     /// Holds the order back until the server is idle. Only the newest order is retained.
     fn hold(&mut self, order: Fenced) -> Vec<Action> {
-        if matches!(self.server, Server::Busy(fence) if fence == order.fence) {
+        if matches!(self.progress, Progress::Busy(fence) if fence == order.fence) {
             return Vec::new();
         }
         let highest = order.fence;
@@ -264,7 +266,7 @@
             self.highest_applied = self.highest_applied.max(fence);
         }
         let mut actions = vec![answer(fence, result)];
-        if self.server == Server::Busy(fence) {
+        if self.progress == Progress::Busy(fence) {
             actions.extend(self.idle());
         }
         actions
@@ -272,7 +274,7 @@
 
     fn closed(&mut self, fence: Fence, now: Clock) -> Vec<Action> {
         let mut actions = vec![answer(fence, Answer::Unknown)];
-        if self.server != Server::Busy(fence) {
+        if self.progress != Progress::Busy(fence) {
             return actions;
         }
         if self.settings.checks_fence {
@@ -284,21 +286,21 @@
     }
 
     fn settle(&mut self, now: Clock) -> Action {
-        self.server = Server::Settling(now + self.settings.settle_time);
+        self.progress = Progress::Settling(now + self.settings.settle_time);
         Action::Wait(self.settings.settle_time)
     }
 
     /// Ends a settling period. A timer of an earlier period may fire during a later one, so the
     /// deadline is checked.
     fn timer_fired(&mut self, now: Clock) -> Vec<Action> {
-        match self.server {
-            Server::Settling(until) if now >= until => self.idle(),
+        match self.progress {
+            Progress::Settling(until) if now >= until => self.idle(),
             _ => Vec::new(),
         }
     }
 
     fn idle(&mut self) -> Vec<Action> {
-        self.server = Server::Idle;
+        self.progress = Progress::Idle;
         let Some(order) = self.pending.take() else {
             return Vec::new();
         };
--- a/components/settings/src/entry.rs
+++ b/components/settings/src/entry.rs
@@ -18,8 +18,10 @@
 
 use crate::size;
 
-/// Range of accepted durations, in milliseconds.
+/// Shortest accepted duration, in milliseconds.
 const MIN_DURATION_MS: u128 = 1;
+
+/// Longest accepted duration, in milliseconds.
 const MAX_DURATION_MS: u128 = 24 * 3600 * 1000;
 
 /// Settings of an entry.
@@ -134,7 +136,7 @@
     #[serde(with = "humantime_serde")]
     #[garde(custom(check_range))]
     pub idle: Duration,
-    /// Time between heartbeats on a link with work on it.
+    /// Time between heartbeats on a link while work is in progress on it.
     #[serde(with = "humantime_serde")]
     #[garde(custom(check_range))]
     pub heartbeat: Duration,
@@ -142,10 +144,10 @@
     #[serde(with = "humantime_serde")]
     #[garde(custom(check_range))]
     pub rest: Duration,
-    /// Time after which a link with work on it that received nothing is given up, and a new one is
-    /// dialled.
+    /// Time after which a link that has work in progress but receives nothing is given up, and a
+    /// new one is dialled.
     #[serde(with = "humantime_serde")]
-    #[garde(custom(check_range), custom(longer_than_two(&self.heartbeat)))]
+    #[garde(custom(check_range), custom(longer_than_two_heartbeats(&self.heartbeat)))]
     pub silence: Duration,
     /// Time between two reads of the platform's host list.
     #[serde(with = "humantime_serde")]
@@ -213,7 +215,7 @@
 
 /// Refuses a silence of at most two heartbeats: the link would then be lost after a single lost
 /// packet.
-pub(crate) fn longer_than_two(
+pub(crate) fn longer_than_two_heartbeats(
     heartbeat: &Duration,
 ) -> impl FnOnce(&Duration, &()) -> garde::Result + '_ {
     move |silence, &()| {
--- a/components/settings/src/lenient.rs
+++ b/components/settings/src/lenient.rs
@@ -17,14 +17,16 @@
 use serde_norway::Value;
 use serde_path_to_error::Segment;
 
-/// Maximum number of reported faults; a file with more is hardly a settings file.
+/// Maximum number of reported faults. A file with more of them is probably not a settings file.
 const MAX_FAULTS: usize = 50;
 
 /// Start of the `humantime_serde` library's message for a value that isn't a duration.
 const DURATION_MESSAGE: &str = "expected a duration";
 
-/// Starts of `serde`'s messages for a missing field and for an unknown one.
+/// Start of `serde`'s message for a missing field.
 const MISSING_PREFIX: &str = "missing field `";
+
+/// Start of `serde`'s message for an unknown field.
 const UNKNOWN_PREFIX: &str = "unknown field `";
 
 /// One fault of a settings file.
@@ -140,8 +142,8 @@
             field,
             message: add_example(&message),
         });
-        let known = field_after(UNKNOWN_PREFIX).is_none();
-        if !replace_with_sample(&mut value, &path, Some(sample).filter(|_| known)) {
+        let is_known = field_after(UNKNOWN_PREFIX).is_none();
+        if !replace_with_sample(&mut value, &path, Some(sample).filter(|_| is_known)) {
             break;
         }
     }
--- a/components/sidecar/src/backend.rs
+++ b/components/sidecar/src/backend.rs
@@ -1,4 +1,4 @@
-//! Polls the backend server's health and load for the heartbeats.
+//! Polls the backend server's health and load, which heartbeats report to the entries.
 
 use std::{
     sync::Arc,
@@ -21,7 +21,7 @@
 
 use crate::state::State;
 
-/// Capacity assumed of a plain service, which reports none.
+/// Assumed capacity of a plain service, which reports none, in calls.
 const PLAIN_CAPACITY: u32 = 64;
 
 /// Load as the engine reports it at `GET /load`.
@@ -35,10 +35,11 @@
     age_ms: u64,
 }
 
+/// Updates the content of heartbeats and the readiness until the sidecar has stopped.
 pub(crate) async fn poll(
     state: Arc<State>,
     ready: watch::Sender<Readiness>,
-    ended: CancellationToken,
+    stopped: CancellationToken,
 ) {
     let times = &state.context.settings.times;
     let Ok(client) = reqwest::Client::builder().timeout(times.silence).build() else {
@@ -48,38 +49,40 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            () = ended.cancelled() => return,
+            () = stopped.cancelled() => return,
             _ = ticks.tick() => {}
         }
-        let healthy = health(&client, &state.context.settings.server.address).await;
+        let healthy = is_healthy(&client, &state.context.settings.server.address).await;
         let load = load(&client, &state).await;
         update(&state, &ready, healthy, load);
     }
 }
 
-async fn health(client: &reqwest::Client, address: &str) -> bool {
+async fn is_healthy(client: &reqwest::Client, address: &str) -> bool {
     let answer = client.get(format!("{address}/health")).send().await;
     answer.is_ok_and(|answer| answer.status().is_success())
 }
 
+/// Reads the load of an engine. For a plain service, or an engine that doesn't answer, returns the
+/// load that the sidecar counts itself.
 async fn load(client: &reqwest::Client, state: &State) -> Load {
-    let own = Load {
+    let counted = Load {
         running: state.concurrency.count(),
         capacity: PLAIN_CAPACITY,
         ..Load::default()
     };
     if state.context.settings.server.kind == Kind::Plain {
-        return own;
+        return counted;
     }
     let address = &state.context.settings.server.address;
     let Ok(answer) = client.get(format!("{address}/load")).send().await else {
-        return own;
+        return counted;
     };
     let Ok(report) = answer.json::<Report>().await else {
-        return own;
+        return counted;
     };
     Load {
-        running: report.running.max(own.running),
+        running: report.running.max(counted.running),
         queued: report.queued,
         capacity: report.capacity,
         cache: (report.kv_used.clamp(0.0, 1.0) * 1000.0) as u16,
@@ -101,10 +104,10 @@
     }
     let server = &state.context.settings.server.name;
     if healthy {
-        events::emit!(answers::ENGINE_UP, "server={server}");
+        events::emit!(answers::BACKEND_UP, "server={server}");
         ready.send_replace(Readiness::Ready);
     } else {
-        events::emit!(answers::ENGINE_DOWN, "server={server}");
+        events::emit!(answers::BACKEND_DOWN, "server={server}");
         ready.send_replace(Readiness::Waiting("backend server doesn't answer".into()));
     }
 }
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -49,17 +49,18 @@
     }, //
 };
 
-/// Delay before a retry that a refusal asks for.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Retry delay that callers receive with a refusal.
+const REFUSAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Send ids of recorded calls that are remembered, so that each send begins only once.
+/// Maximum number of remembered send ids of recorded calls. A send whose id is known is a duplicate
+/// and is not started again.
 const MAX_REMEMBERED_SENDS: usize = 4096;
 
 /// Forwards calls to the plain service.
 pub struct Calls {
     service: Service,
     concurrency: Counter,
-    seen: Mutex<Seen>,
+    seen_sends: Mutex<Seen>,
 }
 
 impl Calls {
@@ -67,7 +68,7 @@
         Self {
             service: Service::new(settings),
             concurrency,
-            seen: Mutex::new(Seen::new(MAX_REMEMBERED_SENDS)),
+            seen_sends: Mutex::new(Seen::new(MAX_REMEMBERED_SENDS)),
         }
     }
 
@@ -111,11 +112,11 @@
     }
 
     fn is_first_send(&self, recording: &Recording) -> bool {
-        let mut seen = self.seen.lock().expect("no panic while held");
+        let mut seen = self.seen_sends.lock().expect("no panic while held");
         seen.insert(recording.send_id)
     }
 
-    /// Forwards a call of which no record is kept.
+    /// Forwards a call without a record.
     async fn forward(&self, context: &Context, call: &Call, guard: &Guard) -> Reply {
         match timeout(
             context.settings.times.call,
@@ -157,6 +158,6 @@
 fn not_run(reason: Reason) -> Reply {
     Reply::NotRun(Refused {
         reason,
-        retry_after: RETRY_AFTER,
+        retry_after: REFUSAL_RETRY_AFTER,
     })
 }
--- a/components/sidecar/src/context.rs
+++ b/components/sidecar/src/context.rs
@@ -1,4 +1,4 @@
-//! State of the sidecar that runs and calls use.
+//! State of the sidecar that generations and calls share.
 
 use std::{
     sync::Arc,
--- a/components/sidecar/src/daemon.rs
+++ b/components/sidecar/src/daemon.rs
@@ -90,19 +90,19 @@
             address: settings.links,
             source,
         })?;
-        let ended = CancellationToken::new();
+        let stopped = CancellationToken::new();
         let state = Arc::new(state(settings, stop.clone())?);
         let (ready, readiness) = watch::channel(Readiness::Waiting("backend server unseen".into()));
         let served = http::serve(
             state.context.settings.operators,
             probe::router(metering::install(), readiness),
             http::Limits::default(),
-            ended.clone(),
+            stopped.clone(),
         )
         .await?;
-        tokio::spawn(backend::poll(state.clone(), ready, ended.clone()));
-        tokio::spawn(orders::follow(state.clone(), ended.clone()));
-        tokio::spawn(links::accept(state.clone(), node.clone(), ended.clone()));
+        tokio::spawn(backend::poll(state.clone(), ready, stopped.clone()));
+        tokio::spawn(orders::forward(state.clone(), stopped.clone()));
+        tokio::spawn(links::accept(state.clone(), node.clone(), stopped.clone()));
         events::emit!(
             process::STARTED,
             "role=sidecar host={} server={} links={links} operators={}",
@@ -114,7 +114,7 @@
         let task = tokio::spawn(async move {
             stop.cancelled().await;
             drain(&state).await;
-            ended.cancel();
+            stopped.cancel();
             node.close().await;
             let _ = served.task.await;
             events::emit!(process::STOPPED, "host={}", state.context.settings.name);
--- a/components/sidecar/src/engine.rs
+++ b/components/sidecar/src/engine.rs
@@ -26,7 +26,7 @@
 
 use crate::line::Line;
 
-/// Longest accepted line of an engine's answer, in bytes.
+/// Maximum length of a line of an engine's answer, in bytes.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// Delay before a retry when the engine's answer has no `Retry-After`.
@@ -37,13 +37,13 @@
 pub struct Engine {
     client: Client,
     address: String,
-    stall: Duration,
+    stall_timeout: Duration,
 }
 
 /// Reader of the lines of one run.
 pub struct Lines {
     reader: FramedRead<Box<dyn tokio::io::AsyncRead + Send + Unpin>, LinesCodec>,
-    stall: Duration,
+    stall_timeout: Duration,
 }
 
 /// Result of waiting for a line.
@@ -53,7 +53,7 @@
     Line(Line),
     /// The response ended, or it sent a line that can't be parsed.
     Broken,
-    /// No line arrived within the stall time.
+    /// No line arrived within the stall timeout.
     Stalled,
 }
 
@@ -72,11 +72,11 @@
 }
 
 impl Engine {
-    /// Creates a client of the engine at an address; `stall` is the longest time without a line
-    /// within a run.
-    pub fn new(address: &str, stall: Duration) -> Self {
+    /// Creates a client of the engine at an address; a run that sends no line for `stall_timeout`
+    /// is given up.
+    pub fn new(address: &str, stall_timeout: Duration) -> Self {
         let client = Client::builder()
-            .connect_timeout(stall)
+            .connect_timeout(stall_timeout)
             .pool_idle_timeout(Duration::from_secs(30))
             .tcp_nodelay(true)
             .build()
@@ -84,7 +84,7 @@
         Self {
             client,
             address: address.to_string(),
-            stall,
+            stall_timeout,
         }
     }
 
@@ -109,7 +109,7 @@
             .client
             .post(format!("{}/generate", self.address))
             .json(&body);
-        let answer = match timeout(self.stall, request.send()).await {
+        let answer = match timeout(self.stall_timeout, request.send()).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(_)) | Err(_) => return Err(refused(Reason::Down, DEFAULT_RETRY_AFTER)),
         };
@@ -121,15 +121,15 @@
             Box::new(StreamReader::new(bytes));
         Ok(Lines {
             reader: FramedRead::new(reader, LinesCodec::new_with_max_length(MAX_LINE_BYTES)),
-            stall: self.stall,
+            stall_timeout: self.stall_timeout,
         })
     }
 }
 
 impl Lines {
-    /// Waits for the next line, for at most the stall time.
+    /// Waits for the next line, for at most the stall timeout.
     pub async fn next(&mut self) -> Read {
-        match timeout(self.stall, self.reader.try_next()).await {
+        match timeout(self.stall_timeout, self.reader.try_next()).await {
             Err(_) => Read::Stalled,
             Ok(Ok(Some(text))) => match serde_json::from_str(&text) {
                 Ok(line) => Read::Line(line),
@@ -141,18 +141,20 @@
 }
 
 fn refusal(answer: &Response, start: &Start) -> Refused {
-    let retry = answer
+    let retry_after = answer
         .headers()
         .get(RETRY_AFTER)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok())
         .map_or(DEFAULT_RETRY_AFTER, Duration::from_secs);
     match answer.status() {
-        StatusCode::CONFLICT => refused(Reason::Version, retry),
-        StatusCode::TOO_MANY_REQUESTS => refused(Reason::Full, retry),
-        StatusCode::BAD_REQUEST if start.delivered.is_empty() => refused(Reason::Invalid, retry),
-        StatusCode::BAD_REQUEST => refused(Reason::Continuation, retry),
-        _ => refused(Reason::Down, retry),
+        StatusCode::CONFLICT => refused(Reason::Version, retry_after),
+        StatusCode::TOO_MANY_REQUESTS => refused(Reason::Full, retry_after),
+        StatusCode::BAD_REQUEST if start.delivered.is_empty() => {
+            refused(Reason::Invalid, retry_after)
+        }
+        StatusCode::BAD_REQUEST => refused(Reason::Continuation, retry_after),
+        _ => refused(Reason::Down, retry_after),
     }
 }
 
--- a/components/sidecar/src/generation.rs
+++ b/components/sidecar/src/generation.rs
@@ -67,15 +67,15 @@
 const LISTENER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Generation {
-    /// Creates a generation whose log starts with the tokens that the caller has already; `bound`
-    /// is the log's size limit in bytes.
+    /// Creates a generation whose log starts with the tokens that the caller has already; the log
+    /// holds at most `max_log_bytes`.
     ///
     /// # Errors
     ///
     /// [`Fault`] when the delivered tokens exceed the limit.
-    pub fn new(delivered: &[String], bound: usize) -> Result<Self, Fault> {
+    pub fn new(delivered: &[String], max_log_bytes: usize) -> Result<Self, Fault> {
         Ok(Self {
-            log: watch::Sender::new(Log::with_prefix(delivered, bound)?),
+            log: watch::Sender::new(Log::with_prefix(delivered, max_log_bytes)?),
             usage: Mutex::new(Usage::default()),
             suspects: Mutex::default(),
             cancel: CancellationToken::new(),
@@ -85,21 +85,22 @@
 
     /// Subscribes to the token log. A generation without subscribers is cancelled after the grace
     /// time.
-    pub fn listen(&self) -> watch::Receiver<Log> {
+    pub fn subscribe(&self) -> watch::Receiver<Log> {
         self.log.subscribe()
     }
 
-    /// Token counts reported by the engine; zero until the generation ends.
+    /// Returns the token counts that the engine reported; zero until the generation ends.
     pub fn usage(&self) -> Usage {
         *self.usage.lock().expect("no panic while held")
     }
 
-    /// Facts about the server's death, to be sent before the end frame.
+    /// Returns the facts about the server's death, to be sent before the end frame; none unless the
+    /// server died.
     pub fn suspects(&self) -> Option<Facts> {
         self.suspects.lock().expect("no panic while held").clone()
     }
 
-    /// Size of the token log in bytes.
+    /// Returns the size of the token log in bytes.
     pub fn bytes(&self) -> usize {
         self.log.borrow().bytes()
     }
@@ -132,7 +133,7 @@
         self.cancel.is_cancelled()
     }
 
-    /// Lowest next index of all listening streams; none without a listener.
+    /// Returns the lowest next index of all listening streams; none without a listener.
     fn lowest_position(&self) -> Option<Index> {
         let positions = self.positions.lock().expect("no panic while held");
         positions.values().min().copied()
--- a/components/sidecar/src/generations.rs
+++ b/components/sidecar/src/generations.rs
@@ -52,17 +52,17 @@
 /// Maximum number of tokens in one frame.
 const MAX_BATCH_TOKENS: usize = 256;
 
-/// Retry delay of every refusal for which no other delay applies, such as that of a full sidecar.
-const FULL_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay of refusals for which no other delay applies, such as that of a full sidecar.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Retry delay of requests refused because the sidecar is leaving: another sidecar can be tried at
 /// once.
-const LEAVING_RETRY: Duration = Duration::from_millis(50);
+const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// The generations that a sidecar holds.
+/// Generations that run at the engine, and ended ones whose log is held for the grace time.
 pub struct Generations {
     engine: Engine,
-    held: Arc<Mutex<HashMap<Key, Arc<Generation>>>>,
+    by_key: Arc<Mutex<HashMap<Key, Arc<Generation>>>>,
     concurrency: Counter,
 }
 
@@ -70,7 +70,7 @@
     pub(crate) fn new(settings: &Sidecar, concurrency: Counter) -> Self {
         Self {
             engine: Engine::new(&settings.server.address, settings.times.stall),
-            held: Arc::default(),
+            by_key: Arc::default(),
             concurrency,
         }
     }
@@ -80,7 +80,7 @@
         match self.begin(context, start).await {
             Ok(generation) => {
                 if stream.send(&Frame::Started).await.is_ok() {
-                    let from = generation.listen().borrow().next();
+                    let from = generation.subscribe().borrow().next();
                     stream_tokens(generation, from, stream).await;
                 }
             }
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Streams the tokens of a generation that this sidecar holds.
+    /// Streams the tokens of a generation, if this sidecar holds it.
     pub(crate) async fn attach(&self, attach: Attach, mut stream: Stream) {
         let key = Key {
             request: attach.request,
@@ -101,7 +101,7 @@
             nonce: attach.nonce,
         };
         let found = self
-            .held
+            .by_key
             .lock()
             .expect("no panic while held")
             .get(&key)
@@ -120,19 +120,19 @@
     async fn begin(&self, context: &Context, start: Start) -> Result<Arc<Generation>, Refused> {
         let limits = &context.settings.limits;
         if context.leaving.is_cancelled() {
-            return Err(refused(Reason::Leaving, LEAVING_RETRY));
+            return Err(refused(Reason::Leaving, LEAVING_RETRY_AFTER));
         }
         if context.settings.server.kind != Kind::Engine {
-            return Err(refused(Reason::Invalid, FULL_RETRY));
+            return Err(refused(Reason::Invalid, DEFAULT_RETRY_AFTER));
         }
         let Some(permit) = self.concurrency.acquire(limits.runs) else {
-            return Err(refused(Reason::Full, FULL_RETRY));
+            return Err(refused(Reason::Full, DEFAULT_RETRY_AFTER));
         };
         if self.bytes() >= limits.logs as usize {
-            return Err(refused(Reason::Full, FULL_RETRY));
+            return Err(refused(Reason::Full, DEFAULT_RETRY_AFTER));
         }
         let generation = Generation::new(&start.delivered, limits.log as usize)
-            .map_err(|_| refused(Reason::Invalid, FULL_RETRY))?;
+            .map_err(|_| refused(Reason::Invalid, DEFAULT_RETRY_AFTER))?;
         if let Some(facts) = &start.suspects {
             context.suspects.merge(facts);
         }
@@ -154,12 +154,12 @@
             epoch: start.epoch,
             nonce: start.nonce,
         };
-        self.hold(key.clone(), generation.clone());
-        let held = self.held.clone();
+        self.insert(key.clone(), generation.clone());
+        let by_key = self.by_key.clone();
         let grace = context.settings.times.grace;
-        let filled = generation.clone();
+        let task_generation = generation.clone();
         tokio::spawn(async move {
-            let finish = filled.fill(lines, grace, &guard).await;
+            let finish = task_generation.fill(lines, grace, &guard).await;
             if matches!(finish, Finish::Stop | Finish::Length) {
                 guard.record_completion();
             }
@@ -167,23 +167,26 @@
             drop(permit);
             report_breakage(&key, &finish);
             // An entry that lost its link may reconnect and read the rest.
-            filled.wait_unused(grace).await;
-            held.lock().expect("no panic while held").remove(&key);
+            task_generation.wait_unused(grace).await;
+            by_key.lock().expect("no panic while held").remove(&key);
         });
         Ok(generation)
     }
 
-    fn hold(&self, key: Key, generation: Arc<Generation>) {
-        self.held
+    fn insert(&self, key: Key, generation: Arc<Generation>) {
+        self.by_key
             .lock()
             .expect("no panic while held")
             .insert(key, generation);
     }
 
-    /// Total size of all token logs in bytes.
+    /// Returns the total size of all token logs in bytes.
     pub fn bytes(&self) -> usize {
-        let held = self.held.lock().expect("no panic while held");
-        held.values().map(|generation| generation.bytes()).sum()
+        let generations = self.by_key.lock().expect("no panic while held");
+        generations
+            .values()
+            .map(|generation| generation.bytes())
+            .sum()
     }
 }
 
@@ -191,11 +194,11 @@
 async fn stream_tokens(generation: Arc<Generation>, from: Index, stream: Stream) {
     let Stream { sender, receiver } = stream;
     let stream_id = rand::random();
-    let log = generation.listen();
+    let log = generation.subscribe();
     generation.record_position(stream_id, from);
-    let commands = tokio::spawn(read_cancellations(generation.clone(), stream_id, receiver));
+    let cancellations = tokio::spawn(read_cancellations(generation.clone(), stream_id, receiver));
     send_tokens(&generation, log, (stream_id, from), sender).await;
-    commands.abort();
+    cancellations.abort();
     generation.remove_stream(stream_id);
 }
 
@@ -211,8 +214,8 @@
             let Some(tokens) = log.read(next, MAX_BATCH_TOKENS).map(<[String]>::to_vec) else {
                 break;
             };
-            let rest = log.next().saturating_sub(next + tokens.len() as Index);
-            let finish = if rest == 0 {
+            let unread = log.next().saturating_sub(next + tokens.len() as Index);
+            let finish = if unread == 0 {
                 log.finish().cloned()
             } else {
                 None
@@ -270,7 +273,7 @@
     }
 }
 
-/// Cancels the generation for this stream when the entry asks for it.
+/// Cancels the generation for this stream when the entry sends a cancel frame.
 async fn read_cancellations(generation: Arc<Generation>, stream_id: u64, mut receiver: Receiver) {
     while let Ok(Some(frame)) = receiver.receive().await {
         if frame == Frame::Cancel {
@@ -294,7 +297,7 @@
 fn admission_refusal(refusal: Refusal) -> Refused {
     match refusal {
         Refusal::Poisonous(left) => refused(Reason::Poisonous, left),
-        Refusal::Apart => refused(Reason::Apart, FULL_RETRY),
+        Refusal::Apart => refused(Reason::Apart, DEFAULT_RETRY_AFTER),
     }
 }
 
--- a/components/sidecar/src/inflight.rs
+++ b/components/sidecar/src/inflight.rs
@@ -24,7 +24,7 @@
     sleep, //
 };
 
-/// Longest time that a request waits until it may start beside those in flight. Slightly longer
+/// Maximum time that a request waits until it may start beside those in flight. Slightly longer
 /// than the probation in `contract::poison`, so that a suspected request always gets its turn.
 const ADMISSION_TIMEOUT: Duration = Duration::from_millis(2500);
 
@@ -35,17 +35,17 @@
 /// answer within this time may only be paused.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Delay of a failed run's end, so that the facts about the death reach the entries first.
-/// Otherwise an entry would retry the request on another server before it knows that the request is
-/// a suspect.
-const END_DELAY: Duration = Duration::from_millis(20);
+/// Delay before the end of a failed run is reported, so that the facts about the death reach the
+/// entries first. Otherwise an entry would retry the request on another server before it knows that
+/// the request is a suspect.
+const FAILURE_REPORT_DELAY: Duration = Duration::from_millis(20);
 
 /// Tracks the requests in flight at the backend server.
 pub struct Tracker {
     suspects: Arc<Suspects>,
     running: Mutex<Running>,
-    /// Makes requests wait in order, so that newer requests don't overtake a waiting suspect.
-    turnstile: tokio::sync::Mutex<()>,
+    /// Admits requests in order, so that newer ones don't overtake a waiting suspect.
+    admission: tokio::sync::Mutex<()>,
     client: Client,
     address: String,
     server: String,
@@ -84,7 +84,7 @@
         Arc::new(Self {
             suspects,
             running: Mutex::default(),
-            turnstile: tokio::sync::Mutex::default(),
+            admission: tokio::sync::Mutex::default(),
             client,
             address: settings.server.address.clone(),
             server: settings.server.name.clone(),
@@ -96,7 +96,7 @@
         self: &Arc<Self>,
         fingerprint: Fingerprint,
     ) -> Result<Guard, Refusal> {
-        let _turn = self.turnstile.lock().await;
+        let _turn = self.admission.lock().await;
         let started = Instant::now();
         loop {
             if let Verdict::Refused { remaining } = self.suspects.verdict(fingerprint) {
@@ -114,7 +114,7 @@
 
     fn try_start(self: &Arc<Self>, fingerprint: Fingerprint) -> Option<Guard> {
         let mut running = self.running.lock().expect("no panic while held");
-        if self.suspects.place(fingerprint, &running.flights()) != Placement::Allowed {
+        if self.suspects.placement(fingerprint, &running.flights()) != Placement::Allowed {
             return None;
         }
         running.next_id += 1;
@@ -175,7 +175,7 @@
                 .suspects
                 .record_death(&self.tracker.server, flights);
         }
-        sleep(END_DELAY).await;
+        sleep(FAILURE_REPORT_DELAY).await;
         Some(self.tracker.suspects.facts())
     }
 }
--- a/components/sidecar/src/links.rs
+++ b/components/sidecar/src/links.rs
@@ -23,35 +23,36 @@
 
 use crate::state::State;
 
-pub(crate) async fn accept(state: Arc<State>, node: Node, ended: CancellationToken) {
+/// Accepts and serves links until the sidecar has stopped.
+pub(crate) async fn accept(state: Arc<State>, node: Node, stopped: CancellationToken) {
     loop {
         let incoming = tokio::select! {
-            () = ended.cancelled() => return,
+            () = stopped.cancelled() => return,
             incoming = node.accept() => incoming,
         };
         let Some(incoming) = incoming else {
             return;
         };
-        tokio::spawn(serve_link(state.clone(), incoming, ended.clone()));
+        tokio::spawn(serve_link(state.clone(), incoming, stopped.clone()));
     }
 }
 
-async fn serve_link(state: Arc<State>, incoming: Incoming, ended: CancellationToken) {
+async fn serve_link(state: Arc<State>, incoming: Incoming, stopped: CancellationToken) {
     let address = incoming.address();
     let link = match incoming.accept().await {
         Ok(link) => link,
         Err(error) => return report_failure(address, &error),
     };
-    let silence = state.context.settings.times.silence;
-    let (control, hello) = match handshake::respond(&link, &state.hello, silence).await {
+    let handshake_timeout = state.context.settings.times.silence;
+    let (control, hello) = match handshake::respond(&link, &state.hello, handshake_timeout).await {
         Ok(accepted) => accepted,
         Err(error) => return report_failure(address, &error),
     };
     events::emit!(links::UP, "host={} address={address}", hello.host);
     let heartbeats = state.heartbeat.subscribe();
     let (extra_frames, pending_frames) = mpsc::channel(1);
-    // The entries detect silence, so this side only needs heartbeats to report its load. Entries
-    // admit and route by that load, so it is sent often while there is work.
+    // The entries detect a silent link, so this side only needs heartbeats to report its load.
+    // Entries admit and route by that load, so it is sent often while there is work.
     let intervals = Intervals {
         busy: state.context.settings.times.heartbeat,
         idle: state.context.settings.times.rest,
@@ -70,7 +71,7 @@
     tokio::spawn(async move { task_state.context.suspects.send_changes(extra_frames).await });
     loop {
         let stream = tokio::select! {
-            () = ended.cancelled() => return,
+            () = stopped.cancelled() => return,
             stream = link.accept() => stream,
         };
         match stream {
@@ -102,8 +103,8 @@
                 .await
         }
         Ok(Some(Frame::Attach(attach))) => state.generations.attach(attach, stream).await,
-        Ok(Some(Frame::Call(handle))) => state.calls.handle(&state.context, *handle, stream).await,
-        Ok(Some(Frame::Point(put_pointer))) => state.put_pointer(put_pointer),
+        Ok(Some(Frame::Call(call))) => state.calls.handle(&state.context, *call, stream).await,
+        Ok(Some(Frame::Point(point))) => state.put_pointer(point),
         Ok(Some(Frame::Find(request))) => {
             let found = Frame::Found(state.get_pointer(&request));
             // An entry that is gone needs no answer.
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -58,8 +58,8 @@
     highest: u64,
 }
 
-/// Forwards orders until the sidecar ends.
-pub(crate) async fn follow(state: Arc<State>, ended: CancellationToken) {
+/// Forwards orders until the sidecar has stopped.
+pub(crate) async fn forward(state: Arc<State>, stopped: CancellationToken) {
     if state.context.settings.server.kind != Kind::Engine {
         return;
     }
@@ -90,11 +90,11 @@
     loop {
         if let Some(event) = event.take() {
             for action in sequencer.handle(event, state.context.now()) {
-                driver.act(action);
+                driver.execute(action);
             }
         }
         event = tokio::select! {
-            () = ended.cancelled() => return,
+            () = stopped.cancelled() => return,
             () = &mut watching => return,
             event = incoming.recv() => event,
         };
@@ -162,6 +162,7 @@
     }
 }
 
+/// Executes the actions of the sequencer.
 struct Driver {
     client: Client,
     /// Time after which an unanswered order is reported as slow.
@@ -171,7 +172,7 @@
 }
 
 impl Driver {
-    fn act(&self, action: Action) {
+    fn execute(&self, action: Action) {
         let events = self.events.clone();
         match action {
             // The watch loop retries the read until it succeeds.
@@ -191,6 +192,7 @@
         }
     }
 
+    /// Logs the result of an order.
     fn report(&self, fence: Revision, answer: Answer) {
         let server = &self.state.context.settings.server.name;
         let event = match answer {
--- a/components/sidecar/src/recorded.rs
+++ b/components/sidecar/src/recorded.rs
@@ -43,7 +43,7 @@
 type NextEvent<'a> = Pin<Box<dyn Future<Output = Event> + Send + 'a>>;
 
 /// Runs a recorded call to its end: creates the record, forwards the call and records the outcome.
-/// Continues when the entry is gone.
+/// Continues after the entry has disconnected.
 pub(crate) async fn run(
     context: &Context,
     service: &Service,
@@ -61,7 +61,7 @@
             &call.team,
             call.key.as_deref().unwrap_or_default(),
         ),
-        machine: Forwarder::new(
+        forwarder: Forwarder::new(
             Call {
                 base_revision: recording.base_revision,
                 digest: recording.digest.clone(),
@@ -87,7 +87,7 @@
                     driver.entry_gone = true;
                     driver.handle(Event::EntryGone).await;
                 }
-                () = &mut silence_timeout, if driver.machine.running() && !silence_reported => {
+                () = &mut silence_timeout, if driver.forwarder.running() && !silence_reported => {
                     silence_reported = true;
                     driver.handle(Event::TimedOut).await;
                 }
@@ -104,7 +104,7 @@
     call: &'a frame::Call,
     guard: &'a Guard,
     key: String,
-    machine: Forwarder,
+    forwarder: Forwarder,
     stream: Stream,
     entry_gone: bool,
 }
@@ -114,7 +114,7 @@
     /// yields the next event.
     async fn handle(&mut self, event: Event) -> Option<NextEvent<'a>> {
         let mut next = None;
-        let actions = self.machine.handle(event, self.context.now());
+        let actions = self.forwarder.handle(event, self.context.now());
         for action in actions {
             let (context, service, call, guard) =
                 (self.context, self.service, self.call, self.guard);
@@ -149,7 +149,7 @@
         if self.stream.send(&frame).await.is_ok() {
             self.stream.sender.finish();
         }
-        // The remaining actions don't need the entry.
+        // The remaining actions don't need the entry, so its connection isn't watched any longer.
         self.entry_gone = true;
     }
 }
--- a/components/sidecar/src/service.rs
+++ b/components/sidecar/src/service.rs
@@ -46,8 +46,8 @@
 
 impl Service {
     pub(crate) fn new(settings: &Sidecar) -> Self {
-        // Each call gets a new connection: on a reused one, a service that died before the call
-        // can't be told from one that died during it. The client never retries by itself.
+        // Each call gets a new connection: on a reused one, the client couldn't tell whether the
+        // service died before the call or during it. The client never retries by itself.
         let client = Client::builder()
             .timeout(settings.times.call * TIMEOUT_FACTOR)
             .connect_timeout(settings.times.silence)
--- a/components/sidecar/src/state.rs
+++ b/components/sidecar/src/state.rs
@@ -22,7 +22,7 @@
 
 /// State shared by the tasks of one sidecar.
 pub(crate) struct State {
-    /// The part that runs and calls use.
+    /// The part that generations and calls use.
     pub(crate) context: Context,
     pub(crate) hello: Hello,
     /// Content of the next heartbeat.
--- a/components/store/src/client.rs
+++ b/components/store/src/client.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct Client {
     http: reqwest::Client,
-    base: Url,
+    base_url: Url,
     pub(crate) timeout: Duration,
     pub(crate) settle_timeout: Duration,
 }
@@ -98,17 +98,17 @@
 }
 
 impl Client {
-    /// Creates a client of the platform at `base`, such as `http://10.0.0.1:7000`. Each call times
-    /// out after `timeout`.
+    /// Creates a client of the platform at `base_url`, such as `http://10.0.0.1:7000`. Each call
+    /// times out after `timeout`.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if `base` is not an `http` URL.
-    pub fn new(base: &str, timeout: Duration) -> Result<Client, Error> {
-        let url = Url::parse(base)
-            .map_err(|error| Error::Malformed(format!("{base} is not a URL: {error}")))?;
+    /// [`Error::Malformed`] if `base_url` is not an `http` URL.
+    pub fn new(base_url: &str, timeout: Duration) -> Result<Client, Error> {
+        let url = Url::parse(base_url)
+            .map_err(|error| Error::Malformed(format!("{base_url} is not a URL: {error}")))?;
         if url.scheme() != "http" || url.cannot_be_a_base() {
-            return Err(Error::Malformed(format!("{base} is not an http URL")));
+            return Err(Error::Malformed(format!("{base_url} is not an http URL")));
         }
         // The HTTP library must not retry on its own, or a write could be sent twice unnoticed.
         let http = reqwest::Client::builder()
@@ -119,7 +119,7 @@
             .map_err(|error| Error::Malformed(error.to_string()))?;
         Ok(Client {
             http,
-            base: url,
+            base_url: url,
             timeout,
             settle_timeout: timeout * SETTLE_TIMEOUT_FACTOR,
         })
@@ -321,7 +321,7 @@
     }
 
     fn url(&self, path: &[&str], query: &[(&str, &str)]) -> Url {
-        let mut url = self.base.clone();
+        let mut url = self.base_url.clone();
         url.path_segments_mut()
             .expect("an http URL has a path")
             .pop_if_empty()
--- a/components/store/tests/hosts.rs
+++ b/components/store/tests/hosts.rs
@@ -41,8 +41,8 @@
         ..Settings::default()
     });
     let platform = platform.await.expect("loopback can be bound");
-    let base = format!("http://{}", platform.address());
-    let client = Client::new(&base, TEST_TIMEOUT).expect("the base is a URL");
+    let base_url = format!("http://{}", platform.address());
+    let client = Client::new(&base_url, TEST_TIMEOUT).expect("the base is a URL");
     (platform, client)
 }
 
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -25,8 +25,8 @@
 async fn start() -> (Platform, Client) {
     let platform = Platform::start(Settings::default()).await;
     let platform = platform.expect("loopback can be bound");
-    let base = format!("http://{}", platform.address());
-    let client = Client::new(&base, TEST_TIMEOUT).expect("the base is a URL");
+    let base_url = format!("http://{}", platform.address());
+    let client = Client::new(&base_url, TEST_TIMEOUT).expect("the base is a URL");
     (platform, client)
 }
 
@@ -132,8 +132,8 @@
         ..Settings::default()
     });
     let platform = platform.await.expect("loopback can be bound");
-    let base = format!("http://{}", platform.address());
-    let client = Client::new(&base, TEST_TIMEOUT).expect("the base is a URL");
+    let base_url = format!("http://{}", platform.address());
+    let client = Client::new(&base_url, TEST_TIMEOUT).expect("the base is a URL");
     let first = revision(&client, "before").await;
     revision(&client, "other").await;
     revision(&client, "another").await;
@@ -172,8 +172,8 @@
 #[tokio::test]
 async fn delayed_write_takes_effect_once() {
     let (platform, _) = start().await;
-    let base = format!("http://{}", platform.address());
-    let client = Client::new(&base, Duration::from_millis(100));
+    let base_url = format!("http://{}", platform.address());
+    let client = Client::new(&base_url, Duration::from_millis(100));
     let client = client
         .expect("the base is a URL")
         .with_settle_timeout(TEST_TIMEOUT);
--- a/components/store/tests/store.rs
+++ b/components/store/tests/store.rs
@@ -323,8 +323,11 @@
 #[case::scheme("ftp://10.0.0.1")]
 #[case::text("no address")]
 #[case::no_scheme("10.0.0.1:7000")]
-fn invalid_base_urls_are_refused(#[case] base: &str) {
-    assert_matches!(Client::new(base, TEST_TIMEOUT), Err(Error::Malformed(_)));
+fn invalid_base_urls_are_refused(#[case] base_url: &str) {
+    assert_matches!(
+        Client::new(base_url, TEST_TIMEOUT),
+        Err(Error::Malformed(_))
+    );
 }
 
 async fn wait_for(condition: impl Fn() -> bool) {
--- a/components/upstream/src/body.rs
+++ b/components/upstream/src/body.rs
@@ -8,7 +8,7 @@
 
 use crate::Error;
 
-/// Longest chunk size line or trailer line.
+/// Maximum length of a chunk size line or trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 4096;
 
 /// How a response marks the end of its body.
--- a/components/upstream/src/connection.rs
+++ b/components/upstream/src/connection.rs
@@ -34,10 +34,11 @@
     head, //
 };
 
-/// Buffer space reserved for each read.
+/// Buffer space reserved for each read, in bytes.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Most bytes of an early response buffered while the request is still being written.
+/// Maximum size of an early response that is buffered while the request is still being written, in
+/// bytes.
 const MAX_EARLY_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// HTTP/1.1 connection that carries one exchange at a time.
@@ -129,7 +130,7 @@
         self.bytes_sent
     }
 
-    /// Whether the connection carried an earlier request.
+    /// Returns whether the connection carried an earlier request.
     pub fn is_reused(&self) -> bool {
         self.exchanges > 1
     }
@@ -150,8 +151,8 @@
         self.idle_timeout
     }
 
-    /// Whether the connection can carry another request: the last response is complete and the
-    /// server keeps the connection open.
+    /// Returns whether the connection can carry another request: the last response is complete and
+    /// the server keeps the connection open.
     pub fn is_reusable(&self) -> bool {
         self.keep_alive && !self.eof && self.decoder == Decoder::Done && self.buffer.is_empty()
     }
--- a/components/upstream/src/error.rs
+++ b/components/upstream/src/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 /// Error of an exchange with a backend server. [`crate::Connection::bytes_sent`] tells whether the
-/// request may have run; the kind of error doesn't.
+/// request may have run; the kind of error does not.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The connection couldn't be established.
--- a/components/upstream/src/head.rs
+++ b/components/upstream/src/head.rs
@@ -23,10 +23,10 @@
     body::Framing, //
 };
 
-/// Longest accepted head. A server that sends more isn't speaking HTTP.
+/// Maximum size of a head, in bytes. A server that sends more isn't speaking HTTP.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Most headers accepted in a head.
+/// Maximum number of headers in a head.
 const MAX_HEADERS: usize = 64;
 
 /// Status and headers of a response.
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether the server keeps the connection open after this response.
+    /// Returns whether the server keeps the connection open after this response.
     pub fn keep_alive(&self) -> bool {
         self.keep_alive
     }
@@ -81,7 +81,7 @@
         };
         let status = response.code.unwrap_or_default();
         if (100..200).contains(&status) && status != 101 {
-            // Interim responses don't tell how the request ends.
+            // An interim response precedes the final one.
             buffer.advance(length);
             continue;
         }
@@ -147,8 +147,8 @@
     Ok(Framing::Length(length))
 }
 
-/// Whether the server keeps the connection open: by default in HTTP/1.1, only if it says
-/// so in HTTP/1.0.
+/// Returns whether the server keeps the connection open: by default in HTTP/1.1, only if it says so
+/// in HTTP/1.0.
 fn keeps_alive(headers: &HeaderMap, is_http11: bool) -> bool {
     let mut keep_alive = is_http11;
     for value in headers.get_all(CONNECTION) {
--- a/components/upstream/src/pool.rs
+++ b/components/upstream/src/pool.rs
@@ -17,7 +17,7 @@
 /// a request could cross the server's close, and nothing would show whether it ran.
 const REUSE_FRACTION: f64 = 0.6;
 
-/// Most idle connections kept for one address.
+/// Maximum number of idle connections retained for one address.
 const MAX_IDLE_PER_ADDRESS: usize = 16;
 
 /// Idle connections by server address, reused for later requests.
@@ -27,8 +27,8 @@
 }
 
 impl Pool {
-    /// Returns the most recently used connection to an address that is still clean; closes expired
-    /// and unclean ones that come before it.
+    /// Returns the most recently used connection to an address that hasn't expired and is clean,
+    /// see [`Connection::is_clean`]. Closes expired and unclean ones that were used more recently.
     pub fn take(&mut self, address: SocketAddr) -> Option<Connection> {
         let idle = self.idle.get_mut(&address)?;
         while let Some(mut connection) = idle.pop() {
@@ -42,7 +42,7 @@
         None
     }
 
-    /// Keeps a connection for a later request. Closes it instead if it isn't reusable or the
+    /// Retains a connection for a later request. Closes it instead if it isn't reusable or the
     /// address has enough idle connections.
     pub fn put(&mut self, connection: Connection) {
         if !connection.is_reusable() {
@@ -72,13 +72,13 @@
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// Whether the pool holds no connections.
+    /// Returns whether the pool holds no connections.
     pub fn is_empty(&self) -> bool {
         self.idle.is_empty()
     }
 }
 
-/// Whether a connection was idle for longer than its server allows.
+/// Returns whether a connection was idle for longer than its server allows.
 fn expired(connection: &Connection) -> bool {
     let timeout = connection
         .idle_timeout()
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -101,7 +101,7 @@
     pub version: Version,
 }
 
-/// A sign of life, with the state that changes often.
+/// Shows that the sender is alive, and carries the part of its state that changes often.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender is leaving and takes no new work.
@@ -130,7 +130,7 @@
 /// Parameters of a generation to start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Start {
-    /// The request that it answers.
+    /// Request that the generation answers.
     pub request: Request,
     /// Epoch of the generation within the request.
     pub epoch: Epoch,
@@ -163,11 +163,11 @@
 /// Identifies a generation to read, and where to start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attach {
-    /// The request that it answers.
+    /// Request that the generation answers.
     pub request: Request,
-    /// Its epoch.
+    /// Epoch of the generation within the request.
     pub epoch: Epoch,
-    /// Its nonce.
+    /// Nonce of the generation, see [`Start::nonce`].
     pub nonce: Nonce,
     /// Position of the first requested token.
     pub from: Index,
@@ -176,16 +176,16 @@
 /// Where a request's generation runs, for entries that didn't start it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Point {
-    /// The request.
+    /// Request that the generation answers.
     pub request: Request,
-    /// The location of the generation.
+    /// Where the generation runs.
     pub pointer: Pointer,
 }
 
-/// Why a request was refused, and when to retry.
+/// Refusal of a generation or call, which didn't run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// The reason.
+    /// Why the request was refused.
     pub reason: Reason,
     /// Time after which a retry makes sense.
     pub retry_after: Duration,
@@ -239,7 +239,7 @@
 /// A call to a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
-    /// The service.
+    /// Service that is called.
     pub service: Service,
     /// Team of the caller.
     pub team: Team,
@@ -253,7 +253,7 @@
     pub content_type: Option<String>,
     /// The caller's `Accept` header.
     pub accept: Option<String>,
-    /// The body.
+    /// Body of the request.
     pub body: Vec<u8>,
     /// Whether the call may run more than once.
     pub repeatable: bool,
@@ -275,7 +275,7 @@
     pub status_path: String,
 }
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// The service answered.
@@ -284,7 +284,7 @@
         status: u16,
         /// `Content-Type` of the body.
         content_type: Option<String>,
-        /// The body.
+        /// Body of the response.
         body: Vec<u8>,
         /// Whether the answer is that of an earlier call with the same key.
         replayed: bool,
@@ -293,6 +293,6 @@
     NotRun(Refused),
     /// The call was sent, but no complete answer arrived.
     Unknown,
-    /// Outcome of a recorded call.
+    /// The outcome of a recorded call, or the record that prevented it.
     Kept(Box<forwarder::Reply>),
 }
--- a/components/wire/src/link.rs
+++ b/components/wire/src/link.rs
@@ -53,15 +53,15 @@
 pub struct Incoming(quinn::Incoming);
 
 impl Node {
-    /// Binds the UDP socket. A link on which nothing is received for `silence` is lost on both
+    /// Binds the UDP socket. A link on which nothing is received for `idle_timeout` is lost on both
     /// sides, so both must send heartbeats well within that time.
     ///
     /// # Errors
     ///
     /// [`Error::Bind`] when the address can't be bound, [`Error::Keys`] when the keys or the idle
     /// timeout can't be used.
-    pub fn bind(address: SocketAddr, keys: &Keys, silence: Duration) -> Result<Self, Error> {
-        let transport_config = Arc::new(transport_config(silence)?);
+    pub fn bind(address: SocketAddr, keys: &Keys, idle_timeout: Duration) -> Result<Self, Error> {
+        let transport_config = Arc::new(transport_config(idle_timeout)?);
         let mut server = ServerConfig::with_crypto(Arc::new(tls::server(keys)?));
         server.transport_config(transport_config.clone());
         let mut client = ClientConfig::new(Arc::new(tls::client(keys)?));
@@ -174,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Foreign`] when it isn't.
+    /// [`Error::Foreign`] when it isn't valid.
     pub fn verify_host(&self, claimed: &Host) -> Result<(), Error> {
         let foreign =
             || Error::Foreign(format!("the peer's certificate isn't valid for {claimed}"));
@@ -210,18 +210,19 @@
         self.connection.rtt()
     }
 
-    /// Returns the bytes sent and received on this link so far, as UDP payload.
+    /// Returns the number of bytes sent and received on this link so far, as UDP payload.
     pub fn bytes(&self) -> (u64, u64) {
         let stats = self.connection.stats();
         (stats.udp_tx.bytes, stats.udp_rx.bytes)
     }
 }
 
-fn transport_config(silence: Duration) -> Result<TransportConfig, Error> {
-    let idle = IdleTimeout::try_from(silence).map_err(|error| Error::Keys(error.to_string()))?;
+fn transport_config(idle_timeout: Duration) -> Result<TransportConfig, Error> {
+    let idle_timeout =
+        IdleTimeout::try_from(idle_timeout).map_err(|error| Error::Keys(error.to_string()))?;
     let mut transport_config = TransportConfig::default();
     transport_config
-        .max_idle_timeout(Some(idle))
+        .max_idle_timeout(Some(idle_timeout))
         .max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS))
         .max_concurrent_uni_streams(VarInt::from_u32(0));
     Ok(transport_config)
--- a/components/wire/src/stream.rs
+++ b/components/wire/src/stream.rs
@@ -58,7 +58,7 @@
 
     /// Ends the sending half; frames sent before still arrive.
     pub fn finish(&mut self) {
-        // The stream may be closed already, which is fine.
+        // Fails only when the stream is closed already.
         let _ = self.0.finish();
     }
 
--- a/components/wire/tests/links.rs
+++ b/components/wire/tests/links.rs
@@ -19,7 +19,7 @@
 };
 
 const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
-const TIME_LIMIT: Duration = Duration::from_secs(10);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn node(keys: &Keys) -> Node {
     let local = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -37,7 +37,7 @@
 ) -> (Result<Link, Error>, Option<Link>) {
     let address = acceptor.address().expect("the socket is bound");
     let (dialled, accepted) = tokio::join!(dialer.dial(address, host), async {
-        let incoming = timeout(TIME_LIMIT, acceptor.accept()).await.ok()??;
+        let incoming = timeout(TEST_TIMEOUT, acceptor.accept()).await.ok()??;
         incoming.accept().await.ok()
     });
     (dialled, accepted)
@@ -99,7 +99,7 @@
     let b = node(&keys(&authority, "draft-a"));
     let (dialled, _accepted) = connect(&a, &b, "draft-a").await;
     let link = dialled.expect("a link");
-    timeout(TIME_LIMIT, link.closed())
+    timeout(TEST_TIMEOUT, link.closed())
         .await
         .expect("the link is lost in time");
     assert!(link.is_closed());
