--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -18,7 +18,7 @@
 };
 
 /// Minimum number of deaths before a fingerprint is refused.
-const MIN_DEATHS: usize = 2;
+const MIN_DEATHS_FOR_REFUSAL: usize = 2;
 
 /// A crash within the probation period divided by this number counts as immediate.
 const IMMEDIATE_CRASH_DIVISOR: u32 = 4;
@@ -26,7 +26,8 @@
 /// Timing and limits of the detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long a request counts as fresh, that is, as a possible cause of a crash beside others.
+    /// How long a request counts as fresh, that is, as a possible cause of a crash while others
+    /// run.
     pub probation: Duration,
     /// How long a death makes suspects of the requests that were in flight.
     pub death_ttl: Duration,
@@ -148,9 +149,9 @@
     /// Returns whether a request may start on a server beside the `running` requests.
     ///
     /// A fresh request beside a suspect would make the next death ambiguous: an innocent request
-    /// could be refused, or a third server lost. A suspect therefore starts beside no fresh request
-    /// and no fresh suspect, nothing starts beside a fresh suspect, and nothing at all starts
-    /// beside an isolated one.
+    /// could be refused, or a third server lost. A suspect therefore starts beside no fresh
+    /// request, no request starts beside a fresh suspect, and none ever starts beside an isolated
+    /// one.
     pub fn placement(&self, fingerprint: Fingerprint, running: &[Flight], now: Clock) -> Placement {
         let verdict = self.verdict(fingerprint, now);
         for flight in running {
@@ -185,10 +186,12 @@
     /// Returns a fingerprint that the deaths prove to be poisonous and that isn't refused yet.
     fn proven(&self) -> Option<Fingerprint> {
         for (fingerprint, deaths) in self.attributions() {
-            if deaths.len() < MIN_DEATHS || self.facts.refused.contains_key(&fingerprint) {
+            if deaths.len() < MIN_DEATHS_FOR_REFUSAL
+                || self.facts.refused.contains_key(&fingerprint)
+            {
                 continue;
             }
-            if deaths.len() == MIN_DEATHS && !self.consistent(fingerprint, &deaths) {
+            if deaths.len() == MIN_DEATHS_FOR_REFUSAL && !self.consistent(fingerprint, &deaths) {
                 continue;
             }
             let mut candidates = deaths.iter();
--- a/components/contract/src/record.rs
+++ b/components/contract/src/record.rs
@@ -23,7 +23,7 @@
 
 /// Maximum size of a recorded body, in bytes. Encoded, it takes less than half of the 1 MiB that a
 /// value of the store may have.
-pub const MAX_BODY_BYTES: usize = 256 * 1024;
+pub const MAX_RECORDED_BODY_BYTES: usize = 256 * 1024;
 
 /// The record of one idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -90,14 +90,14 @@
     Text(String),
     /// Other bytes, in base64.
     Base64(String),
-    /// Longer than [`MAX_BODY_BYTES`]; only its length in bytes is recorded.
+    /// Longer than [`MAX_RECORDED_BODY_BYTES`]; only its length in bytes is recorded.
     TooLong(usize),
 }
 
 impl Body {
-    /// Encodes a body. A body longer than [`MAX_BODY_BYTES`] is replaced by its length.
+    /// Encodes a body. A body longer than [`MAX_RECORDED_BODY_BYTES`] is replaced by its length.
     pub fn from_bytes(bytes: &[u8]) -> Self {
-        if bytes.len() > MAX_BODY_BYTES {
+        if bytes.len() > MAX_RECORDED_BODY_BYTES {
             return Self::TooLong(bytes.len());
         }
         match std::str::from_utf8(bytes) {
--- a/components/contract/src/seen.rs
+++ b/components/contract/src/seen.rs
@@ -1,4 +1,4 @@
-//! Deduplication of frames that are delivered twice.
+//! Deduplication of sends whose frame is delivered twice.
 
 use std::collections::{
     BTreeSet,
--- a/components/contract/tests/forwarder.rs
+++ b/components/contract/tests/forwarder.rs
@@ -11,7 +11,7 @@
         Settings, //
     },
     record::{
-        MAX_BODY_BYTES,
+        MAX_RECORDED_BODY_BYTES,
         Record,
         Response,
         State, //
@@ -147,10 +147,10 @@
     let mut machine = Forwarder::new(call(0), Settings::default());
     machine.handle(Event::Requested, Duration::ZERO);
     machine.handle(Event::Created(Write::Applied(1)), Duration::ZERO);
-    let actions = machine.handle(answer(MAX_BODY_BYTES + 1), Duration::ZERO);
+    let actions = machine.handle(answer(MAX_RECORDED_BODY_BYTES + 1), Duration::ZERO);
     let text = format!("{:?}", actions[0]);
     assert!(
-        text.len() > MAX_BODY_BYTES,
+        text.len() > MAX_RECORDED_BODY_BYTES,
         "the reply holds the whole body"
     );
     insta::assert_snapshot!(line(&actions[1]));
--- a/components/contract/tests/sends.rs
+++ b/components/contract/tests/sends.rs
@@ -39,7 +39,7 @@
     assert_eq!(sends.record(Ending::Lost), Step::Unknown);
 }
 
-/// A lookup fails at one server and gets no response from the next. The caller receives the error
+/// A call fails at one server and gets no response from the next. The caller receives the error
 /// response of the first one; reporting "not run" would be false.
 #[test]
 fn repeatable_call_returns_its_last_response_at_the_limit() {
--- a/components/daemon/src/drain.rs
+++ b/components/daemon/src/drain.rs
@@ -9,7 +9,7 @@
 };
 
 /// Interval between two checks of the work in progress.
-const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits until no work is in progress or `limit` has passed; logs work that is cut off.
 pub async fn drain(in_progress: impl Fn() -> usize, limit: Duration) {
@@ -19,6 +19,6 @@
             events::emit!(process::ABORTED, "in_progress={}", in_progress());
             return;
         }
-        sleep(CHECK_INTERVAL).await;
+        sleep(DRAIN_CHECK_INTERVAL).await;
     }
 }
--- a/components/daemon/src/handshake.rs
+++ b/components/daemon/src/handshake.rs
@@ -22,7 +22,7 @@
     frame::{
         Heartbeat,
         Hello,
-        PROTOCOL, //
+        PROTOCOL_VERSION, //
     },
     stream::Sender, //
 };
@@ -123,9 +123,9 @@
     let Some(Frame::Hello(hello)) = stream.receive().await? else {
         return Err(Error::Malformed("expected a hello frame".into()));
     };
-    if hello.protocol != PROTOCOL {
+    if hello.protocol != PROTOCOL_VERSION {
         return Err(Error::Malformed(format!(
-            "protocol version {}, expected {PROTOCOL}",
+            "protocol version {}, expected {PROTOCOL_VERSION}",
             hello.protocol
         )));
     }
--- a/components/daemon/src/lateness.rs
+++ b/components/daemon/src/lateness.rs
@@ -33,7 +33,7 @@
 const NORMAL_SCHEDULING_DELAY: Duration = Duration::from_micros(250);
 
 /// Shortest period over which lateness is computed: a shorter one may contain no tick.
-const MIN_PERIOD: Duration = Duration::from_millis(20);
+const MIN_MEASURED_PERIOD: Duration = Duration::from_millis(20);
 
 /// Maximum number of late ticks and scheduling delays that are stored: enough for ten seconds in
 /// which all are late.
@@ -77,7 +77,7 @@
     /// ran late. For shorter times, the last 20 ms are used.
     pub fn fraction(&self, begun: Clock, now: Clock) -> f64 {
         let ticks = self.0.lock().expect("no panic while held");
-        let begun = begun.min(now.saturating_sub(MIN_PERIOD));
+        let begun = begun.min(now.saturating_sub(MIN_MEASURED_PERIOD));
         let recent = ticks.late.iter().rev().take_while(|(at, _)| *at >= begun);
         // After a stall, the timer and the callers of this function wake up in any order.
         let late = recent.map(|(_, late)| *late).sum::<Duration>() + ticks.overdue(now);
--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -28,7 +28,7 @@
 
 /// Maximum number of deaths, of refusals and of cleared suspects that a process stores and sends in
 /// one message.
-const MAX_FACTS: usize = 32;
+const MAX_FACTS_PER_KIND: usize = 32;
 
 /// Maximum number of in-flight requests that are stored for one death.
 const MAX_FLIGHTS_PER_DEATH: usize = 128;
@@ -43,7 +43,7 @@
 impl Default for Suspects {
     fn default() -> Self {
         let settings = Settings {
-            max_facts: MAX_FACTS,
+            max_facts: MAX_FACTS_PER_KIND,
             max_flights: MAX_FLIGHTS_PER_DEATH,
             ..Settings::default()
         };
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -29,7 +29,7 @@
     frame::{
         Heartbeat,
         Hello,
-        PROTOCOL, //
+        PROTOCOL_VERSION, //
     },
 };
 
@@ -172,7 +172,7 @@
     let platform = store::Client::new(&settings.platform, settings.times.platform)
         .map_err(|error| wire::Error::Keys(error.to_string()))?;
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         host: settings.name.clone(),
         data_centre: settings.data_centre.clone(),
         incarnation: rand::random(),
--- a/components/events/src/documents.rs
+++ b/components/events/src/documents.rs
@@ -5,7 +5,8 @@
     IN_FORCE = 500, Info, "Document in force";
     /// The store can't be read; the last document stays in force.
     STORE_UNREADABLE = 501, Warn, "Store can't be read";
-    /// The store holds a document that this version can't decode; the last one stays in force.
+    /// The store holds a document that this version can't decode; the last valid one stays in
+    /// force.
     UNREADABLE = 502, Error, "Stored document can't be read";
     /// This process was paused and may have missed a document; it takes no requests until it has
     /// checked.
--- a/components/events/src/links.rs
+++ b/components/events/src/links.rs
@@ -17,6 +17,6 @@
     HOSTS_UNREADABLE = 206, Warn, "Host list can't be read";
     /// A peer missed several of its beacons; its work no longer counts.
     BEACONS_LOST = 207, Info, "Peer sends no more beacons";
-    /// Beacons arrive from a new peer, or again from one that was silent.
+    /// Beacons arrive from a new peer, or again from one that had stopped sending them.
     BEACONS_RECEIVED = 208, Info, "Peer sends beacons";
 }
--- a/components/measure/src/links.rs
+++ b/components/measure/src/links.rs
@@ -30,7 +30,7 @@
         Heartbeat,
         Hello,
         Load,
-        PROTOCOL, //
+        PROTOCOL_VERSION, //
     }, //
 };
 
@@ -124,7 +124,7 @@
 /// A sidecar that does nothing but greet and beat.
 async fn stand_in(node: Node, host: String, links: mpsc::Sender<Link>) {
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         host: host.clone(),
         data_centre: "dc1".into(),
         incarnation: 1,
--- a/components/sidecar/src/backend.rs
+++ b/components/sidecar/src/backend.rs
@@ -24,7 +24,7 @@
 /// Assumed capacity of a plain service, which reports none, in calls.
 const PLAIN_CAPACITY: u32 = 64;
 
-/// Load as the engine reports it at `GET /load`.
+/// Load that the engine reports at `GET /load`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Report {
--- a/components/sidecar/src/daemon.rs
+++ b/components/sidecar/src/daemon.rs
@@ -39,7 +39,7 @@
         Backend,
         Heartbeat,
         Hello,
-        PROTOCOL, //
+        PROTOCOL_VERSION, //
     },
 };
 
@@ -143,7 +143,7 @@
         .map_err(|error| wire::Error::Keys(error.to_string()))?;
     let concurrency = Counter::default();
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         host: settings.name.clone(),
         data_centre: settings.data_centre.clone(),
         incarnation: rand::random(),
--- a/components/sidecar/src/generations.rs
+++ b/components/sidecar/src/generations.rs
@@ -85,7 +85,7 @@
                 }
             }
             Err(refused) => {
-                // An entry that is gone needs no answer.
+                // The send fails only if the entry has disconnected.
                 let _ = stream.send(&Frame::Refused(refused)).await;
                 stream.sender.finish();
                 stream.sender.stopped().await;
--- a/components/sidecar/src/inflight.rs
+++ b/components/sidecar/src/inflight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight at the backend server, and which of them are suspected when it dies.
+//! Tracks the requests in flight at the backend server, which become suspects when it dies.
 
 use std::{
     collections::BTreeMap,
@@ -24,8 +24,9 @@
     sleep, //
 };
 
-/// Maximum time that a request waits until it may start beside those in flight. Slightly longer
-/// than the probation in `contract::poison`, so that a suspected request always gets its turn.
+/// Maximum time that a request waits until it may run together with those in flight. Slightly
+/// longer than the probation in `contract::poison`, so that a suspected request always gets its
+/// turn.
 const ADMISSION_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Interval between two checks of a waiting request.
--- a/components/sidecar/src/links.rs
+++ b/components/sidecar/src/links.rs
@@ -107,7 +107,7 @@
         Ok(Some(Frame::Point(point))) => state.put_pointer(point),
         Ok(Some(Frame::Find(request))) => {
             let found = Frame::Found(state.get_pointer(&request));
-            // An entry that is gone needs no answer.
+            // The send fails only if the entry has disconnected.
             let _ = stream.send(&found).await;
             stream.sender.finish();
             stream.sender.stopped().await;
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -43,10 +43,10 @@
 use crate::state::State;
 
 /// Capacity of the channel of events to the state machine.
-const EVENT_CAPACITY: usize = 16;
+const EVENT_CHANNEL_CAPACITY: usize = 16;
 
 /// Delay before the next read after a failed call to the store.
-const RETRY_DELAY: Duration = Duration::from_millis(500);
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Longest wait of one watch call. The store counts each watch call of a sidecar as one read.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
@@ -67,7 +67,7 @@
     let Ok(platform) = Platform::new(&state.context.settings.platform, times.platform) else {
         return;
     };
-    let (events, mut incoming) = mpsc::channel(EVENT_CAPACITY);
+    let (events, mut incoming) = mpsc::channel(EVENT_CHANNEL_CAPACITY);
     let driver = Driver {
         client: Client::new(),
         slow_after: times.platform,
@@ -112,7 +112,7 @@
         };
         after = step.ok();
         if after.is_none() {
-            sleep(RETRY_DELAY).await;
+            sleep(STORE_RETRY_DELAY).await;
         }
     }
 }
--- a/components/sidecar/src/recorded.rs
+++ b/components/sidecar/src/recorded.rs
@@ -77,9 +77,9 @@
     };
     let mut next = driver.handle(Event::Requested).await;
     while let Some(mut event) = next.take() {
-        let silence_timeout = sleep(context.settings.times.call);
-        tokio::pin!(silence_timeout);
-        let mut silence_reported = false;
+        let call_timeout = sleep(context.settings.times.call);
+        tokio::pin!(call_timeout);
+        let mut timeout_reported = false;
         let completed = loop {
             tokio::select! {
                 completed = &mut event => break completed,
@@ -87,8 +87,8 @@
                     driver.entry_gone = true;
                     driver.handle(Event::EntryGone).await;
                 }
-                () = &mut silence_timeout, if driver.forwarder.running() && !silence_reported => {
-                    silence_reported = true;
+                () = &mut call_timeout, if driver.forwarder.running() && !timeout_reported => {
+                    timeout_reported = true;
                     driver.handle(Event::TimedOut).await;
                 }
             }
--- a/components/sidecar/src/service.rs
+++ b/components/sidecar/src/service.rs
@@ -21,7 +21,7 @@
 
 /// Multiple of a call's time limit after which the HTTP request is aborted. A service that answers
 /// after the limit may do so until then, so that the outcome is still recorded.
-const TIMEOUT_FACTOR: u32 = 5;
+const CALL_TIMEOUT_FACTOR: u32 = 5;
 
 /// Outcome of forwarding a call.
 pub(crate) enum Outcome {
@@ -49,7 +49,7 @@
         // Each call gets a new connection: on a reused one, the client couldn't tell whether the
         // service died before the call or during it. The client never retries by itself.
         let client = Client::builder()
-            .timeout(settings.times.call * TIMEOUT_FACTOR)
+            .timeout(settings.times.call * CALL_TIMEOUT_FACTOR)
             .connect_timeout(settings.times.silence)
             .pool_max_idle_per_host(0)
             .retry(reqwest::retry::never())
--- a/components/store/src/client.rs
+++ b/components/store/src/client.rs
@@ -36,7 +36,7 @@
 };
 
 /// Maximum number of entries per page of a listing.
-const PAGE_ENTRIES: usize = 500;
+const MAX_PAGE_ENTRIES: usize = 500;
 
 /// Default time limit of [`Client::settle`], as a multiple of the timeout of one call.
 const SETTLE_TIMEOUT_FACTOR: u32 = 4;
@@ -154,20 +154,20 @@
     /// Any [`Error`] of a read; pages already read are discarded.
     pub async fn list(&self, prefix: &str) -> Result<Listing, Error> {
         let mut listing = self.page(prefix, "").await?;
-        let mut full = listing.entries.len() >= PAGE_ENTRIES;
+        let mut full = listing.entries.len() >= MAX_PAGE_ENTRIES;
         while full {
             let Some(last) = listing.entries.last() else {
                 break;
             };
             let page = self.page(prefix, &last.key.clone()).await?;
-            full = page.entries.len() >= PAGE_ENTRIES;
+            full = page.entries.len() >= MAX_PAGE_ENTRIES;
             listing.entries.extend(page.entries);
         }
         Ok(listing)
     }
 
     async fn page(&self, prefix: &str, after: &str) -> Result<Listing, Error> {
-        let limit = PAGE_ENTRIES.to_string();
+        let limit = MAX_PAGE_ENTRIES.to_string();
         let mut query = vec![("prefix", prefix), ("limit", limit.as_str())];
         if !after.is_empty() {
             query.push(("after", after));
--- a/components/store/src/settle.rs
+++ b/components/store/src/settle.rs
@@ -45,7 +45,7 @@
     Conflict(Option<Entry>),
     /// The condition still holds, so the write may yet take effect.
     Undecided,
-    /// The write's effect can't be determined: the key's history or its state is not available.
+    /// The write's effect can't be determined, because the key's history or state is unavailable.
     Unknown,
 }
 
--- a/components/upstream/src/body.rs
+++ b/components/upstream/src/body.rs
@@ -24,7 +24,7 @@
     UntilClose,
 }
 
-/// Incremental decoder of a body; each variant is what it expects next.
+/// Incremental decoder of a body. Each variant names what the decoder expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Decoder {
     /// Nothing: the body is complete, or no exchange is in progress.
@@ -120,7 +120,7 @@
                         return Ok(Step::Pending);
                     }
                     if &buffer[..2] != b"\r\n" {
-                        return Err(Error::Malformed("chunk end"));
+                        return Err(Error::Malformed("missing line end after a chunk"));
                     }
                     buffer.advance(2);
                     *self = Decoder::ChunkSize;
@@ -138,13 +138,13 @@
                         return Ok(Step::Pending);
                     }
                     Ok(httparse::Status::Partial) | Err(_) => {
-                        return Err(Error::Malformed("chunk size"));
+                        return Err(Error::Malformed("invalid chunk size"));
                     }
                 },
                 Decoder::Trailers => {
                     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
                         if buffer.len() > MAX_LINE_BYTES {
-                            return Err(Error::Malformed("trailers"));
+                            return Err(Error::Malformed("trailer line too long"));
                         }
                         return Ok(Step::Pending);
                     };
--- a/components/upstream/src/head.rs
+++ b/components/upstream/src/head.rs
@@ -93,13 +93,14 @@
 
 fn build(response: &httparse::Response<'_, '_>, method: &Method) -> Result<Head, Error> {
     let status = response.code.unwrap_or_default();
-    let status = StatusCode::from_u16(status).map_err(|_| Error::Malformed("status"))?;
+    let status =
+        StatusCode::from_u16(status).map_err(|_| Error::Malformed("invalid status code"))?;
     let mut headers = HeaderMap::with_capacity(response.headers.len());
     for header in response.headers.iter() {
         let name = HeaderName::from_bytes(header.name.as_bytes())
-            .map_err(|_| Error::Malformed("header name"))?;
+            .map_err(|_| Error::Malformed("invalid header name"))?;
         let value = HeaderValue::from_maybe_shared(Bytes::copy_from_slice(header.value))
-            .map_err(|_| Error::Malformed("header value"))?;
+            .map_err(|_| Error::Malformed("invalid header value"))?;
         headers.append(name, value);
     }
     let framing = framing(status, &headers, method)?;
@@ -141,9 +142,11 @@
     }
     let text = first.to_str().unwrap_or_default();
     if text.is_empty() || !text.bytes().all(|digit| digit.is_ascii_digit()) {
-        return Err(Error::Malformed("length"));
+        return Err(Error::Malformed("invalid Content-Length"));
     }
-    let length = text.parse().map_err(|_| Error::Malformed("length"))?;
+    let length = text
+        .parse()
+        .map_err(|_| Error::Malformed("invalid Content-Length"))?;
     Ok(Framing::Length(length))
 }
 
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -33,7 +33,7 @@
 use crate::Tokens;
 
 /// Version of the protocol; a peer with another version is refused at [`Hello`].
-pub const PROTOCOL: u16 = 1;
+pub const PROTOCOL_VERSION: u16 = 1;
 
 /// One message between two processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -42,14 +42,15 @@
     Hello(Hello),
     /// Sent repeatedly on a link's first stream, in both directions.
     Heartbeat(Heartbeat),
-    /// Documents and facts: an encoded message of the `spread` crate.
+    /// An encoded message of the `spread` crate, which distributes documents and facts.
     Spread(Vec<u8>),
-    /// Facts about requests that crash servers; on a link's first stream in both directions, and on
-    /// a generation's stream before an end that a server's death caused.
+    /// Facts about requests that crash servers. Sent on a link's first stream in both directions,
+    /// and on a generation's stream before the end frame if the server died.
     Suspects(Box<poison::Facts>),
     /// Asks a sidecar to start a generation; the first frame of a stream.
     Start(Box<Start>),
-    /// Asks a sidecar for the tokens of a generation that it holds; the first frame of a stream.
+    /// Asks a sidecar for the tokens of a generation whose log it holds; the first frame of a
+    /// stream.
     Attach(Attach),
     /// Cancels the generation for this stream.
     Cancel,
@@ -78,7 +79,7 @@
 /// Identity of a process, sent in the handshake of a link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Protocol version of the sender, [`PROTOCOL`].
+    /// Protocol version of the sender, [`PROTOCOL_VERSION`].
     pub protocol: u16,
     /// The sender's host name; its certificate must be valid for it.
     pub host: Host,
--- a/components/wire/src/link.rs
+++ b/components/wire/src/link.rs
@@ -31,10 +31,10 @@
 
 /// Maximum number of streams that a peer may have open at once on one link: one per generation and
 /// call, and the first one.
-const MAX_STREAMS: u32 = 4096;
+const MAX_STREAMS_PER_LINK: u32 = 4096;
 
 /// QUIC error code of a link that is closed normally.
-const CLOSED_NORMALLY: u32 = 0;
+const LINK_CLOSED_CODE: u32 = 0;
 
 /// The endpoint of a process: it dials and accepts links on one UDP socket.
 #[derive(Clone)]
@@ -125,7 +125,7 @@
     /// Closes every link, and waits until the peers have been notified.
     pub async fn close(&self) {
         self.endpoint
-            .close(VarInt::from_u32(CLOSED_NORMALLY), b"closed");
+            .close(VarInt::from_u32(LINK_CLOSED_CODE), b"closed");
         self.endpoint.wait_idle().await;
     }
 }
@@ -202,7 +202,7 @@
     /// Closes the link; every stream on it fails.
     pub fn close(&self) {
         self.connection
-            .close(VarInt::from_u32(CLOSED_NORMALLY), b"closed");
+            .close(VarInt::from_u32(LINK_CLOSED_CODE), b"closed");
     }
 
     /// Returns the smoothed round-trip time.
@@ -223,7 +223,7 @@
     let mut transport_config = TransportConfig::default();
     transport_config
         .max_idle_timeout(Some(idle_timeout))
-        .max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS))
+        .max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS_PER_LINK))
         .max_concurrent_uni_streams(VarInt::from_u32(0));
     Ok(transport_config)
 }
--- a/components/wire/src/stream.rs
+++ b/components/wire/src/stream.rs
@@ -28,7 +28,7 @@
 pub struct Receiver(RecvStream);
 
 /// QUIC error code of a stream that is aborted.
-const ABORTED: u32 = 1;
+const STREAM_ABORTED_CODE: u32 = 1;
 
 impl Stream {
     pub(crate) fn new(halves: (SendStream, RecvStream)) -> Self {
@@ -69,7 +69,7 @@
 
     /// Resets the sending half: the peer gets an error instead of the end of the stream.
     pub fn abort(&mut self) {
-        let _ = self.0.reset(VarInt::from_u32(ABORTED));
+        let _ = self.0.reset(VarInt::from_u32(STREAM_ABORTED_CODE));
     }
 }
 
