--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -29,7 +29,7 @@
     frame::{
         Heartbeat,
         Hello,
-        PROTOCOL, //
+        PROTOCOL_VERSION, //
     },
 };
 
@@ -148,7 +148,7 @@
     }
 
     /// Waits until the entry has stopped.
-    pub async fn ended(self) {
+    pub async fn stopped(self) {
         let _ = self.task.await;
     }
 }
@@ -172,7 +172,7 @@
     let platform = store::Client::new(&settings.platform, settings.times.platform)
         .map_err(|error| wire::Error::Keys(error.to_string()))?;
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         host: settings.name.clone(),
         data_centre: settings.data_centre.clone(),
         incarnation: rand::random(),
--- a/components/measure/src/calls/latency.rs
+++ b/components/measure/src/calls/latency.rs
@@ -129,7 +129,7 @@
 
 fn record() -> Record {
     Record {
-        state: State::Handed { nonce: 1 },
+        state: State::Forwarding { nonce: 1 },
         digest: String::new(),
         server: String::new(),
     }
--- a/components/measure/src/links.rs
+++ b/components/measure/src/links.rs
@@ -30,7 +30,7 @@
         Heartbeat,
         Hello,
         Load,
-        PROTOCOL, //
+        PROTOCOL_VERSION, //
     }, //
 };
 
@@ -130,7 +130,7 @@
 /// Runs a fake sidecar that only answers the greeting and sends heartbeats.
 async fn fake_sidecar(node: Node, host: String, links: mpsc::Sender<Link>) {
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         host: host.clone(),
         data_centre: "dc1".into(),
         incarnation: 1,
--- a/components/models/src/contract/state.rs
+++ b/components/models/src/contract/state.rs
@@ -2,9 +2,9 @@
 
 use contract::{
     attempt,
-    handover::{
+    forwarder::{
         self,
-        Handover as Machine,
+        Forwarder,
         Reply, //
     },
     record::{
@@ -143,7 +143,7 @@
             Step::ServiceRefuses(handover) => {
                 self.faults -= 1;
                 self.handovers[handover].service = Service::Idle;
-                self.handle_at_sidecar(handover, handover::Event::Unreachable, Clock::ZERO);
+                self.handle_at_sidecar(handover, forwarder::Event::Unreachable, Clock::ZERO);
             }
             Step::ServiceTakes(handover) => {
                 self.handovers[handover].service = Service::Running;
@@ -154,7 +154,7 @@
                 self.handovers[handover].service = Service::Idle;
                 self.handle_at_sidecar(
                     handover,
-                    handover::Event::Answered(response()),
+                    forwarder::Event::Answered(response()),
                     Clock::ZERO,
                 );
             }
@@ -162,18 +162,18 @@
                 self.faults -= 1;
                 self.handovers[handover].service = Service::Idle;
                 let event = match self.mutation {
-                    Mutation::BrokenIsRefused => handover::Event::Unreachable,
-                    _ => handover::Event::ConnectionLost,
+                    Mutation::BrokenIsRefused => forwarder::Event::Unreachable,
+                    _ => forwarder::Event::ConnectionLost,
                 };
                 self.handle_at_sidecar(handover, event, Clock::ZERO);
             }
             Step::Waited(handover) => {
                 self.handovers[handover].waiting = false;
-                self.handle_at_sidecar(handover, handover::Event::TimerFired, Clock::ZERO);
+                self.handle_at_sidecar(handover, forwarder::Event::TimerFired, Clock::ZERO);
             }
             Step::Gone(handover) => {
                 self.handovers[handover].entry_gone = true;
-                self.handle_at_sidecar(handover, handover::Event::EntryGone, Clock::ZERO);
+                self.handle_at_sidecar(handover, forwarder::Event::EntryGone, Clock::ZERO);
             }
             Step::EntryDies(entry) => self.entry_dies(entry),
             Step::SidecarDies(sidecar) => self.sidecar_dies(sidecar),
@@ -260,20 +260,20 @@
     }
 
     fn start_handover(&mut self, entry: usize, send: u32, base: Revision, nonce: Nonce) {
-        let call = handover::Call {
-            base,
+        let call = forwarder::Call {
+            base_revision: base,
             digest: String::new(),
             server: String::new(),
             nonce,
             status_path: String::new(),
         };
-        let settings = handover::Settings {
+        let settings = forwarder::Settings {
             start_timeout: START_TIMEOUT,
             max_write_attempts: 2,
-            ..handover::Settings::default()
+            ..forwarder::Settings::default()
         };
         self.handovers.push(Handover {
-            machine: Machine::new(call, settings),
+            machine: Forwarder::new(call, settings),
             entry,
             send,
             op: None,
@@ -283,7 +283,7 @@
         });
         self.handle_at_sidecar(
             self.handovers.len() - 1,
-            handover::Event::Requested,
+            forwarder::Event::Requested,
             Clock::ZERO,
         );
     }
@@ -295,21 +295,21 @@
         }
     }
 
-    pub(super) fn handle_at_sidecar(&mut self, index: usize, event: handover::Event, now: Clock) {
+    pub(super) fn handle_at_sidecar(&mut self, index: usize, event: forwarder::Event, now: Clock) {
         let actions = self.handovers[index].machine.handle(event, now);
         for action in actions {
             let handover = &mut self.handovers[index];
             match action {
-                handover::Action::Create { expect, record } => {
+                forwarder::Action::Create { expect, record } => {
                     handover.op = Some(Op::Create { expect, record });
                 }
-                handover::Action::Write { expect, record } => {
+                forwarder::Action::Write { expect, record } => {
                     handover.op = Some(Op::Write { expect, record });
                 }
-                handover::Action::ReadBack => handover.op = Some(Op::Read),
-                handover::Action::HandOver => handover.service = Service::Requested,
-                handover::Action::Wait(_) => handover.waiting = true,
-                handover::Action::Reply(reply) => self.send_reply(index, reply),
+                forwarder::Action::ReadBack => handover.op = Some(Op::Read),
+                forwarder::Action::Forward => handover.service = Service::Requested,
+                forwarder::Action::Wait(_) => handover.waiting = true,
+                forwarder::Action::Reply(reply) => self.send_reply(index, reply),
             }
         }
     }
--- a/components/models/src/contract/store.rs
+++ b/components/models/src/contract/store.rs
@@ -4,7 +4,7 @@
 
 use contract::{
     attempt,
-    handover,
+    forwarder,
     store::{
         Read,
         Stored,
@@ -49,11 +49,11 @@
             Answer::Write(Write::Unanswered)
                 if creates && self.mutation == Mutation::UnansweredIsWon =>
             {
-                handover::Event::Created(Write::Applied(self.revision))
+                forwarder::Event::Created(Write::Applied(self.revision))
             }
-            Answer::Write(write) if creates => handover::Event::Created(write),
-            Answer::Write(write) => handover::Event::Written(write),
-            Answer::Read(read) => handover::Event::Read(read),
+            Answer::Write(write) if creates => forwarder::Event::Created(write),
+            Answer::Write(write) => forwarder::Event::Written(write),
+            Answer::Read(read) => forwarder::Event::Read(read),
         };
         let now = match completion {
             Completion::AnsweredLate => START_TIMEOUT + START_TIMEOUT,
--- a/components/models/src/orders.rs
+++ b/components/models/src/orders.rs
@@ -203,7 +203,7 @@
             Step::StoreOut => {
                 self.faults -= 1;
                 self.reading_store = false;
-                self.handle(Event::StoreOut);
+                self.handle(Event::StoreUnavailable);
             }
             Step::Effect(fence) => self.execute(fence),
             Step::Slow => self.time_out(),
--- a/components/sidecar/src/daemon.rs
+++ b/components/sidecar/src/daemon.rs
@@ -39,7 +39,7 @@
         Backend,
         Heartbeat,
         Hello,
-        PROTOCOL, //
+        PROTOCOL_VERSION, //
     },
 };
 
@@ -90,20 +90,19 @@
             address: settings.links,
             source,
         })?;
-        let ended = CancellationToken::new();
+        let stopped = CancellationToken::new();
         let state = Arc::new(state(settings, stop.clone())?);
-        let (ready, readiness) =
-            watch::channel(Readiness::Waiting("backend server not checked yet".into()));
+        let (ready, readiness) = watch::channel(Readiness::Waiting("backend server unseen".into()));
         let served = http::serve(
             state.context.settings.operators,
             probe::router(metering::install(), readiness),
             http::Limits::default(),
-            ended.clone(),
+            stopped.clone(),
         )
         .await?;
-        tokio::spawn(backend::poll(state.clone(), ready, ended.clone()));
-        tokio::spawn(orders::follow(state.clone(), ended.clone()));
-        tokio::spawn(links::accept(state.clone(), node.clone(), ended.clone()));
+        tokio::spawn(backend::poll(state.clone(), ready, stopped.clone()));
+        tokio::spawn(orders::forward(state.clone(), stopped.clone()));
+        tokio::spawn(links::accept(state.clone(), node.clone(), stopped.clone()));
         events::emit!(
             process::STARTED,
             "role=sidecar host={} server={} links={links} operators={}",
@@ -115,7 +114,7 @@
         let task = tokio::spawn(async move {
             stop.cancelled().await;
             drain(&state).await;
-            ended.cancel();
+            stopped.cancel();
             node.close().await;
             let _ = served.task.await;
             events::emit!(process::STOPPED, "host={}", state.context.settings.name);
@@ -128,7 +127,7 @@
     }
 
     /// Waits until the sidecar has stopped.
-    pub async fn ended(self) {
+    pub async fn stopped(self) {
         let _ = self.task.await;
     }
 
@@ -144,7 +143,7 @@
         .map_err(|error| wire::Error::Keys(error.to_string()))?;
     let concurrency = Counter::default();
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         host: settings.name.clone(),
         data_centre: settings.data_centre.clone(),
         incarnation: rand::random(),
--- a/components/sidecar/src/recorded.rs
+++ b/components/sidecar/src/recorded.rs
@@ -1,4 +1,4 @@
-//! Recorded calls: the driver of the state machine in [`contract::handover`].
+//! Recorded calls: the driver of the state machine in [`contract::forwarder`].
 
 use std::{
     pin::Pin,
@@ -6,11 +6,11 @@
 };
 
 use contract::{
-    handover::{
+    forwarder::{
         Action,
         Call,
         Event,
-        Handover,
+        Forwarder,
         Settings, //
     },
     record::{
@@ -43,7 +43,7 @@
 type NextEvent<'a> = Pin<Box<dyn Future<Output = Event> + Send + 'a>>;
 
 /// Runs a recorded call to its end: creates the record, forwards the call and records the outcome.
-/// Continues when the entry is gone.
+/// Continues after the entry has disconnected.
 pub(crate) async fn run(
     context: &Context,
     service: &Service,
@@ -61,9 +61,9 @@
             &call.team,
             call.key.as_deref().unwrap_or_default(),
         ),
-        machine: Handover::new(
+        forwarder: Forwarder::new(
             Call {
-                base: recording.base_revision,
+                base_revision: recording.base_revision,
                 digest: recording.digest.clone(),
                 server: context.settings.server.name.clone(),
                 nonce: rand::random(),
@@ -77,9 +77,9 @@
     };
     let mut next = driver.handle(Event::Requested).await;
     while let Some(mut event) = next.take() {
-        let silence_timeout = sleep(context.settings.times.call);
-        tokio::pin!(silence_timeout);
-        let mut silence_reported = false;
+        let call_timeout = sleep(context.settings.times.call);
+        tokio::pin!(call_timeout);
+        let mut timeout_reported = false;
         let completed = loop {
             tokio::select! {
                 completed = &mut event => break completed,
@@ -87,8 +87,8 @@
                     driver.entry_gone = true;
                     driver.handle(Event::EntryGone).await;
                 }
-                () = &mut silence_timeout, if driver.machine.running() && !silence_reported => {
-                    silence_reported = true;
+                () = &mut call_timeout, if driver.forwarder.running() && !timeout_reported => {
+                    timeout_reported = true;
                     driver.handle(Event::TimedOut).await;
                 }
             }
@@ -104,7 +104,7 @@
     call: &'a frame::Call,
     guard: &'a Guard,
     key: String,
-    machine: Handover,
+    forwarder: Forwarder,
     stream: Stream,
     entry_gone: bool,
 }
@@ -114,7 +114,7 @@
     /// yields the next event.
     async fn handle(&mut self, event: Event) -> Option<NextEvent<'a>> {
         let mut next = None;
-        let actions = self.machine.handle(event, self.context.now());
+        let actions = self.forwarder.handle(event, self.context.now());
         for action in actions {
             let (context, service, call, guard) =
                 (self.context, self.service, self.call, self.guard);
@@ -135,7 +135,7 @@
                 Action::ReadBack => {
                     boxed(async move { Event::Read(context.records.read(&key).await) })
                 }
-                Action::HandOver => {
+                Action::Forward => {
                     boxed(async move { outcome_event(service.forward(call, guard).await) })
                 }
                 Action::Wait(time) => boxed(wait(time)),
@@ -144,12 +144,12 @@
         next
     }
 
-    async fn reply(&mut self, reply: contract::handover::Reply) {
+    async fn reply(&mut self, reply: contract::forwarder::Reply) {
         let frame = Frame::Reply(Reply::Kept(Box::new(reply)));
         if self.stream.send(&frame).await.is_ok() {
             self.stream.sender.finish();
         }
-        // The remaining actions don't need the entry.
+        // The remaining actions don't need the entry, so its connection isn't watched any longer.
         self.entry_gone = true;
     }
 }
--- a/components/wire/src/link.rs
+++ b/components/wire/src/link.rs
@@ -31,10 +31,10 @@
 
 /// Maximum number of streams that a peer may have open at once on one link: one per generation and
 /// call, and the first one.
-const MAX_STREAMS: u32 = 4096;
+const MAX_STREAMS_PER_LINK: u32 = 4096;
 
 /// QUIC error code of a link that is closed normally.
-const CLOSED_NORMALLY: u32 = 0;
+const LINK_CLOSED_CODE: u32 = 0;
 
 /// The endpoint of a process: it dials and accepts links on one UDP socket.
 #[derive(Clone)]
@@ -53,15 +53,15 @@
 pub struct Incoming(quinn::Incoming);
 
 impl Node {
-    /// Binds the UDP socket. A link on which nothing is received for `silence` is lost on both
+    /// Binds the UDP socket. A link on which nothing is received for `idle_timeout` is lost on both
     /// sides, so both must send heartbeats well within that time.
     ///
     /// # Errors
     ///
     /// [`Error::Bind`] when the address can't be bound, [`Error::Keys`] when the keys or the idle
     /// timeout can't be used.
-    pub fn bind(address: SocketAddr, keys: &Keys, silence: Duration) -> Result<Self, Error> {
-        let transport_config = Arc::new(transport_config(silence)?);
+    pub fn bind(address: SocketAddr, keys: &Keys, idle_timeout: Duration) -> Result<Self, Error> {
+        let transport_config = Arc::new(transport_config(idle_timeout)?);
         let mut server = ServerConfig::with_crypto(Arc::new(tls::server(keys)?));
         server.transport_config(transport_config.clone());
         let mut client = ClientConfig::new(Arc::new(tls::client(keys)?));
@@ -125,7 +125,7 @@
     /// Closes every link, and waits until the peers have been notified.
     pub async fn close(&self) {
         self.endpoint
-            .close(VarInt::from_u32(CLOSED_NORMALLY), b"closed");
+            .close(VarInt::from_u32(LINK_CLOSED_CODE), b"closed");
         self.endpoint.wait_idle().await;
     }
 }
@@ -174,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Foreign`] when it isn't.
+    /// [`Error::Foreign`] when it isn't valid.
     pub fn verify_host(&self, claimed: &Host) -> Result<(), Error> {
         let foreign =
             || Error::Foreign(format!("the peer's certificate isn't valid for {claimed}"));
@@ -202,7 +202,7 @@
     /// Closes the link; every stream on it fails.
     pub fn close(&self) {
         self.connection
-            .close(VarInt::from_u32(CLOSED_NORMALLY), b"closed");
+            .close(VarInt::from_u32(LINK_CLOSED_CODE), b"closed");
     }
 
     /// Returns the smoothed round-trip time.
@@ -210,19 +210,20 @@
         self.connection.rtt()
     }
 
-    /// Returns the bytes sent and received on this link so far, as UDP payload.
+    /// Returns the number of bytes sent and received on this link so far, as UDP payload.
     pub fn bytes(&self) -> (u64, u64) {
         let stats = self.connection.stats();
         (stats.udp_tx.bytes, stats.udp_rx.bytes)
     }
 }
 
-fn transport_config(silence: Duration) -> Result<TransportConfig, Error> {
-    let idle = IdleTimeout::try_from(silence).map_err(|error| Error::Keys(error.to_string()))?;
+fn transport_config(idle_timeout: Duration) -> Result<TransportConfig, Error> {
+    let idle_timeout =
+        IdleTimeout::try_from(idle_timeout).map_err(|error| Error::Keys(error.to_string()))?;
     let mut transport_config = TransportConfig::default();
     transport_config
-        .max_idle_timeout(Some(idle))
-        .max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS))
+        .max_idle_timeout(Some(idle_timeout))
+        .max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS_PER_LINK))
         .max_concurrent_uni_streams(VarInt::from_u32(0));
     Ok(transport_config)
 }
