--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -59,7 +59,7 @@
 /// Returns the suspicion that a failed connection raises against its server.
 pub fn suspicion_for(error: &upstream::Error) -> Suspicion {
     match error {
-        upstream::Error::Timeout => Suspicion::Dark,
+        upstream::Error::Timeout => Suspicion::Unresponsive,
         _ => Suspicion::Refused,
     }
 }
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -196,8 +196,8 @@
 fn to_beacon(suspicion: Suspicion) -> beacon::Suspicion {
     match suspicion {
         Suspicion::Refused => beacon::Suspicion::Refused,
-        Suspicion::Dark => beacon::Suspicion::Dark,
-        Suspicion::Broke => beacon::Suspicion::Broke,
+        Suspicion::Unresponsive => beacon::Suspicion::Unresponsive,
+        Suspicion::Disconnected => beacon::Suspicion::Disconnected,
         Suspicion::Full => beacon::Suspicion::Full,
     }
 }
@@ -205,8 +205,8 @@
 fn from_beacon(suspicion: beacon::Suspicion) -> Suspicion {
     match suspicion {
         beacon::Suspicion::Refused => Suspicion::Refused,
-        beacon::Suspicion::Dark => Suspicion::Dark,
-        beacon::Suspicion::Broke => Suspicion::Broke,
+        beacon::Suspicion::Unresponsive => Suspicion::Unresponsive,
+        beacon::Suspicion::Disconnected => Suspicion::Disconnected,
         beacon::Suspicion::Full => Suspicion::Full,
     }
 }
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -359,9 +359,9 @@
         let server = &run.target.server;
         let mut fleet = self.context.fleet.borrow_mut();
         if loss.is_unreachable() {
-            fleet.suspect(server, Suspicion::Dark);
+            fleet.suspect(server, Suspicion::Unresponsive);
         } else if loss.is_immediate(run.events, run.began.elapsed()) {
-            fleet.suspect(server, Suspicion::Broke);
+            fleet.suspect(server, Suspicion::Disconnected);
         }
         drop(fleet);
         // If the server crashed, its idle connections are dead too, and a request sent on one of
--- a/components/measure/src/calls/poison.rs
+++ b/components/measure/src/calls/poison.rs
@@ -307,7 +307,8 @@
         }
         let time_to_crash = self.case.time_to_crash;
         let mut flights = self.servers[server].iter();
-        if flights.any(|flight| flight.fingerprint < FIRST_INNOCENT && flight.elapsed >= time_to_crash)
+        if flights
+            .any(|flight| flight.fingerprint < FIRST_INNOCENT && flight.elapsed >= time_to_crash)
         {
             self.die(server, true);
             return;
--- a/components/routing/src/placement/suspicion.rs
+++ b/components/routing/src/placement/suspicion.rs
@@ -30,9 +30,9 @@
     Refused,
     /// It does not respond at all. This is stronger evidence against its data centre than a missing
     /// process, and each attempt to reach another server there costs a timeout.
-    Dark,
+    Unresponsive,
     /// It closed a connection as soon as it had the request.
-    Broke,
+    Disconnected,
     /// It is full.
     Full,
 }
@@ -43,14 +43,14 @@
     fn weight(self) -> usize {
         match self {
             Suspicion::Refused => 1,
-            Suspicion::Dark => DOMAIN_LOSS_THRESHOLD,
-            Suspicion::Broke | Suspicion::Full => 0,
+            Suspicion::Unresponsive => DOMAIN_LOSS_THRESHOLD,
+            Suspicion::Disconnected | Suspicion::Full => 0,
         }
     }
 
     /// Returns whether runs and copies on the server are unreachable as well.
     pub(super) fn is_unreachable(self) -> bool {
-        matches!(self, Suspicion::Refused | Suspicion::Dark)
+        matches!(self, Suspicion::Refused | Suspicion::Unresponsive)
     }
 }
 
@@ -99,7 +99,7 @@
 
     /// Returns when the server was last found unresponsive, or the last of so many servers of its
     /// domain that it is probably unresponsive too. It was last known to be alive at `last_alive`.
-    /// A process that exits closes its connections itself, so that only [`Suspicion::Dark`] counts.
+    /// A process that exits closes its connections itself, so that only [`Suspicion::Unresponsive`] counts.
     pub(super) fn suspected_since(
         &self,
         now: Clock,
@@ -108,17 +108,17 @@
         last_alive: Clock,
     ) -> Option<Clock> {
         let lost = self.domains.get(domain)?;
-        let is_dark = |(at, suspicion): &(Clock, Suspicion)| {
-            *suspicion == Suspicion::Dark && *at >= last_alive
+        let is_unresponsive = |(at, suspicion): &(Clock, Suspicion)| {
+            *suspicion == Suspicion::Unresponsive && *at >= last_alive
         };
-        let own = lost.get(server).copied().filter(is_dark);
+        let own = lost.get(server).copied().filter(is_unresponsive);
         if let Some((at, _)) = own {
             return Some(at);
         }
         if !self.is_domain_suspected(now, domain, last_alive) {
             return None;
         }
-        let all = lost.values().copied().filter(is_dark);
+        let all = lost.values().copied().filter(is_unresponsive);
         all.map(|(at, _)| at).max()
     }
 
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -247,11 +247,11 @@
 /// Suspicions of peers against a server or its data centre apply to its streams: to servers that
 /// became unresponsive together, but not to those that closed a connection or answered since.
 #[rstest]
-#[case::itself(&[("s0", Suspicion::Dark)], None, true)]
-#[case::same_data_centre(&[("s3", Suspicion::Dark)], None, true)]
-#[case::another_data_centre(&[("s1", Suspicion::Dark)], None, false)]
+#[case::itself(&[("s0", Suspicion::Unresponsive)], None, true)]
+#[case::same_data_centre(&[("s3", Suspicion::Unresponsive)], None, true)]
+#[case::another_data_centre(&[("s1", Suspicion::Unresponsive)], None, false)]
 #[case::processes_that_exited(&[("s0", Suspicion::Refused), ("s3", Suspicion::Refused)], None, false)]
-#[case::alive_since(&[("s3", Suspicion::Dark)], Some(2), false)]
+#[case::alive_since(&[("s3", Suspicion::Unresponsive)], Some(2), false)]
 fn suspects_servers_by_their_data_centre(
     #[case] lost: &[(&str, Suspicion)],
     #[case] alive_at_s: Option<u64>,
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -205,9 +205,9 @@
     /// The server refused a connection.
     Refused,
     /// The server did not respond, not even with a refusal.
-    Dark,
+    Unresponsive,
     /// The server closed a connection as soon as it had received the request.
-    Broke,
+    Disconnected,
     /// The server was at capacity.
     Full,
 }
