--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -71,7 +71,7 @@
 impl Entry {
     pub(crate) fn new(setup: &Setup, policy: Policy, data_centre: String, index: usize) -> Entry {
         let mut placement = Placement::default();
-        placement.set_position((index, setup.entries));
+        placement.set_rank((index, setup.entries));
         let tokens =
             (setup.mean_lengths.0 + setup.mean_lengths.1 * setup.tokens_per_event as f64) as u64;
         Entry {
--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -103,7 +103,7 @@
     at: Instant,
     /// Rank of this gateway among the live ones, and their number, which define its partition of
     /// the engines.
-    position: (usize, usize),
+    rank: (usize, usize),
     done: watch::Receiver<bool>,
 }
 
@@ -214,12 +214,12 @@
 }
 
 /// Returns the recent lookup at a service's engines, if there is one. A change of this gateway's
-/// position changes its partition of the engines and those of the others, so the lookup is invalid
+/// rank changes its partition of the engines and those of the others, so the lookup is invalid
 /// then.
 fn recent<P>(context: &Context<P>, service: &Service) -> Option<Lookup> {
     let fleet = context.fleet.borrow();
     let lookup = context.cache_lookup.recent(service)?;
-    let valid = lookup.position == fleet.position() || !fleet.is_partitioned();
+    let valid = lookup.rank == fleet.rank() || !fleet.is_partitioned();
     valid.then_some(lookup)
 }
 
@@ -294,7 +294,7 @@
     let (finished, done) = watch::channel(false);
     let lookup = Lookup {
         at: Instant::now(),
-        position: context.fleet.borrow().position(),
+        rank: context.fleet.borrow().rank(),
         done,
     };
     let cache = &context.cache_lookup;
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -151,13 +151,13 @@
     }
 
     /// Sets the rank of this gateway among the live ones, and their number.
-    pub fn set_position(&mut self, position: (usize, usize)) {
-        self.placement.set_position(position);
+    pub fn set_rank(&mut self, rank: (usize, usize)) {
+        self.placement.set_rank(rank);
     }
 
     /// Returns the rank of this gateway among the live ones, and their number.
-    pub fn position(&self) -> (usize, usize) {
-        self.placement.position()
+    pub fn rank(&self) -> (usize, usize) {
+        self.placement.rank()
     }
 
     /// Returns whether there are so many gateways that each has a partition of the servers.
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -199,7 +199,7 @@
             self.shared.queue.remove_peer(silent);
             self.shared.retry_budgets.borrow_mut().remove_peer(silent);
         }
-        fleet.set_position(self.table.rank());
+        fleet.set_rank(self.table.rank());
         self.shared.queue.set_gateways(self.table.rank().1);
         self.shared.rollouts.set_rank(self.table.rank());
         drop(fleet);
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -119,8 +119,8 @@
     prompts: Prompts,
     /// Work of each peer, by server.
     peers: HashMap<Peer, HashMap<Server, Work>>,
-    /// Index of this entry among all entries, and their number.
-    position: (usize, usize),
+    /// Rank of this process among all processes, and their number.
+    rank: (usize, usize),
     /// Data centre of this entry.
     data_centre: DataCentre,
 }
@@ -138,7 +138,7 @@
     pub fn set_data_centre(&mut self, data_centre: &DataCentre) {
         self.data_centre.clone_from(data_centre);
         for (server, candidate) in &mut self.candidates {
-            candidate.set_position(server, self.position, data_centre);
+            candidate.set_rank(server, self.rank, data_centre);
         }
     }
 
@@ -151,7 +151,7 @@
         }
         let mut candidate = Candidate::new(now, server, spec, leaving);
         candidate.peer_work = self.peer_work(server);
-        candidate.set_position(server, self.position, &self.data_centre);
+        candidate.set_rank(server, self.rank, &self.data_centre);
         self.candidates.insert(server.clone(), candidate);
     }
 
@@ -397,25 +397,25 @@
         self.suspend(at, server, suspicion);
     }
 
-    /// Sets the index of this entry among all entries, and their number.
-    pub fn set_position(&mut self, position: (usize, usize)) {
-        if self.position == position {
+    /// Sets the rank of this process among all processes, and their number.
+    pub fn set_rank(&mut self, rank: (usize, usize)) {
+        if self.rank == rank {
             return;
         }
-        self.position = position;
+        self.rank = rank;
         for (server, candidate) in &mut self.candidates {
-            candidate.set_position(server, position, &self.data_centre);
+            candidate.set_rank(server, rank, &self.data_centre);
         }
     }
 
-    /// Returns the index of this entry among all entries, and their number.
-    pub fn position(&self) -> (usize, usize) {
-        self.position
+    /// Returns the rank of this process among all processes, and their number.
+    pub fn rank(&self) -> (usize, usize) {
+        self.rank
     }
 
     /// Returns whether each entry has a partition of the servers, as there are many entries.
     pub fn is_partitioned(&self) -> bool {
-        self.position.1 as f64 > MAX_UNPARTITIONED_ENTRIES
+        self.rank.1 as f64 > MAX_UNPARTITIONED_ENTRIES
     }
 
     /// Returns whether a server is in the partition of this entry. Without partitions every entry
--- a/components/routing/src/placement/candidate.rs
+++ b/components/routing/src/placement/candidate.rs
@@ -218,18 +218,18 @@
         load + self.offset
     }
 
-    /// Sets the index of this entry among all entries, and their number. If there are too many
+    /// Sets the rank of this process among all processes, and their number. If there are too many
     /// entries to track each other's load, the servers are partitioned, so that entries that see
     /// the same loads at the same time don't choose the same servers.
-    pub(super) fn set_position(
+    pub(super) fn set_rank(
         &mut self,
         server: &str,
-        (index, count): (usize, usize),
+        (rank, count): (usize, usize),
         data_centre: &DataCentre,
     ) {
         let count = count.max(1);
         let hash = xxh3_64(server.as_bytes()) as usize;
-        let distance = (hash % count + count - index % count) % count;
+        let distance = (hash % count + count - rank % count) % count;
         let is_small_fleet = count as f64 <= MAX_UNPARTITIONED_ENTRIES;
         let max_offset = if is_small_fleet {
             MAX_OFFSET
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -231,9 +231,9 @@
             let load = candidate.load(now, request, cached) + rng.random_range(0.0..jitter);
             let is_considered = candidate.is_tracked || candidate.is_owned;
             let is_skipped = cached == 0 && !is_considered && !rng.random_bool(probability);
-            let rank = (penalties, is_skipped, load);
-            if best.is_none_or(|(best, _)| rank < best) {
-                best = Some((rank, server));
+            let order = (penalties, is_skipped, load);
+            if best.is_none_or(|(best, _)| order < best) {
+                best = Some((order, server));
             }
         }
         best.map(|((penalties, _, load), server)| Choice {
@@ -249,7 +249,7 @@
     /// Returns the probability with which each server outside this entry's partition and data
     /// centre is considered.
     fn sampling_probability(&self, candidates: u32) -> f64 {
-        let entries = self.position.1.max(1) as f64;
+        let entries = self.rank.1.max(1) as f64;
         let minimum = MIN_CONSIDERED_SERVERS / f64::from(candidates.max(1));
         (MAX_UNPARTITIONED_ENTRIES / entries)
             .powi(2)
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -55,7 +55,7 @@
             loads.insert(name, work);
         }
         placement.set_peer_loads(7, loads);
-        placement.set_position((place, count));
+        placement.set_rank((place, count));
         placement
     };
     (0..count).map(one).collect()
