--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -91,7 +91,7 @@
             work: Work {
                 requests: 1,
                 tokens,
-                unread: setup.mean_lengths.0 as u64,
+                prefill_tokens: setup.mean_lengths.0 as u64,
             },
         }
     }
@@ -232,7 +232,7 @@
             data_centre: &home,
             work: Work {
                 requests: 0,
-                unread: 0,
+                prefill_tokens: 0,
                 ..work
             },
             parts: &[],
--- a/components/experiment/src/simulation.rs
+++ b/components/experiment/src/simulation.rs
@@ -94,7 +94,7 @@
     server: usize,
     work: Work,
     sent_at: Clock,
-    unread_ahead: u64,
+    tokens_ahead: u64,
     backup: Option<(usize, u64)>,
 }
 
@@ -399,7 +399,7 @@
         let mut work = Work {
             requests: 1,
             tokens: tokens as u64,
-            unread: request.prompt_tokens as u64,
+            prefill_tokens: request.prompt_tokens as u64,
         };
         let entry = request.entry;
         let mut avoid = avoid.to_vec();
@@ -415,9 +415,9 @@
                 continue;
             }
             let placement = &self.entries[entry].placement;
-            work.unread -= placement
+            work.prefill_tokens -= placement
                 .cached_tokens(self.now, &parts, &server)
-                .min(work.unread);
+                .min(work.prefill_tokens);
             self.assign(id, &server, work);
             return;
         }
@@ -430,10 +430,10 @@
         let entry = &mut self.entries[self.requests[id].entry];
         let holder = entry.backup(now, work, server, &mut self.rng);
         entry.placement.sent(now, server, work);
-        let unread_ahead = entry.placement.unread_tokens(server);
+        let tokens_ahead = entry.placement.queued_prefill_tokens(server);
         let backup_work = Work {
             requests: 0,
-            unread: 0,
+            prefill_tokens: 0,
             ..work
         };
         if let Some(holder) = &holder {
@@ -446,7 +446,7 @@
         let request = &mut self.requests[id];
         self.engines[server_index(server)].add(Run {
             id,
-            unprefilled: work.unread as f64,
+            unprefilled: work.prefill_tokens as f64,
             events: (request.delivered, request.events),
             tokens: work.tokens,
         });
@@ -454,7 +454,7 @@
             server: server_index(server),
             work,
             sent_at: now,
-            unread_ahead,
+            tokens_ahead,
             backup,
         });
     }
@@ -465,12 +465,16 @@
         let entry = &mut self.entries[request.entry];
         if let Some(assignment) = &mut request.assignment {
             let server = server_name(assignment.server);
-            let unread = std::mem::take(&mut assignment.work.unread);
-            if unread > 0 {
+            let prefill_tokens = std::mem::take(&mut assignment.work.prefill_tokens);
+            if prefill_tokens > 0 {
                 let time = now - assignment.sent_at;
-                entry
-                    .placement
-                    .record_read(now, &server, unread, assignment.unread_ahead, time);
+                entry.placement.record_prefill(
+                    now,
+                    &server,
+                    prefill_tokens,
+                    assignment.tokens_ahead,
+                    time,
+                );
                 entry.placement.record_cached(now, &request.parts, &server);
                 entry.placement.mark_alive(now, &server);
             }
@@ -545,7 +549,7 @@
             let backup_work = Work {
                 requests: 0,
                 tokens,
-                unread: 0,
+                prefill_tokens: 0,
             };
             entry.done(
                 self.now,
@@ -583,7 +587,7 @@
         let work = Work {
             requests: 1,
             tokens: run.tokens,
-            unread: 0,
+            prefill_tokens: 0,
         };
         let prefilled_tokens = request.prompt_tokens - run.unprefilled.max(0.0);
         self.unassign(id, Outcome::Failed);
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -280,16 +280,16 @@
     /// it is unknown.
     pub fn expected_first_event(&self, target: &Target) -> Duration {
         self.placement
-            .queued_read_time(&target.server)
+            .queued_prefill_time(&target.server)
             .unwrap_or_default()
     }
 
     /// Returns the expected time to the first event at a server of the same service that has no
-    /// other prompts to process; 0 when it is unknown. `unread` is the number of prompt tokens that
-    /// are not cached.
-    pub fn unloaded_first_event(&self, target: &Target, unread: u64) -> Duration {
+    /// other prompts to process; 0 when it is unknown. `prefill_tokens` is the number of prompt
+    /// tokens that are not cached.
+    pub fn unloaded_first_event(&self, target: &Target, prefill_tokens: u64) -> Duration {
         self.placement
-            .idle_read_time(&target.server, unread)
+            .idle_prefill_time(&target.server, prefill_tokens)
             .unwrap_or_default()
     }
 
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -181,7 +181,7 @@
         server: beacon::id(server),
         requests: work.requests,
         tokens: work.tokens,
-        unread: work.unread,
+        prefill_tokens: work.prefill_tokens,
     }
 }
 
@@ -189,7 +189,7 @@
     Work {
         requests: load.requests,
         tokens: load.tokens,
-        unread: load.unread,
+        prefill_tokens: load.prefill_tokens,
     }
 }
 
--- a/components/gateway/src/fleet/in_flight.rs
+++ b/components/gateway/src/fleet/in_flight.rs
@@ -34,7 +34,7 @@
         let mut inner = fleet.borrow_mut();
         inner.placement.sent(clock::now(), server, work);
         inner.mark_changed(server);
-        let ahead = inner.placement.unread_tokens(server);
+        let ahead = inner.placement.queued_prefill_tokens(server);
         drop(inner);
         InFlight {
             fleet: fleet.clone(),
@@ -47,12 +47,16 @@
 
     /// Records that the prompt was processed within `time`.
     pub fn prompt_processed(&mut self, time: Duration) {
-        let unread = std::mem::take(&mut self.work.unread);
+        let prefill_tokens = std::mem::take(&mut self.work.prefill_tokens);
         let mut fleet = self.fleet.borrow_mut();
         fleet.mark_changed(&self.server);
-        fleet
-            .placement
-            .record_read(clock::now(), &self.server, unread, self.ahead, time);
+        fleet.placement.record_prefill(
+            clock::now(),
+            &self.server,
+            prefill_tokens,
+            self.ahead,
+            time,
+        );
     }
 
     /// Sets the outcome; it defaults to cancelled.
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -406,7 +406,7 @@
 /// Drops the smallest loads of a beacon that is too long for a datagram.
 fn shrink_to_fit(beacon: &mut Beacon) {
     let loads = &mut beacon.loads;
-    loads.sort_unstable_by_key(|load| std::cmp::Reverse(load.unread + load.tokens));
+    loads.sort_unstable_by_key(|load| std::cmp::Reverse(load.prefill_tokens + load.tokens));
     while postcard::to_stdvec(&*beacon)
         .is_ok_and(|bytes| bytes.len() > MAX_DATAGRAM_BYTES - ECHO_BYTES)
     {
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -87,7 +87,7 @@
 const PLAIN_WORK: Work = Work {
     requests: 1,
     tokens: 0,
-    unread: 0,
+    prefill_tokens: 0,
 };
 
 /// Handles a plain request.
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -113,7 +113,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Size {
     tokens: f64,
-    unread: f64,
+    prefill_tokens: f64,
     /// Time within which an engine has to produce the first event.
     engine_time: Duration,
 }
@@ -121,14 +121,14 @@
 impl Size {
     fn update(&mut self, work: Work) {
         self.tokens += EWMA_WEIGHT * (work.tokens as f64 - self.tokens);
-        self.unread += EWMA_WEIGHT * (work.unread as f64 - self.unread);
+        self.prefill_tokens += EWMA_WEIGHT * (work.prefill_tokens as f64 - self.prefill_tokens);
     }
 
     fn work(&self) -> Work {
         Work {
             requests: 1,
             tokens: self.tokens as u64,
-            unread: self.unread as u64,
+            prefill_tokens: self.prefill_tokens as u64,
         }
     }
 }
@@ -315,7 +315,7 @@
         let mut sizes = self.sizes.borrow_mut();
         sizes.entry(call.service.clone()).or_insert(Size {
             tokens: work.tokens as f64,
-            unread: work.unread as f64,
+            prefill_tokens: work.prefill_tokens as f64,
             engine_time: wait::engine_time(call.pass.objective),
         });
     }
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -392,9 +392,9 @@
             .borrow()
             .cached_tokens(self.parts(), &target.server);
         // The copy of a run without events may contain hardly any of the prompt.
-        work.unread = match copy {
+        work.prefill_tokens = match copy {
             Some(_) if self.sequence.last().is_some() => 0,
-            _ => work.unread.saturating_sub(cached),
+            _ => work.prefill_tokens.saturating_sub(cached),
         };
         if self.sequence.last().is_none() {
             self.context.queue.record_work(&self.call.service, work);
@@ -459,7 +459,7 @@
                 .context
                 .fleet
                 .borrow()
-                .unloaded_first_event(target, work.unread),
+                .unloaded_first_event(target, work.prefill_tokens),
             waited: self.call.arrived.elapsed(),
         });
         let mut run = Run {
--- a/components/gateway/src/stream/selection.rs
+++ b/components/gateway/src/stream/selection.rs
@@ -55,7 +55,7 @@
         Work {
             requests: 1,
             tokens: u64::from(generation.prompt_tokens) + u64::from(answer),
-            unread: u64::from(generation.prompt_tokens),
+            prefill_tokens: u64::from(generation.prompt_tokens),
         }
     }
 
@@ -137,7 +137,7 @@
         let data_centre = self.context.settings.borrow().data_centre.clone();
         let work = Work {
             requests: 0,
-            unread: 0,
+            prefill_tokens: 0,
             ..self.remaining_work()
         };
         let request = Request {
@@ -186,12 +186,12 @@
             return true;
         };
         let fleet = self.context.fleet.borrow();
-        let unread = self
+        let prefill_tokens = self
             .remaining_work()
-            .unread
+            .prefill_tokens
             .saturating_sub(fleet.cached_tokens(self.parts(), &target.server));
         let prompt_time = fleet
-            .unloaded_first_event(target, unread)
+            .unloaded_first_event(target, prefill_tokens)
             .mul_f64(MIN_PROMPT_TIME_SHARE);
         prompt_time + answer_time <= remaining
     }
--- a/components/gateway/tests/prompt_lookup.rs
+++ b/components/gateway/tests/prompt_lookup.rs
@@ -232,7 +232,7 @@
                 server: beacon::id(&name(number)),
                 requests: 1,
                 tokens: 6000,
-                unread: 5000,
+                prefill_tokens: 5000,
             });
         let loads = Message::Loads(Loads {
             incarnation: 1,
@@ -246,7 +246,7 @@
             server: beacon::id(&name(5)),
             requests: 1,
             tokens: 5020,
-            unread: 5020,
+            prefill_tokens: 5020,
         };
         let is_loads = |message: &Message| match message {
             Message::Loads(received) => received.loads.iter().any(|load| is_same(load, &expected)),
@@ -262,7 +262,8 @@
 
 /// Whether two loads have the same server, requests and unprocessed tokens.
 fn is_same(one: &Load, other: &Load) -> bool {
-    (one.server, one.requests, one.unread) == (other.server, other.requests, other.unread)
+    (one.server, one.requests, one.prefill_tokens)
+        == (other.server, other.requests, other.prefill_tokens)
 }
 
 /// Guards against retries beyond the limit. Gateways announce their retries to their data centre
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -64,8 +64,8 @@
     pub requests: u32,
     /// Tokens of memory that the requests fill, now or later.
     pub tokens: u64,
-    /// Prompt tokens that are not processed yet.
-    pub unread: u64,
+    /// Prompt tokens that the server has not processed yet.
+    pub prefill_tokens: u64,
 }
 
 impl Work {
@@ -73,14 +73,14 @@
     pub fn add(&mut self, other: Work) {
         self.requests += other.requests;
         self.tokens += other.tokens;
-        self.unread += other.unread;
+        self.prefill_tokens += other.prefill_tokens;
     }
 
     /// Subtracts `other`, saturating at zero.
     pub fn subtract(&mut self, other: Work) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.tokens = self.tokens.saturating_sub(other.tokens);
-        self.unread = self.unread.saturating_sub(other.unread);
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(other.prefill_tokens);
     }
 }
 
@@ -192,7 +192,7 @@
     /// Records that a server has processed a prompt of `tokens` tokens, `time` after it was sent.
     /// `ahead` is the number of prompt tokens that were pending at the server then, its own
     /// included.
-    pub fn record_read(
+    pub fn record_prefill(
         &mut self,
         now: Clock,
         server: &Server,
@@ -203,7 +203,8 @@
         let Some(candidate) = self.candidates.get_mut(server) else {
             return;
         };
-        candidate.own_work.unread = candidate.own_work.unread.saturating_sub(tokens);
+        candidate.own_work.prefill_tokens =
+            candidate.own_work.prefill_tokens.saturating_sub(tokens);
         candidate.member.answered();
         if ahead == 0 {
             return;
@@ -229,11 +230,11 @@
         self.prompts.cached_tokens(now, parts, server)
     }
 
-    /// Returns the prompt tokens that are pending at a server.
-    pub fn unread_tokens(&self, server: &Server) -> u64 {
+    /// Returns the number of prompt tokens that are pending at a server.
+    pub fn queued_prefill_tokens(&self, server: &Server) -> u64 {
         self.candidates
             .get(server)
-            .map_or(0, |candidate| candidate.total_work().unread)
+            .map_or(0, |candidate| candidate.total_work().prefill_tokens)
     }
 
     /// Returns the mean time of a request of a plain service.
@@ -242,18 +243,18 @@
     }
 
     /// Returns the expected time to process the prompts that are pending at a server.
-    pub fn queued_read_time(&self, server: &Server) -> Option<Duration> {
+    pub fn queued_prefill_time(&self, server: &Server) -> Option<Duration> {
         let candidate = self.candidates.get(server)?;
         let token_time = self.token_times.get(&candidate.spec.service)?;
-        Duration::try_from_secs_f64(token_time * candidate.total_work().unread as f64).ok()
+        Duration::try_from_secs_f64(token_time * candidate.total_work().prefill_tokens as f64).ok()
     }
 
-    /// Returns the expected time to process `unread` prompt tokens at a server of the same service
-    /// that processes nothing else.
-    pub fn idle_read_time(&self, server: &Server, unread: u64) -> Option<Duration> {
+    /// Returns the expected time to process `prefill_tokens` prompt tokens at a server of the same
+    /// service that processes nothing else.
+    pub fn idle_prefill_time(&self, server: &Server, prefill_tokens: u64) -> Option<Duration> {
         let candidate = self.candidates.get(server)?;
         let token_time = self.token_times.get(&candidate.spec.service)?;
-        Duration::try_from_secs_f64(token_time * unread as f64).ok()
+        Duration::try_from_secs_f64(token_time * prefill_tokens as f64).ok()
     }
 
     /// Records that work ended; `work` is the part of it that is still counted.
--- a/components/routing/src/placement/candidate.rs
+++ b/components/routing/src/placement/candidate.rs
@@ -32,7 +32,7 @@
 
 /// Weight of pending prompt tokens against the memory that they fill. Prompt processing delays all
 /// runs on the server; memory only matters when it runs out.
-const UNREAD_WEIGHT: f64 = 4.0;
+const PREFILL_WEIGHT: f64 = 4.0;
 
 /// Weight of a prompt for each request on the server: the request is delayed while the prompt is
 /// processed.
@@ -180,11 +180,14 @@
         let free = self.spec.memory.saturating_sub(total.tokens);
         room = room.min(quotient(free, work.tokens));
         if let Some(tokens) = tokens {
-            let readable = (tokens / self.speed.slowness(now)) as u64;
-            let prompts = quotient(readable.saturating_sub(total.unread), work.unread);
+            let prefillable = (tokens / self.speed.slowness(now)) as u64;
+            let prompts = quotient(
+                prefillable.saturating_sub(total.prefill_tokens),
+                work.prefill_tokens,
+            );
             // A prompt that takes longer than this does so on any server; none begins it sooner
             // than an idle one.
-            room = room.min(prompts.max(u32::from(total.unread == 0 && self.is_idle())));
+            room = room.min(prompts.max(u32::from(total.prefill_tokens == 0 && self.is_idle())));
         }
         room
     }
@@ -202,10 +205,11 @@
         let requests = f64::from(total.requests + request.work.requests);
         let mut load = requests / f64::from(self.spec.slots.max(1)) * slowness;
         if self.spec.memory > 0 {
-            let unread = total.unread + request.work.unread.saturating_sub(cached);
-            let prefill = UNREAD_WEIGHT * unread as f64 * slowness;
+            let prefill_tokens =
+                total.prefill_tokens + request.work.prefill_tokens.saturating_sub(cached);
+            let prefill = PREFILL_WEIGHT * prefill_tokens as f64 * slowness;
             let memory = self.spec.memory as f64;
-            let prompt = request.work.unread.saturating_sub(cached) as f64;
+            let prompt = request.work.prefill_tokens.saturating_sub(cached) as f64;
             let interference = INTERFERENCE_WEIGHT * prompt * f64::from(total.requests) * slowness;
             load += (prefill + interference) / memory + (total.tokens as f64 / memory).powi(2);
         }
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -26,7 +26,7 @@
 const PROMPT_WORK: Work = Work {
     requests: 1,
     tokens: 6000,
-    unread: 5000,
+    prefill_tokens: 5000,
 };
 
 const FIRST_EVENT_TIME: Duration = Duration::from_secs(2);
@@ -50,7 +50,7 @@
             let work = Work {
                 requests: 1,
                 tokens: busy(number),
-                unread: 0,
+                prefill_tokens: 0,
             };
             loads.insert(name, work);
         }
@@ -231,11 +231,11 @@
     let mut placement = entries(1, 1, |_| 0).remove(0);
     let (service, server) = ("draft".to_string(), "s0".to_string());
     let second = Duration::from_secs(1);
-    placement.record_read(second, &server, 5_000, 5_000, second);
+    placement.record_prefill(second, &server, 5_000, 5_000, second);
     let prompt = Work {
         requests: 1,
         tokens: 14_000,
-        unread: 13_300,
+        prefill_tokens: 13_300,
     };
     let room =
         |placement: &Placement| placement.room(second, &service, Versions::Any, prompt, second);
@@ -334,7 +334,7 @@
 const REQUEST_WORK: Work = Work {
     requests: 1,
     tokens: 0,
-    unread: 0,
+    prefill_tokens: 0,
 };
 
 fn send_request(placement: &mut Placement, now: Duration, rng: &mut SmallRng) -> Server {
@@ -383,12 +383,12 @@
     let run = Work {
         requests: 1,
         tokens: 6000,
-        unread: 0,
+        prefill_tokens: 0,
     };
     let copies = Work {
         requests: 0,
         tokens: 12_000,
-        unread: 0,
+        prefill_tokens: 0,
     };
     assert_prompts_go(&[run, copies], "s1");
 }
@@ -399,12 +399,12 @@
     let streams = Work {
         requests: 2,
         tokens: 12_000,
-        unread: 0,
+        prefill_tokens: 0,
     };
     let prompts = Work {
         requests: 1,
         tokens: 12_000,
-        unread: 10_000,
+        prefill_tokens: 10_000,
     };
     assert_prompts_go(&[streams, prompts], "s0");
 }
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -150,7 +150,7 @@
     /// Tokens that the requests occupy.
     pub tokens: u64,
     /// Prompt tokens that the server has not processed yet.
-    pub unread: u64,
+    pub prefill_tokens: u64,
 }
 
 /// Load of one process at the servers where it changed.
