--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -233,7 +233,7 @@
         self.shared.queue.fill_beacon(&mut beacon);
         self.shared.rollouts.fill_beacon(&mut beacon);
         let bound = settings.bounds.retries();
-        beacon.sends = self.shared.retry_budgets.borrow_mut().sends(&bound);
+        beacon.attempts = self.shared.retry_budgets.borrow_mut().attempts(&bound);
         let now = clock::now();
         let claim = self.shared.freshness.borrow().claim();
         self.last_claim = claim.map(|claim| claim.at);
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Sends the changed loads and the recent sends to the other gateways of the data centre.
+    /// Sends the changed loads and the recent attempts to the other gateways of the data centre.
     fn send_loads(&mut self) {
         let loads = self.shared.fleet.borrow_mut().take_changed();
         if loads.is_empty() {
@@ -289,7 +289,7 @@
         }
         let settings = self.shared.settings.borrow().clone();
         let bound = settings.bounds.retries();
-        let sends = self.shared.retry_budgets.borrow_mut().sends(&bound);
+        let attempts = self.shared.retry_budgets.borrow_mut().attempts(&bound);
         let targets = self.table.local_peers(&settings.data_centre);
         for loads in loads.chunks(MAX_LOADS_PER_MESSAGE) {
             self.load_sequence += 1;
@@ -297,7 +297,7 @@
                 incarnation: self.incarnation,
                 sequence: self.load_sequence,
                 loads: loads.to_vec(),
-                sends: sends.clone(),
+                attempts: attempts.clone(),
             });
             for target in &targets {
                 self.send_to(&message, *target);
@@ -340,7 +340,7 @@
             Ok(Message::Loads(loads)) => {
                 if self.table.contains(from) && self.shared.fleet.borrow_mut().apply_loads(&loads) {
                     let mut retry_budgets = self.shared.retry_budgets.borrow_mut();
-                    retry_budgets.apply_sends(loads.incarnation, &loads.sends, true);
+                    retry_budgets.apply_attempts(loads.incarnation, &loads.attempts, true);
                 }
                 return;
             }
@@ -393,7 +393,7 @@
         self.shared.rollouts.apply_beacon(&beacon);
         let is_local = beacon.data_centre == self.shared.settings.borrow().data_centre;
         let mut retry_budgets = self.shared.retry_budgets.borrow_mut();
-        retry_budgets.apply_sends(beacon.incarnation, &beacon.sends, is_local);
+        retry_budgets.apply_attempts(beacon.incarnation, &beacon.attempts, is_local);
         if let Some(claim) = beacon.claim(self.incarnation) {
             self.shared
                 .freshness
--- a/components/gateway/src/retry_budget.rs
+++ b/components/gateway/src/retry_budget.rs
@@ -19,9 +19,9 @@
 use names::Service;
 use spread::beacon::{
     self,
+    Attempts, //
     Id,
     Incarnation,
-    Sends, //
 };
 
 use crate::clock;
@@ -66,26 +66,26 @@
         granted
     }
 
-    /// Returns the recent sends of this gateway, for its peers.
-    pub fn sends(&mut self, bound: &Bound) -> Vec<Sends> {
+    /// Returns the recent attempts of this gateway, for its peers.
+    pub fn attempts(&mut self, bound: &Bound) -> Vec<Attempts> {
         let now = clock::now();
-        let mut sends = Vec::with_capacity(self.services.len());
+        let mut attempts = Vec::with_capacity(self.services.len());
         for (service, retries) in &mut self.services {
             let Counts { totals, retries } = retries.counts(now, bound);
-            sends.push(Sends {
+            attempts.push(Attempts {
                 service: *service,
                 requests: totals.requests,
                 retries: totals.retries,
                 total_retries: retries,
             });
         }
-        sends
+        attempts
     }
 
-    /// Applies the recent sends of a peer; `is_local` if it is in the same data centre.
-    pub fn apply_sends(&mut self, peer: Incarnation, sends: &[Sends], is_local: bool) {
+    /// Applies the recent attempts of a peer; `is_local` if it is in the same data centre.
+    pub fn apply_attempts(&mut self, peer: Incarnation, attempts: &[Attempts], is_local: bool) {
         let now = clock::now();
-        for sent in sends {
+        for sent in attempts {
             let sent_totals = Counts {
                 totals: Totals {
                     requests: sent.requests,
--- a/components/gateway/tests/prompt_lookup.rs
+++ b/components/gateway/tests/prompt_lookup.rs
@@ -15,13 +15,13 @@
 };
 use spread::beacon::{
     self,
+    Attempts, //
     Beacon,
     Incarnation,
     Load,
     Loads,
     Message,
     Prompt,
-    Sends, //
 };
 use tokio::{
     net::UdpSocket,
@@ -238,7 +238,7 @@
             incarnation: 1,
             sequence: 1,
             loads: loads.collect(),
-            sends: Vec::new(),
+            attempts: Vec::new(),
         });
         send(&fleet.peer, &fleet.harness, loads).await;
         fleet.sync().await;
@@ -276,7 +276,7 @@
             engines.push(failing_engine().await);
         }
         let fleet = Fleet::with_engines(engines).await;
-        let retries = Sends {
+        let retries = Attempts {
             service: beacon::id("draft"),
             requests: 100,
             retries: 10_000,
@@ -286,7 +286,7 @@
             incarnation: 1,
             sequence: 1,
             loads: Vec::new(),
-            sends: vec![retries],
+            attempts: vec![retries],
         });
         send(&fleet.peer, &fleet.harness, loads).await;
         fleet.sync().await;
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -67,7 +67,7 @@
     /// Servers that should receive no new work for a while.
     pub failures: Vec<Failure>,
     /// Requests and retries recently sent, by service.
-    pub sends: Vec<Sends>,
+    pub attempts: Vec<Attempts>,
     /// Prompts that servers have processed for the sender.
     pub prompts: Vec<Prompt>,
     /// Number of queued requests that can still meet their deadline, by service.
@@ -163,7 +163,7 @@
     /// Current load at the changed servers.
     pub loads: Vec<Load>,
     /// Requests and retries recently sent, by service.
-    pub sends: Vec<Sends>,
+    pub attempts: Vec<Attempts>,
 }
 
 /// Prompt that a server has processed.
@@ -177,7 +177,7 @@
 
 /// Requests that a process sent to a service within a window that all processes share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sends {
+pub struct Attempts {
     /// Id of the service.
     pub service: Id,
     /// First attempts of requests.
