--- a/components/admission/src/concurrency.rs
+++ b/components/admission/src/concurrency.rs
@@ -53,18 +53,18 @@
     pub(crate) fn finished(
         &mut self,
         time: Duration,
-        first_token: Option<Duration>,
+        first_output: Option<Duration>,
         target: Duration,
     ) {
         // Early measurements weigh more, so that they quickly replace the assumed time.
         self.finished = self.finished.saturating_add(1);
         let weight = MIN_EWMA_WEIGHT.max(1.0 / f64::from(self.finished.saturating_add(1)));
         self.mean_time_s = self.mean_time_s * (1.0 - weight) + time.as_secs_f64() * weight;
-        let Some(first_token) = first_token else {
+        let Some(first_output) = first_output else {
             return;
         };
         self.answered += 1;
-        if first_token > target {
+        if first_output > target {
             self.late += 1;
         }
     }
@@ -77,7 +77,7 @@
         }
         let late = f64::from(self.late) / f64::from(self.answered);
         self.factor = if late > settings.max_late_share {
-            (self.factor * LIMIT_STEPS.0).max(settings.min_factor)
+            (self.factor * LIMIT_STEPS.0).max(settings.min_concurrency_factor)
         } else {
             (self.factor + LIMIT_STEPS.1).min(1.0)
         };
--- a/components/admission/src/gate.rs
+++ b/components/admission/src/gate.rs
@@ -113,7 +113,7 @@
             // All teams in the table have work.
             return Verdict::Refuse {
                 reason: Reason::Full,
-                retry_after: self.settings.retry_after.1,
+                retry_after: self.settings.retry_after_bounds.1,
             };
         };
         if arrival.resume {
@@ -142,8 +142,8 @@
         self.running = self.running.saturating_sub(1);
         self.concurrency.finished(
             done.time,
-            done.first_token,
-            self.settings.first_token_target,
+            done.first_output,
+            self.settings.first_output_target,
         );
         let Some(number) = self.teams.index_of(team, done.priority) else {
             return;
--- a/components/admission/src/request.rs
+++ b/components/admission/src/request.rs
@@ -95,5 +95,5 @@
     /// Time from admission to the end.
     pub time: Duration,
     /// Time from arrival to the first token; `None` without any token.
-    pub first_token: Option<Duration>,
+    pub first_output: Option<Duration>,
 }
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -18,11 +18,11 @@
     /// least one.
     pub resume_reserve: f64,
     /// Time to the first token above which a request counts as late.
-    pub first_token_target: Duration,
+    pub first_output_target: Duration,
     /// Share of late requests above which the concurrency limit is lowered.
     pub max_late_share: f64,
     /// Lowest factor that late requests can bring the concurrency limit to.
-    pub min_factor: f64,
+    pub min_concurrency_factor: f64,
     /// Maximum number of queued requests.
     pub max_waiting: usize,
     /// Maximum number of teams that are known at once.
@@ -30,7 +30,7 @@
     /// Rate at which refused callers are told to retry, as a share of the completion rate.
     pub retry_share: f64,
     /// Shortest and longest retry delay of refused callers.
-    pub retry_after: (Duration, Duration),
+    pub retry_after_bounds: (Duration, Duration),
 }
 
 impl Default for Settings {
@@ -40,13 +40,13 @@
             initial_time: Duration::from_secs(1),
             target_utilization: 1.0,
             resume_reserve: 0.1,
-            first_token_target: Duration::from_millis(1900),
+            first_output_target: Duration::from_millis(1900),
             max_late_share: 0.05,
-            min_factor: 0.3,
+            min_concurrency_factor: 0.3,
             max_waiting: 4096,
             max_teams: 8192,
             retry_share: 0.5,
-            retry_after: (Duration::from_millis(500), Duration::from_secs(60)),
+            retry_after_bounds: (Duration::from_millis(500), Duration::from_secs(60)),
         }
     }
 }
--- a/components/admission/src/team.rs
+++ b/components/admission/src/team.rs
@@ -136,7 +136,7 @@
         settings: &Settings,
         rng: &mut impl Rng,
     ) -> Duration {
-        let (min, max) = settings.retry_after;
+        let (min, max) = settings.retry_after_bounds;
         let interval = Duration::from_secs_f64((1.0 / rate.max(0.001)).min(max.as_secs_f64()));
         self.next_retry_at = self.next_retry_at.clamp(now + min, now + max);
         let jitter = interval.max(min).mul_f64(rng.random_range(0.0..1.0));
--- a/components/admission/tests/gate.rs
+++ b/components/admission/tests/gate.rs
@@ -119,7 +119,7 @@
             cost: 1,
             used: self.used,
             time: SECOND,
-            first_token: Some(SECOND / 10),
+            first_output: Some(SECOND / 10),
         };
         self.gate.finish(&team, &done);
         *self.served.entry(team).or_default() += 1;
@@ -612,7 +612,7 @@
 }
 
 /// Finishes requests over some seconds, each with the given time to the first token.
-fn serve_with_first_token(harness: &mut Harness, seconds: u32, first_token: Duration) {
+fn serve_with_first_output(harness: &mut Harness, seconds: u32, first_output: Duration) {
     for _ in 0..seconds {
         for _ in 0..20 {
             harness.arrive_new("a");
@@ -622,7 +622,7 @@
                 cost: 1,
                 used: 1,
                 time: SECOND,
-                first_token: Some(first_token),
+                first_output: Some(first_output),
             };
             harness.gate.finish(&team, &done);
         }
@@ -636,11 +636,11 @@
 #[test]
 fn late_first_tokens_lower_the_concurrency() {
     let mut harness = Harness::new(100);
-    serve_with_first_token(&mut harness, 5, 3 * SECOND);
+    serve_with_first_output(&mut harness, 5, 3 * SECOND);
     assert!(harness.gate.limit() < 65, "{}", harness.gate.limit());
-    serve_with_first_token(&mut harness, 100, 3 * SECOND);
+    serve_with_first_output(&mut harness, 100, 3 * SECOND);
     assert_eq!(harness.gate.limit(), 30);
-    serve_with_first_token(&mut harness, 40, SECOND / 10);
+    serve_with_first_output(&mut harness, 40, SECOND / 10);
     assert_eq!(harness.gate.limit(), 100);
 }
 
--- a/components/entry/src/gates.rs
+++ b/components/entry/src/gates.rs
@@ -39,14 +39,14 @@
 
 /// Returns the time to the first token above which a request counts as late.
 pub(crate) fn first_token_objective() -> Duration {
-    Settings::default().first_token_target
+    Settings::default().first_output_target
 }
 
 /// Returns the lowest factor by which late first tokens may reduce the concurrency below the
 /// reported capacity. The reports of replicas are old, and late tokens reveal queues that no
 /// report shows.
 pub(crate) fn min_concurrency_factor() -> f64 {
-    Settings::default().min_factor
+    Settings::default().min_concurrency_factor
 }
 
 impl Gates {
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -78,8 +78,8 @@
             data_centre,
             placement,
             gate: Gate::new(Settings {
-                first_token_target: setup.first_event_target,
-                min_factor: 1.0,
+                first_output_target: setup.first_event_target,
+                min_concurrency_factor: 1.0,
                 ..Settings::default()
             }),
             waiting: HashMap::new(),
--- a/components/experiment/src/simulation.rs
+++ b/components/experiment/src/simulation.rs
@@ -143,7 +143,7 @@
             cost,
             used: cost,
             time,
-            first_token: first.map(|first| first - self.arrived),
+            first_output: first.map(|first| first - self.arrived),
         }
     }
 }
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -185,8 +185,8 @@
             .entry(request.service.clone())
             .or_insert_with(|| Queue {
                 gate: Gate::new(Settings {
-                    first_token_target: request.objective,
-                    min_factor: request.min_concurrency_factor,
+                    first_output_target: request.objective,
+                    min_concurrency_factor: request.min_concurrency_factor,
                     ..Settings::default()
                 }),
                 waiting: HashMap::new(),
@@ -339,7 +339,7 @@
             cost: self.work.cost,
             used: self.used_tokens.load(Ordering::Relaxed),
             time: self.admitted.elapsed(),
-            first_token: *self
+            first_output: *self
                 .first_output
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner),
--- a/components/measure/src/admission/policy.rs
+++ b/components/measure/src/admission/policy.rs
@@ -131,7 +131,7 @@
                 cost: 1,
                 used: 1,
                 time,
-                first_token: Some(Duration::from_secs(1)),
+                first_output: Some(Duration::from_secs(1)),
             },
         );
     }
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -275,7 +275,7 @@
                 cost: 500,
                 used: 480,
                 time: Duration::from_millis(10),
-                first_token: Some(Duration::from_millis(5)),
+                first_output: Some(Duration::from_millis(5)),
             };
             gate.finish(team, &done);
         }
