--- a/components/answer/src/loss.rs
+++ b/components/answer/src/loss.rs
@@ -14,15 +14,15 @@
     /// The connection was reset.
     Reset,
     /// The server accepts no new connection.
-    Dark,
+    Unreachable,
     /// The server is alive, but the run sends nothing.
     Silent,
     /// The server is alive but no longer has the run, or sent events that didn't arrive.
-    Mute,
+    Orphaned,
     /// The server is much slower than expected.
     Slow,
     /// The answer ended in the middle of an event.
-    Torn,
+    Truncated,
     /// The received data isn't a valid answer.
     Malformed,
     /// An event is missing.
@@ -51,18 +51,21 @@
     pub fn candidates(self, prompt_cached: bool) -> &'static [Candidate] {
         match self {
             _ if !prompt_cached => &[Candidate::Copy, Candidate::Any],
-            Loss::Closed | Loss::Reset | Loss::Mute | Loss::Torn | Loss::Malformed | Loss::Gap => {
-                &[Candidate::Same, Candidate::Copy, Candidate::Any]
-            }
+            Loss::Closed
+            | Loss::Reset
+            | Loss::Orphaned
+            | Loss::Truncated
+            | Loss::Malformed
+            | Loss::Gap => &[Candidate::Same, Candidate::Copy, Candidate::Any],
             // The old run may still be active behind a connection that is dead on this side only.
-            Loss::Dark | Loss::Silent | Loss::Slow => &[Candidate::Copy, Candidate::Any],
+            Loss::Unreachable | Loss::Silent | Loss::Slow => &[Candidate::Copy, Candidate::Any],
         }
     }
 
     /// Returns whether the loss shows that the server is unreachable. A broken connection doesn't:
     /// servers lose single answers, and the next connection will show.
     pub fn is_unreachable(self) -> bool {
-        self == Loss::Dark
+        self == Loss::Unreachable
     }
 
     /// Returns whether the server broke the run off immediately, given the run's `age` and number
@@ -76,11 +79,11 @@
         match self {
             Loss::Closed => "closed",
             Loss::Reset => "reset",
-            Loss::Dark => "dark",
+            Loss::Unreachable => "dark",
             Loss::Silent => "silent",
-            Loss::Mute => "mute",
+            Loss::Orphaned => "mute",
             Loss::Slow => "slow",
-            Loss::Torn => "torn",
+            Loss::Truncated => "torn",
             Loss::Malformed => "malformed",
             Loss::Gap => "gap",
         }
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -199,7 +199,7 @@
                 return Received::TimedOut;
             }
             if self.context.fleet.borrow().is_replaced(&run.target.server) {
-                return Received::Lost(Loss::Dark);
+                return Received::Lost(Loss::Unreachable);
             }
             self.check_suspicion(run);
             let silence = run.last_received.elapsed();
@@ -225,7 +225,7 @@
                         }
                         alive = probe => {
                             if !alive {
-                                return Received::Lost(Loss::Dark);
+                                return Received::Lost(Loss::Unreachable);
                             }
                             run.last_alive = Instant::now();
                             run.silence.record_alive(run.last_received.elapsed());
@@ -242,9 +242,9 @@
                             }
                         }
                         activity = query => match activity {
-                            None => return Received::Lost(Loss::Dark),
+                            None => return Received::Lost(Loss::Unreachable),
                             Some(activity) if activity.has_lost(&self.call.request.metadata.id) => {
-                                return Received::Lost(Loss::Mute);
+                                return Received::Lost(Loss::Orphaned);
                             }
                             Some(_) => {
                                 run.last_alive = Instant::now();
@@ -285,7 +285,7 @@
             match self.receive(run, false).await {
                 Received::Data(data) => run.splitter.push(&data),
                 Received::End if run.splitter.has_partial_event() => {
-                    return self.report_loss(run, Loss::Torn);
+                    return self.report_loss(run, Loss::Truncated);
                 }
                 Received::End => {
                     run.complete = true;
