--- a/components/answer/src/resume.rs
+++ b/components/answer/src/resume.rs
@@ -304,10 +304,10 @@
         for attempt in &mut self.attempts {
             let silence = now.saturating_sub(attempt.last_token_at);
             if attempt.has_token && attempt.dials == 0 {
-                self.threshold.learn(silence);
+                self.threshold.record(silence);
             }
             if attempt.has_token && wrongly_suspected {
-                self.threshold.excuse(silence);
+                self.threshold.raise_floor(silence);
             }
             attempt.record_token(now);
         }
--- a/components/answer/src/silence.rs
+++ b/components/answer/src/silence.rs
@@ -149,7 +149,7 @@
     /// Records an event, `gap` after the previous one or the run's start.
     pub fn record_event(&mut self, gap: Duration) {
         if self.started {
-            self.threshold.learn(gap);
+            self.threshold.record(gap);
         }
         self.started = true;
         self.next_check = Duration::ZERO;
--- a/components/answer/src/threshold.rs
+++ b/components/answer/src/threshold.rs
@@ -26,7 +26,8 @@
     /// Factor on the mean deviation, added to the scaled mean gap.
     pub deviations: u32,
     /// Factor on a wrongly suspected silence, which gives a lower bound for the rest of the answer.
-    pub excuse: u32,
+    #[serde(rename = "excuse")]
+    pub floor_factor: u32,
 }
 
 impl Default for Settings {
@@ -36,7 +37,7 @@
             highest: Duration::from_secs(2),
             means: 4,
             deviations: 8,
-            excuse: 2,
+            floor_factor: 2,
         }
     }
 }
@@ -51,7 +52,7 @@
 
 impl Gaps {
     /// Records one gap.
-    pub fn learn(&mut self, gap: Duration) {
+    pub fn record(&mut self, gap: Duration) {
         self.count = self.count.saturating_add(1);
         if self.count == 1 {
             self.mean = gap;
@@ -95,18 +96,18 @@
     }
 
     /// Records one gap of this answer.
-    pub fn learn(&mut self, gap: Duration) {
+    pub fn record(&mut self, gap: Duration) {
         // With equal bounds the gaps have no effect, and without them models have a smaller state.
         if self.settings.lowest == self.settings.highest {
             return;
         }
-        self.own.learn(gap);
+        self.own.record(gap);
     }
 
     /// Raises the lower bound after a wrong suspicion: the engine pauses at times, and each further
     /// wrong suspicion would cost another prefill.
-    pub fn excuse(&mut self, silence: Duration) {
-        let floor = self.floor.max(silence * self.settings.excuse);
+    pub fn raise_floor(&mut self, silence: Duration) {
+        let floor = self.floor.max(silence * self.settings.floor_factor);
         self.floor = floor.min(self.settings.highest);
     }
 
--- a/components/answer/tests/resume.rs
+++ b/components/answer/tests/resume.rs
@@ -394,7 +394,7 @@
             highest: SECOND * 2,
             means: 4,
             deviations: 8,
-            excuse: 2,
+            floor_factor: 2,
         },
         ..Settings::default()
     };
--- a/components/entry/src/state.rs
+++ b/components/entry/src/state.rs
@@ -118,7 +118,7 @@
     pub(crate) fn learn(&self, service: &str, version: &str, gap: Duration) {
         let mut gaps = self.0.lock().expect("no panic while held");
         let key = (service.to_string(), version.to_string());
-        gaps.entry(key).or_default().learn(gap);
+        gaps.entry(key).or_default().record(gap);
     }
 
     /// Returns the measured times of a version, or the default.
--- a/components/measure/src/resumes.rs
+++ b/components/measure/src/resumes.rs
@@ -203,16 +203,16 @@
     }
     for (means, deviations) in [(2, 4), (4, 8), (8, 16)] {
         for lowest in [150, 250, 400, 600] {
-            for excuse in [0, 2, 4] {
+            for floor_factor in [0, 2, 4] {
                 let suspicion = threshold::Settings {
                     lowest: Duration::from_millis(lowest),
                     highest: Duration::from_secs(2),
                     means,
                     deviations,
-                    excuse,
+                    floor_factor,
                 };
                 let name =
-                    format!("{means}m + {deviations}d, at least {lowest}ms, excuse {excuse}");
+                    format!("{means}m + {deviations}d, at least {lowest}ms, excuse {floor_factor}");
                 policies.push(policy(&name, with_suspicion(suspicion)));
             }
         }
--- a/components/measure/src/resumes/simulation.rs
+++ b/components/measure/src/resumes/simulation.rs
@@ -130,7 +130,7 @@
     settings.deadline = Duration::from_secs(7200);
     for _ in 0..200 {
         let gap = gap(&mut random);
-        settings.pool.learn(gap * gap_factor(fault));
+        settings.pool.record(gap * gap_factor(fault));
     }
     let simulation = Simulation {
         fault,
