--- a/components/entry/src/moves/log.rs
+++ b/components/entry/src/moves/log.rs
@@ -24,7 +24,7 @@
         Notice::Reported(outcome) => {
             events::emit!(messages::REPORTED, "move={name} end={:?}", outcome.end);
         }
-        Notice::Learned(outcome) => {
+        Notice::Received(outcome) => {
             events::emit!(messages::LEARNED, "move={name} end={:?}", outcome.end);
         }
         Notice::Overruled(_) => events::emit!(messages::OVERRULED, "move={name}"),
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -331,16 +331,13 @@
                 break;
             };
             inventory
-                .standings
-                .retain(|standing| standing.environment == environment);
+                .holders
+                .retain(|holders| holders.environment == environment);
             received.insert(inventory.data_centre.clone(), inventory);
         }
         self.state.documents.end_survey(survey);
-        let standings = received.values().flat_map(|inventory| &inventory.standings);
-        let revision = standings
-            .map(|standing| standing.revision)
-            .max()
-            .unwrap_or(0);
+        let holders = received.values().flat_map(|inventory| &inventory.holders);
+        let revision = holders.map(|holders| holders.revision).max().unwrap_or(0);
         res.render(Json(Overview {
             environment,
             revision,
--- a/components/moves/src/mover.rs
+++ b/components/moves/src/mover.rs
@@ -366,7 +366,7 @@
         let notice = if outcome.by == self.owner.source {
             Notice::Reported(outcome.clone())
         } else {
-            Notice::Learned(outcome.clone())
+            Notice::Received(outcome.clone())
         };
         actions.push(Action::Publish(Fact::Outcome(outcome.clone())));
         actions.push(Action::Notice(notice));
--- a/components/moves/src/step.rs
+++ b/components/moves/src/step.rs
@@ -206,7 +206,7 @@
     /// The move ended, and this entry wrote the outcome.
     Reported(Outcome),
     /// The move ended; another entry wrote the outcome.
-    Learned(Outcome),
+    Received(Outcome),
     /// A veto followed the record that the move is done. The record stays in force; the operators
     /// should inspect the version.
     Overruled(Veto),
--- a/components/spread/src/message.rs
+++ b/components/spread/src/message.rs
@@ -151,14 +151,15 @@
     /// Name of the data centre.
     pub data_centre: DataCentre,
     /// Hosts by environment and revision; revision 0 means none.
-    pub standings: Vec<Standing>,
+    #[serde(rename = "standings")]
+    pub holders: Vec<Holders>,
     /// Known hosts that do not answer.
     pub silent: Vec<Host>,
 }
 
 /// Hosts of a data centre that hold the same revision of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct Holders {
     /// Environment of the document.
     pub environment: Environment,
     /// Revision that the hosts hold.
--- a/components/spread/src/readers.rs
+++ b/components/spread/src/readers.rs
@@ -29,9 +29,9 @@
         weight, //
     },
     message::{
+        Holders, //
         Inventory,
         Message,
-        Standing, //
     },
     replica::{
         READERS_PER_DATA_CENTRE,
@@ -202,12 +202,12 @@
 
     /// Returns the revisions that the entries of this data centre hold.
     pub(crate) fn inventory(&self, now: Clock) -> Inventory {
-        let mut standings: BTreeMap<_, Vec<Host>> = BTreeMap::new();
+        let mut holders: BTreeMap<_, Vec<Host>> = BTreeMap::new();
         let mut silent = Vec::new();
         let digest = self.digest();
         for (environment, slot) in &self.slots {
             let own = (environment.clone(), slot.revision());
-            standings
+            holders
                 .entry(own)
                 .or_default()
                 .push(self.identity.host.clone());
@@ -224,18 +224,18 @@
                     true => slot.revision(),
                     false => peer.held.get(environment).copied().unwrap_or_default(),
                 };
-                let standing = standings.entry((environment.clone(), revision));
-                standing.or_default().push(host.clone());
+                let hosts = holders.entry((environment.clone(), revision));
+                hosts.or_default().push(host.clone());
             }
         }
-        let standing = |((environment, revision), hosts)| Standing {
+        let to_holders = |((environment, revision), hosts)| Holders {
             environment,
             revision,
             hosts,
         };
         Inventory {
             data_centre: self.identity.data_centre.clone(),
-            standings: standings.into_iter().map(standing).collect(),
+            holders: holders.into_iter().map(to_holders).collect(),
             silent,
         }
     }
