--- a/components/admission/src/forecast.rs
+++ b/components/admission/src/forecast.rs
@@ -1,6 +1,6 @@
 //! Estimates whether a stream can still complete in time.
 //!
-//! When all entries fail at once, their callers return together, seconds before their deadlines,
+//! When all processes fail at once, their callers return together, seconds before their deadlines,
 //! for the rest of their answers. Processing a prompt for an answer that can't complete in time
 //! delays all other runs of the engine. The minimum time that the rest takes is therefore compared
 //! with the time that remains, and the request is refused if it is longer. The estimate is the
--- a/components/admission/src/gate.rs
+++ b/components/admission/src/gate.rs
@@ -42,7 +42,7 @@
     deadline: Clock,
 }
 
-/// Admission control of one service at one entry.
+/// Admission control of one service at one process.
 #[derive(Clone, Debug)]
 pub struct Gate {
     settings: Settings,
@@ -95,11 +95,12 @@
         self.concurrency.limit() as u32
     }
 
-    /// Records the reports of the replicas. Free capacity is shared evenly with the other entries.
+    /// Records the reports of the replicas. Free capacity is shared evenly with the other
+    /// processes.
     pub fn report(&mut self, report: Report) {
         let target = f64::from(report.capacity) * self.settings.target_utilization;
         let free = target - f64::from(report.load);
-        let share = free / f64::from(report.entries.max(1));
+        let share = free / f64::from(report.processes.max(1));
         self.concurrency.set_max(f64::from(self.running) + share);
     }
 
@@ -207,7 +208,7 @@
     }
 
     /// Returns whether one more request fits within the limit. A fractional slot doesn't count:
-    /// rounded up at each of many entries, the fractions would exceed the capacity.
+    /// rounded up at each of many processes, the fractions would exceed the capacity.
     fn has_room(&self, limit: f64) -> bool {
         f64::from(self.running) + 1.0 <= limit
     }
--- a/components/admission/src/quota.rs
+++ b/components/admission/src/quota.rs
@@ -1,8 +1,8 @@
-//! Retries of one service, bounded over a sliding window and over all entries together.
+//! Retries of one service, bounded over a sliding window and over all processes together.
 //!
 //! When servers refuse requests or fail one after the other, every failed request is retried at
-//! once. Entries share their counts, so that an entry whose servers fail may use what the others
-//! leave. No agreement is needed, as each entry stays below the bound by a margin.
+//! once. Processes share their counts, so that a process whose servers fail may use what the others
+//! leave. No agreement is needed, as each process stays below the bound by a margin.
 
 use std::{
     collections::VecDeque,
@@ -14,15 +14,15 @@
 /// Number of buckets of a window.
 const BUCKETS_PER_WINDOW: u32 = 20;
 
-/// Share of the bound that is used. Windows of entries don't begin at the same moment, counts of
-/// other entries are known with a delay, and the counts of an entry before its restart are lost.
+/// Share of the bound that is used. Windows of processes don't begin at the same moment, counts of
+/// other processes are known with a delay, and the counts of a process before its restart are lost.
 const USABLE_SHARE: f64 = 0.8;
 
 /// Share of that for requests without an answer; the rest is reserved for answers that have begun,
 /// whose loss costs more.
 const FIRST_ATTEMPT_SHARE: f64 = 0.75;
 
-/// Bound over all entries.
+/// Bound over all processes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
     /// Retries per request.
@@ -51,13 +51,13 @@
     pub retries: u32,
 }
 
-/// Retries of the other entries.
+/// Retries of the other processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Peers {
     /// Sum of their totals.
     pub totals: Totals,
-    /// Share of all entries whose totals are known, including this one. The rest of the slack is
-    /// left to the unknown entries.
+    /// Share of all processes whose totals are known, including this one. The rest of the slack is
+    /// left to the unknown processes.
     pub coverage: f64,
     /// Estimated retries since their last reports.
     pub unreported: f64,
@@ -70,7 +70,7 @@
     retries: u32,
 }
 
-/// Requests and retries of one service at this entry.
+/// Requests and retries of one service at this process.
 #[derive(Clone, Debug, Default)]
 pub struct Quota {
     buckets: VecDeque<Bucket>,
@@ -82,7 +82,7 @@
         self.bucket(now, bound).requests += 1;
     }
 
-    /// Takes a retry out of the quota. Returns `false` if none is available over all entries.
+    /// Takes a retry out of the quota. Returns `false` if none is available over all processes.
     pub fn retry(&mut self, now: Clock, bound: &Bound, peers: Peers, purpose: Purpose) -> bool {
         let own = self.totals(now, bound);
         let requests = own.requests + peers.totals.requests;
@@ -99,7 +99,7 @@
         true
     }
 
-    /// Returns what this entry sent within the window.
+    /// Returns what this process sent within the window.
     pub fn totals(&mut self, now: Clock, bound: &Bound) -> Totals {
         self.bucket(now, bound);
         let mut totals = Totals::default();
--- a/components/admission/src/request.rs
+++ b/components/admission/src/request.rs
@@ -14,7 +14,7 @@
 pub struct Arrival<'a> {
     /// Team of the request.
     pub team: &'a Team,
-    /// Limits of the team at this entry.
+    /// Limits of the team at this process.
     pub limit: Limit,
     /// Expected work, in tokens or any other unit that all requests share; 0 counts as 1. For a
     /// continuation, the remaining work.
@@ -76,11 +76,11 @@
 pub struct Report {
     /// Runs that the usable replicas can execute at full speed.
     pub capacity: u32,
-    /// Runs in progress or queued, of all entries, with the current number of this entry's own
+    /// Runs in progress or queued, of all processes, with the current number of this process's own
     /// runs.
     pub load: u32,
-    /// Number of entries that share the capacity.
-    pub entries: u32,
+    /// Number of processes that share the capacity.
+    pub processes: u32,
 }
 
 /// A finished request.
--- a/components/admission/src/retries.rs
+++ b/components/admission/src/retries.rs
@@ -1,10 +1,10 @@
-//! Retries of one service over all entries of a fleet.
+//! Retries of one service over all processes of a fleet.
 //!
-//! When the servers of a data centre fail together, every entry retries what it had there. In a
-//! large fleet, reports between entries are seconds apart, so that with the totals alone each entry
-//! would use up the remaining retries. Entries of one data centre therefore report retries to each
-//! other at once, and those of other data centres are assumed to have sent as many since their last
-//! reports.
+//! When the servers of a data centre fail together, every process retries what it had there. In a
+//! large fleet, reports between processes are seconds apart, so that with the totals alone each
+//! process would use up the remaining retries. Processes of one data centre therefore report
+//! retries to each other at once, and those of other data centres are assumed to have sent as many
+//! since their last reports.
 
 use std::{
     collections::{
@@ -24,19 +24,19 @@
     Totals, //
 };
 
-/// Identifier of a peer entry.
+/// Identifier of a peer process.
 pub type Peer = u64;
 
 /// Time for which retries of the data centre are kept individually. A peer of another data centre
 /// whose last report is older counts as silent.
 const RETRY_HISTORY: Duration = Duration::from_secs(30);
 
-/// Retry counts of an entry, as it reports them.
+/// Retry counts of a process, as it reports them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Totals within the window.
     pub totals: Totals,
-    /// Retries since the entry started.
+    /// Retries since the process started.
     pub retries: u32,
 }
 
@@ -47,14 +47,14 @@
     is_local: bool,
 }
 
-/// Retries of one service: those of this entry and the reported ones of its peers.
+/// Retries of one service: those of this process and the reported ones of its peers.
 #[derive(Clone, Debug, Default)]
 pub struct Retries {
     own: Quota,
-    /// Retries of this entry since it started.
+    /// Retries of this process since it started.
     sent: u32,
     reported: HashMap<Peer, Reported>,
-    /// Retries of the entries of this data centre, including this one, by the time of their
+    /// Retries of the processes of this data centre, including this one, by the time of their
     /// reports.
     local_retries: VecDeque<(Clock, u32)>,
 }
@@ -65,8 +65,8 @@
         self.own.request(now, bound);
     }
 
-    /// Takes a retry. Returns `false` if none is available over all entries. `coverage` is the
-    /// share of all entries whose reports are known, including this one.
+    /// Takes a retry. Returns `false` if none is available over all processes. `coverage` is the
+    /// share of all processes whose reports are known, including this one.
     pub fn retry(&mut self, now: Clock, bound: &Bound, coverage: f64, purpose: Purpose) -> bool {
         let peers = self.peers(coverage);
         let is_allowed = self.own.retry(now, bound, peers, purpose);
@@ -77,21 +77,21 @@
         is_allowed
     }
 
-    /// Returns the retries of the other entries, as reported or estimated.
+    /// Returns the retries of the other processes, as reported or estimated.
     pub fn peers(&self, coverage: f64) -> Peers {
         let mut totals = Totals::default();
-        let mut local_entries = 1;
+        let mut local_processes = 1;
         let mut unreported = 0;
         for reported in self.reported.values() {
             totals.requests += reported.counts.totals.requests;
             totals.retries += reported.counts.totals.retries;
             match reported.is_local {
-                true => local_entries += 1,
+                true => local_processes += 1,
                 false => unreported += self.local_since(reported.reported_at),
             }
         }
-        // Each remote entry is assumed to send as many as one of this data centre.
-        let unreported = f64::from(unreported) / f64::from(local_entries);
+        // Each remote process is assumed to send as many as one of this data centre.
+        let unreported = f64::from(unreported) / f64::from(local_processes);
         Peers {
             totals,
             coverage,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns the counts that this entry reports to its peers.
+    /// Returns the counts that this process reports to its peers.
     pub fn counts(&mut self, now: Clock, bound: &Bound) -> Counts {
         Counts {
             totals: self.own.totals(now, bound),
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -5,14 +5,14 @@
 /// Settings of a gate. `docs/design/admission.md` gives the measurements behind the defaults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Concurrency limit before the first report. It is rather high: a new entry may get a burst
+    /// Concurrency limit before the first report. It is rather high: a new process may get a burst
     /// before it receives reports of its replicas, and the first report corrects it.
     pub initial_limit: u32,
     /// Assumed time of a request before any has finished. It is rather short: with a value that is
     /// too short some requests queue in vain, but no longer than their maximum wait; with one that
     /// is too long, requests are refused that could be served.
     pub initial_time: Duration,
-    /// Target share of the capacity; the rest covers what other entries admit in the meantime.
+    /// Target share of the capacity; the rest covers what other processes admit in the meantime.
     pub target_utilization: f64,
     /// Concurrency above the limit that is reserved for continuations, as a share of the limit; at
     /// least one.
--- a/components/admission/src/team.rs
+++ b/components/admission/src/team.rs
@@ -20,7 +20,7 @@
     fair::virtual_duration, //
 };
 
-/// Limits of a team at one entry. A limit for the whole system is divided among the entries.
+/// Limits of a team at one process. A limit for the whole system is divided among the processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
     /// Maximum number of requests in flight; 0 means no limit.
@@ -34,13 +34,13 @@
 }
 
 impl Limit {
-    /// Returns the part of a system-wide limit that one of `entries` entries enforces. It is
-    /// rounded up, so that small limits don't become 0, which means no limit: with more entries
-    /// than the limit, a team can have as many requests as there are entries.
-    pub fn divided(self, entries: u32) -> Limit {
+    /// Returns the part of a system-wide limit that each process enforces if it is divided among
+    /// `processes`. It is rounded up, so that small limits don't become 0, which means no limit:
+    /// with more processes than the limit, a team can have as many requests as there are processes.
+    pub fn divided(self, processes: u32) -> Limit {
         Limit {
-            in_flight: self.in_flight.div_ceil(entries.max(1)),
-            rate: self.rate.div_ceil(entries.max(1)),
+            in_flight: self.in_flight.div_ceil(processes.max(1)),
+            rate: self.rate.div_ceil(processes.max(1)),
             ..self
         }
     }
--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -49,18 +49,18 @@
     objective.mul_f64(ENGINE_TIME_SHARE)
 }
 
-/// Returns the room for late requests, behind requests on time that wait at other entries. In a
+/// Returns the room for late requests, behind requests on time that wait at other processes. In a
 /// large fleet some wait nearly always, even while most engines are idle.
 pub fn room_behind(room: u32, on_time_elsewhere: u32) -> u32 {
     room.saturating_sub(on_time_elsewhere)
 }
 
-/// Returns the share of the engines' room that one of several entries may take now. Each entry sees
-/// the same room until it learns what the others sent, and together they would fill it several
-/// times over. A fractional slot is taken with its probability, as otherwise no entry would take
+/// Returns the share of the engines' room that one of several processes may take now. Each process
+/// sees the same room until it learns what the others sent, and together they would fill it several
+/// times over. A fractional slot is taken with its probability, as otherwise no process would take
 /// the last slots; `draw` is a random number from 0 to 1.
-pub fn share(room: u32, entries: u32, draw: f64) -> u32 {
-    let share = f64::from(room) / f64::from(entries.max(1));
+pub fn share(room: u32, processes: u32, draw: f64) -> u32 {
+    let share = f64::from(room) / f64::from(processes.max(1));
     share.floor() as u32 + u32::from(draw < share.fract())
 }
 
--- a/components/admission/tests/gate.rs
+++ b/components/admission/tests/gate.rs
@@ -77,11 +77,11 @@
         harness
     }
 
-    fn report(&mut self, capacity: u32, load: u32, entries: u32) {
+    fn report(&mut self, capacity: u32, load: u32, processes: u32) {
         self.gate.report(Report {
             capacity,
             load,
-            entries,
+            processes,
         });
     }
 
@@ -361,13 +361,17 @@
 #[case::even(100, 4, 25)]
 #[case::rounded_up(2, 4, 1)]
 #[case::none(0, 4, 0)]
-fn limits_are_divided_among_entries(#[case] limit: u32, #[case] entries: u32, #[case] own: u32) {
+fn limits_are_divided_among_processes(
+    #[case] limit: u32,
+    #[case] processes: u32,
+    #[case] own: u32,
+) {
     let system_limit = Limit {
         in_flight: limit,
         rate: limit,
         ..UNLIMITED
     };
-    let divided = system_limit.divided(entries);
+    let divided = system_limit.divided(processes);
     assert_eq!((divided.in_flight, divided.rate), (own, own));
 }
 
@@ -586,15 +590,15 @@
 fn concurrency_follows_reports(
     #[case] capacity: u32,
     #[case] load: u32,
-    #[case] entries: u32,
+    #[case] processes: u32,
     #[case] limit: u32,
 ) {
     let mut harness = Harness::new(1);
-    harness.report(capacity, load, entries);
+    harness.report(capacity, load, processes);
     assert_eq!(harness.gate.limit(), limit);
 }
 
-// Guards against rounding up fractional slots: four entries share ten slots, and if each rounded
+// Guards against rounding up fractional slots: four processes share ten slots, and if each rounded
 // its two and a half up, the engines would always be two over capacity and no answer would be in
 // time.
 #[test]
@@ -689,8 +693,8 @@
     }
 }
 
-// Guards against refusals of a new entry: sixty callers arrive before any replica has reported and
-// any request has ended, and would be told to retry while engines are idle.
+// Guards against refusals of a new process: sixty callers arrive before any replica has reported
+// and any request has ended, and would be told to retry while engines are idle.
 #[test]
 fn initial_burst_is_served() {
     let mut gate = Gate::new(Settings::default());
--- a/components/admission/tests/quota.rs
+++ b/components/admission/tests/quota.rs
@@ -16,13 +16,13 @@
     window: Duration::from_secs(10),
 };
 
-const ENTRIES: usize = 28;
+const PROCESSES: usize = 28;
 
-/// Returns the retries of the other entries according to their last reports.
+/// Returns the retries of the other processes according to their last reports.
 fn peers(reported: &[Totals], own: usize) -> Peers {
     let mut totals = Totals::default();
-    for (entry, sums) in reported.iter().enumerate() {
-        if entry == own {
+    for (process, sums) in reported.iter().enumerate() {
+        if process == own {
             continue;
         }
         totals.requests += sums.requests;
@@ -46,11 +46,11 @@
 
 /// Guards against retry amplification: servers fail in turns, and several of them refuse each
 /// request. Retried without a bound, requests arrive three times over, and the remaining servers
-/// get the most load when they are fewest. The bound must hold over all entries in any window.
+/// get the most load when they are fewest. The bound must hold over all processes in any window.
 #[test]
-fn all_entries_together_stay_within_the_bound() {
-    let mut quotas = vec![Quota::default(); ENTRIES];
-    let mut reported = vec![Totals::default(); ENTRIES];
+fn all_processes_together_stay_within_the_bound() {
+    let mut quotas = vec![Quota::default(); PROCESSES];
+    let mut reported = vec![Totals::default(); PROCESSES];
     let mut sends: Vec<(Duration, bool)> = Vec::new();
     for step in 0..3000_u32 {
         let now = Duration::from_millis(10) * step;
@@ -59,9 +59,9 @@
                 *sums = quota.totals(now, &BOUND);
             }
         }
-        let entry = step as usize % ENTRIES;
-        let peers = peers(&reported, entry);
-        let quota = &mut quotas[entry];
+        let process = step as usize % PROCESSES;
+        let peers = peers(&reported, process);
+        let quota = &mut quotas[process];
         quota.request(now, &BOUND);
         sends.push((now, false));
         for _ in 0..4 {
@@ -103,19 +103,19 @@
     assert!(quota.retry(now, &BOUND, NO_PEERS, Purpose::Resume));
 }
 
-/// An entry is cut off from the others. It must keep to its part of the slack, as otherwise all
-/// entries together would exceed the bound.
+/// A process is cut off from the others. It must keep to its part of the slack, as otherwise all
+/// processes together would exceed the bound.
 #[test]
-fn isolated_entry_stays_within_its_part() {
+fn isolated_process_stays_within_its_part() {
     let mut quota = Quota::default();
     let now = Duration::from_secs(1);
     let mut retries = 0;
     let peers = Peers {
-        coverage: 1.0 / ENTRIES as f64,
+        coverage: 1.0 / PROCESSES as f64,
         ..NO_PEERS
     };
     while quota.retry(now, &BOUND, peers, Purpose::Resume) {
         retries += 1;
     }
-    assert!(retries <= BOUND.slack as usize / ENTRIES);
+    assert!(retries <= BOUND.slack as usize / PROCESSES);
 }
--- a/components/admission/tests/retries.rs
+++ b/components/admission/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries over a fleet whose entries receive each other's reports with a delay of seconds.
+//! Retries over a fleet whose processes receive each other's reports with a delay of seconds.
 
 use std::time::Duration;
 
@@ -24,10 +24,10 @@
 
 const STEP: Duration = Duration::from_millis(10);
 
-/// A fleet in five data centres. Each entry sends beacons to all others at its own moments; within
-/// a data centre, retries are reported with the next step.
+/// A fleet in five data centres. Each process sends beacons to all others at its own moments;
+/// within a data centre, retries are reported with the next step.
 struct Fleet {
-    entries: Vec<Retries>,
+    processes: Vec<Retries>,
     counts: Vec<Counts>,
     data_centres: usize,
     beacon_interval: Duration,
@@ -38,10 +38,10 @@
 }
 
 impl Fleet {
-    fn new(entries: usize, beacon_interval: Duration) -> Fleet {
+    fn new(processes: usize, beacon_interval: Duration) -> Fleet {
         Fleet {
-            entries: vec![Retries::default(); entries],
-            counts: vec![Counts::default(); entries],
+            processes: vec![Retries::default(); processes],
+            counts: vec![Counts::default(); processes],
             data_centres: 5,
             beacon_interval,
             now: Duration::ZERO,
@@ -55,18 +55,18 @@
         one % self.data_centres == other % self.data_centres
     }
 
-    /// Advances one step; `failing` returns the probability with which an entry tries to retry.
+    /// Advances one step; `failing` returns the probability with which a process tries to retry.
     fn step(&mut self, requests_per_s: f64, failing: impl Fn(usize) -> f64) {
         self.now += STEP;
-        let count = self.entries.len();
+        let count = self.processes.len();
         let probability = requests_per_s * STEP.as_secs_f64() / count as f64;
-        for entry in 0..count {
+        for process in 0..count {
             if self.rng.random_bool(probability) {
-                self.entries[entry].request(self.now, &BOUND);
+                self.processes[process].request(self.now, &BOUND);
                 self.requests.push(self.now);
             }
-            let retries = self.rng.random_bool(failing(entry));
-            if retries && self.entries[entry].retry(self.now, &BOUND, 1.0, Purpose::Resume) {
+            let retries = self.rng.random_bool(failing(process));
+            if retries && self.processes[process].retry(self.now, &BOUND, 1.0, Purpose::Resume) {
                 self.retries.push(self.now);
             }
         }
@@ -74,13 +74,13 @@
         for from in 0..count {
             let offset = interval * from as u128 / count as u128;
             let beacon = (self.now.as_millis() + offset) % interval < STEP.as_millis();
-            let counts = self.entries[from].counts(self.now, &BOUND);
+            let counts = self.processes[from].counts(self.now, &BOUND);
             let changed =
                 counts.retries != std::mem::replace(&mut self.counts[from], counts).retries;
             for to in 0..count {
                 let is_local = self.is_local(from, to);
                 if from != to && (is_local && changed || beacon) {
-                    self.entries[to].record_peer(self.now, from as u64, counts, is_local);
+                    self.processes[to].record_peer(self.now, from as u64, counts, is_local);
                 }
             }
         }
@@ -101,18 +101,18 @@
     }
 }
 
-/// Guards against a hundred or more entries that each use up the remaining retries, as they learn
+/// Guards against a hundred or more processes that each use up the remaining retries, as they learn
 /// of each other's retries only seconds later.
 #[rstest]
 #[case::a_hundred(100, Duration::from_secs(4))]
 #[case::three_hundred(300, Duration::from_secs(10))]
 fn fleet_with_delayed_reports_stays_within_the_bound(
-    #[case] entries: usize,
+    #[case] processes: usize,
     #[case] beacon_interval: Duration,
 ) {
-    let mut fleet = Fleet::new(entries, beacon_interval);
+    let mut fleet = Fleet::new(processes, beacon_interval);
     for step in 0..3000 {
-        // From the twelfth second on, all entries try to retry continuously.
+        // From the twelfth second on, all processes try to retry continuously.
         let wanted = if step > 1200 { 0.05 } else { 0.0 };
         fleet.step(66.0, |_| wanted);
     }
@@ -121,14 +121,17 @@
     assert!(max_use >= 0.4, "{max_use} of the bound: too strict");
 }
 
-/// Guards against an estimate that keeps the entries of one failing data centre from the retries
+/// Guards against an estimate that keeps the processes of one failing data centre from the retries
 /// that the others don't use.
 #[test]
 fn one_data_centre_may_use_the_retries_that_others_leave() {
     let mut fleet = Fleet::new(100, Duration::from_secs(4));
-    let failing = |entry: usize| if entry.is_multiple_of(5) { 0.05 } else { 0.0 };
+    let failing = |process: usize| if process.is_multiple_of(5) { 0.05 } else { 0.0 };
     for step in 0..3000 {
-        fleet.step(66.0, |entry| if step > 1200 { failing(entry) } else { 0.0 });
+        fleet.step(
+            66.0,
+            |process| if step > 1200 { failing(process) } else { 0.0 },
+        );
     }
     let max_use = fleet.max_use();
     assert!(max_use <= 1.0, "{max_use} of the bound");
--- a/components/entry/src/gates/driver.rs
+++ b/components/entry/src/gates/driver.rs
@@ -46,7 +46,7 @@
         (capacity > 0).then_some(Report {
             capacity,
             load,
-            entries,
+            processes: entries,
         })
     });
 }
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -111,7 +111,7 @@
         self.gate.report(Report {
             capacity: running.saturating_add(room),
             load: running,
-            entries: 1,
+            processes: 1,
         });
     }
 
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -361,7 +361,7 @@
         Some(Report {
             capacity: running.saturating_add(room),
             load: running,
-            entries: 1,
+            processes: 1,
         })
     });
 }
--- a/components/measure/src/admission/policy.rs
+++ b/components/measure/src/admission/policy.rs
@@ -82,7 +82,7 @@
         self.gate.report(Report {
             capacity,
             load: self.running + others,
-            entries,
+            processes: entries,
         });
     }
 
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Pool`] is a state machine without I/O. Its driver reports the known backend servers, their
 //! load reports, the work sent and its outcomes, and asks it for a server for each piece of work.
-//! [`Placement`] chooses backend servers that entries reach directly. `docs/design/routing.md`
-//! gives the reasons and the figures.
+//! [`Placement`] chooses backend servers that a process reaches without a sidecar.
+//! `docs/design/routing.md` gives the reasons and the figures.
 
 mod cache;
 mod choose;
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -1,7 +1,7 @@
-//! Placement of work on backend servers that entries reach directly.
+//! Placement of work on backend servers that a process reaches without a sidecar.
 //!
 //! The work consists of long generations whose cost, in prompt and output tokens, is known on
-//! arrival. Load reports of the engines are expensive and late, so each entry counts the tokens
+//! arrival. Load reports of the engines are expensive and late, so each process counts the tokens
 //! that it has sent and adds what its peers report.
 
 use std::{
@@ -90,19 +90,19 @@
 /// Weight of a new measurement in the mean time per prompt token.
 const TOKEN_TIME_EWMA_WEIGHT: f64 = 0.1;
 
-/// Number of entries up to which each entry considers all servers. Above it, entries are
-/// partitioned.
+/// Number of processes up to which each of them considers all servers. Above it, the servers are
+/// partitioned among the processes.
 ///
-/// All entries see the same idle servers and learn with a delay what the others send. The number of
-/// entries grows with the fleet, and so does the delay, as each entry has a fixed byte rate for
-/// beacons; the number of requests that other entries don't know of yet therefore grows with the
-/// square of the fleet. If each entry of a large fleet chose the best of all servers, entries that
-/// lose the streams of one server together, or that get many new ones, would send them to the same
-/// few servers: of 28 entries with two prompts each, 15 prompts went to one of 66 servers. With
-/// this limit it is 6, and 4 as each entry also prefers its own partition.
-const MAX_UNPARTITIONED_ENTRIES: f64 = 7.5;
-
-/// Identifier of a peer entry.
+/// All processes see the same idle servers and learn with a delay what the others send. The number
+/// of processes grows with the fleet, and so does the delay, as each process has a fixed byte rate
+/// for beacons; the number of requests that other processes don't know of yet therefore grows with
+/// the square of the fleet. If each process of a large fleet chose the best of all servers,
+/// processes that lose the streams of one server together, or that get many new ones, would send
+/// them to the same few servers: of 28 processes with two prompts each, 15 prompts went to one of
+/// 66 servers. With this limit it is 6, and 4 as each process also prefers its own partition.
+const MAX_UNPARTITIONED_PROCESSES: f64 = 7.5;
+
+/// Identifier of a peer process.
 pub type Peer = u64;
 
 /// The candidate servers and their estimated load.
@@ -121,7 +121,7 @@
     peers: HashMap<Peer, HashMap<Server, Work>>,
     /// Rank of this process among all processes, and their number.
     rank: (usize, usize),
-    /// Data centre of this entry.
+    /// Data centre of this process.
     data_centre: DataCentre,
 }
 
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Sets the data centre of this entry.
+    /// Sets the data centre of this process.
     pub fn set_data_centre(&mut self, data_centre: &DataCentre) {
         self.data_centre.clone_from(data_centre);
         for (server, candidate) in &mut self.candidates {
@@ -314,7 +314,7 @@
             .record(now, candidate.domain.clone(), server, suspicion);
     }
 
-    /// Returns when this entry or a peer last found the server unresponsive, or enough servers of
+    /// Returns when this process or a peer last found the server unresponsive, or enough servers of
     /// its data centre that it is probably unresponsive too.
     pub fn suspected_since(&self, now: Clock, server: &Server) -> Option<Clock> {
         let candidate = self.candidates.get(server)?;
@@ -358,7 +358,7 @@
         }
     }
 
-    /// Returns the work of this entry at a server.
+    /// Returns the work of this process at a server.
     pub fn own_work(&self, server: &Server) -> Work {
         let candidate = self.candidates.get(server);
         candidate.map_or_else(Work::default, |candidate| candidate.own_work)
@@ -373,7 +373,7 @@
         }
     }
 
-    /// Returns the work of this entry, by server.
+    /// Returns the work of this process, by server.
     pub fn own_loads(&self) -> impl Iterator<Item = (&Server, Work)> {
         let busy = self
             .candidates
@@ -382,7 +382,7 @@
         busy.map(|(server, candidate)| (server, candidate.own_work))
     }
 
-    /// Returns the recent suspicions of this entry and its peers, with their age.
+    /// Returns the recent suspicions of this process and its peers, with their age.
     pub fn recent_losses(&self, now: Clock) -> Vec<(&Server, Duration, Suspicion)> {
         self.losses.recent(now)
     }
@@ -414,13 +414,13 @@
         self.rank
     }
 
-    /// Returns whether each entry has a partition of the servers, as there are many entries.
+    /// Returns whether each process has a partition of the servers, as there are many processes.
     pub fn is_partitioned(&self) -> bool {
-        self.rank.1 as f64 > MAX_UNPARTITIONED_ENTRIES
+        self.rank.1 as f64 > MAX_UNPARTITIONED_PROCESSES
     }
 
-    /// Returns whether a server is in the partition of this entry. Without partitions every entry
-    /// owns all servers.
+    /// Returns whether a server is in the partition of this process. Without partitions every
+    /// process owns all servers.
     pub fn owns(&self, server: &Server) -> bool {
         let candidate = self.candidates.get(server);
         candidate.is_some_and(|candidate| candidate.is_owned)
--- a/components/routing/src/placement/candidate.rs
+++ b/components/routing/src/placement/candidate.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    MAX_UNPARTITIONED_ENTRIES,
+    MAX_UNPARTITIONED_PROCESSES,
     Request,
     Spec,
     Suspicion,
@@ -44,14 +44,15 @@
 /// Load added to a server in another data centre.
 const CROSS_DATA_CENTRE_PENALTY: f64 = 0.01;
 
-/// Maximum offset between entries: less than the load of one prompt, so that it only breaks ties.
+/// Maximum offset between processes: less than the load of one prompt, so that it only breaks ties.
 const MAX_OFFSET: f64 = 0.05;
 
-/// The same in a large fleet, where a hundred entries choose within the time that a message takes.
+/// The same in a large fleet, where a hundred processes choose within the time that a message
+/// takes.
 const PARTITIONED_MAX_OFFSET: f64 = 0.15;
 
-/// Load added to a server whose load from other entries is known late: less than a pending prompt,
-/// so that no prompt waits behind another while a server is idle.
+/// Load added to a server whose load from other processes is known late: less than a pending
+/// prompt, so that no prompt waits behind another while a server is idle.
 const UNTRACKED_PENALTY: f64 = 0.12;
 
 /// A candidate server for work.
@@ -72,12 +73,12 @@
     trial_until: Clock,
     /// Time of the last evidence that the server is alive.
     pub(super) last_alive: Clock,
-    /// Load added for the distance from this entry's partition.
+    /// Load added for the distance from this process's partition.
     offset: f64,
-    /// Whether the server is in this entry's partition, or there are no partitions.
+    /// Whether the server is in this process's partition, or there are no partitions.
     pub(super) is_owned: bool,
-    /// Whether the load from other entries is known soon: the fleet is small, or the server is in
-    /// this entry's data centre.
+    /// Whether the load from other processes is known soon: the fleet is small, or the server is in
+    /// this process's data centre.
     pub(super) is_tracked: bool,
 }
 
@@ -223,8 +224,8 @@
     }
 
     /// Sets the rank of this process among all processes, and their number. If there are too many
-    /// entries to track each other's load, the servers are partitioned, so that entries that see
-    /// the same loads at the same time don't choose the same servers.
+    /// processes to track each other's load, the servers are partitioned, so that processes that
+    /// see the same loads at the same time don't choose the same servers.
     pub(super) fn set_rank(
         &mut self,
         server: &str,
@@ -234,7 +235,7 @@
         let count = count.max(1);
         let hash = xxh3_64(server.as_bytes()) as usize;
         let distance = (hash % count + count - rank % count) % count;
-        let is_small_fleet = count as f64 <= MAX_UNPARTITIONED_ENTRIES;
+        let is_small_fleet = count as f64 <= MAX_UNPARTITIONED_PROCESSES;
         let max_offset = if is_small_fleet {
             MAX_OFFSET
         } else {
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -15,17 +15,17 @@
 };
 
 use super::{
-    MAX_UNPARTITIONED_ENTRIES,
+    MAX_UNPARTITIONED_PROCESSES,
     Placement,
     Work,
     candidate::Candidate, //
 };
 use crate::Part;
 
-/// Random load added so that entries with the same knowledge don't all choose the same server.
+/// Random load added so that processes with the same knowledge don't all choose the same server.
 const MAX_JITTER: f64 = 0.005;
 
-/// The same in a large fleet, which has too many entries to separate by small offsets.
+/// The same in a large fleet, which has too many processes to separate by small offsets.
 const PARTITIONED_MAX_JITTER: f64 = 0.08;
 
 /// Minimum average number of servers that each choice considers.
@@ -72,7 +72,7 @@
 pub struct Request<'a> {
     /// Service that must serve it.
     pub service: &'a Service,
-    /// Data centre of the entry.
+    /// Data centre of the process.
     pub data_centre: &'a str,
     /// Work of the request.
     pub work: Work,
@@ -246,12 +246,12 @@
         })
     }
 
-    /// Returns the probability with which each server outside this entry's partition and data
+    /// Returns the probability with which each server outside this process's partition and data
     /// centre is considered.
     fn sampling_probability(&self, candidates: u32) -> f64 {
-        let entries = self.rank.1.max(1) as f64;
+        let processes = self.rank.1.max(1) as f64;
         let minimum = MIN_CONSIDERED_SERVERS / f64::from(candidates.max(1));
-        (MAX_UNPARTITIONED_ENTRIES / entries)
+        (MAX_UNPARTITIONED_PROCESSES / processes)
             .powi(2)
             .max(minimum)
             .min(1.0)
--- a/components/routing/src/prompts.rs
+++ b/components/routing/src/prompts.rs
@@ -1,6 +1,6 @@
 //! Index of the servers that recently processed each part of a prompt.
 //!
-//! A caller whose connection breaks retries at once, through any entry, and many requests share a
+//! A caller whose connection breaks retries at once, through any process, and many requests share a
 //! common prefix. Processing a part again costs engine time and delays every run on that engine.
 
 use std::{
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement by many entries that don't see what the others send at the same moment.
+//! Placement by many processes that don't see what the others send at the same moment.
 
 use std::{
     collections::HashMap,
@@ -31,9 +31,9 @@
 
 const FIRST_EVENT_TIME: Duration = Duration::from_secs(2);
 
-/// Creates entries that know all servers; `busy` returns the tokens at each server, which a peer
-/// has reported to every entry.
-fn entries(count: usize, servers: usize, busy: impl Fn(usize) -> u64) -> Vec<Placement> {
+/// Creates processes that know all servers; `busy` returns the tokens at each server, which a peer
+/// has reported to every process.
+fn processes(count: usize, servers: usize, busy: impl Fn(usize) -> u64) -> Vec<Placement> {
     let one = |place| {
         let mut placement = Placement::default();
         let mut loads = HashMap::new();
@@ -80,8 +80,8 @@
     choice.expect("a server is available").server
 }
 
-/// Asserts that at most `most` of the prompts that all entries send at the same moment go to one
-/// server. `home` returns the data centre of an entry.
+/// Asserts that at most `most` of the prompts that all processes send at the same moment go to one
+/// server. `home` returns the data centre of a process.
 fn assert_burst_spreads(
     count: usize,
     servers: usize,
@@ -91,9 +91,9 @@
 ) {
     for seed in 0..5 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let entries = entries(count, servers, |number| 1000 * (number as u64 % 10));
+        let processes = processes(count, servers, |number| 1000 * (number as u64 % 10));
         let mut counts: HashMap<Server, u32> = HashMap::new();
-        for (place, mut placement) in entries.into_iter().enumerate() {
+        for (place, mut placement) in processes.into_iter().enumerate() {
             let home = home(&mut placement, place);
             for _ in 0..each {
                 let server = choose_at(&placement, &home, &mut rng);
@@ -107,13 +107,13 @@
 }
 
 /// Guards against a burst of prompts on a few engines: the engines of a data centre are lost, and
-/// each of 28 entries has two prompts to restart at the same moment. All know the same least loaded
-/// of the remaining 66. If all prompts went there, callers would queue for seconds while other
-/// engines stay idle.
+/// each of 28 processes has two prompts to restart at the same moment. All know the same least
+/// loaded of the remaining 66. If all prompts went there, callers would queue for seconds while
+/// other engines stay idle.
 #[rstest]
-#[case::many_entries(28, 66, 2, 4)]
+#[case::many_processes(28, 66, 2, 4)]
 #[case::a_large_fleet(340, 2000, 1, 3)]
-fn distributes_a_burst_of_all_entries(
+fn distributes_a_burst_of_all_processes(
     #[case] count: usize,
     #[case] servers: usize,
     #[case] each: usize,
@@ -123,12 +123,12 @@
     assert_burst_spreads(count, servers, each, most, home);
 }
 
-/// The same for entries that track the engines of their data centre: the messages between them are
-/// in transit while they choose.
+/// The same for processes that track the engines of their data centre: the messages between them
+/// are in transit while they choose.
 #[rstest]
-#[case::many_entries(28, 66, 2, 4)]
+#[case::many_processes(28, 66, 2, 4)]
 #[case::a_large_fleet(340, 2000, 1, 4)]
-fn distributes_a_burst_of_entries_that_track_their_data_centre(
+fn distributes_a_burst_of_processes_that_track_their_data_centre(
     #[case] count: usize,
     #[case] servers: usize,
     #[case] each: usize,
@@ -141,27 +141,27 @@
     });
 }
 
-/// Guards against prompts that queue while engines are idle: entries of a large fleet considered
+/// Guards against prompts that queue while engines are idle: processes of a large fleet considered
 /// only a few engines each and learned of each other's work seconds later.
 #[test]
-fn entries_of_a_data_centre_do_not_queue_prompts_behind_each_other() {
+fn processes_of_a_data_centre_do_not_queue_prompts_behind_each_other() {
     let mut behind = 0;
     for seed in 0..10 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let home = "dc0".to_string();
-        let mut entries = entries(102, 255, |_| 0);
-        // Entries of the data centre.
-        entries.truncate(34);
-        for placement in &mut entries {
+        let mut processes = processes(102, 255, |_| 0);
+        // Processes of the data centre.
+        processes.truncate(34);
+        for placement in &mut processes {
             placement.set_data_centre(&home);
         }
         let mut taken: HashMap<Server, u32> = HashMap::new();
         for sent in 0..60 {
-            let at = sent * 7 % entries.len();
-            let server = choose_at(&entries[at], &home, &mut rng);
-            entries[at].sent(Duration::ZERO, &server, PROMPT_WORK);
-            let work = entries[at].own_work(&server);
-            for (peer, placement) in entries.iter_mut().enumerate() {
+            let at = sent * 7 % processes.len();
+            let server = choose_at(&processes[at], &home, &mut rng);
+            processes[at].sent(Duration::ZERO, &server, PROMPT_WORK);
+            let work = processes[at].own_work(&server);
+            for (peer, placement) in processes.iter_mut().enumerate() {
                 if peer != at {
                     placement.set_peer_work(at as u64 + 100, &server, work);
                 }
@@ -174,23 +174,23 @@
     assert!(behind <= 10, "{behind} of 600 prompts behind another one");
 }
 
-/// A single entry knows the load of all servers and chooses the least loaded one.
+/// A single process knows the load of all servers and chooses the least loaded one.
 #[test]
-fn single_entry_chooses_the_least_loaded_server() {
-    let entries = entries(1, 20, |number| if number == 13 { 0 } else { 30_000 });
+fn single_process_chooses_the_least_loaded_server() {
+    let processes = processes(1, 20, |number| if number == 13 { 0 } else { 30_000 });
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        assert_eq!(choose(&entries[0], &mut rng), "s13");
+        assert_eq!(choose(&processes[0], &mut rng), "s13");
     }
 }
 
 /// Servers that sampling excludes are chosen when the others have higher penalties.
 #[test]
 fn full_servers_are_not_chosen_while_another_has_room() {
-    let entries = entries(100, 10, |number| if number == 4 { 0 } else { 54_000 });
+    let processes = processes(100, 10, |number| if number == 4 { 0 } else { 54_000 });
     for seed in 0..50 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        assert_eq!(choose(&entries[3], &mut rng), "s4");
+        assert_eq!(choose(&processes[3], &mut rng), "s4");
     }
 }
 
@@ -228,7 +228,7 @@
 /// it takes longer than the given time, and no server would finish it sooner than an idle one.
 #[test]
 fn idle_server_has_room_for_a_long_prompt() {
-    let mut placement = entries(1, 1, |_| 0).remove(0);
+    let mut placement = processes(1, 1, |_| 0).remove(0);
     let (service, server) = ("draft".to_string(), "s0".to_string());
     let second = Duration::from_secs(1);
     placement.record_prefill(second, &server, 5_000, 5_000, second);
@@ -257,7 +257,7 @@
     #[case] alive_at_s: Option<u64>,
     #[case] suspected: bool,
 ) {
-    let mut placement = entries(1, 6, |_| 0).remove(0);
+    let mut placement = processes(1, 6, |_| 0).remove(0);
     let second = Duration::from_secs(1);
     for (server, suspicion) in lost {
         placement.suspend(second, &server.to_string(), *suspicion);
@@ -365,9 +365,9 @@
     placement.done(now, server, REQUEST_WORK, outcome);
 }
 
-/// Asserts which of two servers prompts go to, given the work of other entries there.
+/// Asserts which of two servers prompts go to, given the work of other processes there.
 fn assert_prompts_go(loads: &[Work; 2], expected: &str) {
-    let mut placement = entries(1, 2, |_| 0).remove(0);
+    let mut placement = processes(1, 2, |_| 0).remove(0);
     let names = ["s0", "s1"].map(str::to_string);
     placement.set_peer_loads(7, names.into_iter().zip(*loads).collect());
     let mut rng = SmallRng::seed_from_u64(1);
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -1,7 +1,7 @@
-//! UDP beacons that entries exchange several times a second, one datagram each.
+//! UDP beacons that processes exchange several times a second, one datagram each.
 //!
-//! Many entries send work to the same engines, and none sees what the others send. Load reports
-//! from the engines are expensive and late, while the sending entry knows at once what it sent.
+//! Many processes send work to the same engines, and none sees what the others send. Load reports
+//! from the engines are expensive and late, while the sending process knows at once what it sent.
 //! Each beacon carries the sender's full state, so the next one makes up for a lost datagram.
 
 use std::{
