--- a/components/answer/src/log.rs
+++ b/components/answer/src/log.rs
@@ -10,7 +10,7 @@
 use crate::Finish;
 
 /// Bytes that a token takes in addition to its text.
-pub const TOKEN_OVERHEAD: usize = size_of::<String>();
+pub const TOKEN_OVERHEAD_BYTES: usize = size_of::<String>();
 
 /// Reason why the log rejected a token or an end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -154,5 +154,5 @@
 }
 
 fn size(token: &str) -> usize {
-    token.len() + TOKEN_OVERHEAD
+    token.len() + TOKEN_OVERHEAD_BYTES
 }
--- a/components/answer/src/resume.rs
+++ b/components/answer/src/resume.rs
@@ -154,7 +154,7 @@
     }
 
     /// Returns whether an epoch is followed; tokens of any other epoch are dropped.
-    pub fn listens_to(&self, epoch: Epoch) -> bool {
+    pub fn follows(&self, epoch: Epoch) -> bool {
         self.attempts.iter().any(|attempt| attempt.epoch == epoch)
     }
 
--- a/components/answer/tests/log.rs
+++ b/components/answer/tests/log.rs
@@ -10,7 +10,7 @@
     log::{
         Fault,
         Log,
-        TOKEN_OVERHEAD, //
+        TOKEN_OVERHEAD_BYTES, //
     },
     position::{
         Malformed,
@@ -67,7 +67,7 @@
 /// Guards against memory that grows with a long generation that no entry reads.
 #[test]
 fn a_full_log_rejects_tokens() {
-    let bound = 3 * (TOKEN_OVERHEAD + 2);
+    let bound = 3 * (TOKEN_OVERHEAD_BYTES + 2);
     let mut log = Log::new(0, bound);
     for index in 0..3 {
         assert_eq!(log.append(index, "ab".into()), Ok(()));
@@ -80,7 +80,7 @@
 /// A full log still serves its attached entry: sent tokens free space.
 #[test]
 fn a_trimmed_log_accepts_tokens_and_lacks_its_start() {
-    let bound = 3 * (TOKEN_OVERHEAD + 2);
+    let bound = 3 * (TOKEN_OVERHEAD_BYTES + 2);
     let mut log = Log::new(0, bound);
     for index in 0..3 {
         log.append(index, "ab".into()).expect("there is room");
--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -339,7 +339,7 @@
         // Lost epochs no longer count as work at their peers.
         let resume = &self.resume;
         self.attempts
-            .retain(|epoch, _| resume.listens_to(*epoch) || owner == Some(*epoch));
+            .retain(|epoch, _| resume.follows(*epoch) || owner == Some(*epoch));
         chunks
     }
 
--- a/components/gateway/src/rollout.rs
+++ b/components/gateway/src/rollout.rs
@@ -154,7 +154,7 @@
                 Constraint::ExcludeNew
             }
             _ => {
-                rollout.observe_entries(self.gateways.get());
+                rollout.observe_processes(self.gateways.get());
                 let draw = rand::random();
                 rollout.pick(now, beacon::id(route), draw)
             }
--- a/components/models/src/answer/steps.rs
+++ b/components/models/src/answer/steps.rs
@@ -394,7 +394,7 @@
         }
         let state = &mut self.entries[1];
         if let Some(resume) = &state.resume {
-            state.links.retain(|link| resume.listens_to(link.epoch));
+            state.links.retain(|link| resume.follows(link.epoch));
         }
         let links = &state.links;
         self.generations
@@ -408,7 +408,7 @@
             return false;
         };
         state.links.iter().any(|link| {
-            resume.listens_to(link.epoch) && self.generations[&link.generation].server == server
+            resume.follows(link.epoch) && self.generations[&link.generation].server == server
         })
     }
 
--- a/components/moves/src/rollout.rs
+++ b/components/moves/src/rollout.rs
@@ -3,10 +3,10 @@
 //!
 //! The intended load is a service of a few requests per second whose traffic must move within about
 //! ten seconds. That leaves no time for the steps of a [`crate::Mover`], and the bound on a bad
-//! version's requests is shared by all entries. So each entry sends the new version a sample of its
-//! requests, small enough that all samples together stay within the bound. The entries pool the
-//! results. Only near the deadline, if no evidence speaks against the version, all traffic switches
-//! at once, so late that the requests in the remaining time fit the bound too.
+//! version's requests is shared by all processes. So each process sends the new version a sample of
+//! its requests, small enough that all samples together stay within the bound. The processes pool
+//! the results. Only near the deadline, if no evidence speaks against the version, all traffic
+//! switches at once, so late that the requests in the remaining time fit the bound too.
 //!
 //! Time is measured from receipt of the order on a monotonic clock: wall clocks of hosts differ by
 //! seconds, which is a large part of such a move.
@@ -38,14 +38,14 @@
 
 /// Fraction of the time at which the move is reported as done. The rest is reserved for a slow
 /// store.
-const REPORT_AT: f64 = 0.94;
+const REPORT_FRACTION: f64 = 0.94;
 
 /// Multiple of the time after which a completed move stops restricting versions. The old version's
 /// servers stop when it is done.
 const RESTRICTION_FACTOR: f64 = 2.0;
 
 /// Fractions of the bound that samples use: of its share of requests, and of its fixed allowance.
-/// The rest covers the traffic after the switch, entries that restart with empty counts, and
+/// The rest covers the traffic after the switch, processes that restart with empty counts, and
 /// requests in flight when a fault is found.
 const SAMPLE_FRACTIONS: (f64, f64) = (0.2, 0.4);
 
@@ -89,7 +89,7 @@
 /// Identifier of a route: a hash of its name.
 pub type RouteId = u32;
 
-/// Identifier of another entry's run.
+/// Identifier of another process's run.
 pub type PeerId = u64;
 
 /// An operator's order to move a service's traffic.
@@ -159,25 +159,25 @@
     }
 }
 
-/// Counts of one entry, by slot and route.
+/// Counts of one process, by slot and route.
 pub type Counts = BTreeMap<(u8, RouteId), Count>;
 
-/// State of a move at one entry, as sent to the other entries.
+/// State of a move at one process, as sent to the other processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     /// Revision of the order.
     pub revision: Revision,
-    /// Time since the order, as known to that entry.
+    /// Time since the order, as known to that process.
     pub elapsed: Duration,
-    /// Whether the entry found the new version bad.
+    /// Whether the process found the new version bad.
     pub vetoed: bool,
-    /// Requests for the service received by that entry since the order.
+    /// Requests for the service received by that process since the order.
     pub requests: u32,
-    /// Counts of that entry.
+    /// Counts of that process.
     pub counts: Counts,
 }
 
-/// State machine of one move at one entry.
+/// State machine of one move at one process.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     order: Order,
@@ -185,18 +185,18 @@
     /// Earliest known time of the order.
     began: Clock,
     own: Counts,
-    /// Requests for the service received by this entry since the order.
+    /// Requests for the service received by this process since the order.
     requests: u32,
     peers: HashMap<PeerId, Progress>,
-    /// Largest observed number of entries that share the bound.
-    entries: usize,
+    /// Largest observed number of processes that share the bound.
+    processes: usize,
     vetoed: bool,
     /// The state recorded in the store.
     stored_state: Option<State>,
 }
 
 impl Rollout {
-    /// Starts a move at this entry; the order was received at `now`.
+    /// Starts a move at this process; the order was received at `now`.
     pub fn new(order: Order, exposure: Exposure, now: Clock) -> Rollout {
         Rollout {
             order,
@@ -205,7 +205,7 @@
             own: Counts::new(),
             requests: 0,
             peers: HashMap::new(),
-            entries: 1,
+            processes: 1,
             vetoed: false,
             stored_state: None,
         }
@@ -216,10 +216,10 @@
         &self.order
     }
 
-    /// Records how many entries share the bound. The maximum applies: an entry that loses contact
-    /// with its peers must not take over their part.
-    pub fn observe_entries(&mut self, entries: usize) {
-        self.entries = self.entries.max(entries);
+    /// Records how many processes share the bound. The maximum applies: a process that loses
+    /// contact with its peers must not take over their part.
+    pub fn observe_processes(&mut self, processes: usize) {
+        self.processes = self.processes.max(processes);
     }
 
     /// Records the stored state of this order and returns whether it differs from the previous one.
@@ -233,7 +233,7 @@
             || self.vetoed && self.stored_state != Some(State::Done)
     }
 
-    /// Returns the state of the move at this entry.
+    /// Returns the state of the move at this process.
     pub fn state(&self, now: Clock) -> State {
         if self.vetoed() {
             return State::Reverted;
@@ -241,7 +241,7 @@
         if self.stored_state == Some(State::Done) || self.switched(now) {
             return State::Done;
         }
-        match self.elapsed(now) < REPORT_AT {
+        match self.elapsed(now) < REPORT_FRACTION {
             true => State::Running,
             false => State::Reverted,
         }
@@ -258,7 +258,7 @@
         if elapsed < first || elapsed < last && !self.remainder_fits(elapsed) {
             return false;
         }
-        let lateness = ((elapsed - first) / (REPORT_AT - first)).clamp(0.0, 1.0);
+        let lateness = ((elapsed - first) / (REPORT_FRACTION - first)).clamp(0.0, 1.0);
         let (min, max) = HOLD_LLR;
         self.log_likelihood_ratio() < min + (max - min) * lateness
     }
@@ -303,13 +303,13 @@
         constraint
     }
 
-    /// Returns whether this entry has a sample left for a route. Each route has its own budget, as
-    /// a fault may affect only a rare one. The fractional part of a budget is used with that
+    /// Returns whether this process has a sample left for a route. Each route has its own budget,
+    /// as a fault may affect only a rare one. The fractional part of a budget is used with that
     /// probability.
     fn takes_sample(&self, now: Clock, route: RouteId, draw: f64) -> bool {
         let time = (self.elapsed(now) / SWITCH_WINDOW.0).clamp(0.0, 1.0);
         let (of_share, of_slack) = SAMPLE_FRACTIONS;
-        let fixed = of_slack * self.exposure.slack / self.entries as f64;
+        let fixed = of_slack * self.exposure.slack / self.processes as f64;
         let fixed = fixed * (IMMEDIATE_SAMPLE_FRACTION + (1.0 - IMMEDIATE_SAMPLE_FRACTION) * time);
         let proportional = of_share * self.exposure.share * f64::from(self.requests);
         let budget = (fixed + proportional) / self.routes(route) as f64;
@@ -318,7 +318,7 @@
         f64::from(sent) + 1.0 <= budget.floor() + f64::from(u8::from(draw < budget.fract()))
     }
 
-    /// Iterates over the counts of all entries.
+    /// Iterates over the counts of all processes.
     fn all_counts(&self) -> impl Iterator<Item = &Counts> {
         let peers = self.peers.values().map(|progress| &progress.counts);
         peers.chain([&self.own])
@@ -365,7 +365,7 @@
         self.own.entry((slot, route)).or_default()
     }
 
-    /// Returns this entry's state of the move, for the other entries.
+    /// Returns this process's state of the move, for the other processes.
     pub fn progress(&self, now: Clock) -> Progress {
         Progress {
             revision: self.order.revision,
@@ -376,7 +376,7 @@
         }
     }
 
-    /// Merges another entry's state. Its counts remain after that entry has gone.
+    /// Merges another process's state. Its counts remain after that process has gone.
     pub fn merge(&mut self, now: Clock, peer: PeerId, progress: Progress) {
         if progress.revision != self.order.revision {
             return;
@@ -407,7 +407,7 @@
         tests.fold(0.0, f64::max)
     }
 
-    /// Returns the number of samples that all entries sent to the new version.
+    /// Returns the number of samples that all processes sent to the new version.
     pub fn samples_sent(&self) -> u32 {
         self.all_counts()
             .flat_map(|counts| counts.values())
@@ -415,14 +415,14 @@
             .sum()
     }
 
-    /// Returns the state that this entry should write to the store, or `None` if the store is up to
-    /// date or holds a final state.
+    /// Returns the state that this process should write to the store, or `None` if the store is up
+    /// to date or holds a final state.
     pub fn state_to_store(&self, now: Clock) -> Option<State> {
         if matches!(self.stored_state, Some(State::Done | State::Reverted)) {
             return None;
         }
         let target = match self.state(now) {
-            State::Done if self.elapsed(now) < REPORT_AT => State::Running,
+            State::Done if self.elapsed(now) < REPORT_FRACTION => State::Running,
             state => state,
         };
         (self.stored_state != Some(target)).then_some(target)
--- a/components/moves/tests/rollout.rs
+++ b/components/moves/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Simulates moves that finish within seconds on several entries in virtual time.
+//! Simulates moves that finish within seconds on several processes in virtual time.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 
 const STEP: Duration = Duration::from_millis(20);
 
-/// Simulation steps between exchanges of state among the entries.
+/// Simulation steps between exchanges of state among the processes.
 const EXCHANGE_STEPS: u32 = 10;
 
 /// Duration of an answer.
@@ -57,12 +57,12 @@
     route: None,
 };
 
-/// Simulation of several entries.
+/// Simulation of several processes.
 struct Simulation {
     rng: StdRng,
-    entries: Vec<Rollout>,
+    processes: Vec<Rollout>,
     now: Duration,
-    /// Requests in flight: end, entry, route, side, and whether the answer is bad.
+    /// Requests in flight: end, process, route, side, and whether the answer is bad.
     running: Vec<(Duration, usize, u32, Side, bool)>,
     /// Total requests, and those sent to the new version.
     requests: u32,
@@ -76,11 +76,11 @@
 }
 
 impl Simulation {
-    fn new(seed: u64, entries: usize, rate: f64, fault: Fault) -> Simulation {
+    fn new(seed: u64, processes: usize, rate: f64, fault: Fault) -> Simulation {
         Simulation {
             rng: StdRng::seed_from_u64(seed),
-            entries: (0..entries)
-                .map(|_| entry(entries, Duration::ZERO))
+            processes: (0..processes)
+                .map(|_| process(processes, Duration::ZERO))
                 .collect(),
             now: Duration::ZERO,
             running: Vec::new(),
@@ -108,8 +108,8 @@
             let (ended, in_flight) = self.running.drain(..).partition(|run| run.0 <= now);
             self.running = in_flight;
             let ended: Vec<_> = ended;
-            for (_, entry, route, side, bad) in ended {
-                self.entries[entry].record_end(now, route, side, bad);
+            for (_, process, route, side, bad) in ended {
+                self.processes[process].record_end(now, route, side, bad);
             }
             if step.is_multiple_of(EXCHANGE_STEPS) {
                 self.exchange();
@@ -118,10 +118,10 @@
     }
 
     fn request(&mut self) {
-        let entry = self.rng.random_range(0..self.entries.len());
+        let process = self.rng.random_range(0..self.processes.len());
         let route = u32::from(self.rng.random_bool(self.rare_share)) + 1;
         let draw = self.rng.random_range(0.0..1.0);
-        let constraint = self.entries[entry].pick(self.now, route, draw);
+        let constraint = self.processes[process].pick(self.now, route, draw);
         self.requests += 1;
         let side = match constraint {
             Constraint::OnlyNew => Side::New,
@@ -135,15 +135,19 @@
         let bad = self.rng.random_bool(self.base_failure_rate)
             || shows && self.rng.random_bool(fault.share);
         self.running
-            .push((self.now + ANSWER_TIME, entry, route, side, bad));
+            .push((self.now + ANSWER_TIME, process, route, side, bad));
     }
 
     fn exchange(&mut self) {
-        let updates: Vec<_> = self.entries.iter().map(|e| e.progress(self.now)).collect();
-        for (index, entry) in self.entries.iter_mut().enumerate() {
+        let updates: Vec<_> = self
+            .processes
+            .iter()
+            .map(|e| e.progress(self.now))
+            .collect();
+        for (index, process) in self.processes.iter_mut().enumerate() {
             for (peer, progress) in updates.iter().enumerate() {
                 if peer != index {
-                    entry.merge(self.now, peer as u64, progress.clone());
+                    process.merge(self.now, peer as u64, progress.clone());
                 }
             }
         }
@@ -154,33 +158,33 @@
     }
 
     fn states(&self) -> Vec<State> {
-        self.entries.iter().map(|e| e.state(self.now)).collect()
+        self.processes.iter().map(|e| e.state(self.now)).collect()
     }
 }
 
-fn entry(entries: usize, now: Duration) -> Rollout {
+fn process(processes: usize, now: Duration) -> Rollout {
     let mut rollout = Rollout::new(order(), EXPOSURE, now);
-    rollout.observe_entries(entries);
+    rollout.observe_processes(processes);
     rollout
 }
 
 /// Guards against a good version that isn't fully rolled out by the operator's deadline, also when
 /// some requests fail on both versions.
 #[rstest]
-#[case::few_entries(5, 6.0, 0.0, 0)]
-#[case::few_entries_with_failures(5, 6.0, 0.02, 4)]
-#[case::many_entries(28, 26.0, 0.02, 1)]
-#[case::one_entry(1, 80.0, 0.02, 1)]
+#[case::few_processes(5, 6.0, 0.0, 0)]
+#[case::few_processes_with_failures(5, 6.0, 0.02, 4)]
+#[case::many_processes(28, 26.0, 0.02, 1)]
+#[case::one_process(1, 80.0, 0.02, 1)]
 #[case::hardly_any_requests(5, 0.5, 0.0, 0)]
 fn a_good_version_is_done_in_time(
-    #[case] entries: usize,
+    #[case] processes: usize,
     #[case] rate: f64,
     #[case] base_failure_rate: f64,
     #[case] max_late: u32,
 ) {
     let mut late = 0;
     for seed in 0..40 {
-        let mut simulation = Simulation::new(seed, entries, rate, NO_FAULT);
+        let mut simulation = Simulation::new(seed, processes, rate, NO_FAULT);
         simulation.base_failure_rate = base_failure_rate;
         simulation.run_until(Duration::from_millis(13_300));
         let all = simulation
@@ -205,7 +209,7 @@
     #[case] share: f64,
     #[case] from: u64,
     #[case] route: Option<u32>,
-    #[values((5, 6.0), (28, 26.0), (3, 90.0))] (entries, rate): (usize, f64),
+    #[values((5, 6.0), (28, 26.0), (3, 90.0))] (processes, rate): (usize, f64),
 ) {
     let fault = Fault {
         share,
@@ -213,7 +217,7 @@
         route,
     };
     for seed in 0..20 {
-        let mut simulation = Simulation::new(seed, entries, rate, fault);
+        let mut simulation = Simulation::new(seed, processes, rate, fault);
         simulation.run_until(order().within);
         let (exposed, bound) = (simulation.exposed, simulation.bound());
         assert!(
@@ -227,14 +231,14 @@
     }
 }
 
-/// Guards against a restarted entry that starts sampling as if the move were new, or that sends
+/// Guards against a restarted process that starts sampling as if the move were new, or that sends
 /// requests to a version that its peers found bad.
 #[test]
-fn a_restarted_entry_adopts_its_peers_state() {
+fn a_restarted_process_adopts_its_peers_state() {
     let mut simulation = Simulation::new(1, 5, 6.0, NO_FAULT);
     simulation.run_until(Duration::from_secs(8));
-    let mut restarted = entry(5, simulation.now);
-    let progress = simulation.entries[0].progress(simulation.now);
+    let mut restarted = process(5, simulation.now);
+    let progress = simulation.processes[0].progress(simulation.now);
     assert_eq!(progress.elapsed, Duration::from_secs(8));
     restarted.merge(simulation.now, 1, progress);
     assert_eq!(
@@ -242,13 +246,16 @@
         Duration::from_secs(8)
     );
     for _ in 0..4 {
-        simulation.entries[0].record_end(simulation.now, 1, Side::New, true);
+        simulation.processes[0].record_end(simulation.now, 1, Side::New, true);
     }
-    assert_eq!(simulation.entries[0].state(simulation.now), State::Reverted);
+    assert_eq!(
+        simulation.processes[0].state(simulation.now),
+        State::Reverted
+    );
     restarted.merge(
         simulation.now,
         1,
-        simulation.entries[0].progress(simulation.now),
+        simulation.processes[0].progress(simulation.now),
     );
     assert_eq!(
         restarted.pick(simulation.now, 1, 0.0),
@@ -260,12 +267,13 @@
     );
 }
 
-/// Another entry ended the move. This entry didn't receive its state but reads it from the store.
+/// Another process ended the move. This process didn't receive its state but reads it from the
+/// store.
 #[rstest]
 #[case::done(State::Done, Constraint::OnlyNew)]
 #[case::reverted(State::Reverted, Constraint::ExcludeNew)]
 fn the_stored_state_is_followed(#[case] state: State, #[case] constraint: Constraint) {
-    let mut rollout = entry(5, Duration::ZERO);
+    let mut rollout = process(5, Duration::ZERO);
     assert!(rollout.set_stored_state(state));
     assert!(!rollout.set_stored_state(state));
     let now = Duration::from_secs(1);
@@ -278,23 +286,23 @@
 /// version without a move, and its servers must receive requests too.
 #[test]
 fn a_completed_move_stops_restricting_versions() {
-    let mut rollout = entry(5, Duration::ZERO);
+    let mut rollout = process(5, Duration::ZERO);
     rollout.set_stored_state(State::Done);
     let within = order().within;
     assert_eq!(rollout.constraint(within), Constraint::OnlyNew);
     assert_eq!(rollout.constraint(within * 2), Constraint::Any);
     assert_eq!(rollout.pick(within * 2, 1, 0.0), Constraint::Any);
-    let mut reverted = entry(5, Duration::ZERO);
+    let mut reverted = process(5, Duration::ZERO);
     reverted.set_stored_state(State::Reverted);
     assert_eq!(reverted.constraint(within * 2), Constraint::ExcludeNew);
 }
 
-/// Guards against an entry that takes over its peers' samples when it is partitioned from them: the
-/// partitioned entries together would send the new version several times the bound.
+/// Guards against a process that takes over its peers' samples when it is partitioned from them:
+/// the partitioned processes together would send the new version several times the bound.
 #[test]
-fn a_partitioned_entry_keeps_its_own_budget() {
-    let mut rollout = entry(10, Duration::ZERO);
-    rollout.observe_entries(1);
+fn a_partitioned_process_keeps_its_own_budget() {
+    let mut rollout = process(10, Duration::ZERO);
+    rollout.observe_processes(1);
     let now = Duration::from_secs(9);
     let sent = (0..100).filter(|_| rollout.pick(now, 1, 0.99) == Constraint::OnlyNew);
     let sent = sent.count() as f64;
@@ -307,8 +315,8 @@
 /// State of an older order arrives from a peer. It says nothing about the current order.
 #[test]
 fn state_of_another_order_is_ignored() {
-    let mut rollout = entry(2, Duration::ZERO);
-    let mut progress = entry(2, Duration::ZERO).progress(Duration::from_secs(5));
+    let mut rollout = process(2, Duration::ZERO);
+    let mut progress = process(2, Duration::ZERO).progress(Duration::from_secs(5));
     progress.revision = 6;
     progress.vetoed = true;
     rollout.merge(Duration::from_secs(1), 1, progress);
