--- a/components/admission/src/concurrency.rs
+++ b/components/admission/src/concurrency.rs
@@ -12,14 +12,15 @@
 /// Interval at which the limit adapts to late requests.
 const ADAPTATION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Number of requests in an interval below which the limit is not adapted.
+/// Number of answered requests in an interval below which the limit is not adapted.
 const MIN_REQUESTS_PER_INTERVAL: u32 = 10;
 
-/// Factor by which the limit is lowered, and the share that it regains in an interval.
+/// Factor by which late requests lower the limit, and the share of its maximum that it regains in
+/// an interval without them.
 const LIMIT_STEPS: (f64, f64) = (0.9, 0.02);
 
 /// Concurrency limit. The capacity that replicas report bounds it from above. Times to the first
-/// token above their target lower it, as they reveal queues that reports don't show.
+/// output above their target lower it, as they reveal queues that reports don't show.
 #[derive(Clone, Debug)]
 pub(crate) struct Concurrency {
     max: f64,
--- a/components/admission/src/fair.rs
+++ b/components/admission/src/fair.rs
@@ -8,12 +8,12 @@
 /// Virtual time of one unit of cost at weight 1.
 const VIRTUAL_TIME_UNIT: u64 = 1 << 10;
 
-/// Returns the virtual time of work.
+/// Returns how much virtual time work of this cost takes.
 pub(crate) fn virtual_duration(cost: u64, weight: u64) -> u64 {
     cost.saturating_mul(VIRTUAL_TIME_UNIT) / weight.max(1)
 }
 
-/// A priority level: its virtual time and the waiting teams by start time.
+/// Waiting teams of one priority, by virtual start time.
 #[derive(Clone, Debug, Default)]
 struct Level {
     virtual_time: u64,
@@ -22,7 +22,7 @@
     weight: u64,
 }
 
-/// Fair queue over all priorities.
+/// Queue of the waiting teams of all priorities.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     levels: BTreeMap<u8, Level>,
@@ -36,17 +36,19 @@
             .map_or(0, |level| level.virtual_time)
     }
 
-    /// Starts work of a team while no team waits. Returns its start time.
-    pub(crate) fn start(&mut self, priority: u8, paid_until: u64) -> u64 {
+    /// Advances the virtual time to the start of a request that is admitted while no team waits.
+    /// `finish_tag` is that of its team. Returns the start time.
+    pub(crate) fn start(&mut self, priority: u8, finish_tag: u64) -> u64 {
         let level = self.levels.entry(priority).or_default();
-        level.virtual_time = level.virtual_time.max(paid_until);
+        level.virtual_time = level.virtual_time.max(finish_tag);
         level.virtual_time
     }
 
-    /// Adds a waiting team, which starts when its previous work is paid for.
-    pub(crate) fn insert(&mut self, priority: u8, paid_until: u64, team: usize, weight: u64) {
+    /// Adds a waiting team, whose next request starts when its previous work finishes in virtual
+    /// time.
+    pub(crate) fn insert(&mut self, priority: u8, finish_tag: u64, team: usize, weight: u64) {
         let level = self.levels.entry(priority).or_default();
-        let start = level.virtual_time.max(paid_until);
+        let start = level.virtual_time.max(finish_tag);
         level.waiting.insert((start, team));
         level.weight += weight;
     }
--- a/components/admission/src/gate.rs
+++ b/components/admission/src/gate.rs
@@ -37,12 +37,13 @@
 struct Queued {
     /// `None` for a continuation, which is in no team's queue.
     team: Option<usize>,
+    /// Team that the request is charged to.
     owner: usize,
     cost: u64,
     deadline: Clock,
 }
 
-/// Admission control of one service at one process.
+/// Admission control of one service in one process.
 #[derive(Clone, Debug)]
 pub struct Gate {
     settings: Settings,
@@ -85,7 +86,7 @@
         self.waiting.len()
     }
 
-    /// Returns the number of known teams.
+    /// Returns the number of known queues, one for each team and priority.
     pub fn teams(&self) -> usize {
         self.teams.len()
     }
@@ -127,8 +128,8 @@
             return self.refuse(now, team, Reason::Rate, rng);
         }
         if self.has_room(self.concurrency.limit()) && self.waiting.is_empty() {
-            let member = &self.teams[team];
-            let start = self.queue.start(member.level, member.paid_until);
+            let state = &self.teams[team];
+            let start = self.queue.start(state.level, state.finish_tag);
             self.admit(team, start, arrival.cost);
             return Verdict::Admit;
         }
@@ -146,16 +147,16 @@
             done.first_output,
             self.settings.first_output_target,
         );
-        let Some(number) = self.teams.index_of(team, done.priority) else {
+        let Some(index) = self.teams.index_of(team, done.priority) else {
             return;
         };
-        let member = &mut self.teams[number];
-        member.running = member.running.saturating_sub(1);
-        let weight = member.weight();
-        let paid_until = member
-            .paid_until
+        let state = &mut self.teams[index];
+        state.running = state.running.saturating_sub(1);
+        let weight = state.weight();
+        let finish_tag = state
+            .finish_tag
             .saturating_add(virtual_duration(done.used, weight));
-        member.paid_until = paid_until.saturating_sub(virtual_duration(done.cost.max(1), weight));
+        state.finish_tag = finish_tag.saturating_sub(virtual_duration(done.cost.max(1), weight));
     }
 
     /// Removes a queued request whose caller went away.
@@ -165,16 +166,16 @@
         }
     }
 
-    /// Admits queued requests that can go on and refuses those that can't be served in time any
-    /// more. It must be called after each [`Gate::finish`] and [`Gate::report`], after an arrival
-    /// that was queued, as that may displace another, and at the time that [`Gate::deadline`]
-    /// returns.
+    /// Admits queued requests for which there is room and refuses those that can no longer be
+    /// served in time. It must be called after each [`Gate::finish`] and [`Gate::report`], after an
+    /// arrival that was queued, as that may displace another, and at the time that
+    /// [`Gate::deadline`] returns.
     pub fn tick(&mut self, now: Clock, rng: &mut impl Rng) -> Vec<Released> {
         let mut released = std::mem::take(&mut self.displaced);
         self.concurrency.tick(now, &self.settings);
         self.expire(now, &mut released, rng);
-        // The limit of continuations is above that of new work: while one of them waits, nothing
-        // else goes on.
+        // The limit of continuations is above that of new work: while one of them waits, no new
+        // work is admitted.
         while self.has_room(self.resume_limit()) {
             let Some(ticket) = self.resumes.pop_front() else {
                 break;
@@ -241,10 +242,10 @@
 
     fn admit(&mut self, team: usize, start: u64, cost: u64) {
         self.running += 1;
-        let member = &mut self.teams[team];
-        member.running += 1;
-        let duration = virtual_duration(cost.max(1), member.weight());
-        member.paid_until = member.paid_until.max(start).saturating_add(duration);
+        let state = &mut self.teams[team];
+        state.running += 1;
+        let duration = virtual_duration(cost.max(1), state.weight());
+        state.finish_tag = state.finish_tag.max(start).saturating_add(duration);
     }
 
     fn admit_resume(&mut self, team: usize, cost: u64) {
@@ -266,8 +267,8 @@
     fn displace(&mut self, now: Clock, team: usize, arrival: &Arrival, rng: &mut impl Rng) -> bool {
         let (teams, queue) = (&self.teams, &self.queue);
         let finish_time = |team: usize, cost: u64| {
-            let member = &teams[team];
-            member.finish_time(queue.virtual_time(member.level), cost)
+            let state = &teams[team];
+            state.finish_time(queue.virtual_time(state.level), cost)
         };
         let Some((priority, last)) = queue.last(|team| finish_time(team, 0)) else {
             return false;
@@ -314,9 +315,9 @@
 
     fn enqueue(&mut self, now: Clock, team: usize, arrival: &Arrival) -> Ticket {
         let ticket = self.issue_ticket(now, Some(team), team, arrival);
-        let member = &mut self.teams[team];
-        let was_empty = member.queue.is_empty();
-        member.queue.push_back(Waiting {
+        let state = &mut self.teams[team];
+        let was_empty = state.queue.is_empty();
+        state.queue.push_back(Waiting {
             ticket,
             cost: arrival.cost,
         });
@@ -327,10 +328,10 @@
     }
 
     fn requeue(&mut self, team: usize) {
-        let member = &self.teams[team];
-        if !member.queue.is_empty() {
+        let state = &self.teams[team];
+        if !state.queue.is_empty() {
             self.queue
-                .insert(member.level, member.paid_until, team, member.weight());
+                .insert(state.level, state.finish_tag, team, state.weight());
         }
     }
 
@@ -345,15 +346,15 @@
             self.resumes.retain(|waiting| *waiting != ticket);
             return;
         };
-        let member = &mut self.teams[team];
-        member.queue.retain(|waiting| waiting.ticket != ticket);
-        if member.queue.is_empty() {
-            self.queue.remove(member.level, team, member.weight());
+        let state = &mut self.teams[team];
+        state.queue.retain(|waiting| waiting.ticket != ticket);
+        if state.queue.is_empty() {
+            self.queue.remove(state.level, team, state.weight());
         }
     }
 
-    /// Refuses requests that reached their maximum wait: a request that can't meet its target any
-    /// more would take a slot from one that can.
+    /// Refuses requests that reached their maximum wait: a request that can no longer meet its
+    /// target would take a slot from one that can.
     fn expire(&mut self, now: Clock, released: &mut Vec<Released>, rng: &mut impl Rng) {
         while let Some((deadline, ticket)) = self.deadlines.first().copied() {
             if deadline > now {
@@ -380,12 +381,12 @@
     }
 
     fn retry_after(&mut self, now: Clock, team: usize, rng: &mut impl Rng) -> Duration {
-        let member = &self.teams[team];
-        let weights = self.queue.weight().max(member.weight());
-        let share = member.weight() as f64 / weights as f64;
+        let state = &self.teams[team];
+        let weights = self.queue.weight().max(state.weight());
+        let share = state.weight() as f64 / weights as f64;
         let mut rate = self.concurrency.rate() * share * self.settings.retry_share;
-        if member.limit.rate > 0 {
-            rate = rate.min(f64::from(member.limit.rate));
+        if state.limit.rate > 0 {
+            rate = rate.min(f64::from(state.limit.rate));
         }
         self.teams[team].retry_after(now, rate, &self.settings, rng)
     }
--- a/components/admission/src/quota.rs
+++ b/components/admission/src/quota.rs
@@ -18,11 +18,11 @@
 /// other processes are known with a delay, and the counts of a process before its restart are lost.
 const USABLE_SHARE: f64 = 0.8;
 
-/// Share of that for requests without an answer; the rest is reserved for answers that have begun,
-/// whose loss costs more.
+/// Share of the usable part for retries of requests without an answer; the rest is reserved for
+/// answers that have begun, whose loss costs more.
 const FIRST_ATTEMPT_SHARE: f64 = 0.75;
 
-/// Bound over all processes.
+/// Bound on the retries of all processes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
     /// Retries per request.
@@ -45,16 +45,16 @@
 /// Requests and retries within a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// First sends of requests.
+    /// First attempts of requests.
     pub requests: u32,
-    /// Sends after the first one.
+    /// Attempts after the first.
     pub retries: u32,
 }
 
 /// Retries of the other processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Peers {
-    /// Sum of their totals.
+    /// Sum of the totals that they reported.
     pub totals: Totals,
     /// Share of all processes whose totals are known, including this one. The rest of the slack is
     /// left to the unknown processes.
@@ -70,14 +70,14 @@
     retries: u32,
 }
 
-/// Requests and retries of one service at this process.
+/// Requests and retries of one service in this process.
 #[derive(Clone, Debug, Default)]
 pub struct Quota {
     buckets: VecDeque<Bucket>,
 }
 
 impl Quota {
-    /// Counts the first send of a request.
+    /// Counts the first attempt of a request.
     pub fn request(&mut self, now: Clock, bound: &Bound) {
         self.bucket(now, bound).requests += 1;
     }
@@ -99,7 +99,7 @@
         true
     }
 
-    /// Returns what this process sent within the window.
+    /// Returns the requests and retries that this process sent within the window.
     pub fn totals(&mut self, now: Clock, bound: &Bound) -> Totals {
         self.bucket(now, bound);
         let mut totals = Totals::default();
--- a/components/admission/src/request.rs
+++ b/components/admission/src/request.rs
@@ -14,12 +14,12 @@
 pub struct Arrival<'a> {
     /// Team of the request.
     pub team: &'a Team,
-    /// Limits of the team at this process.
+    /// Limits of the team in this process.
     pub limit: Limit,
     /// Expected work, in tokens or any other unit that all requests share; 0 counts as 1. For a
     /// continuation, the remaining work.
     pub cost: u64,
-    /// Maximum wait with which the target for the first token can still be met.
+    /// Maximum wait with which the target for the first output can still be met.
     pub max_wait: Duration,
     /// Whether the request continues an answer that has begun.
     pub resume: bool,
@@ -28,7 +28,7 @@
 /// Decision on an arrival.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The request goes on; [`crate::Gate::finish`] must follow.
+    /// The request may run; [`crate::Gate::finish`] must follow.
     Admit,
     /// The request waits until [`crate::Gate::tick`] releases the ticket, or
     /// [`crate::Gate::cancel`] is called.
@@ -58,7 +58,7 @@
 /// Decision on a queued request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Released {
-    /// The request goes on; [`crate::Gate::finish`] must follow.
+    /// The request may run; [`crate::Gate::finish`] must follow.
     Admit(Ticket),
     /// The request is refused and was not run.
     Refuse {
@@ -94,6 +94,6 @@
     pub used: u64,
     /// Time from admission to the end.
     pub time: Duration,
-    /// Time from arrival to the first token; `None` without any token.
+    /// Time from arrival to the first token or byte; `None` if there was none.
     pub first_output: Option<Duration>,
 }
--- a/components/admission/src/retries.rs
+++ b/components/admission/src/retries.rs
@@ -60,7 +60,7 @@
 }
 
 impl Retries {
-    /// Counts the first send of a request.
+    /// Counts the first attempt of a request.
     pub fn request(&mut self, now: Clock, bound: &Bound) {
         self.own.request(now, bound);
     }
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Records the counts that a peer reported; `is_local` tells whether it is in the same data
+    /// Records the counts that a peer reported; `is_local` says whether it is in the same data
     /// centre.
     pub fn record_peer(&mut self, now: Clock, peer: Peer, counts: Counts, is_local: bool) {
         let reported_at = now;
--- a/components/admission/src/settings.rs
+++ b/components/admission/src/settings.rs
@@ -17,17 +17,17 @@
     /// Concurrency above the limit that is reserved for continuations, as a share of the limit; at
     /// least one.
     pub resume_reserve: f64,
-    /// Time to the first token above which a request counts as late.
+    /// Time to the first token or byte above which a request counts as late.
     pub first_output_target: Duration,
     /// Share of late requests above which the concurrency limit is lowered.
     pub max_late_share: f64,
-    /// Lowest factor that late requests can bring the concurrency limit to.
+    /// Lowest factor, from 0 to 1, by which late requests can lower the concurrency limit.
     pub min_concurrency_factor: f64,
     /// Maximum number of queued requests.
     pub max_waiting: usize,
     /// Maximum number of teams that are known at once.
     pub max_teams: usize,
-    /// Rate at which refused callers are told to retry, as a share of the completion rate.
+    /// Rate at which refused callers shall retry, as a share of the completion rate.
     pub retry_share: f64,
     /// Shortest and longest retry delay of refused callers.
     pub retry_after_bounds: (Duration, Duration),
--- a/components/admission/src/table.rs
+++ b/components/admission/src/table.rs
@@ -19,39 +19,39 @@
 use crate::{
     Limit,
     fair::Queue,
-    team::Member, //
+    team::State, //
 };
 
-/// Number of teams that one tick checks for being idle.
-const TEAMS_PER_SWEEP: usize = 64;
+/// Number of queues that one tick checks for being idle.
+const QUEUES_PER_SWEEP: usize = 64;
 
-/// Teams by index. Teams appear and disappear all the time; idle ones are dropped, so that the
-/// table doesn't grow without bound.
+/// States of the teams' queues by index. Teams appear and disappear all the time; idle ones are
+/// dropped, so that the table doesn't grow without bound.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
-    /// A vacant index keeps its last team, which no name refers to.
-    members: Vec<Member>,
+    /// A vacant index keeps the state of its last team, which no name refers to.
+    states: Vec<State>,
     free_indices: Vec<usize>,
     /// Index by team and priority: requests of one team with different priorities have separate
     /// queues, and the limits of the team apply to each.
     names: HashMap<Team, BTreeMap<u8, usize>>,
     /// Number of known queues.
     queues: usize,
-    /// Index of the team that was last checked for being idle.
+    /// Index of the queue that was last checked for being idle.
     sweep_index: usize,
 }
 
 impl Index<usize> for Table {
-    type Output = Member;
+    type Output = State;
 
-    fn index(&self, number: usize) -> &Member {
-        &self.members[number]
+    fn index(&self, index: usize) -> &State {
+        &self.states[index]
     }
 }
 
 impl IndexMut<usize> for Table {
-    fn index_mut(&mut self, number: usize) -> &mut Member {
-        &mut self.members[number]
+    fn index_mut(&mut self, index: usize) -> &mut State {
+        &mut self.states[index]
     }
 }
 
@@ -73,53 +73,53 @@
         limit: Limit,
         max_teams: usize,
     ) -> Option<usize> {
-        if let Some(number) = self.index_of(team, limit.priority) {
-            let member = &mut self.members[number];
-            if member.queue.is_empty() {
+        if let Some(index) = self.index_of(team, limit.priority) {
+            let state = &mut self.states[index];
+            if state.queue.is_empty() {
                 // The weight of a queue must not change while requests wait in it.
-                member.limit = limit;
+                state.limit = limit;
             }
-            return Some(number);
+            return Some(index);
         }
         if self.queues >= max_teams {
             return None;
         }
-        let member = Member::new(now, team.clone(), limit);
-        let number = match self.free_indices.pop() {
-            Some(number) => {
-                self.members[number] = member;
-                number
+        let state = State::new(now, team.clone(), limit);
+        let index = match self.free_indices.pop() {
+            Some(index) => {
+                self.states[index] = state;
+                index
             }
             None => {
-                self.members.push(member);
-                self.members.len() - 1
+                self.states.push(state);
+                self.states.len() - 1
             }
         };
         let priorities = self.names.entry(team.clone()).or_default();
-        priorities.insert(limit.priority, number);
+        priorities.insert(limit.priority, index);
         self.queues += 1;
-        Some(number)
+        Some(index)
     }
 
-    /// Drops teams that are idle, checking a part of the table.
+    /// Drops idle queues. Each call checks [`QUEUES_PER_SWEEP`] of them.
     pub(crate) fn drop_idle(&mut self, now: Clock, queue: &Queue) {
-        for _ in 0..TEAMS_PER_SWEEP.min(self.members.len()) {
-            self.sweep_index = (self.sweep_index + 1) % self.members.len();
-            let member = &self.members[self.sweep_index];
-            let priorities = self.names.get(&member.name);
-            if priorities.and_then(|priorities| priorities.get(&member.level))
+        for _ in 0..QUEUES_PER_SWEEP.min(self.states.len()) {
+            self.sweep_index = (self.sweep_index + 1) % self.states.len();
+            let state = &self.states[self.sweep_index];
+            let priorities = self.names.get(&state.name);
+            if priorities.and_then(|priorities| priorities.get(&state.level))
                 != Some(&self.sweep_index)
             {
                 continue;
             }
             // While no request waits, shares have no effect and virtual time may stand still.
-            let paid_until = if queue.weight() == 0 {
+            let virtual_time = if queue.weight() == 0 {
                 u64::MAX
             } else {
-                queue.virtual_time(member.level)
+                queue.virtual_time(state.level)
             };
-            if member.is_idle(now, paid_until) {
-                let (name, level) = (member.name.clone(), member.level);
+            if state.is_idle(now, virtual_time) {
+                let (name, level) = (state.name.clone(), state.level);
                 self.free_indices.push(self.sweep_index);
                 self.queues -= 1;
                 if let Some(priorities) = self.names.get_mut(&name) {
--- a/components/admission/src/team.rs
+++ b/components/admission/src/team.rs
@@ -1,4 +1,4 @@
-//! State of one team, its limits and its queue.
+//! State of a team's requests of one priority: limits, queue and fair share.
 
 use std::{
     collections::VecDeque,
@@ -20,7 +20,7 @@
     fair::virtual_duration, //
 };
 
-/// Limits of a team at one process. A limit for the whole system is divided among the processes.
+/// Limits of a team in one process. A limit for the whole system is divided among the processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
     /// Maximum number of requests in flight; 0 means no limit.
@@ -53,43 +53,43 @@
     pub(crate) cost: u64,
 }
 
-/// State of a team while it has work, and for a short time after.
+/// State of a team's requests of one priority, kept while there are any and for a short time after.
 #[derive(Clone, Debug)]
-pub(crate) struct Member {
+pub(crate) struct State {
     pub(crate) name: Team,
     pub(crate) limit: Limit,
-    /// Priority level of its queue.
+    /// Priority of the queue.
     pub(crate) level: u8,
     pub(crate) queue: VecDeque<Waiting>,
     pub(crate) running: u32,
-    /// Virtual time at which all its work so far is paid for.
-    pub(crate) paid_until: u64,
+    /// Virtual time at which all its admitted work finishes.
+    pub(crate) finish_tag: u64,
     /// Tokens of the rate limiter, and the time of their last update.
     rate_tokens: (f64, Clock),
-    /// Time at which the next refused caller is told to retry, before jitter.
+    /// Time at which the next refused caller shall retry, before jitter.
     next_retry_at: Clock,
 }
 
-impl Member {
-    pub(crate) fn new(now: Clock, name: Team, limit: Limit) -> Member {
-        Member {
+impl State {
+    pub(crate) fn new(now: Clock, name: Team, limit: Limit) -> State {
+        State {
             name,
             limit,
             level: limit.priority,
             queue: VecDeque::new(),
             running: 0,
-            paid_until: 0,
+            finish_tag: 0,
             rate_tokens: (f64::from(limit.rate), now),
             next_retry_at: now,
         }
     }
 
-    /// Returns the virtual time at which its last queued request, and one more of the given cost,
-    /// is paid for.
+    /// Returns the virtual time at which the last queued request, and then one more of the given
+    /// cost, finishes.
     pub(crate) fn finish_time(&self, time: u64, cost: u64) -> u64 {
         let queued: u64 = self.queue.iter().map(|waiting| waiting.cost.max(1)).sum();
         let duration = virtual_duration(queued.saturating_add(cost), self.weight());
-        self.paid_until.max(time).saturating_add(duration)
+        self.finish_tag.max(time).saturating_add(duration)
     }
 
     pub(crate) fn weight(&self) -> u64 {
@@ -114,14 +114,15 @@
         is_allowed
     }
 
-    /// Returns whether the team can be dropped without loss: a new state would be treated the same.
-    pub(crate) fn is_idle(&self, now: Clock, paid_until: u64) -> bool {
+    /// Returns whether the state can be dropped without loss: a new one would be treated the same.
+    /// `virtual_time` is that of its priority.
+    pub(crate) fn is_idle(&self, now: Clock, virtual_time: u64) -> bool {
         let second = Duration::from_secs(1);
         let has_full_rate = now.saturating_sub(self.rate_tokens.1) >= second;
         let has_pending_retries = self.next_retry_at > now;
         self.running == 0
             && self.queue.is_empty()
-            && self.paid_until <= paid_until
+            && self.finish_tag <= virtual_time
             && has_full_rate
             && !has_pending_retries
     }
--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -18,7 +18,7 @@
 /// seconds and then refused; with 0, twice as many were refused under three times the capacity.
 const MAX_LATE_WAIT_SHARE: f64 = 0.15;
 
-/// Time constraints of a request that needs an engine.
+/// Priority and time limits of a request that needs an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Constraints {
     /// Rank of its route; 0 goes first.
@@ -49,8 +49,8 @@
     objective.mul_f64(ENGINE_TIME_SHARE)
 }
 
-/// Returns the room for late requests, behind requests on time that wait at other processes. In a
-/// large fleet some wait nearly always, even while most engines are idle.
+/// Returns the room for late requests, which go behind the requests on time that wait at other
+/// processes. In a large fleet some of those wait nearly always, even while most engines are idle.
 pub fn room_behind(room: u32, on_time_elsewhere: u32) -> u32 {
     room.saturating_sub(on_time_elsewhere)
 }
--- a/components/admission/tests/gate.rs
+++ b/components/admission/tests/gate.rs
@@ -111,7 +111,7 @@
         self.arrive(team, UNLIMITED, false)
     }
 
-    /// Finishes the oldest request and admits others.
+    /// Finishes the oldest request and admits queued ones.
     fn finish(&mut self) -> Vec<Released> {
         let (team, priority) = self.running.remove(0);
         let done = Done {
@@ -201,11 +201,11 @@
 #[test]
 fn new_team_gets_its_share_and_no_more() {
     let mut harness = Harness::new(1);
-    for turn in 0..330 {
+    for round in 0..330 {
         for team in ["a", "b"] {
             harness.arrive_new(team);
         }
-        if turn >= 300 {
+        if round >= 300 {
             harness.arrive_new("new");
         }
         harness.finish();
@@ -229,11 +229,11 @@
     }
     harness.finish();
     harness.used = 1;
-    for turn in 0..60 {
+    for round in 0..60 {
         for team in ["a", "b"] {
             harness.arrive_new(team);
         }
-        if turn > 10 {
+        if round > 10 {
             harness.arrive_new("sly");
         }
         harness.finish();
@@ -694,7 +694,7 @@
 }
 
 // Guards against refusals of a new process: sixty callers arrive before any replica has reported
-// and any request has ended, and would be told to retry while engines are idle.
+// and any request has ended, and would have to retry while engines are idle.
 #[test]
 fn initial_burst_is_served() {
     let mut gate = Gate::new(Settings::default());
--- a/components/admission/tests/quota.rs
+++ b/components/admission/tests/quota.rs
@@ -44,14 +44,14 @@
     unreported: 0.0,
 };
 
-/// Guards against retry amplification: servers fail in turns, and several of them refuse each
+/// Guards against retry amplification: servers fail in turn, and several of them refuse each
 /// request. Retried without a bound, requests arrive three times over, and the remaining servers
 /// get the most load when they are fewest. The bound must hold over all processes in any window.
 #[test]
 fn all_processes_together_stay_within_the_bound() {
     let mut quotas = vec![Quota::default(); PROCESSES];
     let mut reported = vec![Totals::default(); PROCESSES];
-    let mut sends: Vec<(Duration, bool)> = Vec::new();
+    let mut attempts: Vec<(Duration, bool)> = Vec::new();
     for step in 0..3000_u32 {
         let now = Duration::from_millis(10) * step;
         if step % 25 == 0 {
@@ -63,20 +63,20 @@
         let peers = peers(&reported, process);
         let quota = &mut quotas[process];
         quota.request(now, &BOUND);
-        sends.push((now, false));
+        attempts.push((now, false));
         for _ in 0..4 {
             if quota.retry(now, &BOUND, peers, Purpose::Resume) {
-                sends.push((now, true));
+                attempts.push((now, true));
             }
         }
     }
     for start in (0..20).map(Duration::from_secs) {
         let within = |at: &Duration| *at >= start && *at < start + BOUND.window;
-        let retries = sends
+        let retries = attempts
             .iter()
             .filter(|(at, retry)| *retry && within(at))
             .count();
-        let requests = sends
+        let requests = attempts
             .iter()
             .filter(|(at, retry)| !*retry && within(at))
             .count();
--- a/components/answer/src/cursor.rs
+++ b/components/answer/src/cursor.rs
@@ -13,13 +13,13 @@
         /// Number of leading tokens that were accepted before.
         skip: usize,
     },
-    /// All of them were accepted before.
+    /// All tokens were accepted before.
     Repeat,
-    /// Tokens before them are missing.
+    /// Tokens before the first one are missing.
     Hole,
 }
 
-/// The next index of an answer.
+/// Tracks the next index of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Cursor {
     next: Index,
--- a/components/answer/src/log.rs
+++ b/components/answer/src/log.rs
@@ -9,7 +9,7 @@
 
 use crate::Finish;
 
-/// Bytes that a token takes in addition to its text.
+/// Bytes that a token occupies in memory in addition to its text.
 pub const TOKEN_OVERHEAD_BYTES: usize = size_of::<String>();
 
 /// Reason why the log rejected a token or an end.
@@ -39,18 +39,18 @@
     tokens: Vec<String>,
     finish: Option<Finish>,
     bytes: usize,
-    bound: usize,
+    max_bytes: usize,
 }
 
 impl Log {
-    /// Creates an empty log whose first token has index `from`; `bound` is in bytes.
-    pub fn new(from: Index, bound: usize) -> Log {
+    /// Creates an empty log whose first token has index `from`; `max_bytes` is in bytes.
+    pub fn new(from: Index, max_bytes: usize) -> Log {
         Log {
             first: from,
             tokens: Vec::new(),
             finish: None,
             bytes: 0,
-            bound,
+            max_bytes,
         }
     }
 
@@ -61,9 +61,9 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::Full`] if the prefix exceeds `bound`.
-    pub fn with_prefix(prefix: &[String], bound: usize) -> Result<Log, Fault> {
-        let mut log = Log::new(0, bound);
+    /// [`Fault::Full`] if the prefix exceeds `max_bytes`.
+    pub fn with_prefix(prefix: &[String], max_bytes: usize) -> Result<Log, Fault> {
+        let mut log = Log::new(0, max_bytes);
         for (index, token) in (0..).zip(prefix) {
             log.append(index, token.clone())?;
         }
@@ -88,7 +88,7 @@
             return Err(Fault::Hole { expected });
         }
         let size = size(&token);
-        if self.bytes + size > self.bound {
+        if self.bytes + size > self.max_bytes {
             return Err(Fault::Full);
         }
         self.bytes += size;
--- a/components/answer/src/loss.rs
+++ b/components/answer/src/loss.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns whether the loss shows that the server is unreachable. A broken connection doesn't:
-    /// servers lose single answers, and the next connection will show.
+    /// servers lose single answers, and only the next connection shows whether the server is gone.
     pub fn is_unreachable(self) -> bool {
         self == Loss::Unreachable
     }
--- a/components/answer/src/pointer.rs
+++ b/components/answer/src/pointer.rs
@@ -96,14 +96,14 @@
 #[derive(Debug)]
 pub struct Table {
     settings: Settings,
-    pointers: HashMap<Request, Entry>,
+    pointers: HashMap<Request, Stored>,
     /// Requests in the order of their puts; repeating a put leaves an outdated element behind.
     order: VecDeque<Insertion>,
     last_sequence: u64,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct Stored {
     pointer: Pointer,
     sequence: u64,
 }
@@ -130,8 +130,8 @@
     /// late message can't restore a replaced run; of equal epochs the later put is kept.
     pub fn put(&mut self, now: Clock, request: Request, pointer: Pointer) {
         self.expire(now);
-        let entry = self.pointers.get(&request);
-        if entry.is_some_and(|entry| entry.pointer.epoch > pointer.epoch) {
+        let stored = self.pointers.get(&request);
+        if stored.is_some_and(|stored| stored.pointer.epoch > pointer.epoch) {
             return;
         }
         self.last_sequence += 1;
@@ -141,7 +141,7 @@
             time: now,
             request: request.clone(),
         });
-        self.pointers.insert(request, Entry { pointer, sequence });
+        self.pointers.insert(request, Stored { pointer, sequence });
         while self.pointers.len() > self.settings.max_pointers {
             self.evict_oldest();
         }
@@ -156,13 +156,13 @@
     /// Returns the pointer of a request.
     pub fn get(&mut self, now: Clock, request: &str) -> Option<&Pointer> {
         self.expire(now);
-        self.pointers.get(request).map(|entry| &entry.pointer)
+        self.pointers.get(request).map(|stored| &stored.pointer)
     }
 
     /// Removes the pointer of an ended run, unless another run has replaced it.
     pub fn remove(&mut self, request: &str, nonce: Nonce) {
-        let entry = self.pointers.get(request);
-        if entry.is_some_and(|entry| entry.pointer.nonce == nonce) {
+        let stored = self.pointers.get(request);
+        if stored.is_some_and(|stored| stored.pointer.nonce == nonce) {
             self.pointers.remove(request);
         }
     }
@@ -197,7 +197,7 @@
 }
 
 /// Returns whether an element of the queue is the latest put of its request.
-fn is_current(pointers: &HashMap<Request, Entry>, insertion: &Insertion) -> bool {
-    let entry = pointers.get(&insertion.request);
-    entry.is_some_and(|entry| entry.sequence == insertion.sequence)
+fn is_current(pointers: &HashMap<Request, Stored>, insertion: &Insertion) -> bool {
+    let stored = pointers.get(&insertion.request);
+    stored.is_some_and(|stored| stored.sequence == insertion.sequence)
 }
--- a/components/answer/src/resume.rs
+++ b/components/answer/src/resume.rs
@@ -70,7 +70,7 @@
     /// Servers that lost or refused an epoch, sorted.
     avoid: Vec<Server>,
     /// Earliest time of the next suspicion, after one that was denied or found no replica.
-    quiet_until: Clock,
+    next_suspicion_at: Clock,
     refusals: Refusals,
     done: bool,
 }
@@ -90,7 +90,7 @@
             next_epoch: FIRST_EPOCH,
             started: 0,
             avoid: Vec::new(),
-            quiet_until: now,
+            next_suspicion_at: now,
             refusals: Refusals::default(),
             done: false,
         }
@@ -230,7 +230,7 @@
             self.interrupt(Interruption::NoReplica, retry_after, actions);
             return;
         }
-        self.quiet_until = now + retry_after.max(self.threshold.limit());
+        self.next_suspicion_at = now + retry_after.max(self.threshold.limit());
     }
 
     fn handle_denied(&mut self, now: Clock, epoch: Epoch, actions: &mut Vec<Action>) {
@@ -246,7 +246,7 @@
         }
         // Other answers on the same server soon have a second epoch, which shows whether the server
         // is silent. Another full limit would double the caller's wait.
-        self.quiet_until = now + self.threshold.lowest();
+        self.next_suspicion_at = now + self.threshold.lowest();
     }
 
     fn accept(
@@ -267,12 +267,12 @@
             Verdict::Fresh { skip } => {
                 tokens.drain(..skip);
                 self.make_owner(now, epoch, actions);
-                self.pass_on(tokens, actions);
+                self.deliver(tokens, actions);
             }
         }
     }
 
-    /// Makes an epoch the owner and fences all others.
+    /// Makes an epoch the owner and fences all other epochs.
     fn make_owner(&mut self, now: Clock, epoch: Epoch, actions: &mut Vec<Action>) {
         let mut wrongly_suspected = false;
         let mut overtaken = Vec::new();
@@ -313,8 +313,8 @@
         }
     }
 
-    /// Passes on new tokens: those before the caller's position are kept, the others delivered.
-    fn pass_on(&mut self, tokens: Vec<String>, actions: &mut Vec<Action>) {
+    /// Delivers new tokens; those before the caller's position are only kept.
+    fn deliver(&mut self, tokens: Vec<String>, actions: &mut Vec<Action>) {
         let mut index = self.cursor.next();
         let missing = self.caller_position.next.saturating_sub(index);
         let kept_count = missing.min(tokens.len() as Index) as usize;
--- a/components/answer/src/resume/attempt.rs
+++ b/components/answer/src/resume/attempt.rs
@@ -1,4 +1,4 @@
-//! One epoch that the entry follows.
+//! State of an epoch that the entry follows.
 
 use names::{
     Clock,
@@ -20,7 +20,7 @@
     Dialling,
 }
 
-/// One epoch that the entry follows.
+/// Epoch that the entry follows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Attempt {
     pub(super) epoch: Epoch,
--- a/components/answer/src/resume/message.rs
+++ b/components/answer/src/resume/message.rs
@@ -212,8 +212,8 @@
         /// The tokens.
         tokens: Vec<String>,
     },
-    /// Restart the answer at index 0. A streaming caller is told to discard what it has, and
-    /// receives the first `kept` of the stored tokens; the others are dropped.
+    /// Restart the answer at index 0. A streaming caller must discard the text that it has, and
+    /// receives the first `kept` of the stored tokens; the remaining ones are dropped.
     Restart {
         /// Number of stored tokens that remain valid.
         kept: Index,
@@ -234,7 +234,7 @@
 pub enum Interruption {
     /// No replica of the version is available.
     NoReplica,
-    /// All replicas asked refused.
+    /// All replicas that were asked refused.
     Refused,
     /// Tokens were delivered, the epoch is lost, and the engine doesn't support continuation.
     NotContinuable,
--- a/components/answer/src/resume/refusal.rs
+++ b/components/answer/src/resume/refusal.rs
@@ -49,7 +49,7 @@
         self.avoid_server(attempt.server);
         if !self.attempts.is_empty() {
             // The epoch counts nevertheless: a suspicion that is refused repeatedly must end.
-            self.quiet_until = now + self.threshold.limit();
+            self.next_suspicion_at = now + self.threshold.limit();
             return;
         }
         self.started -= 1;
--- a/components/answer/src/resume/suspicion.rs
+++ b/components/answer/src/resume/suspicion.rs
@@ -132,7 +132,7 @@
             .iter()
             .map(|attempt| self.overdue_at(attempt))
             .max();
-        last.map(|due| due.max(self.quiet_until))
+        last.map(|due| due.max(self.next_suspicion_at))
     }
 
     fn overdue_at(&self, attempt: &Attempt) -> Clock {
--- a/components/answer/src/silence.rs
+++ b/components/answer/src/silence.rs
@@ -2,10 +2,11 @@
 //!
 //! The typical failure is a whole data centre of engines that stops responding without closing
 //! connections, while other engines pause for a moment as they process a long prompt. Waiting long
-//! delays the answer; leaving at once costs a prefill. So there are two limits. At the first one
-//! the server is checked: by a new connection, which a live server accepts within a round trip, or,
-//! for an older run without an event, by a query for its running requests. At the second one the
-//! run counts as lost whatever the server responds, since a connection can die alone.
+//! delays the answer; moving to another server at once costs a prefill. So there are two limits. At
+//! the first one the server is checked: by a new connection, which a live server accepts within a
+//! round trip, or, for an older run without an event, by a query for its running requests. At the
+//! second one the run counts as lost whatever the server responds, since a connection can fail
+//! while its server is alive.
 
 use std::time::Duration;
 
@@ -34,7 +35,7 @@
 
 /// Fraction of the first-event objective after which a run without an event counts as lost though
 /// its server is alive. A prefill elsewhere costs more than a late answer earns, so the limit
-/// targets only a connection that died alone.
+/// targets only a connection that failed while its server is alive.
 const FIRST_LOST_FRACTION: f64 = 1.2;
 
 /// Interval between checks of the same silence in a started stream.
--- a/components/answer/src/threshold.rs
+++ b/components/answer/src/threshold.rs
@@ -25,7 +25,8 @@
     pub means: u32,
     /// Factor on the mean deviation, added to the scaled mean gap.
     pub deviations: u32,
-    /// Factor on a wrongly suspected silence, which gives a lower bound for the rest of the answer.
+    /// Factor on a wrongly suspected silence; the product is the lower bound for the rest of the
+    /// answer.
     #[serde(rename = "excuse")]
     pub floor_factor: u32,
 }
@@ -97,7 +98,8 @@
 
     /// Records one gap of this answer.
     pub fn record(&mut self, gap: Duration) {
-        // With equal bounds the gaps have no effect, and without them models have a smaller state.
+        // With equal bounds the gaps have no effect; leaving them out keeps the state space of
+        // models small.
         if self.settings.lowest == self.settings.highest {
             return;
         }
--- a/components/answer/tests/resume.rs
+++ b/components/answer/tests/resume.rs
@@ -1,4 +1,4 @@
-//! Tests of the resume decisions by fault: the resulting actions, as snapshots.
+//! Tests of the resume decisions: the actions that result from each fault, as snapshots.
 //!
 //! The bounds of the threshold are equal, so an engine is suspected 1 s after a token and 4 s after
 //! its placement.
--- a/components/moves/src/judge.rs
+++ b/components/moves/src/judge.rs
@@ -287,7 +287,7 @@
         e_value: 0.0,
         finding: None,
     };
-    let mut most = 0.0;
+    let mut strongest = 0.0;
     for metric in METRICS {
         if metric == Metric::Died && deaths.is_empty() {
             continue;
@@ -305,8 +305,8 @@
         for (route, series, weight) in family.tests() {
             let contribution = weight * series.e_value();
             verdict.e_value += contribution;
-            if series.new.0 > 0 && contribution > most {
-                most = contribution;
+            if series.new.0 > 0 && contribution > strongest {
+                strongest = contribution;
                 verdict.finding = Some(Finding {
                     metric,
                     route: route.cloned(),
--- a/components/moves/src/mover.rs
+++ b/components/moves/src/mover.rs
@@ -94,7 +94,7 @@
     first_counted_at: Option<SystemTime>,
     /// Time of the last counted sample of the time between tokens at the full share.
     between_counted_at: Option<SystemTime>,
-    /// Received facts speak against the new version and haven't been assessed yet.
+    /// Whether received facts speak against the new version and haven't been assessed yet.
     assessment_due: bool,
 
     level: Level,
--- a/components/moves/src/outcome.rs
+++ b/components/moves/src/outcome.rs
@@ -73,7 +73,7 @@
     /// Time when the move ended.
     #[serde(with = "humantime_serde")]
     pub at: SystemTime,
-    /// The entry that wrote this.
+    /// The entry that wrote the outcome.
     pub by: Source,
 }
 
--- a/components/moves/src/step.rs
+++ b/components/moves/src/step.rs
@@ -125,9 +125,9 @@
     Synced,
     /// Number of ready replicas.
     Ready {
-        /// Of the old version.
+        /// Ready replicas of the old version.
         old: u32,
-        /// Of the new version.
+        /// Ready replicas of the new version.
         new: u32,
     },
     /// This entry's rank among the writers; 0 writes at once.
--- a/components/moves/tests/mover.rs
+++ b/components/moves/tests/mover.rs
@@ -323,8 +323,7 @@
     assert_eq!(cluster.reported_outcomes(), 1);
 }
 
-/// The operator edits the document during the move: an earlier deadline, a later one, no move, or a
-/// third version under the same name.
+/// The operator changes the document to an earlier deadline during the move.
 #[test]
 fn an_earlier_deadline_is_met() {
     let mut cluster = Cluster::new(2);
@@ -339,6 +338,7 @@
     assert_eq!(cluster.level(), Level::FULL);
 }
 
+/// The operator changes the document to a later deadline during the move.
 #[test]
 fn a_later_deadline_returns_no_traffic() {
     let mut cluster = Cluster::new(2);
@@ -354,6 +354,7 @@
     assert_eq!(cluster.level(), before);
 }
 
+/// The operator removes the move from the document.
 #[rstest]
 #[case::to_the_old_version(Side::Old, Level::ZERO, End::Reverted)]
 #[case::to_the_new_version(Side::New, Level::FULL, End::Done)]
@@ -375,6 +376,7 @@
     });
 }
 
+/// The operator uses the move's name for a third version.
 #[test]
 fn a_third_version_under_the_same_name_ends_the_move() {
     let mut cluster = Cluster::new(2);
--- a/components/routing/src/cache.rs
+++ b/components/routing/src/cache.rs
@@ -41,8 +41,8 @@
     last_seen: Clock,
 }
 
-/// Members that hold each prefix. The index is a hint: a wrong entry costs one repeated prefill and
-/// nothing else.
+/// Members that hold each prefix. The index is a hint: a wrong holder costs one repeated prefill
+/// and nothing else.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Cache {
     holders: HashMap<Prefix, Vec<Holder>>,
@@ -103,8 +103,7 @@
         let holders = self.holders.get(&prefix).map_or(&[][..], Vec::as_slice);
         holders.iter().filter_map(move |holder| {
             let member = members.get(holder.member)?;
-            // Events from before the member joined refer to a previous process under the same
-            // number.
+            // Events from before the member joined refer to a previous replica at the same index.
             if holder.last_seen < member.joined_at {
                 return None;
             }
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -29,9 +29,9 @@
 /// A piece of work that needs a server.
 #[derive(Clone, Debug)]
 pub struct Request<'a> {
-    /// Service.
+    /// Service that must serve it.
     pub service: &'a Service,
-    /// Version that must serve it.
+    /// Version of the service that must serve it.
     pub version: &'a Version,
     /// Data centre of the sender.
     pub data_centre: &'a DataCentre,
@@ -63,17 +63,17 @@
     pub fn choose(&self, now: Clock, request: &Request, rng: &mut impl Rng) -> Choice {
         let local = self.group(request, request.data_centre);
         let best = local.and_then(|group| self.pick(now, group, request, rng));
-        let load = best.map(|number| self.members[number].load() / self.capacity(number));
-        if let (Some(number), Some(load)) = (best, load)
+        let load = best.map(|index| self.members[index].load() / self.capacity(index));
+        if let (Some(index), Some(load)) = (best, load)
             && load < self.settings.spill_load
         {
-            return Choice::Server(self.members[number].server.clone());
+            return Choice::Server(self.members[index].server.clone());
         }
         if let Some(choice) = self.choose_remote(now, request, load, rng) {
             return choice;
         }
-        if let Some(number) = best {
-            return Choice::Server(self.members[number].server.clone());
+        if let Some(index) = best {
+            return Choice::Server(self.members[index].server.clone());
         }
         if let Some(server) = self.last_resort(now, request, local) {
             return Choice::Server(server);
@@ -83,8 +83,8 @@
         }
     }
 
-    fn capacity(&self, number: usize) -> f64 {
-        self.members[number].capacity(&self.settings)
+    fn capacity(&self, index: usize) -> f64 {
+        self.members[index].capacity(&self.settings)
     }
 
     fn group(&self, request: &Request, data_centre: &DataCentre) -> Option<&Group> {
@@ -105,8 +105,8 @@
         rng: &mut impl Rng,
     ) -> Option<usize> {
         let mut available = self.usable(now, group);
-        available.retain(|number| !self.members[*number].is_full(now, &self.settings));
-        let is_preferred = |number: &usize| !request.avoid.contains(&self.members[*number].server);
+        available.retain(|index| !self.members[*index].is_full(now, &self.settings));
+        let is_preferred = |index: &usize| !request.avoid.contains(&self.members[*index].server);
         if available.iter().any(is_preferred) {
             available.retain(is_preferred);
         }
@@ -126,15 +126,15 @@
     fn usable(&self, now: Clock, group: &Group) -> Vec<usize> {
         let mut usable = Vec::new();
         let mut unusable = Vec::new();
-        for number in &group.members {
-            let member = &self.members[*number];
+        for index in &group.members {
+            let member = &self.members[*index];
             if member.leaving {
                 continue;
             }
             if member.healthy && !member.is_ejected(now) {
-                usable.push(*number);
+                usable.push(*index);
             } else {
-                unusable.push(*number);
+                unusable.push(*index);
             }
         }
         let not_draining = usable.len() + unusable.len();
@@ -142,8 +142,8 @@
         if usable.len() >= minimum {
             return usable;
         }
-        let badness = |number: &usize| self.members[*number].badness(now, &self.settings);
-        unusable.sort_by(|a, b| badness(a).total_cmp(&badness(b)));
+        let unfitness = |index: &usize| self.members[*index].unfitness(now, &self.settings);
+        unusable.sort_by(|a, b| unfitness(a).total_cmp(&unfitness(b)));
         usable.extend(unusable.into_iter().take(minimum - usable.len()));
         usable
     }
@@ -153,8 +153,8 @@
     /// replaced by the next ones by hash, so that a popular prefix spreads over as many replicas as
     /// it needs.
     fn affine(&self, now: Clock, group: &Group, prefix: Prefix, available: &[usize]) -> Vec<usize> {
-        let score = |number: &usize| {
-            let member = &self.members[*number];
+        let score = |index: &usize| {
+            let member = &self.members[*index];
             member.score(now, group.mean_time, &self.settings)
         };
         let scores: Vec<f64> = available.iter().map(score).collect();
@@ -164,19 +164,19 @@
         let bound =
             (mean * self.settings.affinity_bound).min(mean.max(self.settings.affinity_load));
         let mut within_bound = Vec::with_capacity(available.len());
-        for (number, score) in available.iter().zip(scores) {
-            if score <= bound + self.settings.affinity_slack / self.capacity(*number) {
-                within_bound.push(*number);
+        for (index, score) in available.iter().zip(scores) {
+            if score <= bound + self.settings.affinity_slack / self.capacity(*index) {
+                within_bound.push(*index);
             }
         }
         let holders = self
             .cache
             .holders(now, prefix, &self.members, &self.settings);
         let mut found: Vec<usize> = holders
-            .filter(|number| within_bound.contains(number))
+            .filter(|index| within_bound.contains(index))
             .collect();
         let missing = self.settings.affine_replicas.saturating_sub(found.len());
-        within_bound.retain(|number| !found.contains(number));
+        within_bound.retain(|index| !found.contains(index));
         found.extend(self.top_ranked(prefix, within_bound, missing));
         found
     }
@@ -190,13 +190,13 @@
             return replicas;
         }
         let mut ranked = Vec::with_capacity(replicas.len());
-        for number in replicas {
-            let server = self.members[number].server.as_bytes();
-            ranked.push((xxh3_64_with_seed(server, prefix), number));
+        for index in replicas {
+            let server = self.members[index].server.as_bytes();
+            ranked.push((xxh3_64_with_seed(server, prefix), index));
         }
         ranked.select_nth_unstable_by(count - 1, |a, b| b.cmp(a));
         ranked.truncate(count);
-        ranked.into_iter().map(|(_, number)| number).collect()
+        ranked.into_iter().map(|(_, index)| index).collect()
     }
 
     fn better_of_two(
@@ -215,8 +215,8 @@
                 if second >= first {
                     second += 1;
                 }
-                let score = |number: usize| {
-                    let member = &self.members[number];
+                let score = |index: usize| {
+                    let member = &self.members[index];
                     member.score(now, group.mean_time, &self.settings)
                 };
                 let (first, second) = (candidates[first], candidates[second]);
@@ -247,8 +247,8 @@
         }
         let (_, data_centre) = best?;
         let known = self.group(request, data_centre);
-        if let Some(number) = known.and_then(|group| self.pick(now, group, request, rng)) {
-            return Some(Choice::Server(self.members[number].server.clone()));
+        if let Some(index) = known.and_then(|group| self.pick(now, group, request, rng)) {
+            return Some(Choice::Server(self.members[index].server.clone()));
         }
         Some(Choice::Remote(data_centre.clone()))
     }
@@ -272,9 +272,9 @@
                 continue;
             }
             let (mut load, mut capacity) = (0.0, 0.0);
-            for number in self.usable(now, group) {
-                load += self.members[number].load();
-                capacity += self.capacity(number);
+            for index in self.usable(now, group) {
+                load += self.members[index].load();
+                capacity += self.capacity(index);
             }
             if capacity > 0.0 {
                 loads.push((load / capacity, &deployment.data_centre));
@@ -291,10 +291,10 @@
         for group in local.into_iter().chain(remote) {
             let mut usable = self.usable(now, group);
             if !request.resume {
-                usable.retain(|number| !self.members[*number].is_full(now, &self.settings));
+                usable.retain(|index| !self.members[*index].is_full(now, &self.settings));
             }
-            let rank = |number: &usize| {
-                let member = &self.members[*number];
+            let rank = |index: &usize| {
+                let member = &self.members[*index];
                 let avoided = request.avoid.contains(&member.server);
                 (avoided, member.score(now, group.mean_time, &self.settings))
             };
@@ -302,8 +302,8 @@
                 let (a, b) = (rank(a), rank(b));
                 a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
             });
-            if let Some(number) = least {
-                return Some(self.members[number].server.clone());
+            if let Some(index) = least {
+                return Some(self.members[index].server.clone());
             }
         }
         None
@@ -330,8 +330,8 @@
         let delay = match group {
             Some(group) => {
                 let mut slots = 0.0;
-                for number in &group.members {
-                    slots += self.capacity(*number);
+                for index in &group.members {
+                    slots += self.capacity(*index);
                 }
                 group.mean_time.div_f64(f64::max(slots, 1.0))
             }
--- a/components/routing/src/member.rs
+++ b/components/routing/src/member.rs
@@ -15,11 +15,12 @@
     decay::Decay, //
 };
 
-const MAX_LEVELS: usize = 32;
+/// Number of samples of the own runs that are kept.
+const MAX_SAMPLES: usize = 32;
 
-/// Interval between two levels. Together with [`MAX_LEVELS`] it gives the longest report delay that
-/// is corrected exactly.
-const LEVEL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two samples. Together with [`MAX_SAMPLES`] it gives the longest report delay
+/// that is corrected exactly.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Own runs that a valid report may lack, as they were in transit at the time of the measurement.
 const MAX_UNREPORTED_RUNS: u32 = 2;
@@ -63,7 +64,7 @@
     Cancelled,
 }
 
-/// Lowest failure share that counts as normal; a lower one can't be estimated from few requests.
+/// Minimum of the normal failure share; a lower one can't be estimated from few requests.
 const MIN_NORMAL_SHARE: f64 = 0.05;
 
 /// Failure share of a faulty server: a multiple of the normal share, and a minimum.
@@ -84,7 +85,7 @@
     pub(crate) healthy: bool,
     pub(crate) leaving: bool,
     /// Runs of this sender in progress.
-    pub(crate) own: u32,
+    pub(crate) own_runs: u32,
     load: Load,
     served: Decay,
     failed: Decay,
@@ -104,7 +105,7 @@
     full_until: Clock,
     /// Sequence number of the last cache event.
     pub(crate) last_seq: u64,
-    /// Cache entries from before this time are doubtful, as events were lost.
+    /// Prefixes last seen before this time are doubtful, as cache events were lost.
     pub(crate) cache_doubtful_before: Clock,
 }
 
@@ -117,7 +118,8 @@
     own_at_report: u32,
     /// Runs of other senders per own run, set when the report is implausible.
     others_per_own: Option<f64>,
-    levels: VecDeque<(Clock, u32)>,
+    /// Own runs in progress at recent times, the oldest first.
+    samples: VecDeque<(Clock, u32)>,
 }
 
 impl Member {
@@ -127,7 +129,7 @@
             joined_at: now,
             healthy: true,
             leaving: false,
-            own: 0,
+            own_runs: 0,
             load: Load::default(),
             served: Decay::default(),
             failed: Decay::default(),
@@ -170,21 +172,21 @@
     }
 
     pub(crate) fn sent(&mut self, now: Clock) {
-        self.own += 1;
+        self.own_runs += 1;
         self.is_probing = !self.has_recovered;
-        self.record_level(now);
+        self.record_sample(now);
     }
 
-    /// Records that a request has begun to be answered, so that the replica works again.
+    /// Records that the replica has begun to answer a request, which ends its probe.
     pub(crate) fn answered(&mut self) {
         self.is_probing = false;
         self.has_recovered = true;
     }
 
     pub(crate) fn release(&mut self, now: Clock) {
-        self.own = self.own.saturating_sub(1);
+        self.own_runs = self.own_runs.saturating_sub(1);
         self.is_probing = false;
-        self.record_level(now);
+        self.record_sample(now);
     }
 
     /// Records the outcome of a run and releases it.
@@ -217,31 +219,35 @@
         }
     }
 
-    fn record_level(&mut self, now: Clock) {
-        let levels = &mut self.load.levels;
-        if let Some((at, own)) = levels.back_mut()
-            && now.saturating_sub(*at) < LEVEL_INTERVAL
+    fn record_sample(&mut self, now: Clock) {
+        let samples = &mut self.load.samples;
+        if let Some((at, own)) = samples.back_mut()
+            && now.saturating_sub(*at) < SAMPLE_INTERVAL
         {
-            *own = self.own;
+            *own = self.own_runs;
             return;
         }
-        levels.push_back((now, self.own));
-        if levels.len() > MAX_LEVELS {
-            levels.pop_front();
+        samples.push_back((now, self.own_runs));
+        if samples.len() > MAX_SAMPLES {
+            samples.pop_front();
         }
     }
 
     /// Returns the own runs in progress at an earlier time.
     fn own_at(&self, at: Clock) -> u32 {
-        let mut own = self.load.levels.front().map_or(self.own, |level| level.1);
-        if self.load.levels.len() < MAX_LEVELS {
+        let mut own = self
+            .load
+            .samples
+            .front()
+            .map_or(self.own_runs, |sample| sample.1);
+        if self.load.samples.len() < MAX_SAMPLES {
             own = 0;
         }
-        for (since, level) in &self.load.levels {
+        for (since, runs) in &self.load.samples {
             if *since > at {
                 break;
             }
-            own = *level;
+            own = *runs;
         }
         own
     }
@@ -250,7 +256,7 @@
     /// contributed is replaced by its current number of runs. Otherwise a burst goes to whichever
     /// replica last reported that it was idle.
     pub(crate) fn load(&self) -> f64 {
-        let own = f64::from(self.own);
+        let own = f64::from(self.own_runs);
         if let Some(ratio) = self.load.others_per_own {
             return own * (1.0 + ratio);
         }
@@ -298,8 +304,8 @@
         (served, self.failed.get(now, settings.failure_half_life))
     }
 
-    /// Returns the rank by which unusable replicas are brought back into use, the lowest first.
-    pub(crate) fn badness(&self, now: Clock, settings: &Settings) -> f64 {
+    /// Returns a score of an unusable replica; those with the lowest are used again first.
+    pub(crate) fn unfitness(&self, now: Clock, settings: &Settings) -> f64 {
         let (served, failed) = self.counts(now, settings);
         let health = if self.healthy { 0.0 } else { 0.5 };
         health + failed / (served + failed + 1.0)
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -414,7 +414,7 @@
         self.rank
     }
 
-    /// Returns whether each process has a partition of the servers, as there are many processes.
+    /// Returns whether there are so many processes that each has a partition of the servers.
     pub fn is_partitioned(&self) -> bool {
         self.rank.1 as f64 > MAX_UNPARTITIONED_PROCESSES
     }
--- a/components/routing/src/placement/candidate.rs
+++ b/components/routing/src/placement/candidate.rs
@@ -44,15 +44,16 @@
 /// Load added to a server in another data centre.
 const CROSS_DATA_CENTRE_PENALTY: f64 = 0.01;
 
-/// Maximum offset between processes: less than the load of one prompt, so that it only breaks ties.
+/// Maximum load added for the distance of a server from the process's partition. It is less than
+/// the load of one prompt, so that it only breaks ties.
 const MAX_OFFSET: f64 = 0.05;
 
 /// The same in a large fleet, where a hundred processes choose within the time that a message
 /// takes.
 const PARTITIONED_MAX_OFFSET: f64 = 0.15;
 
-/// Load added to a server whose load from other processes is known late: less than a pending
-/// prompt, so that no prompt waits behind another while a server is idle.
+/// Load added to a server whose load from other processes is known only after seconds: less than a
+/// pending prompt, so that no prompt waits behind another while a server is idle.
 const UNTRACKED_PENALTY: f64 = 0.12;
 
 /// A candidate server for work.
@@ -77,8 +78,8 @@
     offset: f64,
     /// Whether the server is in this process's partition, or there are no partitions.
     pub(super) is_owned: bool,
-    /// Whether the load from other processes is known soon: the fleet is small, or the server is in
-    /// this process's data centre.
+    /// Whether the load from other processes is known without much delay: the fleet is small, or
+    /// the server is in this process's data centre.
     pub(super) is_tracked: bool,
 }
 
@@ -186,8 +187,8 @@
                 prefillable.saturating_sub(total.prefill_tokens),
                 work.prefill_tokens,
             );
-            // A prompt that takes longer than this does so on any server; none begins it sooner
-            // than an idle one.
+            // A prompt that takes longer than that does so on any server, and no server begins it
+            // sooner than an idle one.
             room = room.min(prompts.max(u32::from(total.prefill_tokens == 0 && self.is_idle())));
         }
         room
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -25,7 +25,7 @@
 /// Random load added so that processes with the same knowledge don't all choose the same server.
 const MAX_JITTER: f64 = 0.005;
 
-/// The same in a large fleet, which has too many processes to separate by small offsets.
+/// Random load in a large fleet, which has too many processes to separate by small offsets.
 const PARTITIONED_MAX_JITTER: f64 = 0.08;
 
 /// Minimum average number of servers that each choice considers.
@@ -72,7 +72,7 @@
 pub struct Request<'a> {
     /// Service that must serve it.
     pub service: &'a Service,
-    /// Data centre of the process.
+    /// Data centre of the process that sends the request.
     pub data_centre: &'a str,
     /// Work of the request.
     pub work: Work,
--- a/components/routing/src/placement/suspicion.rs
+++ b/components/routing/src/placement/suspicion.rs
@@ -26,14 +26,14 @@
 /// Reason not to send new work to a server for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It refused a connection: its process is gone, but its host is up.
+    /// The server refused a connection: its process is gone, but its host is up.
     Refused,
-    /// It does not respond at all. This is stronger evidence against its data centre than a missing
-    /// process, and each attempt to reach another server there costs a timeout.
+    /// The server does not respond at all. This is stronger evidence against its data centre than a
+    /// missing process, and each attempt to reach another server there costs a timeout.
     Unresponsive,
-    /// It closed a connection as soon as it had the request.
+    /// The server closed a connection as soon as it had the request.
     Disconnected,
-    /// It is full.
+    /// The server is full.
     Full,
 }
 
@@ -99,7 +99,8 @@
 
     /// Returns when the server was last found unresponsive, or the last of so many servers of its
     /// domain that it is probably unresponsive too. It was last known to be alive at `last_alive`.
-    /// A process that exits closes its connections itself, so that only [`Suspicion::Unresponsive`] counts.
+    /// A process that exits closes its connections itself, so that only [`Suspicion::Unresponsive`]
+    /// counts.
     pub(super) fn suspected_since(
         &self,
         now: Clock,
--- a/components/routing/src/pool.rs
+++ b/components/routing/src/pool.rs
@@ -35,17 +35,18 @@
 /// A version of a service in one data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Deployment {
-    /// Service.
+    /// Service that the replicas belong to.
     pub service: Service,
-    /// Version of the service.
+    /// Version that the replicas run.
     pub version: Version,
-    /// Data centre.
+    /// Data centre of the replicas.
     pub data_centre: DataCentre,
 }
 
 /// Replicas of one deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Group {
+    /// Indices of the replicas in [`Pool::members`].
     pub(crate) members: Vec<usize>,
     /// Mean time of a served request.
     pub(crate) mean_time: Duration,
@@ -60,7 +61,7 @@
     /// Members by index; a vacant index keeps its last member, which no group refers to.
     pub(crate) members: Vec<Member>,
     free_indices: Vec<usize>,
-    index: HashMap<Server, (usize, Deployment)>,
+    by_server: HashMap<Server, (usize, Deployment)>,
     pub(crate) groups: HashMap<Deployment, Group>,
     pub(crate) remotes: HashMap<(Service, Version), Vec<Remote>>,
     pub(crate) cache: Cache,
@@ -78,17 +79,17 @@
     /// Adds a replica, or moves it to another deployment. A known replica of the same deployment
     /// stays unchanged; if its process was replaced, call [`Pool::remove`] first.
     pub fn insert(&mut self, now: Clock, server: &Server, deployment: &Deployment) {
-        if let Some((_, known)) = self.index.get(server) {
+        if let Some((_, known)) = self.by_server.get(server) {
             if known == deployment {
                 return;
             }
             self.remove(server);
         }
         let member = Member::new(now, server.clone());
-        let number = match self.free_indices.pop() {
-            Some(number) => {
-                self.members[number] = member;
-                number
+        let index = match self.free_indices.pop() {
+            Some(index) => {
+                self.members[index] = member;
+                index
             }
             None => {
                 self.members.push(member);
@@ -103,19 +104,19 @@
                 mean_time: INITIAL_REQUEST_TIME,
                 served: 0,
             });
-        group.members.push(number);
-        self.index
-            .insert(server.clone(), (number, deployment.clone()));
+        group.members.push(index);
+        self.by_server
+            .insert(server.clone(), (index, deployment.clone()));
     }
 
     /// Removes a replica.
     pub fn remove(&mut self, server: &Server) {
-        let Some((number, deployment)) = self.index.remove(server) else {
+        let Some((index, deployment)) = self.by_server.remove(server) else {
             return;
         };
-        self.free_indices.push(number);
+        self.free_indices.push(index);
         if let Some(group) = self.groups.get_mut(&deployment) {
-            group.members.retain(|member| *member != number);
+            group.members.retain(|member| *member != index);
             if group.members.is_empty() {
                 self.groups.remove(&deployment);
             }
@@ -124,31 +125,31 @@
 
     /// Returns the known servers.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
-        self.index.keys()
+        self.by_server.keys()
     }
 
     /// Records a report of a replica. Reports of unknown servers are ignored.
     pub fn record_report(&mut self, now: Clock, server: &Server, report: &Report) {
-        let Some((number, deployment)) = self.index.get(server) else {
+        let Some((index, deployment)) = self.by_server.get(server) else {
             return;
         };
-        self.members[*number].record_report(now, report);
+        self.members[*index].record_report(now, report);
         let mut ratio = None;
-        if self.members[*number].is_implausible() {
+        if self.members[*index].is_implausible() {
             ratio = self
                 .groups
                 .get(deployment)
                 .map(|group| self.others_per_own(group));
         }
-        self.members[*number].set_others_per_own(ratio);
+        self.members[*index].set_others_per_own(ratio);
     }
 
     /// Returns the runs of other senders per own run, over the replicas of a group whose reports
     /// are plausible.
     fn others_per_own(&self, group: &Group) -> f64 {
         let (mut own, mut all) = (0, 0);
-        for number in &group.members {
-            let member = &self.members[*number];
+        for index in &group.members {
+            let member = &self.members[*index];
             if member.is_implausible() {
                 continue;
             }
@@ -171,11 +172,11 @@
         let known = remotes
             .iter()
             .position(|remote| remote.data_centre == deployment.data_centre);
-        let number = known.unwrap_or_else(|| {
+        let index = known.unwrap_or_else(|| {
             remotes.push(Remote::new(now, deployment.data_centre.clone()));
             remotes.len() - 1
         });
-        remotes[number].record_summary(now, summary);
+        remotes[index].record_summary(now, summary);
     }
 
     /// Returns the summary of a deployment's replicas for other data centres.
@@ -188,8 +189,8 @@
         let Some(group) = self.groups.get(deployment) else {
             return summary;
         };
-        for number in &group.members {
-            let member = &self.members[*number];
+        for index in &group.members {
+            let member = &self.members[*index];
             if member.leaving || !member.healthy || member.is_ejected(now) {
                 continue;
             }
@@ -201,31 +202,31 @@
 
     /// Records that work was sent to a server, whose cache will hold the prefix of the prompt.
     pub fn sent(&mut self, now: Clock, server: &Server, prefix: Option<Prefix>) {
-        let Some((number, _)) = self.index.get(server) else {
+        let Some((index, _)) = self.by_server.get(server) else {
             return;
         };
-        self.members[*number].sent(now);
+        self.members[*index].sent(now);
         if let Some(prefix) = prefix {
-            self.cache.insert(now, prefix, *number, &self.settings);
+            self.cache.insert(now, prefix, *index, &self.settings);
         }
     }
 
     /// Records that a server sent the first token or byte of its answer.
     pub fn answered(&mut self, server: &Server) {
-        if let Some((number, _)) = self.index.get(server) {
-            self.members[*number].answered();
+        if let Some((index, _)) = self.by_server.get(server) {
+            self.members[*index].answered();
         }
     }
 
     /// Records the outcome of work that was sent.
     pub fn done(&mut self, now: Clock, server: &Server, outcome: Outcome) {
-        let Some((number, deployment)) = self.index.get(server) else {
+        let Some((index, deployment)) = self.by_server.get(server) else {
             return;
         };
         let Some(group) = self.groups.get_mut(deployment) else {
             return;
         };
-        let member = &mut self.members[*number];
+        let member = &mut self.members[*index];
         member.done(now, outcome, group.mean_time, &self.settings);
         match outcome {
             Outcome::Served { time } => {
@@ -236,8 +237,8 @@
             }
             Outcome::Failed => {
                 let elsewhere =
-                    failure_share_without(&self.members, group, *number, now, &self.settings);
-                self.members[*number].eject_if_failing(now, elsewhere, &self.settings);
+                    failure_share_without(&self.members, group, *index, now, &self.settings);
+                self.members[*index].eject_if_failing(now, elsewhere, &self.settings);
             }
             Outcome::Refused { .. } | Outcome::Cancelled => {}
         }
@@ -267,10 +268,10 @@
 
     /// Records a cache event of a replica. Events with an old sequence number are ignored.
     pub fn record_cache_event(&mut self, now: Clock, server: &Server, event: Event) {
-        let Some((number, _)) = self.index.get(server) else {
+        let Some((index, _)) = self.by_server.get(server) else {
             return;
         };
-        let member = &mut self.members[*number];
+        let member = &mut self.members[*index];
         if event.seq <= member.last_seq {
             return;
         }
@@ -280,10 +281,8 @@
         }
         member.last_seq = event.seq;
         match event.kind {
-            Kind::Stored => self
-                .cache
-                .insert(now, event.prefix, *number, &self.settings),
-            Kind::Evicted => self.cache.remove(event.prefix, *number),
+            Kind::Stored => self.cache.insert(now, event.prefix, *index, &self.settings),
+            Kind::Evicted => self.cache.remove(event.prefix, *index),
         }
     }
 }
@@ -297,11 +296,11 @@
     settings: &Settings,
 ) -> f64 {
     let (mut served, mut failed) = (0.0, 0.0);
-    for number in &group.members {
-        if *number == excluded {
+    for index in &group.members {
+        if *index == excluded {
             continue;
         }
-        let counts = members[*number].counts(now, settings);
+        let counts = members[*index].counts(now, settings);
         served += counts.0;
         failed += counts.1;
     }
--- a/components/routing/src/prompts.rs
+++ b/components/routing/src/prompts.rs
@@ -23,9 +23,10 @@
 /// callers that retry do so within seconds.
 const CACHE_TTL: Duration = Duration::from_secs(10);
 
+/// Maximum number of parts in the index; the oldest are evicted first.
 const MAX_PARTS: usize = 16_384;
 
-/// The most recent servers of a part are kept.
+/// Maximum number of servers kept for a part: the most recent ones.
 const MAX_SERVERS_PER_PART: usize = 4;
 
 /// Parts of prompts and the servers that processed them.
--- a/components/routing/tests/failures.rs
+++ b/components/routing/tests/failures.rs
@@ -201,9 +201,9 @@
 #[test]
 fn rare_failures_do_not_eject() {
     let mut harness = Harness::new(3, Settings::default(), 1);
-    for turn in 0..200 {
+    for round in 0..200 {
         let server = harness.send(None);
-        if turn % 20 == 0 {
+        if round % 20 == 0 {
             harness.done(&server, Outcome::Failed);
         } else {
             harness.serve(&server);
@@ -234,10 +234,10 @@
 #[test]
 fn common_failures_do_not_eject() {
     let mut harness = Harness::new(3, Settings::default(), 1);
-    for turn in 0..20 {
+    for round in 0..20 {
         for number in 0..3 {
             harness.pool.sent(harness.now, &server_name(number), None);
-            if turn % 2 == 0 {
+            if round % 2 == 0 {
                 harness.serve(&server_name(number));
             } else {
                 harness.done(&server_name(number), Outcome::Failed);
--- a/components/routing/tests/placement.rs
+++ b/components/routing/tests/placement.rs
@@ -34,11 +34,11 @@
 /// Creates processes that know all servers; `busy` returns the tokens at each server, which a peer
 /// has reported to every process.
 fn processes(count: usize, servers: usize, busy: impl Fn(usize) -> u64) -> Vec<Placement> {
-    let one = |place| {
+    let one = |rank| {
         let mut placement = Placement::default();
         let mut loads = HashMap::new();
         for number in 0..servers {
-            let facts = Spec {
+            let spec = Spec {
                 service: "draft".into(),
                 version: "v1".into(),
                 data_centre: format!("dc{}", number % 3),
@@ -46,7 +46,7 @@
                 memory: 55_000,
             };
             let name = format!("s{number}");
-            placement.upsert(Duration::ZERO, &name, facts, false);
+            placement.upsert(Duration::ZERO, &name, spec, false);
             let work = Work {
                 requests: 1,
                 tokens: busy(number),
@@ -55,7 +55,7 @@
             loads.insert(name, work);
         }
         placement.set_peer_loads(7, loads);
-        placement.set_rank((place, count));
+        placement.set_rank((rank, count));
         placement
     };
     (0..count).map(one).collect()
@@ -80,29 +80,32 @@
     choice.expect("a server is available").server
 }
 
-/// Asserts that at most `most` of the prompts that all processes send at the same moment go to one
-/// server. `home` returns the data centre of a process.
+/// Asserts that at most `max_per_server` of the prompts that all processes send at the same moment
+/// go to one server. `home` returns the data centre of a process.
 fn assert_burst_spreads(
     count: usize,
     servers: usize,
-    each: usize,
-    most: u32,
+    prompts_each: usize,
+    max_per_server: u32,
     home: impl Fn(&mut Placement, usize) -> String,
 ) {
     for seed in 0..5 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let processes = processes(count, servers, |number| 1000 * (number as u64 % 10));
         let mut counts: HashMap<Server, u32> = HashMap::new();
-        for (place, mut placement) in processes.into_iter().enumerate() {
-            let home = home(&mut placement, place);
-            for _ in 0..each {
+        for (rank, mut placement) in processes.into_iter().enumerate() {
+            let home = home(&mut placement, rank);
+            for _ in 0..prompts_each {
                 let server = choose_at(&placement, &home, &mut rng);
                 placement.sent(Duration::ZERO, &server, PROMPT_WORK);
                 *counts.entry(server).or_default() += 1;
             }
         }
         let highest = counts.values().max().copied().unwrap_or_default();
-        assert!(highest <= most, "seed {seed}: {highest} at one server");
+        assert!(
+            highest <= max_per_server,
+            "seed {seed}: {highest} at one server"
+        );
     }
 }
 
@@ -116,11 +119,11 @@
 fn distributes_a_burst_of_all_processes(
     #[case] count: usize,
     #[case] servers: usize,
-    #[case] each: usize,
-    #[case] most: u32,
+    #[case] prompts_each: usize,
+    #[case] max_per_server: u32,
 ) {
     let home = |_: &mut Placement, _: usize| "dc0".to_string();
-    assert_burst_spreads(count, servers, each, most, home);
+    assert_burst_spreads(count, servers, prompts_each, max_per_server, home);
 }
 
 /// The same for processes that track the engines of their data centre: the messages between them
@@ -131,14 +134,20 @@
 fn distributes_a_burst_of_processes_that_track_their_data_centre(
     #[case] count: usize,
     #[case] servers: usize,
-    #[case] each: usize,
-    #[case] most: u32,
+    #[case] prompts_each: usize,
+    #[case] max_per_server: u32,
 ) {
-    assert_burst_spreads(count, servers, each, most, |placement, place| {
-        let home = format!("dc{}", place % 3);
-        placement.set_data_centre(&home);
-        home
-    });
+    assert_burst_spreads(
+        count,
+        servers,
+        prompts_each,
+        max_per_server,
+        |placement, rank| {
+            let home = format!("dc{}", rank % 3);
+            placement.set_data_centre(&home);
+            home
+        },
+    );
 }
 
 /// Guards against prompts that queue while engines are idle: processes of a large fleet considered
@@ -200,14 +209,14 @@
 fn servers_of_disallowed_versions_do_not_count_as_room() {
     let mut placement = Placement::default();
     for (name, version) in [("s0", "v1"), ("s1", "v2"), ("s2", "v2")] {
-        let facts = Spec {
+        let spec = Spec {
             service: "draft".into(),
             version: version.into(),
             data_centre: "dc0".into(),
             slots: 4,
             memory: 55_000,
         };
-        placement.upsert(Duration::ZERO, &name.to_string(), facts, false);
+        placement.upsert(Duration::ZERO, &name.to_string(), spec, false);
     }
     let (service, new) = ("draft".to_string(), "v2".to_string());
     let room = |versions| {
@@ -301,15 +310,15 @@
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut placement = plain_servers(3);
-        let mut sends = [0_u32; 3];
+        let mut counts = [0_u32; 3];
         for number in 0..2000 {
             let now = Duration::from_millis(50) * number;
             let server = send_request(&mut placement, now, &mut rng);
             finish_request(&mut placement, now, &server, rng.random_bool(1.0 / 7.0));
             let which: usize = server[1..].parse().expect("a number");
-            sends[which] += 1;
+            counts[which] += 1;
         }
-        ejected += u32::from(sends.iter().any(|sent| *sent < 400));
+        ejected += u32::from(counts.iter().any(|count| *count < 400));
     }
     assert!(ejected <= 1, "{ejected} of 10");
 }
@@ -318,14 +327,14 @@
 fn plain_servers(servers: usize) -> Placement {
     let mut placement = Placement::default();
     for number in 0..servers {
-        let facts = Spec {
+        let spec = Spec {
             service: "draft".into(),
             version: "v1".into(),
             data_centre: format!("dc{number}"),
             slots: 6,
             memory: 0,
         };
-        placement.upsert(Duration::ZERO, &format!("s{number}"), facts, false);
+        placement.upsert(Duration::ZERO, &format!("s{number}"), spec, false);
     }
     placement
 }
--- a/components/spread/src/beacon/table.rs
+++ b/components/spread/src/beacon/table.rs
@@ -22,14 +22,14 @@
 /// or other processes take it over.
 const MIN_SILENCE: Duration = Duration::from_millis(1500);
 
-/// The same in beacon intervals, which are many seconds long in a large fleet; two beacons may be
-/// lost.
+/// Shortest such silence in beacon intervals, which are many seconds long in a large fleet; two
+/// beacons may be lost.
 const SILENCE_INTERVALS: u32 = 3;
 
 /// Shortest silence after which a peer is removed.
 const MIN_REMOVAL_SILENCE: Duration = Duration::from_secs(10);
 
-/// The same in beacon intervals.
+/// Shortest such silence in beacon intervals.
 const REMOVAL_INTERVALS: u32 = 6;
 
 /// Number of peer addresses in a beacon.
@@ -70,7 +70,8 @@
 pub enum Scope {
     /// All data centres: the sender received the changes from the store.
     All,
-    /// The own data centre: the changes came from a peer in another one, which informed the rest.
+    /// The sender's data centre: the changes came from a peer in another data centre, which sends
+    /// them to the remaining ones itself.
     Local,
 }
 
@@ -275,8 +276,8 @@
             .candidates
             .keys()
             .filter(|address| !self.seeds.contains(address));
-        let others = self.seeds.iter().chain(candidates);
-        targets.extend(others.filter(|address| !self.contains(**address)));
+        let unknown = self.seeds.iter().chain(candidates);
+        targets.extend(unknown.filter(|address| !self.contains(**address)));
         targets
     }
 
@@ -303,13 +304,13 @@
             .peers
             .values()
             .filter(|peer| !peer.silent && !peer.leaving);
-        let mut place = 0;
+        let mut rank = 0;
         let mut count = 1;
         for peer in alive {
             count += 1;
-            place += usize::from(peer.incarnation < self.incarnation);
+            rank += usize::from(peer.incarnation < self.incarnation);
         }
-        (place, count)
+        (rank, count)
     }
 
     /// Returns this process's rank among the live processes of a data centre.
@@ -338,11 +339,11 @@
             (true, Scope::Local) => return Vec::new(),
             (false, Scope::All | Scope::Local) => {}
         }
-        let mut audience = Vec::new();
+        let mut recipients = Vec::new();
         let mut firsts: HashMap<&str, (Incarnation, SocketAddr)> = HashMap::new();
         for (address, peer) in &self.peers {
             if peer.data_centre == own {
-                audience.push(*address);
+                recipients.push(*address);
                 continue;
             }
             if peer.silent || peer.leaving || scope == Scope::Local {
@@ -352,8 +353,8 @@
             let first = firsts.entry(&peer.data_centre).or_insert(one);
             *first = one.min(*first);
         }
-        audience.extend(firsts.into_values().map(|(_, address)| address));
-        audience
+        recipients.extend(firsts.into_values().map(|(_, address)| address));
+        recipients
     }
 
     /// Returns the echo of a peer's last timestamp.
--- a/components/spread/src/exchange.rs
+++ b/components/spread/src/exchange.rs
@@ -60,8 +60,8 @@
         if self.gate.is_open() && !self.is_reader(now) {
             return;
         }
-        // Entries of other data centres send no heartbeats unless requested, so this one carries a
-        // nonce to answer.
+        // Entries of other data centres send heartbeats to this process only in reply, so this one
+        // carries a nonce.
         let heartbeat = self.heartbeat(self.gate.nonce());
         for to in self.sample_remote_readers(now) {
             self.members.record_probe(&to, now);
@@ -328,8 +328,8 @@
         if outcome == Outcome::InForce {
             self.report_in_force(environment.clone(), actions);
         }
-        // Inside a data centre the sender sends to all; documents from other data centres are
-        // forwarded.
+        // A sender in this data centre sends the document to all its processes; documents from
+        // other data centres are forwarded.
         if revision > held && !self.is_neighbour(&from) {
             for to in self.neighbours() {
                 self.push(&to, &environment, false, actions);
--- a/components/spread/src/freshness.rs
+++ b/components/spread/src/freshness.rs
@@ -15,7 +15,7 @@
     Revision, //
 };
 
-/// Age of the newest claim at which the first process asks the store.
+/// Age of the newest claim at which the process of rank 0 asks the store.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Additional age per process of lower rank. If that process asks in time, its claim arrives before
@@ -34,8 +34,8 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(1200);
 
 /// Backoff per process of the fleet while the store answers none of them. It bounds the rate of
-/// retries of the whole fleet whatever its size, and the first process that succeeds tells the
-/// others.
+/// retries of the whole fleet whatever its size. The claim of the first process that succeeds ends
+/// the backoff of the others.
 const FLEET_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Time over which the processes that share the last turn are spread.
@@ -67,11 +67,11 @@
     confirmed_at: Option<Clock>,
     /// Claim with the highest revision that is not applied yet.
     pending_claim: Option<Claim>,
-    /// When missing changes were discovered.
+    /// Time at which missing changes were discovered; `None` if none are missing.
     behind_since: Option<Clock>,
-    /// Whether this process discovered them itself, by a call to the store.
+    /// Whether this process discovered the missing changes itself, by a call to the store.
     discovered: bool,
-    /// Time of the newest claim, which determines the turns.
+    /// Time of the newest claim, from which the turns are counted.
     newest_claim: Option<Clock>,
     /// Earliest time of the next call to the store.
     retry_at: Clock,
@@ -115,8 +115,8 @@
 
     /// Additional delay of this process within the last turn.
     fn last_turn_delay(&self) -> Duration {
-        let position = self.rank.saturating_sub(MAX_TURNS);
-        LAST_TURN_SPREAD * position / self.process_count.max(1)
+        let rank_in_turn = self.rank.saturating_sub(MAX_TURNS);
+        LAST_TURN_SPREAD * rank_in_turn / self.process_count.max(1)
     }
 
     /// Records that all changes up to a revision are applied.
@@ -202,8 +202,9 @@
 
     /// Returns when this process should ask the store whether its state is current.
     pub fn next_check(&self) -> Clock {
-        let turn = CHECK_INTERVAL + TURN_DELAY * self.rank.min(MAX_TURNS) + self.last_turn_delay();
-        let due = self.newest_claim.map_or(Clock::ZERO, |at| at + turn);
+        let check_age =
+            CHECK_INTERVAL + TURN_DELAY * self.rank.min(MAX_TURNS) + self.last_turn_delay();
+        let due = self.newest_claim.map_or(Clock::ZERO, |at| at + check_age);
         due.max(self.retry_at)
     }
 
--- a/components/spread/src/gate.rs
+++ b/components/spread/src/gate.rs
@@ -44,7 +44,7 @@
     held: BTreeMap<Environment, Revision>,
 }
 
-/// Decides when a process becomes ready to serve.
+/// Decides when a process is ready to serve.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Gate {
     nonce: Nonce,
--- a/components/spread/src/membership.rs
+++ b/components/spread/src/membership.rs
@@ -13,7 +13,7 @@
 //! - A host leaves before the list shows it: its own announcement counts, for as long as its
 //!   incarnation lasts. The list still reports a restarted host as leaving: the report counts only
 //!   for the incarnation that it was first made for. A list in which more than half of the hosts
-//!   are leaving is wrong, and its leaving marks are ignored.
+//!   are leaving is wrong, and its reports of leaving hosts are ignored.
 
 use std::{
     collections::BTreeMap,
@@ -83,7 +83,7 @@
     pub data_centre: DataCentre,
     /// Kind of process on the host.
     pub role: Role,
-    /// Random id of its process; 0 until its first heartbeat.
+    /// Random id of the host's process; 0 until its first heartbeat.
     pub incarnation: Nonce,
     /// Whether the newest complete list, or a later one, contains the host.
     listed: bool,
@@ -91,11 +91,11 @@
     list_leaving: Option<Nonce>,
     /// Whether the host announced that it is leaving.
     announced_leaving: bool,
-    /// First probe since its last heartbeat.
+    /// Time of the first probe since the last heartbeat.
     first_unanswered_probe: Option<Clock>,
-    /// Last probe.
+    /// Time of the last probe.
     last_probe: Clock,
-    /// Last heartbeat, or when the host became known.
+    /// Time of the last heartbeat, or at which the host became known.
     last_heartbeat: Clock,
 }
 
@@ -135,7 +135,7 @@
     pub data_centre: DataCentre,
     /// Kind of process on the host.
     pub role: Role,
-    /// Random id of its process.
+    /// Random id of the host's process.
     pub incarnation: Nonce,
     /// Whether the host accepts no new work.
     pub leaving: bool,
@@ -205,8 +205,8 @@
         }
     }
 
-    /// Removes hosts that are neither listed nor heard from, and makes suspect hosts live again
-    /// that have not been probed for a while, so that they are probed again.
+    /// Removes hosts that are neither listed nor send heartbeats, and makes suspect hosts live
+    /// again that have not been probed for a while, so that they are probed again.
     pub fn expire(&mut self, now: Clock) {
         self.members.retain(|_, member| {
             member.listed || now.saturating_sub(member.last_heartbeat) < REMOVAL_TIMEOUT
--- a/components/spread/src/readers.rs
+++ b/components/spread/src/readers.rs
@@ -48,7 +48,7 @@
 
 impl Replica {
     /// Returns the other entries of the data centre, including suspect ones, as they may still be
-    /// well.
+    /// alive.
     pub(crate) fn neighbours(&self) -> Vec<Host> {
         let own = &self.identity;
         let is_neighbour = |(host, member, _): &(&Host, &crate::membership::Member, State)| {
@@ -111,25 +111,27 @@
 
     fn other_data_centres(&self) -> BTreeSet<DataCentre> {
         let members = self.members.iter(Clock::ZERO);
-        let mut others: BTreeSet<_> = members
+        let mut data_centres: BTreeSet<_> = members
             .filter(|(_, member, _)| member.role == Role::Entry)
             .map(|(_, member, _)| member.data_centre.clone())
             .collect();
-        others.remove(&self.identity.data_centre);
-        others
+        data_centres.remove(&self.identity.data_centre);
+        data_centres
     }
 
     /// Returns the readers of all other data centres.
     pub(crate) fn remote_readers(&self, now: Clock) -> Vec<Host> {
-        let others = self.other_data_centres();
-        let readers = others.iter().flat_map(|name| self.readers_of(name, now));
+        let data_centres = self.other_data_centres();
+        let readers = data_centres
+            .iter()
+            .flat_map(|name| self.readers_of(name, now));
         readers.collect()
     }
 
     /// Returns one random reader from each of a few random other data centres.
     pub(crate) fn sample_remote_readers(&mut self, now: Clock) -> Vec<Host> {
-        let others: Vec<_> = self.other_data_centres().into_iter().collect();
-        let chosen: Vec<_> = others
+        let data_centres: Vec<_> = self.other_data_centres().into_iter().collect();
+        let chosen: Vec<_> = data_centres
             .sample(&mut self.rng, REMOTE_HEARTBEATS)
             .cloned()
             .collect();
@@ -191,7 +193,8 @@
         actions.extend(messages);
     }
 
-    /// Reports the revisions held in this data centre, and requests those of the others.
+    /// Reports the revisions held in this data centre, and requests those of the other data
+    /// centres.
     pub(crate) fn survey(&mut self, survey: u64, now: Clock, actions: &mut Vec<Action>) {
         let inventory = self.inventory(now);
         actions.push(Action::Inventory { survey, inventory });
--- a/components/spread/src/replica.rs
+++ b/components/spread/src/replica.rs
@@ -1,7 +1,7 @@
 //! All documents and facts of one process, and the schedule of its messages.
 //!
 //! In each data centre two entries, the readers, watch the store by long polling. Every entry
-//! computes who they are by rendezvous hashing over the live entries that it knows. A reader sends
+//! computes the readers by rendezvous hashing over the live entries that it knows. A reader sends
 //! what it receives from the store to its data centre. Every entry sends a heartbeat with digests
 //! to every entry of its data centre, and a reader also to a few readers of other data centres.
 //! Where digests differ, the newer data is sent. Detailed facts stay inside a data centre;
@@ -15,8 +15,8 @@
 //!   other readers are out of phase, so one of them usually reports a change earlier.
 //! - *A reader dies or can't reach the store.* It becomes suspect after
 //!   [`crate::membership::SUSPECT_TIMEOUT`], or announces the failure in its heartbeats, and the
-//!   next entry in rendezvous order watches as well. If two processes disagree on who is live,
-//!   there is a watch too many, never one too few.
+//!   next entry in rendezvous order watches as well. If two processes disagree on which hosts are
+//!   live, there may be more readers than needed, but never fewer.
 //! - *A data centre is partitioned off.* Its readers watch the store themselves. If they can't
 //!   reach the store either, its entries keep what they have. After the partition the first
 //!   heartbeat between readers reveals the difference, and the watch continues from the revision
--- a/components/spread/src/slot.rs
+++ b/components/spread/src/slot.rs
@@ -1,6 +1,6 @@
 //! Document of one environment in one process.
 //!
-//! This prevents a rollback: a process brings a document into force that no other process has,
+//! A slot prevents a rollback: a process brings a document into force that no other process has,
 //! dies, and is replaced while the store is unavailable. Its replacement receives an older document
 //! from the neighbours, and callers see traffic return to a version that had been removed. A
 //! document from the store is therefore *pending* until another process reports that it holds it
--- a/components/spread/src/watch.rs
+++ b/components/spread/src/watch.rs
@@ -19,13 +19,13 @@
     RngExt, //
 };
 
-/// Longest wait that the store is asked for; the shortest is half of it.
+/// Longest wait that a watch requests from the store; the shortest is half of it.
 pub const MAX_WAIT: Duration = Duration::from_secs(6);
 
 /// Time beyond the requested wait after which a call counts as silent.
 pub const RESPONSE_GRACE: Duration = Duration::from_secs(2);
 
-/// Backoff after a first failure; it doubles with each.
+/// Backoff after a first failure; it doubles with each further one.
 const MIN_BACKOFF: Duration = Duration::from_millis(250);
 
 /// Limit on the backoff.
--- a/components/spread/tests/freshness.rs
+++ b/components/spread/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Freshness of replicated state: claims, turns, fetches and backoff.
+//! Freshness of replicated state: claims, order of the checks, fetches and backoff.
 
 use std::time::Duration;
 
