--- a/components/admission/src/quota.rs
+++ b/components/admission/src/quota.rs
@@ -20,7 +20,7 @@
 
 /// Share of the usable part for retries of requests without an answer; the rest is reserved for
 /// answers that have begun, whose loss costs more.
-const FIRST_ATTEMPT_SHARE: f64 = 0.75;
+const UNANSWERED_REQUEST_SHARE: f64 = 0.75;
 
 /// Bound on the retries of all processes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -90,7 +90,7 @@
         let slack = bound.slack * peers.coverage.clamp(0.0, 1.0);
         let mut allowed = (bound.ratio * f64::from(requests) + slack) * USABLE_SHARE;
         if purpose == Purpose::First {
-            allowed *= FIRST_ATTEMPT_SHARE;
+            allowed *= UNANSWERED_REQUEST_SHARE;
         }
         if f64::from(retries) + peers.unreported + 1.0 > allowed {
             return false;
--- a/components/answer/src/silence.rs
+++ b/components/answer/src/silence.rs
@@ -50,9 +50,9 @@
 /// Factor on the expected time from which a server counts as much slower.
 const SLOWER_FACTOR: f64 = 2.0;
 
-/// Age from which a run must appear in its server's report of running requests, which is some
+/// Minimum age of a run that must appear in its server's report of running requests, which is some
 /// hundred milliseconds old.
-const REPORT_MIN_AGE: Duration = Duration::from_millis(1000);
+const MIN_REPORTED_RUN_AGE: Duration = Duration::from_millis(1000);
 
 /// Factor on the expected time of the first event after which a run is checked.
 const EXPECTED_CHECK_FACTOR: f64 = 1.8;
@@ -160,7 +160,7 @@
     /// Records that the server was alive at this silence.
     pub fn record_alive(&mut self, silence: Duration) {
         self.suspected = false;
-        let recent = self.started || silence < REPORT_MIN_AGE;
+        let recent = self.started || silence < MIN_REPORTED_RUN_AGE;
         self.next_check = silence
             + if recent {
                 CHECK_INTERVAL
@@ -197,7 +197,7 @@
         };
         let check_at = check_at.max(self.next_check);
         if silence >= check_at {
-            return match self.started || silence < REPORT_MIN_AGE {
+            return match self.started || silence < MIN_REPORTED_RUN_AGE {
                 true => Advice::Connect,
                 false => Advice::QueryServer,
             };
--- a/components/moves/src/judge.rs
+++ b/components/moves/src/judge.rs
@@ -29,7 +29,7 @@
         Tally, //
     },
     history::History,
-    plan::SLOTS,
+    plan::SLOTS_PER_MOVE,
     share::{
         Level,
         Side, //
@@ -45,17 +45,17 @@
 pub const HOLD_THRESHOLD: f64 = 4.0;
 
 /// Assumed ratios of a bad version's failure or slowness rate to the old version's.
-const RATIOS: [f64; 4] = [2.0, 4.0, 12.0, 64.0];
+const BAD_RATE_RATIOS: [f64; 4] = [2.0, 4.0, 12.0, 64.0];
 
 /// Weight of an onset in the first slot; later onsets share the rest.
 const FIRST_SLOT_ONSET_WEIGHT: f64 = 0.4;
 
 /// Successful requests of the new version required for the full share; smaller shares require
 /// proportionally fewer.
-const REQUESTS_FOR_FULL: f64 = 1000.0;
+const REQUESTS_FOR_FULL_SHARE: f64 = 1000.0;
 
 /// Requests of the new version required on each route for the full share.
-const REQUESTS_PER_ROUTE: u32 = 20;
+const MIN_REQUESTS_PER_ROUTE: u32 = 20;
 
 /// Quantity that a test compares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -127,7 +127,7 @@
 
 /// Evidence of one test: log likelihood ratios by slot and assumed ratio.
 struct Series {
-    slots: Vec<[f64; RATIOS.len()]>,
+    slots: Vec<[f64; BAD_RATE_RATIOS.len()]>,
     history: History,
     by_slot: Vec<(u32, u32)>,
     new: (u32, u32),
@@ -137,9 +137,9 @@
 impl Series {
     fn new() -> Self {
         Self {
-            slots: vec![[0.0; RATIOS.len()]; SLOTS as usize],
+            slots: vec![[0.0; BAD_RATE_RATIOS.len()]; SLOTS_PER_MOVE as usize],
             history: History::default(),
-            by_slot: vec![(0, 0); SLOTS as usize],
+            by_slot: vec![(0, 0); SLOTS_PER_MOVE as usize],
             new: (0, 0),
             old: (0, 0),
         }
@@ -164,7 +164,7 @@
         }
         let share = level.share();
         let sums = &mut self.slots[usize::from(slot)];
-        for (sum, ratio) in sums.iter_mut().zip(RATIOS) {
+        for (sum, ratio) in sums.iter_mut().zip(BAD_RATE_RATIOS) {
             let normalizer = ratio * share + 1.0 - share;
             *sum += f64::from(new) * (ratio / normalizer).ln() - f64::from(old) * normalizer.ln();
         }
@@ -177,7 +177,7 @@
         };
         let good = f64::from(requests.saturating_sub(events));
         let sums = &mut self.slots[usize::from(slot)];
-        for (sum, ratio) in sums.iter_mut().zip(RATIOS) {
+        for (sum, ratio) in sums.iter_mut().zip(BAD_RATE_RATIOS) {
             let worse = (ratio * rate).min((1.0 + rate) / 2.0);
             *sum += f64::from(events) * (worse / rate).ln();
             *sum += good * ((1.0 - worse) / (1.0 - rate)).ln();
@@ -189,15 +189,15 @@
         let Some(first) = self.slots.iter().position(|slot| slot[0] != 0.0) else {
             return 1.0;
         };
-        let later = (1.0 - FIRST_SLOT_ONSET_WEIGHT) / f64::from(SLOTS - 1);
-        let mut sums = [0.0; RATIOS.len()];
+        let later = (1.0 - FIRST_SLOT_ONSET_WEIGHT) / f64::from(SLOTS_PER_MOVE - 1);
+        let mut sums = [0.0; BAD_RATE_RATIOS.len()];
         let mut total = 0.0;
         for (slot, values) in self.slots.iter().enumerate().rev() {
             for (sum, value) in sums.iter_mut().zip(values) {
                 *sum += value;
             }
             let mean = sums.iter().map(|sum| sum.min(600.0).exp()).sum::<f64>();
-            let mean = mean / RATIOS.len() as f64;
+            let mean = mean / BAD_RATE_RATIOS.len() as f64;
             match slot {
                 _ if slot == first => {
                     return total + mean * (FIRST_SLOT_ONSET_WEIGHT + later * slot as f64);
@@ -354,14 +354,14 @@
         *by_route.entry(&key.route).or_default() += pair.new.requests;
         ended += f64::from(pair.new.requests);
     }
-    let supported_permille = (ended / REQUESTS_FOR_FULL * 1000.0) as u32;
+    let supported_permille = (ended / REQUESTS_FOR_FULL_SHARE * 1000.0) as u32;
     let level = Level::at_most(supported_permille);
     if level < Level::FULL {
         return level;
     }
     let undertested = routes
         .iter()
-        .any(|route| by_route.get(route).copied().unwrap_or(0) < REQUESTS_PER_ROUTE);
+        .any(|route| by_route.get(route).copied().unwrap_or(0) < MIN_REQUESTS_PER_ROUTE);
     if undertested {
         return Level::at_most(999);
     }
--- a/components/moves/src/plan.rs
+++ b/components/moves/src/plan.rs
@@ -17,13 +17,13 @@
 ///
 /// A document with a deadline in the past would otherwise switch all traffic within a second,
 /// before any evidence of a fault can arrive.
-const MIN_SPAN: Duration = Duration::from_secs(60);
+const MIN_RAMP_SPAN: Duration = Duration::from_secs(60);
 
 /// Maximum time reserved between the end of the ramp and the deadline.
-const MAX_MARGIN: Duration = Duration::from_secs(300);
+const MAX_DEADLINE_MARGIN: Duration = Duration::from_secs(300);
 
 /// Number of time slots of a move, see [`Ramp::slot`].
-pub const SLOTS: u32 = 40;
+pub const SLOTS_PER_MOVE: u32 = 40;
 
 /// Points of the ramp, per mille of its length, at which the upper bound reaches each level.
 const UPPER_BOUND_PERMILLE: [u64; Level::COUNT] = [0, 0, 50, 100, 250, 400, 550, 650, 800, 900];
@@ -44,12 +44,12 @@
     pub fn new(plan: &Plan, began: SystemTime) -> Self {
         let began = plan.start.unwrap_or(began);
         let requested = plan.by.duration_since(began).unwrap_or_default();
-        let margin = (requested / 20).min(MAX_MARGIN);
-        let span = (requested - margin).max(MIN_SPAN);
+        let margin = (requested / 20).min(MAX_DEADLINE_MARGIN);
+        let span = (requested - margin).max(MIN_RAMP_SPAN);
         Self {
             began,
             full: began + span,
-            slot: ((span + plan.watch) / SLOTS).max(Duration::from_secs(1)),
+            slot: ((span + plan.watch) / SLOTS_PER_MOVE).max(Duration::from_secs(1)),
         }
     }
 
@@ -65,7 +65,9 @@
 
     /// Returns the length of the ramp.
     pub fn span(&self) -> Duration {
-        self.full.duration_since(self.began).unwrap_or(MIN_SPAN)
+        self.full
+            .duration_since(self.began)
+            .unwrap_or(MIN_RAMP_SPAN)
     }
 
     /// Returns the upper bound of the share at a time.
@@ -87,7 +89,8 @@
     pub fn slot(&self, wall: SystemTime) -> u16 {
         let elapsed = wall.duration_since(self.began).unwrap_or_default();
         let slot = elapsed.as_millis() / self.slot.as_millis();
-        u16::try_from(slot.min(u128::from(SLOTS) - 1)).expect("a slot is below SLOTS")
+        u16::try_from(slot.min(u128::from(SLOTS_PER_MOVE) - 1))
+            .expect("a slot is below SLOTS_PER_MOVE")
     }
 
     fn level(&self, wall: SystemTime, points: &[u64; Level::COUNT]) -> Level {
--- a/components/moves/src/rollout.rs
+++ b/components/moves/src/rollout.rs
@@ -57,7 +57,7 @@
 const IMMEDIATE_SAMPLE_FRACTION: f64 = 0.5;
 
 /// Number of time slots, which keep good answers before a fault's onset from masking it.
-const SLOTS: u32 = 8;
+const SLOTS_PER_MOVE: u32 = 8;
 
 /// Log likelihood ratio at which the new version is reverted: it is 200 times as likely to be bad.
 /// Three bad answers among few are enough where the old version gives hardly any.
@@ -352,7 +352,8 @@
     }
 
     fn cell(&mut self, now: Clock, route: RouteId) -> &mut Count {
-        let slot = (self.elapsed(now) * f64::from(SLOTS)).min(f64::from(SLOTS - 1)) as u8;
+        let slot = (self.elapsed(now) * f64::from(SLOTS_PER_MOVE))
+            .min(f64::from(SLOTS_PER_MOVE - 1)) as u8;
         let known = self.own.keys().any(|(_, known)| *known == route);
         let mut routes: Vec<_> = self.own.keys().map(|(_, route)| *route).collect();
         routes.sort_unstable();
@@ -394,10 +395,11 @@
     /// Returns how strongly the pooled counts speak against the new version: the maximum log
     /// likelihood ratio over all routes and possible onset times of a fault.
     pub fn log_likelihood_ratio(&self) -> f64 {
-        let mut routes: BTreeMap<Option<RouteId>, [Count; SLOTS as usize]> = BTreeMap::new();
+        let mut routes: BTreeMap<Option<RouteId>, [Count; SLOTS_PER_MOVE as usize]> =
+            BTreeMap::new();
         for counts in self.all_counts() {
             for ((slot, route), count) in counts {
-                let slot = usize::from(*slot).min(SLOTS as usize - 1);
+                let slot = usize::from(*slot).min(SLOTS_PER_MOVE as usize - 1);
                 for key in [None, Some(*route)] {
                     routes.entry(key).or_default()[slot].add(count);
                 }
@@ -429,7 +431,7 @@
     }
 }
 
-fn log_likelihood_ratio(slots: &[Count; SLOTS as usize]) -> f64 {
+fn log_likelihood_ratio(slots: &[Count; SLOTS_PER_MOVE as usize]) -> f64 {
     let mut all = Count::default();
     slots.iter().for_each(|count| all.add(count));
     let (min, max) = USUAL_RATE_BOUNDS;
--- a/components/moves/src/sketch.rs
+++ b/components/moves/src/sketch.rs
@@ -12,7 +12,7 @@
 };
 
 /// Maximum number of hashes; beyond it failures are counted without regard to retries.
-pub const CAPACITY: usize = 24;
+pub const MAX_HASHES: usize = 24;
 
 /// The smallest hashes of the failed requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
     /// Adds a request and returns whether the set changed.
     pub fn add(&mut self, hash: u32) -> bool {
         let added = self.0.insert(hash);
-        if self.0.len() > CAPACITY {
+        if self.0.len() > MAX_HASHES {
             return self.0.pop_last() != Some(hash);
         }
         added
@@ -47,9 +47,9 @@
 
     /// Returns the number of distinct requests, given the number of counted failures.
     pub fn distinct(&self, counted: u32) -> u32 {
-        if self.0.len() < CAPACITY {
+        if self.0.len() < MAX_HASHES {
             return self.0.len() as u32;
         }
-        counted.max(CAPACITY as u32)
+        counted.max(MAX_HASHES as u32)
     }
 }
--- a/components/moves/src/times.rs
+++ b/components/moves/src/times.rs
@@ -7,10 +7,11 @@
     Serialize, //
 };
 
-const BUCKETS: usize = 40;
+/// Maximum number of buckets; the last one also counts longer durations.
+const MAX_BUCKETS: usize = 40;
 
 /// Upper bound of the first bucket, in milliseconds.
-const FIRST_BOUND_MS: f64 = 2.0;
+const FIRST_BUCKET_BOUND_MS: f64 = 2.0;
 
 /// Ratio between adjacent bucket bounds; 40 buckets reach from 2 ms to 50 minutes.
 const BUCKET_RATIO: f64 = 1.44;
@@ -23,8 +24,11 @@
     /// Records one duration.
     pub fn record(&mut self, time: Duration) {
         let millis = time.as_secs_f64() * 1000.0;
-        let bucket = (millis / FIRST_BOUND_MS).max(1.0).log(BUCKET_RATIO).ceil() as usize;
-        let bucket = bucket.min(BUCKETS - 1);
+        let bucket = (millis / FIRST_BUCKET_BOUND_MS)
+            .max(1.0)
+            .log(BUCKET_RATIO)
+            .ceil() as usize;
+        let bucket = bucket.min(MAX_BUCKETS - 1);
         if self.0.len() <= bucket {
             self.0.resize(bucket + 1, 0);
         }
@@ -74,6 +78,6 @@
     }
 
     fn upper_bound(bucket: usize) -> Duration {
-        Duration::from_secs_f64(FIRST_BOUND_MS * BUCKET_RATIO.powi(bucket as i32) / 1000.0)
+        Duration::from_secs_f64(FIRST_BUCKET_BOUND_MS * BUCKET_RATIO.powi(bucket as i32) / 1000.0)
     }
 }
--- a/components/moves/tests/evidence.rs
+++ b/components/moves/tests/evidence.rs
@@ -13,7 +13,7 @@
         Source, //
     },
     sketch::{
-        CAPACITY,
+        MAX_HASHES,
         Sketch, //
     }, //
 };
@@ -112,5 +112,5 @@
         sketch.add(hash);
     }
     assert_eq!(sketch.distinct(104), 104);
-    assert!(sketch.contains(CAPACITY as u32 - 1) && !sketch.contains(CAPACITY as u32));
+    assert!(sketch.contains(MAX_HASHES as u32 - 1) && !sketch.contains(MAX_HASHES as u32));
 }
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -32,12 +32,12 @@
 const MIN_CONSIDERED_SERVERS: f64 = 2.0;
 
 // Penalties of a server; each outweighs all lower ones together.
-const AVOIDED_DATA_CENTRE: u8 = 1;
-const FULL: u8 = 2;
-const EJECTED: u8 = 4;
-const SUSPECTED_DATA_CENTRE: u8 = 8;
-const AVOIDED_SERVER: u8 = 16;
-const SUSPENDED: u8 = 32;
+const AVOIDED_DATA_CENTRE_PENALTY: u8 = 1;
+const FULL_PENALTY: u8 = 2;
+const EJECTED_PENALTY: u8 = 4;
+const SUSPECTED_DATA_CENTRE_PENALTY: u8 = 8;
+const AVOIDED_SERVER_PENALTY: u8 = 16;
+const SUSPENDED_PENALTY: u8 = 32;
 
 /// Memory use up to which a server takes backup copies of runs of other servers. Beyond it, memory
 /// is reserved for new work: a copy saves a prefill only if its run is lost, while a slot serves a
@@ -110,7 +110,7 @@
 impl Score {
     /// Returns whether no server had room for the work.
     pub fn is_full(&self) -> bool {
-        self.penalties & FULL != 0
+        self.penalties & FULL_PENALTY != 0
     }
 }
 
@@ -193,7 +193,7 @@
         self.pick(
             now,
             request,
-            AVOIDED_DATA_CENTRE,
+            AVOIDED_DATA_CENTRE_PENALTY,
             MAX_BACKUP_MEMORY_USE,
             rng,
         )
@@ -273,11 +273,11 @@
         let suspected =
             self.losses
                 .is_domain_suspected(now, &candidate.domain, candidate.last_alive);
-        u8::from(suspended) * SUSPENDED
-            + u8::from(avoided) * AVOIDED_SERVER
-            + u8::from(suspected) * SUSPECTED_DATA_CENTRE
-            + u8::from(ejected) * EJECTED
-            + u8::from(full) * FULL
-            + u8::from(avoided_data_centre) * AVOIDED_DATA_CENTRE
+        u8::from(suspended) * SUSPENDED_PENALTY
+            + u8::from(avoided) * AVOIDED_SERVER_PENALTY
+            + u8::from(suspected) * SUSPECTED_DATA_CENTRE_PENALTY
+            + u8::from(ejected) * EJECTED_PENALTY
+            + u8::from(full) * FULL_PENALTY
+            + u8::from(avoided_data_centre) * AVOIDED_DATA_CENTRE_PENALTY
     }
 }
--- a/components/spread/src/beacon/table.rs
+++ b/components/spread/src/beacon/table.rs
@@ -50,10 +50,10 @@
 const MAX_PEERS: usize = 1024;
 
 /// Beacon interval while there are changes to report.
-const BUSY_INTERVAL: Duration = Duration::from_millis(60);
+const BUSY_BEACON_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Beacon interval while there are none.
-const IDLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Beacon interval while there are no changes to report.
+const IDLE_BEACON_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Largest number of peers to which a process forwards all changes that it receives from the store.
 /// Several processes watch the store, each of them intermittently, so forwarding to all spreads the
@@ -382,9 +382,9 @@
     /// to report.
     pub fn beacon_interval(&self, changes: bool, bytes: usize) -> Duration {
         let usual = if changes {
-            BUSY_INTERVAL
+            BUSY_BEACON_INTERVAL
         } else {
-            IDLE_INTERVAL
+            IDLE_BEACON_INTERVAL
         };
         let all = bytes * self.targets().len();
         usual.max(Duration::from_secs_f64(
--- a/components/spread/src/readers.rs
+++ b/components/spread/src/readers.rs
@@ -41,7 +41,7 @@
 };
 
 /// Number of data centres that a reader sends a heartbeat to in each round.
-const REMOTE_HEARTBEATS: usize = 3;
+const REMOTE_HEARTBEATS_PER_ROUND: usize = 3;
 
 /// Purpose of the rendezvous order that selects the readers.
 const READER_PURPOSE: &str = "reader";
@@ -132,7 +132,7 @@
     pub(crate) fn sample_remote_readers(&mut self, now: Clock) -> Vec<Host> {
         let data_centres: Vec<_> = self.other_data_centres().into_iter().collect();
         let chosen: Vec<_> = data_centres
-            .sample(&mut self.rng, REMOTE_HEARTBEATS)
+            .sample(&mut self.rng, REMOTE_HEARTBEATS_PER_ROUND)
             .cloned()
             .collect();
         let mut hosts = Vec::new();
