--- a/components/admission/src/quota.rs
+++ b/components/admission/src/quota.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// A request that has no answer yet.
-    First,
+    Unanswered,
     /// An answer that has begun.
     Resume,
 }
@@ -89,7 +89,7 @@
         let retries = own.retries + peers.totals.retries;
         let slack = bound.slack * peers.coverage.clamp(0.0, 1.0);
         let mut allowed = (bound.ratio * f64::from(requests) + slack) * USABLE_SHARE;
-        if purpose == Purpose::First {
+        if purpose == Purpose::Unanswered {
             allowed *= UNANSWERED_REQUEST_SHARE;
         }
         if f64::from(retries) + peers.unreported + 1.0 > allowed {
--- a/components/admission/tests/quota.rs
+++ b/components/admission/tests/quota.rs
@@ -99,7 +99,7 @@
     let mut quota = Quota::default();
     let now = Duration::from_secs(1);
     quota.request(now, &BOUND);
-    while quota.retry(now, &BOUND, NO_PEERS, Purpose::First) {}
+    while quota.retry(now, &BOUND, NO_PEERS, Purpose::Unanswered) {}
     assert!(quota.retry(now, &BOUND, NO_PEERS, Purpose::Resume));
 }
 
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -171,7 +171,7 @@
         // A send that can't have reached a server doesn't count.
         if self.unsent > 0 {
             self.unsent -= 1;
-        } else if !self.context.may_send(service, first, Purpose::First) {
+        } else if !self.context.may_send(service, first, Purpose::Unanswered) {
             return None;
         }
         self.tried.push(target.server.clone());
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -162,7 +162,7 @@
             if self.ran_at.is_empty() && !self.worth_trying(&target) {
                 return Err(self.call.refuse(&Refusal::TooLittleTime));
             }
-            if !self.may_send(first, Purpose::First) {
+            if !self.may_send(first, Purpose::Unanswered) {
                 retries_spent = true;
                 break;
             }
