--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -43,7 +43,7 @@
             .loads
             .extend(own_loads.map(|(server, work)| load(server, work)));
         self.fill_prompts(beacon);
-        for (server, age, suspicion) in self.placement.recent_losses(clock::now()) {
+        for (server, age, suspicion) in self.placement.recent_suspicions(clock::now()) {
             beacon.failures.push(Failure {
                 server: beacon::id(server),
                 age_ms: age.as_millis() as u32,
@@ -140,7 +140,7 @@
             };
             let at = now.saturating_sub(Duration::from_millis(u64::from(failure.age_ms)));
             self.placement
-                .record_peer_loss(at, server, from_beacon(failure.suspicion));
+                .record_peer_suspicion(at, server, from_beacon(failure.suspicion));
         }
     }
 
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -245,7 +245,7 @@
         beacon.freshness = claim.map(|claim| Age {
             revision: claim.revision,
             // Rounded up: the claim may look older than it is, never newer.
-            ms: now.saturating_sub(claim.at).as_millis() as u64 + 1,
+            age_ms: now.saturating_sub(claim.at).as_millis() as u64 + 1,
         });
         shrink_to_fit(&mut beacon);
         let mut size = 0;
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -360,7 +360,7 @@
                 }
                 host.peers.insert(*from, (*incarnation, *stamp, now));
                 let beacon = Beacon {
-                    freshness: fresh.map(|(revision, ms)| Age { revision, ms }),
+                    freshness: fresh.map(|(revision, age_ms)| Age { revision, age_ms }),
                     echo: echo.map(|(incarnation, timestamp, delay_ms)| Echo {
                         incarnation,
                         timestamp,
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -14,7 +14,7 @@
 
 use self::{
     candidate::Candidate,
-    suspicion::Losses, //
+    suspicion::Suspicions, //
 };
 use crate::{
     Outcome,
@@ -110,7 +110,7 @@
 pub struct Placement {
     settings: Settings,
     candidates: BTreeMap<Server, Candidate>,
-    losses: Losses,
+    suspicions: Suspicions,
     /// Mean time of a request, in seconds, by service.
     request_times: HashMap<Service, f64>,
     /// Mean time to process one prompt token, in seconds, by service.
@@ -310,7 +310,7 @@
             return;
         };
         candidate.suspend(now, suspicion);
-        self.losses
+        self.suspicions
             .record(now, candidate.domain.clone(), server, suspicion);
     }
 
@@ -318,7 +318,7 @@
     /// its data centre that it is probably unresponsive too.
     pub fn suspected_since(&self, now: Clock, server: &Server) -> Option<Clock> {
         let candidate = self.candidates.get(server)?;
-        self.losses
+        self.suspicions
             .suspected_since(now, &candidate.domain, server, candidate.last_alive)
     }
 
@@ -383,12 +383,12 @@
     }
 
     /// Returns the recent suspicions of this process and its peers, with their age.
-    pub fn recent_losses(&self, now: Clock) -> Vec<(&Server, Duration, Suspicion)> {
-        self.losses.recent(now)
+    pub fn recent_suspicions(&self, now: Clock) -> Vec<(&Server, Duration, Suspicion)> {
+        self.suspicions.recent(now)
     }
 
     /// Records a suspicion of a peer from the time `at`, unless newer evidence is known.
-    pub fn record_peer_loss(&mut self, at: Clock, server: &Server, suspicion: Suspicion) {
+    pub fn record_peer_suspicion(&mut self, at: Clock, server: &Server, suspicion: Suspicion) {
         let Some(candidate) = self.candidates.get(server) else {
             return;
         };
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -142,7 +142,7 @@
                 continue;
             }
             let is_suspected =
-                self.losses
+                self.suspicions
                     .is_domain_suspected(now, &candidate.domain, candidate.last_alive);
             if is_suspected || candidate.member.is_ejected(now) || candidate.member.is_refusing(now)
             {
@@ -271,7 +271,7 @@
         let avoided_data_centre = request.avoid_data_centre == Some(&candidate.spec.data_centre);
         let suspended = candidate.is_suspended(now);
         let suspected =
-            self.losses
+            self.suspicions
                 .is_domain_suspected(now, &candidate.domain, candidate.last_alive);
         u8::from(suspended) * SUSPENDED_PENALTY
             + u8::from(avoided) * AVOIDED_SERVER_PENALTY
--- a/components/routing/src/placement/suspicion.rs
+++ b/components/routing/src/placement/suspicion.rs
@@ -59,11 +59,11 @@
 
 /// Servers that were recently suspected, by failure domain.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Losses {
+pub(super) struct Suspicions {
     domains: HashMap<Domain, HashMap<Server, (Clock, Suspicion)>>,
 }
 
-impl Losses {
+impl Suspicions {
     pub(super) fn record(
         &mut self,
         now: Clock,
@@ -71,25 +71,25 @@
         server: &Server,
         suspicion: Suspicion,
     ) {
-        let lost = self.domains.entry(domain).or_default();
-        lost.retain(|_, (at, _)| now.saturating_sub(*at) <= DOMAIN_SUSPICION_TIME);
-        lost.insert(server.clone(), (now, suspicion));
+        let suspected = self.domains.entry(domain).or_default();
+        suspected.retain(|_, (at, _)| now.saturating_sub(*at) <= DOMAIN_SUSPICION_TIME);
+        suspected.insert(server.clone(), (now, suspicion));
     }
 
-    /// Returns whether so many servers were lost together that another server of the domain, last
-    /// known to be alive at `last_alive`, is probably lost too.
+    /// Returns whether so many servers were suspected together that another server of the domain,
+    /// last known to be alive at `last_alive`, is probably lost too.
     pub(super) fn is_domain_suspected(
         &self,
         now: Clock,
         domain: &Domain,
         last_alive: Clock,
     ) -> bool {
-        let Some(lost) = self.domains.get(domain) else {
+        let Some(suspected) = self.domains.get(domain) else {
             return false;
         };
         let mut weight = 0;
-        for (at, suspicion) in lost.values() {
-            // Losses from before the last evidence that the server is alive don't count.
+        for (at, suspicion) in suspected.values() {
+            // Suspicions from before the last evidence that the server is alive don't count.
             if now.saturating_sub(*at) <= DOMAIN_SUSPICION_TIME && last_alive <= *at {
                 weight += suspicion.weight();
             }
@@ -108,26 +108,26 @@
         server: &Server,
         last_alive: Clock,
     ) -> Option<Clock> {
-        let lost = self.domains.get(domain)?;
+        let suspected = self.domains.get(domain)?;
         let is_unresponsive = |(at, suspicion): &(Clock, Suspicion)| {
             *suspicion == Suspicion::Unresponsive && *at >= last_alive
         };
-        let own = lost.get(server).copied().filter(is_unresponsive);
+        let own = suspected.get(server).copied().filter(is_unresponsive);
         if let Some((at, _)) = own {
             return Some(at);
         }
         if !self.is_domain_suspected(now, domain, last_alive) {
             return None;
         }
-        let all = lost.values().copied().filter(is_unresponsive);
+        let all = suspected.values().copied().filter(is_unresponsive);
         all.map(|(at, _)| at).max()
     }
 
     /// Returns the suspicions to share with peers, with their age.
     pub(super) fn recent(&self, now: Clock) -> Vec<(&Server, Duration, Suspicion)> {
         let mut recent = Vec::new();
-        for lost in self.domains.values() {
-            for (server, (at, suspicion)) in lost {
+        for suspected in self.domains.values() {
+            for (server, (at, suspicion)) in suspected {
                 let age = now.saturating_sub(*at);
                 if age <= MAX_SHARED_AGE {
                     recent.push((server, age, *suspicion));
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -94,7 +94,7 @@
     /// Store revision.
     pub revision: Revision,
     /// Milliseconds since the revision was the store's newest.
-    pub ms: u64,
+    pub age_ms: u64,
 }
 
 /// Echoed timestamp that gives its owner a lower bound for when the message was created. The time
@@ -217,12 +217,12 @@
     /// without a claim, and without an echo from the receiver's current run, as the age of the
     /// beacon is then unknown.
     pub fn claim(&self, receiver: Incarnation) -> Option<Claim> {
-        let age = self.freshness?;
+        let freshness = self.freshness?;
         let echo = self.echo.filter(|echo| echo.incarnation == receiver)?;
         let created = Duration::from_millis(echo.timestamp + echo.delay_ms);
         Some(Claim {
-            revision: age.revision,
-            at: created.saturating_sub(Duration::from_millis(age.ms)),
+            revision: freshness.revision,
+            at: created.saturating_sub(Duration::from_millis(freshness.age_ms)),
         })
     }
 }
--- a/components/spread/tests/beacon.rs
+++ b/components/spread/tests/beacon.rs
@@ -123,7 +123,7 @@
     let answer = Beacon {
         freshness: Some(Age {
             revision: 7,
-            ms: 100,
+            age_ms: 100,
         }),
         echo: table.echo(MILLISECOND * 40, address(2)),
         ..beacon(1, 1, Duration::ZERO)
