--- a/components/admission/src/wait.rs
+++ b/components/admission/src/wait.rs
@@ -1,9 +1,9 @@
 //! How long a stream may wait for an engine, and with which priority.
 //!
 //! Under several times more load than the engines can serve, streams whose first event can still be
-//! on time go before all others of their rank. The others wait for a small part of their remaining
-//! time only, as the overload may end meanwhile, and are refused early otherwise. A caller that is
-//! refused early can still go elsewhere.
+//! on time go before all late ones of their rank. Late streams wait for a small part of their
+//! remaining time only, as the overload may end meanwhile, and are refused early otherwise. A
+//! caller that is refused early can still go elsewhere.
 
 use std::time::Duration;
 
--- a/components/routing/src/choose.rs
+++ b/components/routing/src/choose.rs
@@ -120,9 +120,9 @@
     }
 
     /// Returns the replicas that may get work: those that are healthy and neither draining nor
-    /// ejected. At least `min_usable_share` of the replicas that are not draining is returned, the
-    /// least bad ones first, so that a faulty health check or a failure common to all replicas does
-    /// not leave callers without a server.
+    /// ejected. At least `min_usable_share` of the replicas that are not draining is returned,
+    /// adding those with the lowest `unfitness` first, so that a faulty health check or a failure
+    /// common to all replicas does not leave callers without a server.
     fn usable(&self, now: Clock, group: &Group) -> Vec<usize> {
         let mut usable = Vec::new();
         let mut unusable = Vec::new();
--- a/components/routing/src/subset.rs
+++ b/components/routing/src/subset.rs
@@ -25,8 +25,9 @@
     pub data_centre: DataCentre,
 }
 
-/// Chooses at most `max_links` hosts. The choice depends only on the names, so that it changes
-/// little when hosts join or leave, and each sidecar gets about the same number of links.
+/// Chooses at most `max_links` hosts for the entry `own` in `data_centre`. The choice depends only
+/// on the names, so that it changes little when hosts join or leave, and each sidecar gets about
+/// the same number of links.
 pub fn choose(
     own: &Host,
     data_centre: &DataCentre,
