--- a/components/admission/src/concurrency.rs
+++ b/components/admission/src/concurrency.rs
@@ -12,14 +12,15 @@
 /// Interval at which the limit adapts to late requests.
 const ADAPTATION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Number of requests in an interval below which the limit is not adapted.
+/// Number of answered requests in an interval below which the limit is not adapted.
 const MIN_REQUESTS_PER_INTERVAL: u32 = 10;
 
-/// Factor by which the limit is lowered, and the share that it regains in an interval.
+/// Factor by which late requests lower the limit, and the share of its maximum that it regains in
+/// an interval without them.
 const LIMIT_STEPS: (f64, f64) = (0.9, 0.02);
 
 /// Concurrency limit. The capacity that replicas report bounds it from above. Times to the first
-/// token above their target lower it, as they reveal queues that reports don't show.
+/// output above their target lower it, as they reveal queues that reports don't show.
 #[derive(Clone, Debug)]
 pub(crate) struct Concurrency {
     max: f64,
@@ -53,18 +54,18 @@
     pub(crate) fn finished(
         &mut self,
         time: Duration,
-        first_token: Option<Duration>,
+        first_output: Option<Duration>,
         target: Duration,
     ) {
         // Early measurements weigh more, so that they quickly replace the assumed time.
         self.finished = self.finished.saturating_add(1);
         let weight = MIN_EWMA_WEIGHT.max(1.0 / f64::from(self.finished.saturating_add(1)));
         self.mean_time_s = self.mean_time_s * (1.0 - weight) + time.as_secs_f64() * weight;
-        let Some(first_token) = first_token else {
+        let Some(first_output) = first_output else {
             return;
         };
         self.answered += 1;
-        if first_token > target {
+        if first_output > target {
             self.late += 1;
         }
     }
@@ -77,7 +78,7 @@
         }
         let late = f64::from(self.late) / f64::from(self.answered);
         self.factor = if late > settings.max_late_share {
-            (self.factor * LIMIT_STEPS.0).max(settings.min_factor)
+            (self.factor * LIMIT_STEPS.0).max(settings.min_concurrency_factor)
         } else {
             (self.factor + LIMIT_STEPS.1).min(1.0)
         };
--- a/components/admission/tests/gate.rs
+++ b/components/admission/tests/gate.rs
@@ -77,11 +77,11 @@
         harness
     }
 
-    fn report(&mut self, capacity: u32, load: u32, entries: u32) {
+    fn report(&mut self, capacity: u32, load: u32, processes: u32) {
         self.gate.report(Report {
             capacity,
             load,
-            entries,
+            processes,
         });
     }
 
@@ -111,7 +111,7 @@
         self.arrive(team, UNLIMITED, false)
     }
 
-    /// Finishes the oldest request and admits others.
+    /// Finishes the oldest request and admits queued ones.
     fn finish(&mut self) -> Vec<Released> {
         let (team, priority) = self.running.remove(0);
         let done = Done {
@@ -119,7 +119,7 @@
             cost: 1,
             used: self.used,
             time: SECOND,
-            first_token: Some(SECOND / 10),
+            first_output: Some(SECOND / 10),
         };
         self.gate.finish(&team, &done);
         *self.served.entry(team).or_default() += 1;
@@ -201,11 +201,11 @@
 #[test]
 fn new_team_gets_its_share_and_no_more() {
     let mut harness = Harness::new(1);
-    for turn in 0..330 {
+    for round in 0..330 {
         for team in ["a", "b"] {
             harness.arrive_new(team);
         }
-        if turn >= 300 {
+        if round >= 300 {
             harness.arrive_new("new");
         }
         harness.finish();
@@ -229,11 +229,11 @@
     }
     harness.finish();
     harness.used = 1;
-    for turn in 0..60 {
+    for round in 0..60 {
         for team in ["a", "b"] {
             harness.arrive_new(team);
         }
-        if turn > 10 {
+        if round > 10 {
             harness.arrive_new("sly");
         }
         harness.finish();
@@ -361,13 +361,17 @@
 #[case::even(100, 4, 25)]
 #[case::rounded_up(2, 4, 1)]
 #[case::none(0, 4, 0)]
-fn limits_are_divided_among_entries(#[case] limit: u32, #[case] entries: u32, #[case] own: u32) {
+fn limits_are_divided_among_processes(
+    #[case] limit: u32,
+    #[case] processes: u32,
+    #[case] own: u32,
+) {
     let system_limit = Limit {
         in_flight: limit,
         rate: limit,
         ..UNLIMITED
     };
-    let divided = system_limit.divided(entries);
+    let divided = system_limit.divided(processes);
     assert_eq!((divided.in_flight, divided.rate), (own, own));
 }
 
@@ -586,15 +590,15 @@
 fn concurrency_follows_reports(
     #[case] capacity: u32,
     #[case] load: u32,
-    #[case] entries: u32,
+    #[case] processes: u32,
     #[case] limit: u32,
 ) {
     let mut harness = Harness::new(1);
-    harness.report(capacity, load, entries);
+    harness.report(capacity, load, processes);
     assert_eq!(harness.gate.limit(), limit);
 }
 
-// Guards against rounding up fractional slots: four entries share ten slots, and if each rounded
+// Guards against rounding up fractional slots: four processes share ten slots, and if each rounded
 // its two and a half up, the engines would always be two over capacity and no answer would be in
 // time.
 #[test]
@@ -612,7 +616,7 @@
 }
 
 /// Finishes requests over some seconds, each with the given time to the first token.
-fn serve_with_first_token(harness: &mut Harness, seconds: u32, first_token: Duration) {
+fn serve_with_first_output(harness: &mut Harness, seconds: u32, first_output: Duration) {
     for _ in 0..seconds {
         for _ in 0..20 {
             harness.arrive_new("a");
@@ -622,7 +626,7 @@
                 cost: 1,
                 used: 1,
                 time: SECOND,
-                first_token: Some(first_token),
+                first_output: Some(first_output),
             };
             harness.gate.finish(&team, &done);
         }
@@ -636,11 +640,11 @@
 #[test]
 fn late_first_tokens_lower_the_concurrency() {
     let mut harness = Harness::new(100);
-    serve_with_first_token(&mut harness, 5, 3 * SECOND);
+    serve_with_first_output(&mut harness, 5, 3 * SECOND);
     assert!(harness.gate.limit() < 65, "{}", harness.gate.limit());
-    serve_with_first_token(&mut harness, 100, 3 * SECOND);
+    serve_with_first_output(&mut harness, 100, 3 * SECOND);
     assert_eq!(harness.gate.limit(), 30);
-    serve_with_first_token(&mut harness, 40, SECOND / 10);
+    serve_with_first_output(&mut harness, 40, SECOND / 10);
     assert_eq!(harness.gate.limit(), 100);
 }
 
@@ -689,8 +693,8 @@
     }
 }
 
-// Guards against refusals of a new entry: sixty callers arrive before any replica has reported and
-// any request has ended, and would be told to retry while engines are idle.
+// Guards against refusals of a new process: sixty callers arrive before any replica has reported
+// and any request has ended, and would have to retry while engines are idle.
 #[test]
 fn initial_burst_is_served() {
     let mut gate = Gate::new(Settings::default());
--- a/components/answer/src/silence.rs
+++ b/components/answer/src/silence.rs
@@ -2,10 +2,11 @@
 //!
 //! The typical failure is a whole data centre of engines that stops responding without closing
 //! connections, while other engines pause for a moment as they process a long prompt. Waiting long
-//! delays the answer; leaving at once costs a prefill. So there are two limits. At the first one
-//! the server is checked: by a new connection, which a live server accepts within a round trip, or,
-//! for an older run without an event, by a query for its running requests. At the second one the
-//! run counts as lost whatever the server responds, since a connection can die alone.
+//! delays the answer; moving to another server at once costs a prefill. So there are two limits. At
+//! the first one the server is checked: by a new connection, which a live server accepts within a
+//! round trip, or, for an older run without an event, by a query for its running requests. At the
+//! second one the run counts as lost whatever the server responds, since a connection can fail
+//! while its server is alive.
 
 use std::time::Duration;
 
@@ -34,7 +35,7 @@
 
 /// Fraction of the first-event objective after which a run without an event counts as lost though
 /// its server is alive. A prefill elsewhere costs more than a late answer earns, so the limit
-/// targets only a connection that died alone.
+/// targets only a connection that failed while its server is alive.
 const FIRST_LOST_FRACTION: f64 = 1.2;
 
 /// Interval between checks of the same silence in a started stream.
@@ -49,9 +50,9 @@
 /// Factor on the expected time from which a server counts as much slower.
 const SLOWER_FACTOR: f64 = 2.0;
 
-/// Age from which a run must appear in its server's report of running requests, which is some
+/// Minimum age of a run that must appear in its server's report of running requests, which is some
 /// hundred milliseconds old.
-const REPORT_MIN_AGE: Duration = Duration::from_millis(1000);
+const MIN_REPORTED_RUN_AGE: Duration = Duration::from_millis(1000);
 
 /// Factor on the expected time of the first event after which a run is checked.
 const EXPECTED_CHECK_FACTOR: f64 = 1.8;
@@ -149,7 +150,7 @@
     /// Records an event, `gap` after the previous one or the run's start.
     pub fn record_event(&mut self, gap: Duration) {
         if self.started {
-            self.threshold.learn(gap);
+            self.threshold.record(gap);
         }
         self.started = true;
         self.next_check = Duration::ZERO;
@@ -159,7 +160,7 @@
     /// Records that the server was alive at this silence.
     pub fn record_alive(&mut self, silence: Duration) {
         self.suspected = false;
-        let recent = self.started || silence < REPORT_MIN_AGE;
+        let recent = self.started || silence < MIN_REPORTED_RUN_AGE;
         self.next_check = silence
             + if recent {
                 CHECK_INTERVAL
@@ -196,7 +197,7 @@
         };
         let check_at = check_at.max(self.next_check);
         if silence >= check_at {
-            return match self.started || silence < REPORT_MIN_AGE {
+            return match self.started || silence < MIN_REPORTED_RUN_AGE {
                 true => Advice::Connect,
                 false => Advice::QueryServer,
             };
--- a/components/answer/tests/resume.rs
+++ b/components/answer/tests/resume.rs
@@ -1,4 +1,4 @@
-//! Tests of the resume decisions by fault: the resulting actions, as snapshots.
+//! Tests of the resume decisions: the actions that result from each fault, as snapshots.
 //!
 //! The bounds of the threshold are equal, so an engine is suspected 1 s after a token and 4 s after
 //! its placement.
@@ -394,7 +394,7 @@
             highest: SECOND * 2,
             means: 4,
             deviations: 8,
-            excuse: 2,
+            floor_factor: 2,
         },
         ..Settings::default()
     };
--- a/components/entry/src/moves/log.rs
+++ b/components/entry/src/moves/log.rs
@@ -28,7 +28,7 @@
                 outcome.end
             );
         }
-        Notice::Learned(outcome) => {
+        Notice::Received(outcome) => {
             events::emit!(
                 messages::OUTCOME_LEARNED,
                 "move={name} end={:?}",
--- a/components/experiment/src/entry.rs
+++ b/components/experiment/src/entry.rs
@@ -71,15 +71,15 @@
 impl Entry {
     pub(crate) fn new(setup: &Setup, policy: Policy, data_centre: String, index: usize) -> Entry {
         let mut placement = Placement::default();
-        placement.set_position((index, setup.entries));
+        placement.set_rank((index, setup.entries));
         let tokens =
             (setup.mean_lengths.0 + setup.mean_lengths.1 * setup.tokens_per_event as f64) as u64;
         Entry {
             data_centre,
             placement,
             gate: Gate::new(Settings {
-                first_token_target: setup.first_event_target,
-                min_factor: 1.0,
+                first_output_target: setup.first_event_target,
+                min_concurrency_factor: 1.0,
                 ..Settings::default()
             }),
             waiting: HashMap::new(),
@@ -91,7 +91,7 @@
             work: Work {
                 requests: 1,
                 tokens,
-                unread: setup.mean_lengths.0 as u64,
+                prefill_tokens: setup.mean_lengths.0 as u64,
             },
         }
     }
@@ -111,7 +111,7 @@
         self.gate.report(Report {
             capacity: running.saturating_add(room),
             load: running,
-            entries: 1,
+            processes: 1,
         });
     }
 
@@ -232,7 +232,7 @@
             data_centre: &home,
             work: Work {
                 requests: 0,
-                unread: 0,
+                prefill_tokens: 0,
                 ..work
             },
             parts: &[],
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -43,7 +43,7 @@
             .loads
             .extend(own_loads.map(|(server, work)| load(server, work)));
         self.fill_prompts(beacon);
-        for (server, age, suspicion) in self.placement.recent_losses(clock::now()) {
+        for (server, age, suspicion) in self.placement.recent_suspicions(clock::now()) {
             beacon.failures.push(Failure {
                 server: beacon::id(server),
                 age_ms: age.as_millis() as u32,
@@ -140,7 +140,7 @@
             };
             let at = now.saturating_sub(Duration::from_millis(u64::from(failure.age_ms)));
             self.placement
-                .record_peer_loss(at, server, from_beacon(failure.suspicion));
+                .record_peer_suspicion(at, server, from_beacon(failure.suspicion));
         }
     }
 
@@ -151,13 +151,13 @@
     }
 
     /// Sets the rank of this gateway among the live ones, and their number.
-    pub fn set_position(&mut self, position: (usize, usize)) {
-        self.placement.set_position(position);
+    pub fn set_rank(&mut self, rank: (usize, usize)) {
+        self.placement.set_rank(rank);
     }
 
     /// Returns the rank of this gateway among the live ones, and their number.
-    pub fn position(&self) -> (usize, usize) {
-        self.placement.position()
+    pub fn rank(&self) -> (usize, usize) {
+        self.placement.rank()
     }
 
     /// Returns whether there are so many gateways that each has a partition of the servers.
@@ -181,7 +181,7 @@
         server: beacon::id(server),
         requests: work.requests,
         tokens: work.tokens,
-        unread: work.unread,
+        prefill_tokens: work.prefill_tokens,
     }
 }
 
@@ -189,15 +189,15 @@
     Work {
         requests: load.requests,
         tokens: load.tokens,
-        unread: load.unread,
+        prefill_tokens: load.prefill_tokens,
     }
 }
 
 fn to_beacon(suspicion: Suspicion) -> beacon::Suspicion {
     match suspicion {
         Suspicion::Refused => beacon::Suspicion::Refused,
-        Suspicion::Dark => beacon::Suspicion::Dark,
-        Suspicion::Broke => beacon::Suspicion::Broke,
+        Suspicion::Unresponsive => beacon::Suspicion::Unresponsive,
+        Suspicion::Disconnected => beacon::Suspicion::Disconnected,
         Suspicion::Full => beacon::Suspicion::Full,
     }
 }
@@ -205,8 +205,8 @@
 fn from_beacon(suspicion: beacon::Suspicion) -> Suspicion {
     match suspicion {
         beacon::Suspicion::Refused => Suspicion::Refused,
-        beacon::Suspicion::Dark => Suspicion::Dark,
-        beacon::Suspicion::Broke => Suspicion::Broke,
+        beacon::Suspicion::Unresponsive => Suspicion::Unresponsive,
+        beacon::Suspicion::Disconnected => Suspicion::Disconnected,
         beacon::Suspicion::Full => Suspicion::Full,
     }
 }
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -203,7 +203,7 @@
             self.shared.queue.remove_peer(silent);
             self.shared.retry_budgets.borrow_mut().remove_peer(silent);
         }
-        fleet.set_position(self.table.rank());
+        fleet.set_rank(self.table.rank());
         self.shared.queue.set_gateways(self.table.rank().1);
         self.shared.rollouts.set_rank(self.table.rank());
         drop(fleet);
@@ -237,7 +237,7 @@
         self.shared.queue.fill_beacon(&mut beacon);
         self.shared.rollouts.fill_beacon(&mut beacon);
         let bound = settings.bounds.retries();
-        beacon.sends = self.shared.retry_budgets.borrow_mut().sends(&bound);
+        beacon.attempts = self.shared.retry_budgets.borrow_mut().attempts(&bound);
         let now = clock::now();
         let claim = self.shared.freshness.borrow().claim();
         self.last_claim = claim.map(|claim| claim.at);
@@ -249,7 +249,7 @@
         beacon.freshness = claim.map(|claim| Age {
             revision: claim.revision,
             // Rounded up: the claim may look older than it is, never newer.
-            ms: now.saturating_sub(claim.at).as_millis() as u64 + 1,
+            age_ms: now.saturating_sub(claim.at).as_millis() as u64 + 1,
         });
         shrink_to_fit(&mut beacon);
         let mut size = 0;
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Sends the changed loads and the recent sends to the other gateways of the data centre.
+    /// Sends the changed loads and the recent attempts to the other gateways of the data centre.
     fn send_loads(&mut self) {
         let loads = self.shared.fleet.borrow_mut().take_changed();
         if loads.is_empty() {
@@ -293,7 +293,7 @@
         }
         let settings = self.shared.settings.borrow().clone();
         let bound = settings.bounds.retries();
-        let sends = self.shared.retry_budgets.borrow_mut().sends(&bound);
+        let attempts = self.shared.retry_budgets.borrow_mut().attempts(&bound);
         let targets = self.table.local_peers(&settings.data_centre);
         for loads in loads.chunks(MAX_LOADS_PER_MESSAGE) {
             self.load_sequence += 1;
@@ -301,7 +301,7 @@
                 incarnation: self.incarnation,
                 sequence: self.load_sequence,
                 loads: loads.to_vec(),
-                sends: sends.clone(),
+                attempts: attempts.clone(),
             });
             for target in &targets {
                 self.send_to(&message, *target);
@@ -344,7 +344,7 @@
             Ok(Message::Loads(loads)) => {
                 if self.table.contains(from) && self.shared.fleet.borrow_mut().apply_loads(&loads) {
                     let mut retry_budgets = self.shared.retry_budgets.borrow_mut();
-                    retry_budgets.apply_sends(loads.incarnation, &loads.sends, true);
+                    retry_budgets.apply_attempts(loads.incarnation, &loads.attempts, true);
                 }
                 return;
             }
@@ -397,7 +397,7 @@
         self.shared.rollouts.apply_beacon(&beacon);
         let is_local = beacon.data_centre == self.shared.settings.borrow().data_centre;
         let mut retry_budgets = self.shared.retry_budgets.borrow_mut();
-        retry_budgets.apply_sends(beacon.incarnation, &beacon.sends, is_local);
+        retry_budgets.apply_attempts(beacon.incarnation, &beacon.attempts, is_local);
         if let Some(claim) = beacon.claim(self.incarnation) {
             self.shared
                 .freshness
@@ -410,7 +410,7 @@
 /// Drops the smallest loads of a beacon that is too long for a datagram.
 fn shrink_to_fit(beacon: &mut Beacon) {
     let loads = &mut beacon.loads;
-    loads.sort_unstable_by_key(|load| std::cmp::Reverse(load.unread + load.tokens));
+    loads.sort_unstable_by_key(|load| std::cmp::Reverse(load.prefill_tokens + load.tokens));
     while postcard::to_stdvec(&*beacon)
         .is_ok_and(|bytes| bytes.len() > MAX_DATAGRAM_BYTES - ECHO_BYTES)
     {
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -199,7 +199,7 @@
                 return Received::TimedOut;
             }
             if self.context.fleet.borrow().is_replaced(&run.target.server) {
-                return Received::Lost(Loss::Dark);
+                return Received::Lost(Loss::Unreachable);
             }
             self.check_suspicion(run);
             let silence = run.last_received.elapsed();
@@ -225,7 +225,7 @@
                         }
                         alive = probe => {
                             if !alive {
-                                return Received::Lost(Loss::Dark);
+                                return Received::Lost(Loss::Unreachable);
                             }
                             run.last_alive = Instant::now();
                             run.silence.record_alive(run.last_received.elapsed());
@@ -242,9 +242,9 @@
                             }
                         }
                         activity = query => match activity {
-                            None => return Received::Lost(Loss::Dark),
+                            None => return Received::Lost(Loss::Unreachable),
                             Some(activity) if activity.has_lost(&self.call.request.metadata.id) => {
-                                return Received::Lost(Loss::Mute);
+                                return Received::Lost(Loss::Orphaned);
                             }
                             Some(_) => {
                                 run.last_alive = Instant::now();
@@ -285,7 +285,7 @@
             match self.receive(run, false).await {
                 Received::Data(data) => run.splitter.push(&data),
                 Received::End if run.splitter.has_partial_event() => {
-                    return self.report_loss(run, Loss::Torn);
+                    return self.report_loss(run, Loss::Truncated);
                 }
                 Received::End => {
                     run.complete = true;
@@ -359,9 +359,9 @@
         let server = &run.target.server;
         let mut fleet = self.context.fleet.borrow_mut();
         if loss.is_unreachable() {
-            fleet.suspect(server, Suspicion::Dark);
+            fleet.suspect(server, Suspicion::Unresponsive);
         } else if loss.is_immediate(run.events, run.began.elapsed()) {
-            fleet.suspect(server, Suspicion::Broke);
+            fleet.suspect(server, Suspicion::Disconnected);
         }
         drop(fleet);
         // If the server crashed, its idle connections are dead too, and a request sent on one of
@@ -392,9 +392,9 @@
             .borrow()
             .cached_tokens(self.parts(), &target.server);
         // The copy of a run without events may contain hardly any of the prompt.
-        work.unread = match copy {
+        work.prefill_tokens = match copy {
             Some(_) if self.sequence.last().is_some() => 0,
-            _ => work.unread.saturating_sub(cached),
+            _ => work.prefill_tokens.saturating_sub(cached),
         };
         if self.sequence.last().is_none() {
             self.context.queue.record_work(&self.call.service, work);
@@ -459,7 +459,7 @@
                 .context
                 .fleet
                 .borrow()
-                .unloaded_first_event(target, work.unread),
+                .unloaded_first_event(target, work.prefill_tokens),
             waited: self.call.arrived.elapsed(),
         });
         let mut run = Run {
--- a/components/gateway/tests/prompt_lookup.rs
+++ b/components/gateway/tests/prompt_lookup.rs
@@ -15,13 +15,13 @@
 };
 use spread::beacon::{
     self,
+    Attempts, //
     Beacon,
     Incarnation,
     Load,
     Loads,
     Message,
     Prompt,
-    Sends, //
 };
 use tokio::{
     net::UdpSocket,
@@ -232,13 +232,13 @@
                 server: beacon::id(&name(number)),
                 requests: 1,
                 tokens: 6000,
-                unread: 5000,
+                prefill_tokens: 5000,
             });
         let loads = Message::Loads(Loads {
             incarnation: 1,
             sequence: 1,
             loads: loads.collect(),
-            sends: Vec::new(),
+            attempts: Vec::new(),
         });
         send(&fleet.peer, &fleet.harness, loads).await;
         fleet.sync().await;
@@ -246,7 +246,7 @@
             server: beacon::id(&name(5)),
             requests: 1,
             tokens: 5020,
-            unread: 5020,
+            prefill_tokens: 5020,
         };
         let is_loads = |message: &Message| match message {
             Message::Loads(received) => received.loads.iter().any(|load| is_same(load, &expected)),
@@ -262,7 +262,8 @@
 
 /// Whether two loads have the same server, requests and unprocessed tokens.
 fn is_same(one: &Load, other: &Load) -> bool {
-    (one.server, one.requests, one.unread) == (other.server, other.requests, other.unread)
+    (one.server, one.requests, one.prefill_tokens)
+        == (other.server, other.requests, other.prefill_tokens)
 }
 
 /// Guards against retries beyond the limit. Gateways announce their retries to their data centre
@@ -275,7 +276,7 @@
             engines.push(failing_engine().await);
         }
         let fleet = Fleet::with_engines(engines).await;
-        let retries = Sends {
+        let retries = Attempts {
             service: beacon::id("draft"),
             requests: 100,
             retries: 10_000,
@@ -285,7 +286,7 @@
             incarnation: 1,
             sequence: 1,
             loads: Vec::new(),
-            sends: vec![retries],
+            attempts: vec![retries],
         });
         send(&fleet.peer, &fleet.harness, loads).await;
         fleet.sync().await;
--- a/components/measure/src/admission/policy.rs
+++ b/components/measure/src/admission/policy.rs
@@ -82,7 +82,7 @@
         self.gate.report(Report {
             capacity,
             load: self.running + others,
-            entries,
+            processes: entries,
         });
     }
 
@@ -131,7 +131,7 @@
                 cost: 1,
                 used: 1,
                 time,
-                first_token: Some(Duration::from_secs(1)),
+                first_output: Some(Duration::from_secs(1)),
             },
         );
     }
--- a/components/models/src/answer/steps.rs
+++ b/components/models/src/answer/steps.rs
@@ -406,7 +406,7 @@
         }
         let local = &mut self.entries[1];
         if let Some(resume) = &local.resume {
-            local.links.retain(|link| resume.listens_to(link.epoch));
+            local.links.retain(|link| resume.follows(link.epoch));
         }
         let links = &local.links;
         self.generations.retain(|key, _| {
@@ -421,7 +421,7 @@
             return false;
         };
         local.links.iter().any(|link| {
-            resume.listens_to(link.epoch) && self.generations[&link.generation].server == server
+            resume.follows(link.epoch) && self.generations[&link.generation].server == server
         })
     }
 
--- a/components/moves/src/mover.rs
+++ b/components/moves/src/mover.rs
@@ -94,7 +94,7 @@
     first_counted_at: Option<SystemTime>,
     /// Time of the last counted sample of the time between tokens at the full share.
     between_counted_at: Option<SystemTime>,
-    /// Received facts speak against the new version and haven't been assessed yet.
+    /// Whether received facts speak against the new version and haven't been assessed yet.
     assessment_due: bool,
 
     level: Level,
@@ -366,7 +366,7 @@
         let notice = if outcome.by == self.owner.source {
             Notice::Reported(outcome.clone())
         } else {
-            Notice::Learned(outcome.clone())
+            Notice::Received(outcome.clone())
         };
         actions.push(Action::Publish(Fact::Outcome(outcome.clone())));
         actions.push(Action::Notice(notice));
--- a/components/moves/src/step.rs
+++ b/components/moves/src/step.rs
@@ -125,9 +125,9 @@
     Synced,
     /// Number of ready replicas.
     Ready {
-        /// Of the old version.
+        /// Ready replicas of the old version.
         old: u32,
-        /// Of the new version.
+        /// Ready replicas of the new version.
         new: u32,
     },
     /// This entry's rank among the writers; 0 writes at once.
@@ -206,7 +206,7 @@
     /// The move ended, and this entry wrote the outcome.
     Reported(Outcome),
     /// The move ended; another entry wrote the outcome.
-    Learned(Outcome),
+    Received(Outcome),
     /// A veto followed the record that the move is done. The record stays in force; the operators
     /// should inspect the version.
     Overruled(Veto),
--- a/components/routing/src/placement.rs
+++ b/components/routing/src/placement.rs
@@ -1,7 +1,7 @@
-//! Placement of work on backend servers that entries reach directly.
+//! Placement of work on backend servers that a process reaches without a sidecar.
 //!
 //! The work consists of long generations whose cost, in prompt and output tokens, is known on
-//! arrival. Load reports of the engines are expensive and late, so each entry counts the tokens
+//! arrival. Load reports of the engines are expensive and late, so each process counts the tokens
 //! that it has sent and adds what its peers report.
 
 use std::{
@@ -14,7 +14,7 @@
 
 use self::{
     candidate::Candidate,
-    suspicion::Losses, //
+    suspicion::Suspicions, //
 };
 use crate::{
     Outcome,
@@ -64,8 +64,8 @@
     pub requests: u32,
     /// Tokens of memory that the requests fill, now or later.
     pub tokens: u64,
-    /// Prompt tokens that are not processed yet.
-    pub unread: u64,
+    /// Prompt tokens that the server has not processed yet.
+    pub prefill_tokens: u64,
 }
 
 impl Work {
@@ -73,14 +73,14 @@
     pub fn add(&mut self, other: Work) {
         self.requests += other.requests;
         self.tokens += other.tokens;
-        self.unread += other.unread;
+        self.prefill_tokens += other.prefill_tokens;
     }
 
     /// Subtracts `other`, saturating at zero.
     pub fn subtract(&mut self, other: Work) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.tokens = self.tokens.saturating_sub(other.tokens);
-        self.unread = self.unread.saturating_sub(other.unread);
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(other.prefill_tokens);
     }
 }
 
@@ -90,19 +90,19 @@
 /// Weight of a new measurement in the mean time per prompt token.
 const TOKEN_TIME_EWMA_WEIGHT: f64 = 0.1;
 
-/// Number of entries up to which each entry considers all servers. Above it, entries are
-/// partitioned.
+/// Number of processes up to which each of them considers all servers. Above it, the servers are
+/// partitioned among the processes.
 ///
-/// All entries see the same idle servers and learn with a delay what the others send. The number of
-/// entries grows with the fleet, and so does the delay, as each entry has a fixed byte rate for
-/// beacons; the number of requests that other entries don't know of yet therefore grows with the
-/// square of the fleet. If each entry of a large fleet chose the best of all servers, entries that
-/// lose the streams of one server together, or that get many new ones, would send them to the same
-/// few servers: of 28 entries with two prompts each, 15 prompts went to one of 66 servers. With
-/// this limit it is 6, and 4 as each entry also prefers its own partition.
-const MAX_UNPARTITIONED_ENTRIES: f64 = 7.5;
-
-/// Identifier of a peer entry.
+/// All processes see the same idle servers and learn with a delay what the others send. The number
+/// of processes grows with the fleet, and so does the delay, as each process has a fixed byte rate
+/// for beacons; the number of requests that other processes don't know of yet therefore grows with
+/// the square of the fleet. If each process of a large fleet chose the best of all servers,
+/// processes that lose the streams of one server together, or that get many new ones, would send
+/// them to the same few servers: of 28 processes with two prompts each, 15 prompts went to one of
+/// 66 servers. With this limit it is 6, and 4 as each process also prefers its own partition.
+const MAX_UNPARTITIONED_PROCESSES: f64 = 7.5;
+
+/// Identifier of a peer process.
 pub type Peer = u64;
 
 /// The candidate servers and their estimated load.
@@ -110,7 +110,7 @@
 pub struct Placement {
     settings: Settings,
     candidates: BTreeMap<Server, Candidate>,
-    losses: Losses,
+    suspicions: Suspicions,
     /// Mean time of a request, in seconds, by service.
     request_times: HashMap<Service, f64>,
     /// Mean time to process one prompt token, in seconds, by service.
@@ -119,9 +119,9 @@
     prompts: Prompts,
     /// Work of each peer, by server.
     peers: HashMap<Peer, HashMap<Server, Work>>,
-    /// Index of this entry among all entries, and their number.
-    position: (usize, usize),
-    /// Data centre of this entry.
+    /// Rank of this process among all processes, and their number.
+    rank: (usize, usize),
+    /// Data centre of this process.
     data_centre: DataCentre,
 }
 
@@ -134,11 +134,11 @@
         }
     }
 
-    /// Sets the data centre of this entry.
+    /// Sets the data centre of this process.
     pub fn set_data_centre(&mut self, data_centre: &DataCentre) {
         self.data_centre.clone_from(data_centre);
         for (server, candidate) in &mut self.candidates {
-            candidate.set_position(server, self.position, data_centre);
+            candidate.set_rank(server, self.rank, data_centre);
         }
     }
 
@@ -151,7 +151,7 @@
         }
         let mut candidate = Candidate::new(now, server, spec, leaving);
         candidate.peer_work = self.peer_work(server);
-        candidate.set_position(server, self.position, &self.data_centre);
+        candidate.set_rank(server, self.rank, &self.data_centre);
         self.candidates.insert(server.clone(), candidate);
     }
 
@@ -192,7 +192,7 @@
     /// Records that a server has processed a prompt of `tokens` tokens, `time` after it was sent.
     /// `ahead` is the number of prompt tokens that were pending at the server then, its own
     /// included.
-    pub fn record_read(
+    pub fn record_prefill(
         &mut self,
         now: Clock,
         server: &Server,
@@ -203,7 +203,8 @@
         let Some(candidate) = self.candidates.get_mut(server) else {
             return;
         };
-        candidate.own_work.unread = candidate.own_work.unread.saturating_sub(tokens);
+        candidate.own_work.prefill_tokens =
+            candidate.own_work.prefill_tokens.saturating_sub(tokens);
         candidate.member.answered();
         if ahead == 0 {
             return;
@@ -229,11 +230,11 @@
         self.prompts.cached_tokens(now, parts, server)
     }
 
-    /// Returns the prompt tokens that are pending at a server.
-    pub fn unread_tokens(&self, server: &Server) -> u64 {
+    /// Returns the number of prompt tokens that are pending at a server.
+    pub fn queued_prefill_tokens(&self, server: &Server) -> u64 {
         self.candidates
             .get(server)
-            .map_or(0, |candidate| candidate.total_work().unread)
+            .map_or(0, |candidate| candidate.total_work().prefill_tokens)
     }
 
     /// Returns the mean time of a request of a plain service.
@@ -242,18 +243,18 @@
     }
 
     /// Returns the expected time to process the prompts that are pending at a server.
-    pub fn queued_read_time(&self, server: &Server) -> Option<Duration> {
+    pub fn queued_prefill_time(&self, server: &Server) -> Option<Duration> {
         let candidate = self.candidates.get(server)?;
         let token_time = self.token_times.get(&candidate.spec.service)?;
-        Duration::try_from_secs_f64(token_time * candidate.total_work().unread as f64).ok()
+        Duration::try_from_secs_f64(token_time * candidate.total_work().prefill_tokens as f64).ok()
     }
 
-    /// Returns the expected time to process `unread` prompt tokens at a server of the same service
-    /// that processes nothing else.
-    pub fn idle_read_time(&self, server: &Server, unread: u64) -> Option<Duration> {
+    /// Returns the expected time to process `prefill_tokens` prompt tokens at a server of the same
+    /// service that processes nothing else.
+    pub fn idle_prefill_time(&self, server: &Server, prefill_tokens: u64) -> Option<Duration> {
         let candidate = self.candidates.get(server)?;
         let token_time = self.token_times.get(&candidate.spec.service)?;
-        Duration::try_from_secs_f64(token_time * unread as f64).ok()
+        Duration::try_from_secs_f64(token_time * prefill_tokens as f64).ok()
     }
 
     /// Records that work ended; `work` is the part of it that is still counted.
@@ -309,15 +310,15 @@
             return;
         };
         candidate.suspend(now, suspicion);
-        self.losses
+        self.suspicions
             .record(now, candidate.domain.clone(), server, suspicion);
     }
 
-    /// Returns when this entry or a peer last found the server unresponsive, or enough servers of
+    /// Returns when this process or a peer last found the server unresponsive, or enough servers of
     /// its data centre that it is probably unresponsive too.
     pub fn suspected_since(&self, now: Clock, server: &Server) -> Option<Clock> {
         let candidate = self.candidates.get(server)?;
-        self.losses
+        self.suspicions
             .suspected_since(now, &candidate.domain, server, candidate.last_alive)
     }
 
@@ -357,7 +358,7 @@
         }
     }
 
-    /// Returns the work of this entry at a server.
+    /// Returns the work of this process at a server.
     pub fn own_work(&self, server: &Server) -> Work {
         let candidate = self.candidates.get(server);
         candidate.map_or_else(Work::default, |candidate| candidate.own_work)
@@ -372,7 +373,7 @@
         }
     }
 
-    /// Returns the work of this entry, by server.
+    /// Returns the work of this process, by server.
     pub fn own_loads(&self) -> impl Iterator<Item = (&Server, Work)> {
         let busy = self
             .candidates
@@ -381,13 +382,13 @@
         busy.map(|(server, candidate)| (server, candidate.own_work))
     }
 
-    /// Returns the recent suspicions of this entry and its peers, with their age.
-    pub fn recent_losses(&self, now: Clock) -> Vec<(&Server, Duration, Suspicion)> {
-        self.losses.recent(now)
+    /// Returns the recent suspicions of this process and its peers, with their age.
+    pub fn recent_suspicions(&self, now: Clock) -> Vec<(&Server, Duration, Suspicion)> {
+        self.suspicions.recent(now)
     }
 
     /// Records a suspicion of a peer from the time `at`, unless newer evidence is known.
-    pub fn record_peer_loss(&mut self, at: Clock, server: &Server, suspicion: Suspicion) {
+    pub fn record_peer_suspicion(&mut self, at: Clock, server: &Server, suspicion: Suspicion) {
         let Some(candidate) = self.candidates.get(server) else {
             return;
         };
@@ -397,29 +398,29 @@
         self.suspend(at, server, suspicion);
     }
 
-    /// Sets the index of this entry among all entries, and their number.
-    pub fn set_position(&mut self, position: (usize, usize)) {
-        if self.position == position {
+    /// Sets the rank of this process among all processes, and their number.
+    pub fn set_rank(&mut self, rank: (usize, usize)) {
+        if self.rank == rank {
             return;
         }
-        self.position = position;
+        self.rank = rank;
         for (server, candidate) in &mut self.candidates {
-            candidate.set_position(server, position, &self.data_centre);
+            candidate.set_rank(server, rank, &self.data_centre);
         }
     }
 
-    /// Returns the index of this entry among all entries, and their number.
-    pub fn position(&self) -> (usize, usize) {
-        self.position
+    /// Returns the rank of this process among all processes, and their number.
+    pub fn rank(&self) -> (usize, usize) {
+        self.rank
     }
 
-    /// Returns whether each entry has a partition of the servers, as there are many entries.
+    /// Returns whether there are so many processes that each has a partition of the servers.
     pub fn is_partitioned(&self) -> bool {
-        self.position.1 as f64 > MAX_UNPARTITIONED_ENTRIES
+        self.rank.1 as f64 > MAX_UNPARTITIONED_PROCESSES
     }
 
-    /// Returns whether a server is in the partition of this entry. Without partitions every entry
-    /// owns all servers.
+    /// Returns whether a server is in the partition of this process. Without partitions every
+    /// process owns all servers.
     pub fn owns(&self, server: &Server) -> bool {
         let candidate = self.candidates.get(server);
         candidate.is_some_and(|candidate| candidate.is_owned)
--- a/components/routing/src/placement/candidate.rs
+++ b/components/routing/src/placement/candidate.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    MAX_UNPARTITIONED_ENTRIES,
+    MAX_UNPARTITIONED_PROCESSES,
     Request,
     Spec,
     Suspicion,
@@ -32,7 +32,7 @@
 
 /// Weight of pending prompt tokens against the memory that they fill. Prompt processing delays all
 /// runs on the server; memory only matters when it runs out.
-const UNREAD_WEIGHT: f64 = 4.0;
+const PREFILL_WEIGHT: f64 = 4.0;
 
 /// Weight of a prompt for each request on the server: the request is delayed while the prompt is
 /// processed.
@@ -44,14 +44,16 @@
 /// Load added to a server in another data centre.
 const CROSS_DATA_CENTRE_PENALTY: f64 = 0.01;
 
-/// Maximum offset between entries: less than the load of one prompt, so that it only breaks ties.
+/// Maximum load added for the distance of a server from the process's partition. It is less than
+/// the load of one prompt, so that it only breaks ties.
 const MAX_OFFSET: f64 = 0.05;
 
-/// The same in a large fleet, where a hundred entries choose within the time that a message takes.
+/// The same in a large fleet, where a hundred processes choose within the time that a message
+/// takes.
 const PARTITIONED_MAX_OFFSET: f64 = 0.15;
 
-/// Load added to a server whose load from other entries is known late: less than a pending prompt,
-/// so that no prompt waits behind another while a server is idle.
+/// Load added to a server whose load from other processes is known only after seconds: less than a
+/// pending prompt, so that no prompt waits behind another while a server is idle.
 const UNTRACKED_PENALTY: f64 = 0.12;
 
 /// A candidate server for work.
@@ -72,12 +74,12 @@
     trial_until: Clock,
     /// Time of the last evidence that the server is alive.
     pub(super) last_alive: Clock,
-    /// Load added for the distance from this entry's partition.
+    /// Load added for the distance from this process's partition.
     offset: f64,
-    /// Whether the server is in this entry's partition, or there are no partitions.
+    /// Whether the server is in this process's partition, or there are no partitions.
     pub(super) is_owned: bool,
-    /// Whether the load from other entries is known soon: the fleet is small, or the server is in
-    /// this entry's data centre.
+    /// Whether the load from other processes is known without much delay: the fleet is small, or
+    /// the server is in this process's data centre.
     pub(super) is_tracked: bool,
 }
 
@@ -180,11 +182,14 @@
         let free = self.spec.memory.saturating_sub(total.tokens);
         room = room.min(quotient(free, work.tokens));
         if let Some(tokens) = tokens {
-            let readable = (tokens / self.speed.slowness(now)) as u64;
-            let prompts = quotient(readable.saturating_sub(total.unread), work.unread);
-            // A prompt that takes longer than this does so on any server; none begins it sooner
-            // than an idle one.
-            room = room.min(prompts.max(u32::from(total.unread == 0 && self.is_idle())));
+            let prefillable = (tokens / self.speed.slowness(now)) as u64;
+            let prompts = quotient(
+                prefillable.saturating_sub(total.prefill_tokens),
+                work.prefill_tokens,
+            );
+            // A prompt that takes longer than that does so on any server, and no server begins it
+            // sooner than an idle one.
+            room = room.min(prompts.max(u32::from(total.prefill_tokens == 0 && self.is_idle())));
         }
         room
     }
@@ -202,10 +207,11 @@
         let requests = f64::from(total.requests + request.work.requests);
         let mut load = requests / f64::from(self.spec.slots.max(1)) * slowness;
         if self.spec.memory > 0 {
-            let unread = total.unread + request.work.unread.saturating_sub(cached);
-            let prefill = UNREAD_WEIGHT * unread as f64 * slowness;
+            let prefill_tokens =
+                total.prefill_tokens + request.work.prefill_tokens.saturating_sub(cached);
+            let prefill = PREFILL_WEIGHT * prefill_tokens as f64 * slowness;
             let memory = self.spec.memory as f64;
-            let prompt = request.work.unread.saturating_sub(cached) as f64;
+            let prompt = request.work.prefill_tokens.saturating_sub(cached) as f64;
             let interference = INTERFERENCE_WEIGHT * prompt * f64::from(total.requests) * slowness;
             load += (prefill + interference) / memory + (total.tokens as f64 / memory).powi(2);
         }
@@ -218,19 +224,19 @@
         load + self.offset
     }
 
-    /// Sets the index of this entry among all entries, and their number. If there are too many
-    /// entries to track each other's load, the servers are partitioned, so that entries that see
-    /// the same loads at the same time don't choose the same servers.
-    pub(super) fn set_position(
+    /// Sets the rank of this process among all processes, and their number. If there are too many
+    /// processes to track each other's load, the servers are partitioned, so that processes that
+    /// see the same loads at the same time don't choose the same servers.
+    pub(super) fn set_rank(
         &mut self,
         server: &str,
-        (index, count): (usize, usize),
+        (rank, count): (usize, usize),
         data_centre: &DataCentre,
     ) {
         let count = count.max(1);
         let hash = xxh3_64(server.as_bytes()) as usize;
-        let distance = (hash % count + count - index % count) % count;
-        let is_small_fleet = count as f64 <= MAX_UNPARTITIONED_ENTRIES;
+        let distance = (hash % count + count - rank % count) % count;
+        let is_small_fleet = count as f64 <= MAX_UNPARTITIONED_PROCESSES;
         let max_offset = if is_small_fleet {
             MAX_OFFSET
         } else {
--- a/components/routing/src/placement/choice.rs
+++ b/components/routing/src/placement/choice.rs
@@ -15,29 +15,29 @@
 };
 
 use super::{
-    MAX_UNPARTITIONED_ENTRIES,
+    MAX_UNPARTITIONED_PROCESSES,
     Placement,
     Work,
     candidate::Candidate, //
 };
 use crate::Part;
 
-/// Random load added so that entries with the same knowledge don't all choose the same server.
+/// Random load added so that processes with the same knowledge don't all choose the same server.
 const MAX_JITTER: f64 = 0.005;
 
-/// The same in a large fleet, which has too many entries to separate by small offsets.
+/// Random load in a large fleet, which has too many processes to separate by small offsets.
 const PARTITIONED_MAX_JITTER: f64 = 0.08;
 
 /// Minimum average number of servers that each choice considers.
 const MIN_CONSIDERED_SERVERS: f64 = 2.0;
 
 // Penalties of a server; each outweighs all lower ones together.
-const AVOIDED_DATA_CENTRE: u8 = 1;
-const FULL: u8 = 2;
-const EJECTED: u8 = 4;
-const SUSPECTED_DATA_CENTRE: u8 = 8;
-const AVOIDED_SERVER: u8 = 16;
-const SUSPENDED: u8 = 32;
+const AVOIDED_DATA_CENTRE_PENALTY: u8 = 1;
+const FULL_PENALTY: u8 = 2;
+const EJECTED_PENALTY: u8 = 4;
+const SUSPECTED_DATA_CENTRE_PENALTY: u8 = 8;
+const AVOIDED_SERVER_PENALTY: u8 = 16;
+const SUSPENDED_PENALTY: u8 = 32;
 
 /// Memory use up to which a server takes backup copies of runs of other servers. Beyond it, memory
 /// is reserved for new work: a copy saves a prefill only if its run is lost, while a slot serves a
@@ -72,7 +72,7 @@
 pub struct Request<'a> {
     /// Service that must serve it.
     pub service: &'a Service,
-    /// Data centre of the entry.
+    /// Data centre of the process that sends the request.
     pub data_centre: &'a str,
     /// Work of the request.
     pub work: Work,
@@ -110,7 +110,7 @@
 impl Score {
     /// Returns whether no server had room for the work.
     pub fn is_full(&self) -> bool {
-        self.penalties & FULL != 0
+        self.penalties & FULL_PENALTY != 0
     }
 }
 
@@ -142,7 +142,7 @@
                 continue;
             }
             let is_suspected =
-                self.losses
+                self.suspicions
                     .is_domain_suspected(now, &candidate.domain, candidate.last_alive);
             if is_suspected || candidate.member.is_ejected(now) || candidate.member.is_refusing(now)
             {
@@ -193,7 +193,7 @@
         self.pick(
             now,
             request,
-            AVOIDED_DATA_CENTRE,
+            AVOIDED_DATA_CENTRE_PENALTY,
             MAX_BACKUP_MEMORY_USE,
             rng,
         )
@@ -231,9 +231,9 @@
             let load = candidate.load(now, request, cached) + rng.random_range(0.0..jitter);
             let is_considered = candidate.is_tracked || candidate.is_owned;
             let is_skipped = cached == 0 && !is_considered && !rng.random_bool(probability);
-            let rank = (penalties, is_skipped, load);
-            if best.is_none_or(|(best, _)| rank < best) {
-                best = Some((rank, server));
+            let order = (penalties, is_skipped, load);
+            if best.is_none_or(|(best, _)| order < best) {
+                best = Some((order, server));
             }
         }
         best.map(|((penalties, _, load), server)| Choice {
@@ -246,12 +246,12 @@
         })
     }
 
-    /// Returns the probability with which each server outside this entry's partition and data
+    /// Returns the probability with which each server outside this process's partition and data
     /// centre is considered.
     fn sampling_probability(&self, candidates: u32) -> f64 {
-        let entries = self.position.1.max(1) as f64;
+        let processes = self.rank.1.max(1) as f64;
         let minimum = MIN_CONSIDERED_SERVERS / f64::from(candidates.max(1));
-        (MAX_UNPARTITIONED_ENTRIES / entries)
+        (MAX_UNPARTITIONED_PROCESSES / processes)
             .powi(2)
             .max(minimum)
             .min(1.0)
@@ -271,13 +271,13 @@
         let avoided_data_centre = request.avoid_data_centre == Some(&candidate.spec.data_centre);
         let suspended = candidate.is_suspended(now);
         let suspected =
-            self.losses
+            self.suspicions
                 .is_domain_suspected(now, &candidate.domain, candidate.last_alive);
-        u8::from(suspended) * SUSPENDED
-            + u8::from(avoided) * AVOIDED_SERVER
-            + u8::from(suspected) * SUSPECTED_DATA_CENTRE
-            + u8::from(ejected) * EJECTED
-            + u8::from(full) * FULL
-            + u8::from(avoided_data_centre) * AVOIDED_DATA_CENTRE
+        u8::from(suspended) * SUSPENDED_PENALTY
+            + u8::from(avoided) * AVOIDED_SERVER_PENALTY
+            + u8::from(suspected) * SUSPECTED_DATA_CENTRE_PENALTY
+            + u8::from(ejected) * EJECTED_PENALTY
+            + u8::from(full) * FULL_PENALTY
+            + u8::from(avoided_data_centre) * AVOIDED_DATA_CENTRE_PENALTY
     }
 }
--- a/components/spread/src/beacon.rs
+++ b/components/spread/src/beacon.rs
@@ -1,7 +1,7 @@
-//! UDP beacons that entries exchange several times a second, one datagram each.
+//! UDP beacons that processes exchange several times a second, one datagram each.
 //!
-//! Many entries send work to the same engines, and none sees what the others send. Load reports
-//! from the engines are expensive and late, while the sending entry knows at once what it sent.
+//! Many processes send work to the same engines, and none sees what the others send. Load reports
+//! from the engines are expensive and late, while the sending process knows at once what it sent.
 //! Each beacon carries the sender's full state, so the next one makes up for a lost datagram.
 
 use std::{
@@ -67,7 +67,7 @@
     /// Servers that should receive no new work for a while.
     pub failures: Vec<Failure>,
     /// Requests and retries recently sent, by service.
-    pub sends: Vec<Sends>,
+    pub attempts: Vec<Attempts>,
     /// Prompts that servers have processed for the sender.
     pub prompts: Vec<Prompt>,
     /// Number of queued requests that can still meet their deadline, by service.
@@ -94,7 +94,7 @@
     /// Store revision.
     pub revision: Revision,
     /// Milliseconds since the revision was the store's newest.
-    pub ms: u64,
+    pub age_ms: u64,
 }
 
 /// Echoed timestamp that gives its owner a lower bound for when the message was created. The time
@@ -150,7 +150,7 @@
     /// Tokens that the requests occupy.
     pub tokens: u64,
     /// Prompt tokens that the server has not processed yet.
-    pub unread: u64,
+    pub prefill_tokens: u64,
 }
 
 /// Load of one process at the servers where it changed.
@@ -163,7 +163,7 @@
     /// Current load at the changed servers.
     pub loads: Vec<Load>,
     /// Requests and retries recently sent, by service.
-    pub sends: Vec<Sends>,
+    pub attempts: Vec<Attempts>,
 }
 
 /// Prompt that a server has processed.
@@ -177,7 +177,7 @@
 
 /// Requests that a process sent to a service within a window that all processes share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sends {
+pub struct Attempts {
     /// Id of the service.
     pub service: Id,
     /// First attempts of requests.
@@ -205,9 +205,9 @@
     /// The server refused a connection.
     Refused,
     /// The server did not respond, not even with a refusal.
-    Dark,
+    Unresponsive,
     /// The server closed a connection as soon as it had received the request.
-    Broke,
+    Disconnected,
     /// The server was at capacity.
     Full,
 }
@@ -217,12 +217,12 @@
     /// without a claim, and without an echo from the receiver's current run, as the age of the
     /// beacon is then unknown.
     pub fn claim(&self, receiver: Incarnation) -> Option<Claim> {
-        let age = self.freshness?;
+        let freshness = self.freshness?;
         let echo = self.echo.filter(|echo| echo.incarnation == receiver)?;
         let created = Duration::from_millis(echo.timestamp + echo.delay_ms);
         Some(Claim {
-            revision: age.revision,
-            at: created.saturating_sub(Duration::from_millis(age.ms)),
+            revision: freshness.revision,
+            at: created.saturating_sub(Duration::from_millis(freshness.age_ms)),
         })
     }
 }
--- a/components/spread/src/readers.rs
+++ b/components/spread/src/readers.rs
@@ -29,9 +29,9 @@
         weight, //
     },
     message::{
+        Holders, //
         Inventory,
         Message,
-        Standing, //
     },
     replica::{
         READERS_PER_DATA_CENTRE,
@@ -41,14 +41,14 @@
 };
 
 /// Number of data centres that a reader sends a heartbeat to in each round.
-const REMOTE_HEARTBEATS: usize = 3;
+const REMOTE_HEARTBEATS_PER_ROUND: usize = 3;
 
 /// Purpose of the rendezvous order that selects the readers.
 const READER_PURPOSE: &str = "reader";
 
 impl Replica {
     /// Returns the other entries of the data centre, including suspect ones, as they may still be
-    /// well.
+    /// alive.
     pub(crate) fn neighbours(&self) -> Vec<Host> {
         let own = &self.identity;
         let is_neighbour = |(host, member, _): &(&Host, &crate::membership::Member, State)| {
@@ -111,26 +111,28 @@
 
     fn other_data_centres(&self) -> BTreeSet<DataCentre> {
         let members = self.members.iter(Clock::ZERO);
-        let mut others: BTreeSet<_> = members
+        let mut data_centres: BTreeSet<_> = members
             .filter(|(_, member, _)| member.role == Role::Entry)
             .map(|(_, member, _)| member.data_centre.clone())
             .collect();
-        others.remove(&self.identity.data_centre);
-        others
+        data_centres.remove(&self.identity.data_centre);
+        data_centres
     }
 
     /// Returns the readers of all other data centres.
     pub(crate) fn remote_readers(&self, now: Clock) -> Vec<Host> {
-        let others = self.other_data_centres();
-        let readers = others.iter().flat_map(|name| self.readers_of(name, now));
+        let data_centres = self.other_data_centres();
+        let readers = data_centres
+            .iter()
+            .flat_map(|name| self.readers_of(name, now));
         readers.collect()
     }
 
     /// Returns one random reader from each of a few random other data centres.
     pub(crate) fn sample_remote_readers(&mut self, now: Clock) -> Vec<Host> {
-        let others: Vec<_> = self.other_data_centres().into_iter().collect();
-        let chosen: Vec<_> = others
-            .sample(&mut self.rng, REMOTE_HEARTBEATS)
+        let data_centres: Vec<_> = self.other_data_centres().into_iter().collect();
+        let chosen: Vec<_> = data_centres
+            .sample(&mut self.rng, REMOTE_HEARTBEATS_PER_ROUND)
             .cloned()
             .collect();
         let mut hosts = Vec::new();
@@ -191,7 +193,8 @@
         actions.extend(messages);
     }
 
-    /// Reports the revisions held in this data centre, and requests those of the others.
+    /// Reports the revisions held in this data centre, and requests those of the other data
+    /// centres.
     pub(crate) fn survey(&mut self, survey: u64, now: Clock, actions: &mut Vec<Action>) {
         let inventory = self.inventory(now);
         actions.push(Action::Inventory { survey, inventory });
@@ -202,12 +205,12 @@
 
     /// Returns the revisions that the entries of this data centre hold.
     pub(crate) fn inventory(&self, now: Clock) -> Inventory {
-        let mut standings: BTreeMap<_, Vec<Host>> = BTreeMap::new();
+        let mut holders: BTreeMap<_, Vec<Host>> = BTreeMap::new();
         let mut silent = Vec::new();
         let digest = self.digest();
         for (environment, slot) in &self.slots {
             let own = (environment.clone(), slot.revision());
-            standings
+            holders
                 .entry(own)
                 .or_default()
                 .push(self.identity.host.clone());
@@ -224,18 +227,18 @@
                     true => slot.revision(),
                     false => peer.held.get(environment).copied().unwrap_or_default(),
                 };
-                let standing = standings.entry((environment.clone(), revision));
-                standing.or_default().push(host.clone());
+                let hosts = holders.entry((environment.clone(), revision));
+                hosts.or_default().push(host.clone());
             }
         }
-        let standing = |((environment, revision), hosts)| Standing {
+        let to_holders = |((environment, revision), hosts)| Holders {
             environment,
             revision,
             hosts,
         };
         Inventory {
             data_centre: self.identity.data_centre.clone(),
-            standings: standings.into_iter().map(standing).collect(),
+            holders: holders.into_iter().map(to_holders).collect(),
             silent,
         }
     }
