--- a/components/upstream/src/body.rs
+++ b/components/upstream/src/body.rs
@@ -144,7 +144,7 @@
                 Decoder::Trailers => {
                     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
                         if buffer.len() > MAX_LINE_BYTES {
-                            return Err(Error::Malformed("trailer line too long"));
+                            return Err(Error::Malformed("trailers"));
                         }
                         return Ok(Step::Pending);
                     };
--- a/components/upstream/src/head.rs
+++ b/components/upstream/src/head.rs
@@ -93,8 +93,7 @@
 
 fn build(response: &httparse::Response<'_, '_>, method: &Method) -> Result<Head, Error> {
     let status = response.code.unwrap_or_default();
-    let status =
-        StatusCode::from_u16(status).map_err(|_| Error::Malformed("invalid status code"))?;
+    let status = StatusCode::from_u16(status).map_err(|_| Error::Malformed("status"))?;
     let mut headers = HeaderMap::with_capacity(response.headers.len());
     for header in response.headers.iter() {
         let name = HeaderName::from_bytes(header.name.as_bytes())
@@ -142,11 +141,9 @@
     }
     let text = first.to_str().unwrap_or_default();
     if text.is_empty() || !text.bytes().all(|digit| digit.is_ascii_digit()) {
-        return Err(Error::Malformed("invalid Content-Length"));
+        return Err(Error::Malformed("length"));
     }
-    let length = text
-        .parse()
-        .map_err(|_| Error::Malformed("invalid Content-Length"))?;
+    let length = text.parse().map_err(|_| Error::Malformed("length"))?;
     Ok(Framing::Length(length))
 }
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -60,7 +60,7 @@
     #[argh(switch)]
     pub json: bool,
     /// id of the request, then log files; lines of other formats are skipped
-    #[argh(positional)]
+    #[argh(positional, arg_name = "words")]
     pub id_and_files: Vec<String>,
 }
 
