--- a/components/daemon/src/records.rs
+++ b/components/daemon/src/records.rs
@@ -61,7 +61,7 @@
                 return Write::Refused;
             };
             return match self.client.put(key, &value, expect, Some(lease)).await {
-                Ok(Put::Done { revision }) => Write::Applied(revision),
+                Ok(Put::Applied { revision }) => Write::Applied(revision),
                 Ok(Put::Conflict { entry: None }) => Write::Conflict(None),
                 Ok(Put::Conflict { entry: Some(entry) }) => match decode(&entry) {
                     Some(stored) => Write::Conflict(Some(stored)),
--- a/components/entry/src/documents/edit.rs
+++ b/components/entry/src/documents/edit.rs
@@ -92,7 +92,7 @@
         revision => Expect::Revision(revision),
     };
     match platform.put(&key(environment), &value, expect, None).await {
-        Ok(Write::Done { revision }) => Answer::Written(revision),
+        Ok(Write::Applied { revision }) => Answer::Written(revision),
         Ok(Write::Conflict { entry }) => Answer::Conflict(entry.as_ref().map(decode)),
         Err(Error::TooLarge) => Answer::TooLarge,
         Err(Error::Unavailable | Error::RateLimited { .. }) => Answer::Refused,
--- a/components/entry/src/moves/store.rs
+++ b/components/entry/src/moves/store.rs
@@ -54,7 +54,7 @@
         revision => Expect::Revision(revision),
     };
     let answer = match state.platform.put(&key, &value, expect, None).await {
-        Ok(Write::Done { revision }) => Answer::Current {
+        Ok(Write::Applied { revision }) => Answer::Current {
             revision,
             record: Some(record),
         },
--- a/components/store/src/answer.rs
+++ b/components/store/src/answer.rs
@@ -84,7 +84,7 @@
         StatusCode::NOT_FOUND => Err(Error::UnknownLease),
         _ => {
             let written: Written = decode(response).await?;
-            Ok(Write::Done {
+            Ok(Write::Applied {
                 revision: written.revision,
             })
         }
--- a/components/store/src/client.rs
+++ b/components/store/src/client.rs
@@ -26,11 +26,11 @@
     },
     hosts::Host,
     store::{
-        Change,
         Entry,
         Expect,
         Lease,
         Listing,
+        WatchResult,
         Write, //
     }, //
 };
@@ -228,7 +228,7 @@
         prefix: &str,
         after: Revision,
         wait: Duration,
-    ) -> Result<Change, Error> {
+    ) -> Result<WatchResult, Error> {
         let (after, millis) = (after.to_string(), wait.as_millis().to_string());
         let query = [
             ("prefix", prefix),
--- a/components/store/src/settle.rs
+++ b/components/store/src/settle.rs
@@ -99,7 +99,7 @@
         let mut first = true;
         loop {
             let status = match self.put(key, value, expect, lease).await {
-                Ok(Write::Done { revision }) => Status::Applied(revision),
+                Ok(Write::Applied { revision }) => Status::Applied(revision),
                 Ok(Write::Conflict { entry }) => self.status(key, value, expect, entry).await,
                 Err(Error::Unanswered | Error::Malformed(_)) => {
                     self.read_back(key, value, expect, deadline).await
--- a/components/store/src/store.rs
+++ b/components/store/src/store.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
     /// The write took effect.
-    Done {
+    Applied {
         /// Revision of the write.
         revision: Revision,
     },
@@ -86,7 +86,7 @@
 
 /// A change of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub struct Event {
+pub struct Change {
     /// Key that changed.
     pub key: String,
     /// New value; `None` for a deletion.
@@ -97,9 +97,9 @@
 
 /// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub struct Change {
+pub struct WatchResult {
     /// All changes after the requested revision, in order; empty if the wait timed out.
-    pub events: Vec<Event>,
+    pub events: Vec<Change>,
     /// Revision to continue the watch from.
     pub revision: Revision,
 }
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -40,7 +40,7 @@
 
 async fn revision(client: &Client, value: &str) -> u64 {
     match client.put("k", value, Expect::Any, None).await {
-        Ok(Write::Done { revision }) => revision,
+        Ok(Write::Applied { revision }) => revision,
         other => panic!("the store accepts an unconditional write: {other:?}"),
     }
 }
--- a/components/store/tests/store.rs
+++ b/components/store/tests/store.rs
@@ -69,7 +69,7 @@
     }
     let written = put(&client, "k", "b", expect).await;
     match written {
-        Write::Done { revision } => {
+        Write::Applied { revision } => {
             let entry = client.get("k").await.expect("the store answers");
             assert_eq!(entry.expect("the key is there").revision, revision);
             assert!(done);
@@ -87,7 +87,7 @@
         Expect::Absent => after.is_none(),
         Expect::Revision(number) => !done && before.is_some() && number == 1,
     };
-    let deleted = matches!(deleted, Ok(Write::Done { .. }));
+    let deleted = matches!(deleted, Ok(Write::Applied { .. }));
     assert_eq!(deleted, holds);
 }
 
@@ -163,7 +163,7 @@
     let lease = client.grant_lease(Duration::from_millis(50)).await;
     let lease = lease.expect("the store answers");
     let put = client.put("slot", "a", Expect::Absent, Some(lease)).await;
-    assert_matches!(put, Ok(Write::Done { .. }));
+    assert_matches!(put, Ok(Write::Applied { .. }));
     let change = client
         .watch("slot", 1, TEST_TIMEOUT)
         .await
@@ -183,7 +183,7 @@
         .await
         .expect("the store answers");
     let put = client.put("slot", "a", Expect::Absent, Some(lease)).await;
-    assert_matches!(put, Ok(Write::Done { .. }));
+    assert_matches!(put, Ok(Write::Applied { .. }));
     assert_eq!(client.renew_lease(lease).await, Ok(()));
     assert_eq!(platform.counts().leases, 1);
     assert_eq!(client.revoke_lease(lease).await, Ok(()));
@@ -198,7 +198,7 @@
     let largest = "v".repeat(1 << 20);
     assert_matches!(
         client.put("k", &largest, Expect::Any, None).await,
-        Ok(Write::Done { .. })
+        Ok(Write::Applied { .. })
     );
     let too_large = format!("{largest}v");
     let put = client.put("k", &too_large, Expect::Any, None).await;
--- a/components/trial/tests/orders.rs
+++ b/components/trial/tests/orders.rs
@@ -80,7 +80,7 @@
         let value = serde_json::to_string(&order).unwrap();
         let key = orders::key("draft-0-server");
         let result = self.store.put(&key, &value, Expect::Any, None).await;
-        let Ok(Write::Done { revision }) = result else {
+        let Ok(Write::Applied { revision }) = result else {
             panic!("the order isn't written: {result:?}");
         };
         revision
