--- a/components/contract/src/sends.rs
+++ b/components/contract/src/sends.rs
@@ -95,11 +95,11 @@
         if repeatable && self.reached < self.max_servers && self.unsent < MAX_UNSENT {
             return Step::Send;
         }
-        self.give_up()
+        self.final_step()
     }
 
     /// Returns the final step when no further send is possible or the deadline has passed.
-    pub fn give_up(&self) -> Step {
+    pub fn final_step(&self) -> Step {
         match (self.failed, self.may_have_run) {
             (true, _) => Step::Answer,
             (false, true) => Step::Unknown,
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -149,7 +149,7 @@
                 return self.finish(step);
             }
         }
-        let step = self.sends.give_up();
+        let step = self.sends.final_step();
         self.finish(step)
     }
 
