--- a/components/environment/src/index.rs
+++ b/components/environment/src/index.rs
@@ -89,7 +89,7 @@
     }
 
     /// Returns whether the document defines teams, whose callers identify themselves by keys.
-    pub fn keyed(&self) -> bool {
+    pub fn requires_api_keys(&self) -> bool {
         !self.document.teams.is_empty()
     }
 }
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -313,7 +313,7 @@
         .route(host, parts.uri.path())
         .ok_or(Refusal::NoRoute)?;
     let team = metadata.key.as_deref().and_then(|key| index.team(key));
-    if team.is_none() && index.keyed() && !found.pass.public {
+    if team.is_none() && index.requires_api_keys() && !found.pass.public {
         return Err(Refusal::NoKey);
     }
     let service = split_service(found.pass, &found.rule.service, &metadata.id);
