--- a/components/events/src/forwarding.rs
+++ b/components/events/src/forwarding.rs
@@ -38,7 +38,7 @@
     /// A document took effect in this process.
     DOCUMENT_IN_FORCE = 1100, Info, "Document is in force";
     /// A document can't be decoded; the previous one stays in force.
-    UNREADABLE = 1101, Error, "Document can't be read";
+    DOCUMENT_UNREADABLE = 1101, Error, "Document can't be read";
     /// A backend server registered, or its registration changed.
     SERVER_REGISTERED = 1102, Info, "Backend server registered";
     /// A backend server's registration was removed or expired.
@@ -50,9 +50,9 @@
     /// The store answers again.
     STORE_BACK = 1106, Info, "Store answers again";
     /// The document may be out of date; idempotency keys are not accepted.
-    STALE = 1107, Warn, "Document may be out of date";
+    DOCUMENT_STALE = 1107, Warn, "Document may be out of date";
     /// The document is known to be current again.
-    CURRENT = 1108, Info, "Document is current again";
+    DOCUMENT_CURRENT = 1108, Info, "Document is current again";
     /// Settings were reloaded.
     SETTINGS_CHANGED = 1109, Info, "Settings changed";
     /// Settings can't be read; the previous ones stay in force.
