--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -35,12 +35,12 @@
 
 /// Detector of poisonous requests in one process, and its facts, which links send to other
 /// processes.
-pub struct Suspects {
+pub struct SharedDetector {
     detector: Mutex<Detector>,
     facts: watch::Sender<Facts>,
 }
 
-impl Default for Suspects {
+impl Default for SharedDetector {
     fn default() -> Self {
         let settings = Settings {
             max_facts: MAX_FACTS_PER_KIND,
@@ -54,7 +54,7 @@
     }
 }
 
-impl Suspects {
+impl SharedDetector {
     /// Returns whether a request is clear, suspected, isolated or refused.
     pub fn verdict(&self, fingerprint: Fingerprint) -> Verdict {
         self.lock().verdict(fingerprint, wall_clock())
--- a/components/entry/src/attempt.rs
+++ b/components/entry/src/attempt.rs
@@ -18,7 +18,7 @@
     Finish,
     resume::Event, //
 };
-use daemon::suspects::Suspects;
+use daemon::suspects::SharedDetector;
 use names::{
     Epoch,
     Index,
@@ -67,7 +67,7 @@
     pub(crate) server: Server,
     pub(crate) peer: Arc<Peer>,
     /// Receives the facts that a sidecar sends about a crash, before the end of the epoch.
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SharedDetector>,
     /// Cancelled when the answer no longer needs this epoch.
     pub(crate) cancel: CancellationToken,
     /// Number of the current stream; the loss of an earlier one is ignored.
--- a/components/entry/src/state.rs
+++ b/components/entry/src/state.rs
@@ -17,7 +17,7 @@
 use daemon::{
     lateness::Lateness,
     records::Records,
-    suspects::Suspects, //
+    suspects::SharedDetector, //
 };
 use names::{
     Service,
@@ -65,7 +65,7 @@
     pub(crate) records: Records,
     pub(crate) outage: Outage,
     /// Facts about requests that may crash backend servers.
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SharedDetector>,
     pub(crate) fleet: Fleet,
     pub(crate) hosts: Hosts,
     pub(crate) pool: Arc<Pool>,
--- a/components/sidecar/src/context.rs
+++ b/components/sidecar/src/context.rs
@@ -7,7 +7,7 @@
 
 use daemon::{
     records::Records,
-    suspects::Suspects, //
+    suspects::SharedDetector, //
 };
 use settings::Sidecar;
 use tokio::time::Instant;
@@ -21,7 +21,7 @@
     /// Records of calls that must run at most once.
     pub(crate) records: Records,
     /// Facts about requests suspected of crashing servers.
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SharedDetector>,
     pub(crate) inflight: Arc<Tracker>,
     /// Origin of the clock readings passed to the state machines.
     pub(crate) origin: Instant,
--- a/components/sidecar/src/daemon.rs
+++ b/components/sidecar/src/daemon.rs
@@ -20,7 +20,7 @@
         Readiness, //
     },
     records::Records,
-    suspects::Suspects, //
+    suspects::SharedDetector, //
 };
 use events::process;
 use settings::Keys;
@@ -154,7 +154,7 @@
         }),
     };
     let (heartbeat, _) = watch::channel(Heartbeat::default());
-    let suspects = Arc::new(Suspects::default());
+    let suspects = Arc::new(SharedDetector::default());
     Ok(State {
         hello,
         heartbeat,
--- a/components/sidecar/src/inflight.rs
+++ b/components/sidecar/src/inflight.rs
@@ -16,7 +16,7 @@
     Placement,
     Verdict, //
 };
-use daemon::suspects::Suspects;
+use daemon::suspects::SharedDetector;
 use reqwest::Client;
 use settings::Sidecar;
 use tokio::time::{
@@ -43,7 +43,7 @@
 
 /// Tracks the requests in flight at the backend server.
 pub struct Tracker {
-    suspects: Arc<Suspects>,
+    suspects: Arc<SharedDetector>,
     running: Mutex<Running>,
     /// Admits requests in order, so that newer ones don't overtake a waiting suspect.
     admission: tokio::sync::Mutex<()>,
@@ -75,7 +75,7 @@
 }
 
 impl Tracker {
-    pub(crate) fn new(settings: &Sidecar, suspects: Arc<Suspects>) -> Arc<Self> {
+    pub(crate) fn new(settings: &Sidecar, suspects: Arc<SharedDetector>) -> Arc<Self> {
         let client = Client::builder()
             .timeout(HEALTH_CHECK_TIMEOUT)
             .pool_max_idle_per_host(0)
