--- a/components/entry/src/moves/movers.rs
+++ b/components/entry/src/moves/movers.rs
@@ -29,9 +29,9 @@
     Server, //
 };
 use report::moves::{
-    Count,
     Evidence,
     Progress, //
+    VersionCounts,
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -103,7 +103,7 @@
 /// Returns the progress of one move.
 fn progress(mover: &Mover) -> Progress {
     let plan = mover.plan();
-    let mut routes = BTreeMap::<&Route, (Count, Count)>::new();
+    let mut routes = BTreeMap::<&Route, (VersionCounts, VersionCounts)>::new();
     for (key, pair) in mover.total() {
         let (old, new) = routes.entry(&key.route).or_default();
         add(old, &pair.old);
@@ -135,7 +135,7 @@
 }
 
 /// Adds a tally to a count.
-fn add(count: &mut Count, tally: &Tally) {
+fn add(count: &mut VersionCounts, tally: &Tally) {
     count.requests += tally.requests;
     count.failed += tally.distinct_failures();
     count.slow_first += tally.slow_first;
--- a/components/report/src/moves.rs
+++ b/components/report/src/moves.rs
@@ -17,7 +17,7 @@
 
 /// Request counts of one version on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Count {
+pub struct VersionCounts {
     /// Number of requests.
     pub requests: u32,
     /// Number of distinct requests that failed.
@@ -34,9 +34,9 @@
     /// The route.
     pub route: Route,
     /// Counts of the version that loses the traffic.
-    pub old: Count,
+    pub old: VersionCounts,
     /// Counts of the version that gains the traffic.
-    pub new: Count,
+    pub new: VersionCounts,
 }
 
 /// Progress of one move.
@@ -95,7 +95,7 @@
 }
 
 /// Writes the line of one version.
-fn line(text: &mut String, version: &Version, count: Count) {
+fn line(text: &mut String, version: &Version, count: VersionCounts) {
     let _ = writeln!(
         text,
         "    {version:<12} {:>8} requests {:>6} failed {:>6} late first {:>6} slow between",
--- a/components/report/tests/moves.rs
+++ b/components/report/tests/moves.rs
@@ -6,15 +6,15 @@
 };
 
 use report::moves::{
-    Count,
     Evidence,
     Progress,
+    VersionCounts,
     text, //
 };
 
 #[test]
 fn a_reverted_move_shows_its_reason() {
-    let count = |requests, failed| Count {
+    let count = |requests, failed| VersionCounts {
         requests,
         failed,
         slow_first: 1,
