--- a/components/contract/src/poison.rs
+++ b/components/contract/src/poison.rs
@@ -1,10 +1,11 @@
 //! Detection of poisonous requests, which crash every backend server that runs them.
 //!
 //! When a server dies, every request in flight on it becomes a suspect. To isolate the poisonous
-//! one, suspects are separated: at most one runs on a server, and no new request starts beside it
-//! until it has run for the probation period. A request that was in flight at two deaths, and the
-//! only possible cause of at least one of them, is refused everywhere. A death that is explained
-//! by a refused request no longer makes a suspect of any other request that was in flight.
+//! one, suspects are separated: a suspect starts beside no request that has run for less than the
+//! probation period, and no new request starts beside it until it has run for that period. A
+//! request that was in flight at two deaths, and the only possible cause of at least one of them,
+//! is refused everywhere. A death that is explained by a refused request no longer makes a suspect
+//! of any other request that was in flight.
 //!
 //! Deaths and refusals are facts: sets of them are merged by union in any order, and they expire.
 //! Every process derives the same verdicts from the same facts.
--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -56,7 +56,8 @@
 pub enum Verdict {
     /// Not suspected.
     Clear,
-    /// In flight at one unexplained death: at most one such request runs on a server.
+    /// In flight at one unexplained death: starts beside no request that has run for less than the
+    /// probation period, and no new request starts beside it until it has run for that period.
     Suspect,
     /// In flight at several unexplained deaths: starts beside no suspect and no fresh request, and
     /// nothing starts beside it.
--- a/components/contract/src/poison/facts.rs
+++ b/components/contract/src/poison/facts.rs
@@ -34,7 +34,8 @@
 pub struct Death {
     /// The server that died.
     pub server: Server,
-    /// Wall-clock time of the death since the Unix epoch. It is used only for expiry.
+    /// Wall-clock time of the death since the Unix epoch. Expiry, the eviction of the oldest deaths
+    /// and the comparison with cleared suspects depend on it.
     pub at: Clock,
     /// Requests in flight at the time.
     pub flights: Vec<Flight>,
--- a/components/contract/src/sends.rs
+++ b/components/contract/src/sends.rs
@@ -7,8 +7,9 @@
 
 use crate::attempt::Class;
 
-/// Maximum number of sends of which no byte left. Each one costs a round trip or a timeout.
-const MAX_UNSENT: u32 = 8;
+/// Maximum number of sends of one request that did not reach their server: unsent or misdirected.
+/// Each costs a round trip or a timeout.
+const MAX_NOT_REACHED: u32 = 8;
 
 /// Result of one send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -47,7 +48,7 @@
     /// Maximum number of servers that the request may reach.
     max_servers: u32,
     reached: u32,
-    unsent: u32,
+    not_reached: u32,
     may_have_run: bool,
     failed: bool,
 }
@@ -59,7 +60,7 @@
             class,
             max_servers: max_servers.max(1),
             reached: 0,
-            unsent: 0,
+            not_reached: 0,
             may_have_run: false,
             failed: false,
         }
@@ -89,10 +90,10 @@
                 self.may_have_run = true;
             }
             Ending::Declined => self.reached += 1,
-            Ending::Misdirected | Ending::Unsent => self.unsent += 1,
+            Ending::Misdirected | Ending::Unsent => self.not_reached += 1,
         }
         let repeatable = !self.may_have_run || self.class == Class::Repeatable;
-        if repeatable && self.reached < self.max_servers && self.unsent < MAX_UNSENT {
+        if repeatable && self.reached < self.max_servers && self.not_reached < MAX_NOT_REACHED {
             return Step::Send;
         }
         self.final_step()
--- a/components/contract/tests/attempt.rs
+++ b/components/contract/tests/attempt.rs
@@ -80,10 +80,11 @@
     Event::Replied(Reply::Outcome(Outcome::not_run(reason, Duration::ZERO)))
 }
 
-/// `last` is the action that follows the last event: the reply to the caller or the entry's next
-/// step.
+/// A call that may have run must never be reported as not run, nor sent again unless it may be
+/// repeated. `last` is the action that follows the last event: the reply to the caller or the
+/// entry's next step.
 #[rstest]
-#[case::replayed(Class::Recorded, &[conflict(answered("d"))], "Ran 201 again")]
+#[case::replayed(Class::Recorded, &[conflict(answered("d"))], "Ran 201 replayed")]
 #[case::key_reused(Class::Recorded, &[conflict(answered("other"))], "NotRun KeyReused")]
 #[case::key_reused_while_running(
     Class::Recorded,
@@ -99,7 +100,7 @@
 #[case::timed_out_on_second_send(Class::Recorded, &[conflict(void()), TIMED_OUT], "Void at 9")]
 #[case::void_applied(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Applied(3))], "NotRun Unresponsive")]
 #[case::void_conflicts_with_forwarding(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(forwarding()))], "Unknown /v1/calls/k")]
-#[case::void_conflicts_with_answer(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(answered("d")))], "Ran 201 again")]
+#[case::void_conflicts_with_answer(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(answered("d")))], "Ran 201 replayed")]
 #[case::void_conflicts_with_void(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Conflict(void()))], "NotRun Unresponsive")]
 #[case::store_unavailable(Class::Recorded, &[TIMED_OUT, Event::Voided(Write::Refused)], "Unknown /v1/calls/k")]
 #[case::void_answer_lost(
@@ -190,7 +191,7 @@
         Action::Reply(Outcome::NotRun { reason, .. }) => format!("NotRun {reason:?}"),
         Action::Reply(Outcome::Ran {
             status, replayed, ..
-        }) => format!("Ran {status}{}", if *replayed { " again" } else { "" }),
+        }) => format!("Ran {status}{}", if *replayed { " replayed" } else { "" }),
         Action::Reply(Outcome::Unknown { status_path }) => {
             format!("Unknown {}", status_path.as_deref().unwrap_or("-"))
         }
--- a/components/contract/tests/record.rs
+++ b/components/contract/tests/record.rs
@@ -92,6 +92,8 @@
     insta::assert_json_snapshot!(encoded);
 }
 
+/// A frame that is delivered twice must not start a second attempt, which could report `not_run`
+/// for a call that runs.
 #[test]
 fn nonces_are_new_once_and_memory_is_bounded() {
     let mut seen = Seen::new(2);
--- a/components/daemon/src/handshake.rs
+++ b/components/daemon/src/handshake.rs
@@ -66,15 +66,16 @@
 /// Intervals between heartbeats on one link.
 #[derive(Clone, Copy, Debug)]
 pub struct Intervals {
-    /// Interval while there is work on the link; short, so that silence is detected early.
+    /// Interval while there is work; short, so that silence is detected early.
     pub busy: Duration,
     /// Interval while there is none.
     pub idle: Duration,
 }
 
 /// Sends heartbeats, in between the frames of `frames`, until the link ends. A heartbeat is sent at
-/// once when its content changes or work begins. `work` is the number of runs and calls on the
-/// link.
+/// once when its content changes or work begins. `work` is the number of runs and calls for which
+/// the link sends heartbeats at the busy interval: those on the link at an entry, those of the
+/// whole process at a sidecar.
 ///
 /// `received_since` returns whether anything was received on the link since its last call. If so, a
 /// link with work needs no heartbeat to show that it is alive, except one per idle interval.
--- a/components/daemon/src/lateness.rs
+++ b/components/daemon/src/lateness.rs
@@ -20,8 +20,8 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Interval of the timer. Stalls between two ticks go unnoticed, and each tick wakes the process
-/// up.
+/// Interval of the timer. Stalls shorter than it go unnoticed; a shorter interval would wake the
+/// process up more often.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Lateness of a tick that counts as normal: the runtime's timers have a resolution of one
@@ -45,7 +45,7 @@
 
 #[derive(Debug, Default)]
 struct Ticks {
-    /// Time at which the next tick is due; none before the first tick.
+    /// Time at which the next tick is due; `None` before the first tick.
     due: Option<Clock>,
     /// Time of each late tick or scheduling delay, and by how much it was late.
     late: VecDeque<(Clock, Duration)>,
--- a/components/daemon/src/lib.rs
+++ b/components/daemon/src/lib.rs
@@ -1,5 +1,6 @@
-//! Code shared by the entry and the sidecar: HTTP listeners, probes, and the handshake and
-//! heartbeats of links.
+//! Code shared by the entry and the sidecar: HTTP listeners, probes, the handshake and heartbeats
+//! of links, waiting for work at shutdown, measurement of lateness, records of calls, and the
+//! exchange of facts about poisonous requests.
 
 pub mod drain;
 pub mod handshake;
--- a/components/daemon/src/suspects.rs
+++ b/components/daemon/src/suspects.rs
@@ -131,8 +131,8 @@
     }
 }
 
-/// Returns the wall-clock time. Only expiry depends on it, and the clocks of hosts differ by
-/// seconds at most.
+/// Returns the wall-clock time. The expiry and eviction of facts and the comparison of deaths with
+/// cleared suspects depend on it; the clocks of hosts differ by seconds at most.
 fn wall_clock() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/components/environment/src/check.rs
+++ b/components/environment/src/check.rs
@@ -397,7 +397,8 @@
 }
 
 impl Condition {
-    /// Returns whether every request that meets `other` also meets this condition.
+    /// Returns whether every request that meets `other` also meets this condition, apart from their
+    /// hosts.
     fn covers(&self, other: &Self) -> bool {
         let teams = self.teams.is_empty()
             || (!other.teams.is_empty() && other.teams.iter().all(|t| self.teams.contains(t)));
--- a/components/environment/src/document.rs
+++ b/components/environment/src/document.rs
@@ -220,7 +220,7 @@
     /// Priority rank; 0 is served first.
     #[serde(default)]
     pub rank: u8,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     #[serde(default)]
     pub public: bool,
     /// Whether requests with a common prompt prefix benefit from the same engine.
@@ -332,7 +332,7 @@
     pub weight: u32,
     /// Priority; higher values are served first.
     pub priority: u8,
-    /// Keys that identify the team's callers on routes whose requests are passed through.
+    /// API keys that identify the team's callers on routes whose requests are passed through.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub keys: Vec<String>,
 }
@@ -358,7 +358,7 @@
     /// Maximum time from a request's arrival to its first token or byte.
     #[serde(with = "humantime_serde")]
     pub first: Duration,
-    /// Maximum time between tokens; not checked for plain services.
+    /// Maximum mean time between the tokens of an answer; not checked for plain services.
     #[serde(
         default,
         with = "humantime_serde::option",
--- a/components/environment/src/index.rs
+++ b/components/environment/src/index.rs
@@ -1,4 +1,4 @@
-//! A document with lookup tables: routes by host and path prefix, teams by key.
+//! A document with lookup tables: routes by host and path prefix, teams by API key.
 
 use std::collections::HashMap;
 
@@ -16,7 +16,7 @@
     document: Document,
     /// Positions in `document.routes` by host, longest prefix first.
     hosts: HashMap<String, Vec<usize>>,
-    /// Teams by key.
+    /// Teams by API key.
     keys: HashMap<String, Team>,
 }
 
@@ -83,12 +83,12 @@
         None
     }
 
-    /// Returns the team that owns a key.
+    /// Returns the team that owns an API key.
     pub fn team(&self, key: &str) -> Option<&Team> {
         self.keys.get(key)
     }
 
-    /// Returns whether the document defines teams, whose callers identify themselves by keys.
+    /// Returns whether the document defines teams, whose callers identify themselves by API keys.
     pub fn requires_api_keys(&self) -> bool {
         !self.document.teams.is_empty()
     }
--- a/components/environment/tests/document.rs
+++ b/components/environment/tests/document.rs
@@ -32,8 +32,8 @@
     assert_eq!(listed, replicas);
 }
 
-// A document with one error must be rejected with the error's line and the accepted values.
-// Otherwise an operator searches hundreds of lines while a move waits.
+/// A document with one error must be rejected with the error's line and the accepted values.
+/// Otherwise an operator searches hundreds of lines while a move waits.
 #[rstest]
 #[case("unknown_field", "    kind: plain\n", "    kind: plain\n    sort: x\n")]
 #[case("unknown_kind", "    kind: plain\n", "    kind: simple\n")]
@@ -181,8 +181,8 @@
     assert_eq!(document.limit("nobody").in_flight, 20);
 }
 
-// When a trial environment is promoted, its document is stored under the name of production. Other
-// occurrences of the name in the text, and the comments, must remain unchanged.
+/// When a trial environment is promoted, its document is stored under the name of production. Other
+/// occurrences of the name in the text, and the comments, must remain unchanged.
 #[test]
 fn environment_name_is_replaced_in_a_text() {
     let text = "# About e.\nenvironment: 'e' # Here e.\nservices: []\nroutes: []\n";
--- a/components/events/src/answers.rs
+++ b/components/events/src/answers.rs
@@ -1,7 +1,8 @@
 //! Events of generations and answers: 300 to 399.
 
 crate::declare! {
-    /// A generation failed at its engine.
+    /// A generation ended before its answer was complete: its engine failed, its log was full, or
+    /// it was cancelled.
     BROKEN = 300, Warn, "Generation failed";
     /// An answer continues with another epoch.
     RESUMED = 301, Info, "Answer resumed";
--- a/components/events/src/forwarding.rs
+++ b/components/events/src/forwarding.rs
@@ -49,7 +49,7 @@
     STORE_LOST = 1105, Warn, "Store does not answer";
     /// The store answers again.
     STORE_BACK = 1106, Info, "Store answers again";
-    /// The document may be out of date; idempotency keys are not accepted.
+    /// The document may be out of date; API keys are not accepted.
     DOCUMENT_STALE = 1107, Warn, "Document may be out of date";
     /// The document is known to be current again.
     DOCUMENT_CURRENT = 1108, Info, "Document is current again";
--- a/components/events/src/links.rs
+++ b/components/events/src/links.rs
@@ -3,11 +3,11 @@
 crate::declare! {
     /// A link was established.
     UP = 200, Info, "Link is up";
-    /// A link was lost; a new one is dialled.
+    /// A link was lost, or its handshake failed; the dialling side dials a new one.
     LOST = 201, Warn, "Link lost";
     /// A peer's certificate isn't signed by the configured authority, or isn't valid for its name.
     FOREIGN = 202, Error, "Peer refused: foreign certificate";
-    /// A peer uses another version of the protocol.
+    /// A peer uses another version of the protocol, or its handshake frame is malformed.
     PROTOCOL = 203, Error, "Peer refused: unsupported protocol version";
     /// A peer sent a frame that isn't allowed at that point.
     MALFORMED = 204, Error, "Peer sent a malformed frame";
--- a/components/events/src/moves.rs
+++ b/components/events/src/moves.rs
@@ -1,4 +1,4 @@
-//! Events of moves between versions: 600 to 699.
+//! Events of moves between versions: 600 to 619.
 
 crate::declare! {
     /// This entry found that the new version of a move is bad; it sends it no more requests.
--- a/components/events/src/rollout.rs
+++ b/components/events/src/rollout.rs
@@ -3,7 +3,7 @@
 crate::declare! {
     /// An operator ordered a rollout: a gradual move of a service's traffic to another version.
     ORDERED = 620, Info, "Move ordered";
-    /// An operator withdrew an order.
+    /// An operator withdrew a rollout.
     WITHDRAWN = 621, Info, "Move withdrawn";
     /// The entries' counts show that the new version is bad; it gets no more requests.
     FOUND_BAD = 622, Error, "New version found bad by samples";
--- a/components/orders/tests/orders.rs
+++ b/components/orders/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Cases of the sequencer and of the slot.
+//! Orders never take effect out of order, and loads stop when their slot's lease ends.
 
 use std::time::Duration;
 
@@ -41,8 +41,8 @@
     }
 }
 
-/// Events are a minute apart, so every timer has expired by the next event. `last` lists the
-/// actions that follow the last event.
+/// An older order that took effect after a newer one would undo it. Events are a minute apart, so
+/// every timer has expired by the next event. `last` lists the actions that follow the last event.
 #[rstest]
 #[case::first_order(false, &[sequencer::Event::NewestRead(0), sequencer::Event::TimerFired, order(3)], "send 3")]
 #[case::store_unavailable(false, &[sequencer::Event::StoreUnavailable, order(3)], "3: StoreOut, read")]
--- a/components/report/src/burn.rs
+++ b/components/report/src/burn.rs
@@ -21,7 +21,7 @@
 
 use crate::ring::{
     Count,
-    Ring, //
+    WindowedCounts, //
 };
 
 /// Period of the error budget.
@@ -58,11 +58,11 @@
 }
 
 impl Window {
-    const fn new(name: &'static str, short: u64, long: u64, threshold: f64) -> Self {
+    const fn new(name: &'static str, short_secs: u64, long_secs: u64, threshold: f64) -> Self {
         Self {
             name,
-            short: Duration::from_secs(short),
-            long: Duration::from_secs(long),
+            short: Duration::from_secs(short_secs),
+            long: Duration::from_secs(long_secs),
             threshold,
         }
     }
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     levels: BTreeMap<Service, Level>,
-    rows: BTreeMap<(Service, Subject), Ring>,
+    rows: BTreeMap<(Service, Subject), WindowedCounts>,
 }
 
 /// Burn rates of one row over one pair of windows.
@@ -217,11 +217,11 @@
     /// Returns the report at time `now`.
     pub fn report(&self, now: Clock) -> Burn {
         let mut rows = Vec::new();
-        for ((service, subject), ring) in &self.rows {
+        for ((service, subject), counts) in &self.rows {
             let Some(level) = self.levels.get(service) else {
                 continue;
             };
-            let period = ring.sum(BUDGET_PERIOD, now);
+            let period = counts.sum(BUDGET_PERIOD, now);
             rows.push(Row {
                 service: service.clone(),
                 subject: subject.clone(),
@@ -229,7 +229,7 @@
                 missed: period.missed,
                 left: 1.0 - level.burn(period),
                 rates: ALERT_WINDOWS
-                    .map(|window| rate(level, ring, window, now))
+                    .map(|window| rate(level, counts, window, now))
                     .to_vec(),
             });
         }
@@ -249,10 +249,10 @@
 }
 
 /// Returns the burn rates of a row over a pair of windows.
-fn rate(level: &Level, ring: &Ring, window: Window, now: Clock) -> Rate {
-    let recent = ring.sum(window.short, now);
+fn rate(level: &Level, counts: &WindowedCounts, window: Window, now: Clock) -> Rate {
+    let recent = counts.sum(window.short, now);
     let short = level.burn(recent);
-    let long = level.burn(ring.sum(window.long, now));
+    let long = level.burn(counts.sum(window.long, now));
     Rate {
         window: window.name,
         short,
--- a/components/report/src/explain.rs
+++ b/components/report/src/explain.rs
@@ -37,14 +37,14 @@
     /// Id of the request.
     pub id: String,
     /// Relevant log lines in order of time.
-    pub lines: Vec<Event>,
+    pub lines: Vec<ExplainedLine>,
     /// Outcome of the request and its cause, in a sentence.
     pub cause: String,
 }
 
 /// A log line of an explanation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Event {
+pub struct ExplainedLine {
     /// Time since the first line of the request, in milliseconds; negative before it.
     pub offset_ms: i64,
     /// Whether the line is about the request itself or another attempt of the same caller.
@@ -75,7 +75,7 @@
         if !(own || relevant) {
             continue;
         }
-        events.push(Event {
+        events.push(ExplainedLine {
             offset_ms: time - first,
             own,
             line: line.clone(),
@@ -124,7 +124,7 @@
 
 /// Returns the next start of the process that wrote a line. Its time is estimated by the wall
 /// clock: if the host lost power in between, its monotonic clock has restarted from zero.
-fn next_start(lines: &[Line], last: &Line, first: i64, clocks: &Clocks) -> Option<Event> {
+fn next_start(lines: &[Line], last: &Line, first: i64, clocks: &Clocks) -> Option<ExplainedLine> {
     let next = |line: &&Line| {
         line.event == PROCESS_STARTED
             && line.process == last.process
@@ -132,7 +132,7 @@
             && line.wall_ms > last.wall_ms
     };
     let start = lines.iter().filter(next).min_by_key(|line| line.wall_ms)?;
-    Some(Event {
+    Some(ExplainedLine {
         offset_ms: clocks.time(last) - first + (start.wall_ms - last.wall_ms),
         own: false,
         line: start.clone(),
--- a/components/report/src/explain/cause.rs
+++ b/components/report/src/explain/cause.rs
@@ -1,7 +1,7 @@
 //! Describes the outcome of a request and its cause in a sentence.
 
 use super::{
-    Event,
+    ExplainedLine,
     Line, //
 };
 
@@ -14,17 +14,20 @@
 const LOST: u64 = 1004;
 pub(super) const FAILED: u64 = 1005;
 const RESUMED: u64 = 1006;
-pub(super) const CUT: u64 = 1007;
+pub(super) const INCOMPLETE: u64 = 1007;
 pub(super) const ABANDONED: u64 = 1008;
 const STORE_LOST: u64 = 1105;
 
 /// Returns whether a line reports the outcome of a request.
 pub(super) fn is_outcome(line: &Line) -> bool {
-    matches!(line.event, REFUSED | ANSWERED | FAILED | CUT | ABANDONED)
+    matches!(
+        line.event,
+        REFUSED | ANSWERED | FAILED | INCOMPLETE | ABANDONED
+    )
 }
 
 /// Describes the outcome of a request and its cause.
-pub(super) fn cause(id: &str, events: &[Event]) -> String {
+pub(super) fn cause(id: &str, events: &[ExplainedLine]) -> String {
     let own: Vec<&Line> = events
         .iter()
         .map(|event| &event.line)
@@ -34,8 +37,8 @@
     if let Some(refused) = outcome(REFUSED) {
         return self::refused(refused, &own, events);
     }
-    if let Some(cut) = outcome(CUT) {
-        return self::cut(cut, &own);
+    if let Some(incomplete) = outcome(INCOMPLETE) {
+        return self::incomplete(incomplete, &own);
     }
     if let Some(line) = outcome(ABANDONED) {
         return abandoned(line, &own);
@@ -73,7 +76,7 @@
 }
 
 /// Describes a refused request.
-fn refused(line: &Line, own: &[&Line], events: &[Event]) -> String {
+fn refused(line: &Line, own: &[&Line], events: &[ExplainedLine]) -> String {
     let status = number(line, "status");
     let document = number(line, "document");
     match line.text("reason").unwrap_or_default() {
@@ -146,7 +149,7 @@
 }
 
 /// Describes a stream that was cut off.
-fn cut(line: &Line, own: &[&Line]) -> String {
+fn incomplete(line: &Line, own: &[&Line]) -> String {
     let losses = own.iter().filter(|line| line.event == LOST);
     let losses: Vec<String> = losses
         .map(|line| format!("{} {}", text(line, "server"), text(line, "reason")))
@@ -181,11 +184,12 @@
 }
 
 /// Describes a request without a logged outcome.
-fn unfinished(own: &[&Line], events: &[Event]) -> String {
+fn unfinished(own: &[&Line], events: &[ExplainedLine]) -> String {
     let Some(last) = own.last() else {
         return "No log line names the request.".to_string();
     };
-    let same = |event: &&Event| event.line.process == last.process && event.line.run != last.run;
+    let same =
+        |event: &&ExplainedLine| event.line.process == last.process && event.line.run != last.run;
     let start = events
         .iter()
         .filter(same)
--- a/components/report/src/explain/summary.rs
+++ b/components/report/src/explain/summary.rs
@@ -135,7 +135,7 @@
     };
     match (line.event, line.text("reason")) {
         (cause::REFUSED, Some(reason)) => format!("refused: {reason}"),
-        (cause::CUT, Some(reason)) => format!("cut: {reason}"),
+        (cause::INCOMPLETE, Some(reason)) => format!("cut: {reason}"),
         (cause::FAILED, _) => "failed by its server".to_string(),
         (cause::ABANDONED, _) => "left by its caller".to_string(),
         _ => "answered".to_string(),
--- a/components/report/src/ring.rs
+++ b/components/report/src/ring.rs
@@ -28,15 +28,17 @@
 
 /// Counts by minute for the last hour, and by quarter of an hour for three days.
 #[derive(Clone, Debug)]
-pub struct Ring {
+pub struct WindowedCounts {
     minutes: Buckets,
     quarter_hours: Buckets,
 }
 
-impl Default for Ring {
+impl Default for WindowedCounts {
     fn default() -> Self {
         Self {
+            // The minutes of the last hour, and one more because the oldest is partial.
             minutes: Buckets::new(Duration::from_secs(60), 61),
+            // The quarter hours of three days, and one more because the oldest is partial.
             quarter_hours: Buckets::new(Duration::from_secs(900), 289),
         }
     }
@@ -99,7 +101,7 @@
     }
 }
 
-impl Ring {
+impl WindowedCounts {
     /// Counts a request.
     pub fn add(&mut self, missed: bool, now: Clock) {
         self.minutes.add(missed, now);
--- a/components/report/src/text.rs
+++ b/components/report/src/text.rs
@@ -8,8 +8,8 @@
     Subject, //
 };
 
-/// Largest number of rows on a screen.
-const MAX_ROWS: usize = 30;
+/// Maximum number of rows on a screen.
+const MAX_SCREEN_ROWS: usize = 30;
 
 /// Renders the burn as text, worst rows first.
 pub fn burn(burn: &Burn) -> String {
@@ -17,10 +17,10 @@
         "{:<14} {:<24} {:>9} {:>7} {:>8}  {}\n",
         "SERVICE", "OF", "REQUESTS", "MISSED", "BUDGET", "BURN fast, slow, long (! alerts)"
     );
-    for row in burn.rows.iter().take(MAX_ROWS) {
+    for row in burn.rows.iter().take(MAX_SCREEN_ROWS) {
         line(&mut text, row);
     }
-    let more = burn.rows.len().saturating_sub(MAX_ROWS);
+    let more = burn.rows.len().saturating_sub(MAX_SCREEN_ROWS);
     if more > 0 {
         let _ = writeln!(text, "and {more} more rows; --format json has them all");
     }
--- a/components/settings/src/sidecar.rs
+++ b/components/settings/src/sidecar.rs
@@ -168,7 +168,7 @@
     #[serde(with = "humantime_serde")]
     #[garde(custom(check_range))]
     pub silence: Duration,
-    /// Time for which a generation runs on, and its log is held, without a reader.
+    /// Time for which a generation runs on, and its log is held, without a listener.
     #[serde(with = "humantime_serde")]
     #[garde(custom(check_range))]
     pub grace: Duration,
--- a/components/sidecar/src/calls.rs
+++ b/components/sidecar/src/calls.rs
@@ -151,7 +151,7 @@
             reason: Reason::Poisonous,
             retry_after: left,
         }),
-        Refusal::Apart => not_run(Reason::Apart),
+        Refusal::Deferred => not_run(Reason::Apart),
     }
 }
 
--- a/components/sidecar/src/concurrency.rs
+++ b/components/sidecar/src/concurrency.rs
@@ -12,7 +12,7 @@
 pub struct Permit(Arc<watch::Sender<u32>>);
 
 impl Counter {
-    /// Increments the count; none when `limit` runs and calls are in progress already.
+    /// Increments the count; `None` if `limit` runs and calls are in progress already.
     pub fn acquire(&self, limit: usize) -> Option<Permit> {
         let mut fits = false;
         self.0.send_modify(|count| {
--- a/components/sidecar/src/generation.rs
+++ b/components/sidecar/src/generation.rs
@@ -59,7 +59,7 @@
     /// Facts about the server's death that ended the generation.
     suspects: Mutex<Option<Facts>>,
     cancel: CancellationToken,
-    /// The next index to send, by the id of the listening stream.
+    /// The next index to send to each listener, by the id of its stream.
     positions: Mutex<HashMap<u64, Index>>,
 }
 
@@ -83,8 +83,8 @@
         })
     }
 
-    /// Subscribes to the token log. A generation without subscribers is cancelled after the grace
-    /// time.
+    /// Subscribes a listener to the token log. A generation without listeners is cancelled after
+    /// the grace time.
     pub fn subscribe(&self) -> watch::Receiver<Log> {
         self.log.subscribe()
     }
@@ -94,8 +94,8 @@
         *self.usage.lock().expect("no panic while held")
     }
 
-    /// Returns the facts about the server's death, to be sent before the end frame; none unless the
-    /// server died.
+    /// Returns the facts about the server's death, to be sent before the end frame; `None` if the
+    /// server has not died.
     pub fn suspects(&self) -> Option<Facts> {
         self.suspects.lock().expect("no panic while held").clone()
     }
@@ -118,8 +118,8 @@
     }
 
     /// Cancels the generation for one stream, whose entry continues the answer elsewhere. Another
-    /// entry may still read it for a retry of the same caller, so only the last stream's
-    /// cancellation stops the generation.
+    /// entry may still listen to it for a retry of the same caller, so only the cancellation of the
+    /// last listener stops the generation.
     pub fn cancel(&self, stream: u64) {
         let mut positions = self.positions.lock().expect("no panic while held");
         positions.remove(&stream);
@@ -133,7 +133,7 @@
         self.cancel.is_cancelled()
     }
 
-    /// Returns the lowest next index of all listening streams; none without a listener.
+    /// Returns the lowest next index of all listeners; `None` if there is no listener.
     fn lowest_position(&self) -> Option<Index> {
         let positions = self.positions.lock().expect("no panic while held");
         positions.values().min().copied()
--- a/components/sidecar/src/generations.rs
+++ b/components/sidecar/src/generations.rs
@@ -297,7 +297,7 @@
 fn admission_refusal(refusal: Refusal) -> Refused {
     match refusal {
         Refusal::Poisonous(left) => refused(Reason::Poisonous, left),
-        Refusal::Apart => refused(Reason::Apart, DEFAULT_RETRY_AFTER),
+        Refusal::Deferred => refused(Reason::Apart, DEFAULT_RETRY_AFTER),
     }
 }
 
--- a/components/sidecar/src/inflight.rs
+++ b/components/sidecar/src/inflight.rs
@@ -71,7 +71,7 @@
     /// The request crashed servers; it is refused everywhere for the remaining time.
     Poisonous(Duration),
     /// The request must not run at the same time as those in flight here.
-    Apart,
+    Deferred,
 }
 
 impl Tracker {
@@ -107,7 +107,7 @@
                 return Ok(guard);
             }
             if started.elapsed() >= ADMISSION_TIMEOUT {
-                return Err(Refusal::Apart);
+                return Err(Refusal::Deferred);
             }
             sleep(ADMISSION_CHECK_INTERVAL).await;
         }
@@ -128,7 +128,7 @@
         })
     }
 
-    /// Removes and returns all requests in flight; none when another request has reported this
+    /// Removes and returns all requests in flight; `None` if another request has reported this
     /// death already.
     fn take_all(&self, id: u64) -> Option<Vec<Flight>> {
         let mut running = self.running.lock().expect("no panic while held");
--- a/components/sidecar/src/orders.rs
+++ b/components/sidecar/src/orders.rs
@@ -70,7 +70,7 @@
     let (events, mut incoming) = mpsc::channel(EVENT_CHANNEL_CAPACITY);
     let driver = Driver {
         client: Client::new(),
-        slow_after: times.platform,
+        order_timeout: times.platform,
         state: state.clone(),
         events,
     };
@@ -101,8 +101,9 @@
     }
 }
 
-/// Reads the newest order, reports its revision, and watches for changes. While the store is
-/// unavailable, the state machine knows no newest revision and forwards nothing.
+/// Reads the newest order, reports its revision, and watches for changes. Until the first read
+/// succeeds, the sequencer doesn't know the newest token. While the store is unavailable later, no
+/// new order arrives, and failed calls are retried every [`STORE_RETRY_DELAY`].
 async fn watch(platform: Platform, key: String, events: &mpsc::Sender<Event>) {
     let mut after = None;
     loop {
@@ -141,16 +142,16 @@
     after: Revision,
     events: &mpsc::Sender<Event>,
 ) -> Result<Revision, store::Error> {
-    let change = platform.watch(key, after, WATCH_TIMEOUT).await?;
-    for event in change.events {
-        if event.key != key {
+    let watched = platform.watch(key, after, WATCH_TIMEOUT).await?;
+    for change in watched.events {
+        if change.key != key {
             continue;
         }
-        if let Some(value) = event.value {
-            notify_order(event.revision, &value, events).await;
+        if let Some(value) = change.value {
+            notify_order(change.revision, &value, events).await;
         }
     }
-    Ok(change.revision)
+    Ok(watched.revision)
 }
 
 async fn notify_order(fence: Revision, value: &str, events: &mpsc::Sender<Event>) {
@@ -165,8 +166,8 @@
 /// Executes the actions of the sequencer.
 struct Driver {
     client: Client,
-    /// Time after which an unanswered order is reported as slow.
-    slow_after: Duration,
+    /// Time after which an unanswered order is reported as timed out; its connection stays open.
+    order_timeout: Duration,
     state: Arc<State>,
     events: mpsc::Sender<Event>,
 }
@@ -186,7 +187,7 @@
             Action::Send(order) => {
                 let address = &self.state.context.settings.server.address;
                 let request = self.client.post(format!("{address}/orders")).json(&order);
-                tokio::spawn(send(request, order.fence, self.slow_after, events));
+                tokio::spawn(send(request, order.fence, self.order_timeout, events));
             }
             Action::Answer { fence, answer } => self.report(fence, answer),
         }
@@ -209,12 +210,12 @@
 async fn send(
     request: reqwest::RequestBuilder,
     fence: Revision,
-    slow_after: Duration,
+    order_timeout: Duration,
     events: mpsc::Sender<Event>,
 ) {
     let answer = request.send();
     tokio::pin!(answer);
-    let answer = match timeout(slow_after, &mut answer).await {
+    let answer = match timeout(order_timeout, &mut answer).await {
         Ok(answer) => answer,
         Err(_) => {
             notify(&events, Event::TimedOut(fence)).await;
--- a/components/store/tests/hosts.rs
+++ b/components/store/tests/hosts.rs
@@ -78,8 +78,8 @@
     assert_eq!(names(&client).await, ["c"]);
 }
 
-// The host list lags, is frozen, or is empty by mistake. A reader that trusts it would send work to
-// hosts that no longer exist, or drop every host at once.
+/// The host list lags, is frozen, or is empty by mistake. A reader that trusts it would send work
+/// to hosts that no longer exist, or drop every host at once.
 #[rstest]
 #[case::lag(Fault { hosts_lag_ms: Some(3_600_000), ..Fault::default() }, &["a"])]
 #[case::stale(Fault { hosts_stale: true, ..Fault::default() }, &["a"])]
--- a/components/store/tests/settle.rs
+++ b/components/store/tests/settle.rs
@@ -45,9 +45,9 @@
     }
 }
 
-// A write's answer is lost after the write took effect, or the write itself is lost. The writer
-// must learn which: if an applied write is taken for lost, an order is issued twice; if a lost
-// write is taken for applied, a call runs without its record.
+/// A write's answer is lost after the write took effect, or the write itself is lost. The writer
+/// must learn which: if an applied write is taken for lost, an order is issued twice; if a lost
+/// write is taken for applied, a call runs without its record.
 #[rstest]
 #[case::nothing_lost(0, 0, 1)]
 #[case::answer_lost(1, 0, 1)]
@@ -90,8 +90,8 @@
     assert_eq!(entry.expect("the key is there").value, "other");
 }
 
-// An edit takes effect, its answer is lost, and another operator overwrites it before the first one
-// reads the key. The key alone would suggest that the first edit never took effect.
+/// An edit takes effect, its answer is lost, and another operator overwrites it before the first
+/// one reads the key. The key alone would suggest that the first edit never took effect.
 #[tokio::test]
 async fn overwritten_write_counts_as_applied() {
     let (platform, client) = start().await;
@@ -123,8 +123,8 @@
     assert_matches!(settled.await, Ok(Settled::Conflict { entry: Some(_) }));
 }
 
-// The store has compacted the changes since the expected revision, so whether the edit ever took
-// effect can't be determined.
+/// The store has compacted the changes since the expected revision, so whether the edit ever took
+/// effect can't be determined.
 #[tokio::test]
 async fn compacted_history_is_unknown() {
     let platform = Platform::start(Settings {
@@ -141,8 +141,8 @@
     assert_eq!(settled.await, Ok(Settled::Unknown));
 }
 
-// The store goes down right after it accepted a write. The result can't be determined and must be
-// reported as unknown.
+/// The store goes down right after it accepted a write. The result can't be determined and must be
+/// reported as unknown.
 #[tokio::test]
 async fn outage_after_the_write_is_unknown() {
     let (platform, client) = start().await;
@@ -166,9 +166,9 @@
     assert_eq!(task.await.expect("the task ends"), Ok(Settled::Unknown));
 }
 
-// A write is delayed in transit and arrives after the writer has read the key and found nothing.
-// From the read alone the write would count as lost although it then takes effect; the second
-// conditional write makes the late one harmless.
+/// A write is delayed in transit and arrives after the writer has read the key and found nothing.
+/// From the read alone the write would count as lost although it then takes effect; the second
+/// conditional write makes the late one harmless.
 #[tokio::test]
 async fn delayed_write_takes_effect_once() {
     let (platform, _) = start().await;
@@ -227,7 +227,7 @@
     assert_eq!(platform.counts().writes, 1);
 }
 
-// The store is briefly unavailable; a read succeeds as soon as it is available again.
+/// The store is briefly unavailable; a read succeeds as soon as it is available again.
 #[tokio::test]
 async fn reads_are_retried_until_their_deadline() {
     let (platform, client) = start().await;
--- a/components/store/tests/store.rs
+++ b/components/store/tests/store.rs
@@ -134,8 +134,8 @@
     assert!(change.expect("an answer").events.is_empty());
 }
 
-// A reader was disconnected for so long that the store no longer retains the changes it missed. It
-// must receive an error, or it would serve an outdated document permanently.
+/// A reader was disconnected for so long that the store no longer retains the changes it missed. It
+/// must receive an error, or it would serve an outdated document permanently.
 #[tokio::test]
 async fn watch_from_a_compacted_revision_fails() {
     let platform = start(Settings {
@@ -154,8 +154,8 @@
     assert!(client.watch("k", 2, Duration::ZERO).await.is_ok());
 }
 
-// The holder of a lease is paused, the lease expires, and its keys are deleted. When the holder
-// resumes, it must learn that it no longer holds the lease.
+/// The holder of a lease is paused, the lease expires, and its keys are deleted. When the holder
+/// resumes, it must learn that it no longer holds the lease.
 #[tokio::test]
 async fn expired_lease_deletes_its_keys() {
     let platform = start(Settings::default()).await;
@@ -205,8 +205,8 @@
     assert_eq!(put, Err(Error::TooLarge));
 }
 
-// The platform's store is down, unresponsive, overloaded or slow. Each call must end within its
-// timeout with an error that tells whether a write may have taken effect.
+/// The platform's store is down, unresponsive, overloaded or slow. Each call must end within its
+/// timeout with an error that tells whether a write may have taken effect.
 #[rstest]
 #[case::outage(Fault { outage: true, ..Fault::default() }, Error::Unavailable)]
 #[case::outage_for(Fault { outage_ms: Some(3_600_000), ..Fault::default() }, Error::Unavailable)]
@@ -266,8 +266,8 @@
     }
 }
 
-// A middlebox drops the connection of a watch without notice: the watch would wait forever while
-// new ones work. Only its own timeout ends it.
+/// A middlebox drops the connection of a watch without notice: the watch would wait forever while
+/// new ones work. Only its own timeout ends it.
 #[tokio::test]
 async fn unresponsive_watch_ends_by_its_timeout() {
     let platform = start(Settings::default()).await;
@@ -288,7 +288,7 @@
     assert_eq!(change.expect("an answer").events.len(), 1);
 }
 
-// When the store goes down, waiting watches end at once, so that readers notice.
+/// When the store goes down, waiting watches end at once, so that readers notice.
 #[tokio::test]
 async fn outage_ends_waiting_watches() {
     let platform = start(Settings::default()).await;
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -87,7 +87,7 @@
     pub data_centre: DataCentre,
     /// Random number of this run of the process; it changes with every restart.
     pub incarnation: Nonce,
-    /// The backend server behind a sidecar; none from an entry.
+    /// The backend server behind a sidecar; `None` from an entry.
     pub backend: Option<Backend>,
 }
 
@@ -109,7 +109,7 @@
     pub leaving: bool,
     /// Whether the backend server answers its health check.
     pub healthy: bool,
-    /// Load of the backend server; none from an entry.
+    /// Load of the backend server; `None` from an entry.
     pub load: Option<Load>,
 }
 
@@ -244,7 +244,7 @@
     pub service: Service,
     /// Team of the caller.
     pub team: Team,
-    /// The caller's idempotency key; none when it sent none.
+    /// The caller's idempotency key; `None` if it sent none.
     pub key: Option<String>,
     /// HTTP method.
     pub method: String,
@@ -258,7 +258,7 @@
     pub body: Vec<u8>,
     /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// Data for the call's record; none for calls without one.
+    /// Data for the call's record; `None` for calls without one.
     pub recording: Option<Recording>,
 }
 
--- a/components/wire/src/link.rs
+++ b/components/wire/src/link.rs
@@ -117,7 +117,7 @@
         Ok(Link { connection })
     }
 
-    /// Waits until a peer dials; none once the node is closed.
+    /// Waits until a peer dials; `None` if the node is closed.
     pub async fn accept(&self) -> Option<Incoming> {
         self.endpoint.accept().await.map(Incoming)
     }
--- a/components/wire/src/stream.rs
+++ b/components/wire/src/stream.rs
@@ -74,7 +74,7 @@
 }
 
 impl Receiver {
-    /// Receives a frame; none when the peer has ended the stream between two frames.
+    /// Receives a frame; `None` if the peer has ended the stream between two frames.
     ///
     /// Not cancel-safe: a partly read frame is lost.
     ///
--- a/components/wire/src/tokens.rs
+++ b/components/wire/src/tokens.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// Splits a text into tokens; none when the lengths don't add up to the text or split a character.
+/// Splits a text into tokens; `None` if the lengths don't add up to the text or split a character.
 fn split(text: &str, lengths: &[usize]) -> Option<Vec<String>> {
     let mut rest = text;
     let mut tokens = Vec::with_capacity(lengths.len());
