--- a/components/sidecar/src/inflight.rs
+++ b/components/sidecar/src/inflight.rs
@@ -16,7 +16,7 @@
     Placement,
     Verdict, //
 };
-use daemon::suspects::Suspects;
+use daemon::suspects::SharedDetector;
 use reqwest::Client;
 use settings::Sidecar;
 use tokio::time::{
@@ -43,7 +43,7 @@
 
 /// Tracks the requests in flight at the backend server.
 pub struct Tracker {
-    suspects: Arc<Suspects>,
+    suspects: Arc<SharedDetector>,
     running: Mutex<Running>,
     /// Admits requests in order, so that newer ones don't overtake a waiting suspect.
     admission: tokio::sync::Mutex<()>,
@@ -71,11 +71,11 @@
     /// The request crashed servers; it is refused everywhere for the remaining time.
     Poisonous(Duration),
     /// The request must not run at the same time as those in flight here.
-    Apart,
+    Deferred,
 }
 
 impl Tracker {
-    pub(crate) fn new(settings: &Sidecar, suspects: Arc<Suspects>) -> Arc<Self> {
+    pub(crate) fn new(settings: &Sidecar, suspects: Arc<SharedDetector>) -> Arc<Self> {
         let client = Client::builder()
             .timeout(HEALTH_CHECK_TIMEOUT)
             .pool_max_idle_per_host(0)
@@ -107,7 +107,7 @@
                 return Ok(guard);
             }
             if started.elapsed() >= ADMISSION_TIMEOUT {
-                return Err(Refusal::Apart);
+                return Err(Refusal::Deferred);
             }
             sleep(ADMISSION_CHECK_INTERVAL).await;
         }
@@ -128,7 +128,7 @@
         })
     }
 
-    /// Removes and returns all requests in flight; none when another request has reported this
+    /// Removes and returns all requests in flight; `None` if another request has reported this
     /// death already.
     fn take_all(&self, id: u64) -> Option<Vec<Flight>> {
         let mut running = self.running.lock().expect("no panic while held");
--- a/components/store/tests/store.rs
+++ b/components/store/tests/store.rs
@@ -69,7 +69,7 @@
     }
     let written = put(&client, "k", "b", expect).await;
     match written {
-        Write::Done { revision } => {
+        Write::Applied { revision } => {
             let entry = client.get("k").await.expect("the store answers");
             assert_eq!(entry.expect("the key is there").revision, revision);
             assert!(done);
@@ -87,7 +87,7 @@
         Expect::Absent => after.is_none(),
         Expect::Revision(number) => !done && before.is_some() && number == 1,
     };
-    let deleted = matches!(deleted, Ok(Write::Done { .. }));
+    let deleted = matches!(deleted, Ok(Write::Applied { .. }));
     assert_eq!(deleted, holds);
 }
 
@@ -134,8 +134,8 @@
     assert!(change.expect("an answer").events.is_empty());
 }
 
-// A reader was disconnected for so long that the store no longer retains the changes it missed. It
-// must receive an error, or it would serve an outdated document permanently.
+/// A reader was disconnected for so long that the store no longer retains the changes it missed. It
+/// must receive an error, or it would serve an outdated document permanently.
 #[tokio::test]
 async fn watch_from_a_compacted_revision_fails() {
     let platform = start(Settings {
@@ -154,8 +154,8 @@
     assert!(client.watch("k", 2, Duration::ZERO).await.is_ok());
 }
 
-// The holder of a lease is paused, the lease expires, and its keys are deleted. When the holder
-// resumes, it must learn that it no longer holds the lease.
+/// The holder of a lease is paused, the lease expires, and its keys are deleted. When the holder
+/// resumes, it must learn that it no longer holds the lease.
 #[tokio::test]
 async fn expired_lease_deletes_its_keys() {
     let platform = start(Settings::default()).await;
@@ -163,7 +163,7 @@
     let lease = client.grant_lease(Duration::from_millis(50)).await;
     let lease = lease.expect("the store answers");
     let put = client.put("slot", "a", Expect::Absent, Some(lease)).await;
-    assert_matches!(put, Ok(Write::Done { .. }));
+    assert_matches!(put, Ok(Write::Applied { .. }));
     let change = client
         .watch("slot", 1, TEST_TIMEOUT)
         .await
@@ -183,7 +183,7 @@
         .await
         .expect("the store answers");
     let put = client.put("slot", "a", Expect::Absent, Some(lease)).await;
-    assert_matches!(put, Ok(Write::Done { .. }));
+    assert_matches!(put, Ok(Write::Applied { .. }));
     assert_eq!(client.renew_lease(lease).await, Ok(()));
     assert_eq!(platform.counts().leases, 1);
     assert_eq!(client.revoke_lease(lease).await, Ok(()));
@@ -198,15 +198,15 @@
     let largest = "v".repeat(1 << 20);
     assert_matches!(
         client.put("k", &largest, Expect::Any, None).await,
-        Ok(Write::Done { .. })
+        Ok(Write::Applied { .. })
     );
     let too_large = format!("{largest}v");
     let put = client.put("k", &too_large, Expect::Any, None).await;
     assert_eq!(put, Err(Error::TooLarge));
 }
 
-// The platform's store is down, unresponsive, overloaded or slow. Each call must end within its
-// timeout with an error that tells whether a write may have taken effect.
+/// The platform's store is down, unresponsive, overloaded or slow. Each call must end within its
+/// timeout with an error that tells whether a write may have taken effect.
 #[rstest]
 #[case::outage(Fault { outage: true, ..Fault::default() }, Error::Unavailable)]
 #[case::outage_for(Fault { outage_ms: Some(3_600_000), ..Fault::default() }, Error::Unavailable)]
@@ -266,8 +266,8 @@
     }
 }
 
-// A middlebox drops the connection of a watch without notice: the watch would wait forever while
-// new ones work. Only its own timeout ends it.
+/// A middlebox drops the connection of a watch without notice: the watch would wait forever while
+/// new ones work. Only its own timeout ends it.
 #[tokio::test]
 async fn unresponsive_watch_ends_by_its_timeout() {
     let platform = start(Settings::default()).await;
@@ -288,7 +288,7 @@
     assert_eq!(change.expect("an answer").events.len(), 1);
 }
 
-// When the store goes down, waiting watches end at once, so that readers notice.
+/// When the store goes down, waiting watches end at once, so that readers notice.
 #[tokio::test]
 async fn outage_ends_waiting_watches() {
     let platform = start(Settings::default()).await;
