--- a/components/contract/src/attempt.rs
+++ b/components/contract/src/attempt.rs
@@ -58,7 +58,7 @@
 /// Parameters of one call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Call {
-    /// Delivery class.
+    /// Delivery class, which decides whether the call is recorded and may be repeated.
     pub class: Class,
     /// Digest of the request, see [`crate::record::digest`].
     pub digest: String,
--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -54,14 +54,14 @@
 /// Assessment of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// Not suspected.
+    /// The request is not suspected.
     Clear,
     /// In flight at one unexplained death: at most one such request runs on a server.
     Suspect,
     /// In flight at several unexplained deaths: starts beside no suspect and no fresh request, and
     /// nothing starts beside it.
     Isolated,
-    /// Refused everywhere.
+    /// The request is refused on every server.
     Refused {
         /// Time until the refusal ends.
         remaining: Duration,
--- a/components/contract/src/record.rs
+++ b/components/contract/src/record.rs
@@ -67,7 +67,7 @@
     pub status: u16,
     /// `Content-Type`; empty if there was none.
     pub content_type: String,
-    /// Response body.
+    /// Body of the service's response.
     pub body: Vec<u8>,
 }
 
@@ -78,7 +78,7 @@
     pub status: u16,
     /// `Content-Type`; empty if there was none.
     pub content_type: String,
-    /// Response body.
+    /// Body of the response to the caller.
     pub body: Body,
 }
 
--- a/components/contract/src/store.rs
+++ b/components/contract/src/store.rs
@@ -11,7 +11,7 @@
 /// A stored record with its revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Stored {
-    /// The record.
+    /// The record as it was last written.
     pub record: Record,
     /// Revision of the record's last write.
     pub revision: Revision,
--- a/components/entry/src/problem.rs
+++ b/components/entry/src/problem.rs
@@ -1,4 +1,4 @@
-//! Error responses.
+//! Error responses to callers.
 //!
 //! Every error states whether the request was run and when it may be retried. Errors are sent
 //! without delay, since a delay would only keep the caller from trying another entry.
@@ -77,7 +77,7 @@
 /// JSON body of an error response.
 #[derive(Serialize)]
 pub struct Body<'a> {
-    /// The error.
+    /// The error that the response reports.
     pub error: &'a Problem,
 }
 
--- a/components/environment/src/difference.rs
+++ b/components/environment/src/difference.rs
@@ -23,19 +23,19 @@
 pub enum Change {
     /// The value was added.
     Added {
-        /// New value.
+        /// Value in the new document.
         after: String,
     },
     /// The value was removed.
     Removed {
-        /// Old value.
+        /// Value in the old document.
         before: String,
     },
     /// The value was replaced.
     Changed {
-        /// Old value.
+        /// Value in the old document.
         before: String,
-        /// New value.
+        /// Value in the new document.
         after: String,
     },
     /// The elements of a list changed their order, which matters for routes: the first match wins.
--- a/components/experiment/src/pattern.rs
+++ b/components/experiment/src/pattern.rs
@@ -1,4 +1,4 @@
-//! Load patterns.
+//! Load patterns, which vary the request rate over time.
 
 use std::{
     str::FromStr,
--- a/components/fakes/src/engine/fault.rs
+++ b/components/fakes/src/engine/fault.rs
@@ -31,7 +31,7 @@
     pub pause_ms: Option<u64>,
     /// Silences the connections that are open now for good, without closing them.
     pub silence: bool,
-    /// Delays tokens.
+    /// Delays tokens as described by [`Slow`].
     pub slow: Option<Slow>,
     /// Sends the token at this index twice.
     pub repeat_at: Option<u64>,
--- a/components/fakes/src/engine/run.rs
+++ b/components/fakes/src/engine/run.rs
@@ -53,9 +53,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// In progress.
+    /// The run is in progress.
     Running,
-    /// Ended with an end line.
+    /// The run ended with an end line.
     Ended,
     /// Cancelled by a request or because its connection closed.
     Cancelled,
--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -120,7 +120,7 @@
     pub reads: u64,
     /// Put, delete and lease requests.
     pub writes: u64,
-    /// Watch requests.
+    /// Number of watch requests.
     pub watches: u64,
     /// Watches that are waiting now.
     pub watching: u64,
--- a/components/fakes/src/platform/hosts.rs
+++ b/components/fakes/src/platform/hosts.rs
@@ -36,16 +36,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// In service.
+    /// The host is in service.
     Live,
-    /// Shutting down.
+    /// The host is shutting down.
     Leaving,
 }
 
 /// Entry of the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Unique name.
+    /// Unique name of the host.
     pub name: String,
     /// Data centre of the host.
     pub data_centre: String,
@@ -55,7 +55,7 @@
     pub role: Role,
     /// QUIC address.
     pub address: SocketAddr,
-    /// Lifecycle state.
+    /// Lifecycle state of the host.
     pub state: State,
 }
 
--- a/components/fakes/src/server.rs
+++ b/components/fakes/src/server.rs
@@ -83,9 +83,9 @@
     pub path: String,
     /// Query parameters. If a name occurs more than once, its last value counts.
     pub query: HashMap<String, String>,
-    /// Request headers.
+    /// Headers of the request.
     pub headers: HeaderMap,
-    /// Request body.
+    /// Whole body of the request.
     pub body: Bytes,
     /// Connection on which the request arrived.
     pub connection: Connection,
@@ -131,11 +131,11 @@
 pub enum Response {
     /// A response whose body is known from the start.
     Full {
-        /// Status code.
+        /// Status code of the response.
         status: u16,
-        /// Content type.
+        /// Value of the `Content-Type` header.
         content_type: String,
-        /// Response body.
+        /// Whole body of the response.
         body: Bytes,
         /// Value of the `Retry-After` header, in seconds.
         retry_after: Option<u64>,
@@ -146,11 +146,11 @@
     /// A response with its own headers, whose body is produced over time; an error closes the
     /// connection midway.
     Stream {
-        /// Status code.
+        /// Status code of the response.
         status: u16,
-        /// Response headers.
+        /// Headers of the response.
         headers: HeaderMap,
-        /// Stream of body chunks.
+        /// Chunks of the body, sent as the stream yields them.
         body: BoxStream<'static, io::Result<Bytes>>,
     },
     /// Closes the connection without a response.
@@ -207,7 +207,7 @@
     paused_until: Mutex<Option<Instant>>,
     /// Number of silence faults so far.
     silences: AtomicU64,
-    /// Accept loop.
+    /// Handle that aborts the accept loop.
     server: OnceLock<tokio::task::AbortHandle>,
 }
 
--- a/components/fakes/src/store.rs
+++ b/components/fakes/src/store.rs
@@ -14,9 +14,9 @@
 /// Key with its current value.
 #[derive(Clone, Debug, Serialize)]
 pub struct Entry {
-    /// Key.
+    /// Key of the item.
     pub key: String,
-    /// Current value.
+    /// Value that the key has now.
     pub value: String,
     /// Revision of the last change.
     pub revision: u64,
@@ -27,9 +27,9 @@
 /// Change of a key.
 #[derive(Clone, Debug, Serialize)]
 pub struct Event {
-    /// Key.
+    /// Key that was written or deleted.
     pub key: String,
-    /// New value; `None` if the key was deleted.
+    /// Value that was written; `None` if the key was deleted.
     pub value: Option<String>,
     /// Revision of the change.
     pub revision: u64,
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Response bodies.
+//! Bodies of the responses to callers.
 
 use std::{
     any::Any,
--- a/components/gateway/src/document_cache.rs
+++ b/components/gateway/src/document_cache.rs
@@ -24,7 +24,7 @@
 pub struct Snapshot {
     /// Version number; it grows with each change.
     pub version: u64,
-    /// Indexed document.
+    /// Index of the document's content.
     pub index: Rc<Index>,
 }
 
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -94,7 +94,7 @@
     pub document_cache: RefCell<DocumentCache>,
     /// How current the document is.
     pub freshness: Rc<RefCell<Freshness>>,
-    /// Backend servers.
+    /// Backend servers known to the gateway.
     pub fleet: Rc<RefCell<Fleet>>,
     /// Client for backend servers.
     pub sender: Sender<P>,
@@ -110,7 +110,7 @@
     pub initial_sync: InitialSync,
     /// Estimates of how long answers take.
     pub forecast: RefCell<Forecast>,
-    /// Graceful shutdown.
+    /// State of the graceful shutdown.
     pub shutdown: Rc<Shutdown>,
     /// Time at which the process started.
     pub started: Instant,
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -91,13 +91,13 @@
     pub fleet: Rc<RefCell<Fleet>>,
     /// How current the document and registry are.
     pub freshness: Rc<RefCell<Freshness>>,
-    /// Retry budgets.
+    /// Budgets that bound retries.
     pub retry_budgets: Rc<RefCell<RetryBudgets>>,
     /// Queue of streams that wait for an engine.
     pub queue: Rc<Queue>,
     /// Rollouts of new versions.
     pub rollouts: Rc<Rollouts>,
-    /// Graceful shutdown.
+    /// State of the graceful shutdown.
     pub shutdown: Rc<Shutdown>,
     /// Settings of the process.
     pub settings: Rc<RefCell<Rc<Settings>>>,
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -61,7 +61,7 @@
 pub struct Dispatch<'a> {
     /// The intended server; another one at the same address must not run the request.
     pub server: &'a Server,
-    /// Remaining time.
+    /// Time that remains until the deadline.
     pub deadline: Option<Duration>,
     /// The caller's team.
     pub team: Option<&'a Team>,
--- a/components/gateway/src/rollout.rs
+++ b/components/gateway/src/rollout.rs
@@ -87,11 +87,11 @@
 /// A state of a rollout that has to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The service.
+    /// Service that is rolled out.
     pub service: Service,
     /// Order to which the state belongs.
     pub order: Order,
-    /// The state.
+    /// State of the rollout.
     pub state: State,
 }
 
--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -55,9 +55,9 @@
 pub struct BufferedRequest {
     /// Head as the caller sent it.
     pub parts: Parts,
-    /// Parsed head.
+    /// Parsed head of the message.
     pub metadata: Metadata,
-    /// Whole body.
+    /// Complete body of the message.
     pub body: Bytes,
 }
 
--- a/components/gateway/src/update.rs
+++ b/components/gateway/src/update.rs
@@ -24,7 +24,7 @@
     Document(Snapshot),
     /// A backend server registered, changed its registration, or renewed it.
     Server {
-        /// The registration.
+        /// Registration that was written.
         registration: Registration,
         /// Earliest time at which it was written.
         since: Clock,
@@ -33,20 +33,20 @@
     Deregistered(Server),
     /// An operator started or cancelled a rollout of a service.
     Rollout {
-        /// The service.
+        /// Service that the order applies to.
         service: Service,
-        /// The order; `None` when the rollout was cancelled.
+        /// Order that was written; `None` when the rollout was cancelled.
         order: Option<Order>,
     },
     /// A state of a rollout was written to the store.
     RolloutState {
-        /// The service.
+        /// Service that the state applies to.
         service: Service,
         /// Revision at which the state was written.
         at: Revision,
         /// Version that is rolled out.
         to: Version,
-        /// The state.
+        /// State that was written.
         state: State,
     },
 }
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -209,7 +209,7 @@
     pub start_line: String,
     /// Headers, with lower-case names.
     pub headers: Vec<(String, String)>,
-    /// Decoded body.
+    /// Body after decoding.
     pub body: Vec<u8>,
 }
 
@@ -417,9 +417,9 @@
     connection.write("0\r\n\r\n").await;
 }
 
-/// Running gateway.
+/// A running gateway with its addresses.
 pub struct Harness {
-    /// The gateway.
+    /// The gateway under test.
     pub gateway: Rc<Gateway<Plain>>,
     /// Address for callers.
     pub callers: SocketAddr,
--- a/components/measure/src/moves/fleet.rs
+++ b/components/measure/src/moves/fleet.rs
@@ -45,7 +45,7 @@
     pub at: f64,
     /// Index of the receiving entry.
     pub to: usize,
-    /// The fact.
+    /// Fact that the message carries.
     pub fact: Fact,
 }
 
--- a/components/measure/src/moves/traffic.rs
+++ b/components/measure/src/moves/traffic.rs
@@ -19,7 +19,7 @@
 /// A fault of the new version, or one that has another cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// No fault.
+    /// No fault occurs.
     None,
     /// The new version fails requests.
     Failing,
@@ -70,7 +70,7 @@
 /// A case of the tables.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    /// The fault.
+    /// Fault that occurs during the move.
     pub fault: Fault,
     /// The fault's start.
     pub onset: Onset,
--- a/components/measure/src/table.rs
+++ b/components/measure/src/table.rs
@@ -1,4 +1,4 @@
-//! Markdown tables.
+//! Prints Markdown tables.
 
 /// Prints a Markdown table with a heading row to standard output.
 pub fn print(heading: &[&str], rows: &[Vec<String>]) {
--- a/components/models/src/answer.rs
+++ b/components/models/src/answer.rs
@@ -74,7 +74,7 @@
 /// The specification with a mutation and bounds of the search.
 #[derive(Clone, Copy, Debug)]
 pub struct Model {
-    /// The mutation.
+    /// Defect that the model contains.
     pub mutation: Mutation,
     /// Number of tokens in a complete answer.
     pub answer_tokens: Index,
@@ -165,7 +165,7 @@
     Place {
         /// Index of the entry.
         entry: usize,
-        /// The epoch.
+        /// Epoch that the step belongs to.
         epoch: Epoch,
         /// Index of the server.
         server: usize,
@@ -176,28 +176,28 @@
     NoPlace {
         /// Index of the entry.
         entry: usize,
-        /// The epoch.
+        /// Epoch that the step belongs to.
         epoch: Epoch,
     },
     /// A replica refuses the generation.
     Refuse {
         /// Index of the entry.
         entry: usize,
-        /// The epoch.
+        /// Epoch that the step belongs to.
         epoch: Epoch,
     },
     /// The retry budget is exhausted.
     Deny {
         /// Index of the entry.
         entry: usize,
-        /// The epoch.
+        /// Epoch that the step belongs to.
         epoch: Epoch,
     },
     /// Tokens arrive, possibly not for the first time.
     Tokens {
         /// Index of the entry.
         entry: usize,
-        /// The epoch.
+        /// Epoch that the step belongs to.
         epoch: Epoch,
         /// Index of the first token.
         index: Index,
@@ -208,28 +208,28 @@
     End {
         /// Index of the entry.
         entry: usize,
-        /// The epoch.
+        /// Epoch that the step belongs to.
         epoch: Epoch,
     },
     /// A link or an attempt to attach fails.
     LinkLost {
         /// Index of the entry.
         entry: usize,
-        /// The epoch.
+        /// Epoch that the step belongs to.
         epoch: Epoch,
     },
     /// An entry attaches to a generation.
     Attach {
         /// Index of the entry.
         entry: usize,
-        /// The epoch.
+        /// Epoch that the step belongs to.
         epoch: Epoch,
     },
     /// An entry reaches the sidecar, which does not know the generation.
     Miss {
         /// Index of the entry.
         entry: usize,
-        /// The epoch.
+        /// Epoch that the step belongs to.
         epoch: Epoch,
     },
     /// The timer of an entry fires.
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -55,11 +55,11 @@
 pub enum Packet {
     /// A beacon.
     Beacon {
-        /// Sender.
+        /// Index of the sending host.
         from: usize,
         /// Incarnation of the sender.
         incarnation: Incarnation,
-        /// Receiver.
+        /// Index of the receiving host.
         to: usize,
         /// The sender's clock, in milliseconds.
         stamp: u64,
@@ -71,7 +71,7 @@
     },
     /// Changes up to a revision, for a receiver that has all earlier ones.
     Changes {
-        /// Receiver.
+        /// Index of the receiving host.
         to: usize,
         /// The last revision.
         revision: Revision,
@@ -80,7 +80,7 @@
     Answer {
         /// Incarnation that sent the query.
         incarnation: Incarnation,
-        /// Receiver.
+        /// Index of the receiving host.
         to: usize,
         /// Time of the query by the receiver's clock.
         at: Clock,
@@ -105,9 +105,9 @@
     Read(usize),
     /// A process sends a beacon to another.
     Send {
-        /// Sender.
+        /// Index of the sending host.
         from: usize,
-        /// Receiver.
+        /// Index of the receiving host.
         to: usize,
     },
     /// A message or response arrives.
@@ -143,15 +143,15 @@
 /// Number of events of each kind that may still occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
-    /// Ticks.
+    /// Number of ticks by which the time may advance.
     pub ticks: u64,
-    /// Changes.
+    /// Number of changes that the store may acknowledge.
     pub writes: u8,
     /// Hosts that the store starts to refuse.
     pub refusals: u8,
     /// Restarts of a host.
     pub restarts: u8,
-    /// Beacons.
+    /// Number of beacons that may be sent.
     pub beacons: u8,
     /// Queries of the store's revision.
     pub queries: u8,
--- a/components/models/src/moves.rs
+++ b/components/models/src/moves.rs
@@ -129,7 +129,7 @@
 /// The specification with a mutation and bounds of the search.
 #[derive(Clone, Copy, Debug)]
 pub struct Model {
-    /// The mutation.
+    /// Defect that the model contains.
     pub mutation: Mutation,
     /// Maximum number of lost calls and responses.
     pub max_losses: u8,
--- a/components/models/src/spread.rs
+++ b/components/models/src/spread.rs
@@ -62,23 +62,23 @@
 pub enum Packet {
     /// A document.
     Push {
-        /// Receiver.
+        /// Index of the receiving host.
         to: usize,
         /// Revision of the document.
         revision: Revision,
     },
     /// Another host holds a document.
     Ack {
-        /// Receiver.
+        /// Index of the receiving host.
         to: usize,
         /// Revision of the document.
         revision: Revision,
     },
     /// Answer to a new process that asks for the held revision.
     Answer {
-        /// Sender.
+        /// Index of the sending host.
         from: usize,
-        /// Receiver.
+        /// Index of the receiving host.
         to: usize,
         /// Nonce of the query.
         question: Nonce,
--- a/components/orders/src/slot.rs
+++ b/components/orders/src/slot.rs
@@ -67,7 +67,7 @@
     },
     /// Renew the lease.
     Renew,
-    /// Start loading.
+    /// Start to load the slot's data.
     Load,
     /// Stop loading at once and discard the loaded data; then start over with
     /// [`Event::Requested`].
--- a/components/report/src/burn.rs
+++ b/components/report/src/burn.rs
@@ -135,7 +135,7 @@
 /// Error budget and burn rates of one row.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// Service.
+    /// Service that received the requests.
     pub service: Service,
     /// Counted requests of the service.
     pub subject: Subject,
--- a/components/report/src/explain/line.rs
+++ b/components/report/src/explain/line.rs
@@ -19,7 +19,7 @@
     pub wall_ms: i64,
     /// Time on the monotonic clock of the host, in milliseconds.
     pub monotonic_ms: i64,
-    /// Event number.
+    /// Number of the event.
     pub event: u64,
     /// Meaning of the event.
     pub message: String,
--- a/components/report/src/explain/summary.rs
+++ b/components/report/src/explain/summary.rs
@@ -59,7 +59,7 @@
 pub struct Times {
     /// Number of times.
     pub count: u64,
-    /// Median.
+    /// The median, in milliseconds.
     pub p50: u64,
     /// 95th percentile.
     pub p95: u64,
--- a/components/report/src/moves.rs
+++ b/components/report/src/moves.rs
@@ -31,7 +31,7 @@
 /// Evidence on both versions on one route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The route.
+    /// Route that the counts belong to.
     pub route: Route,
     /// Counts of the version that loses the traffic.
     pub old: Count,
--- a/components/report/src/resumes.rs
+++ b/components/report/src/resumes.rs
@@ -49,9 +49,9 @@
 /// Counts of one version for the report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Service.
+    /// Service of the answers.
     pub service: Service,
-    /// Version.
+    /// Version of the service.
     pub version: Version,
     /// Number of answers that resumed at least once.
     pub answers: u64,
--- a/components/report/src/ring.rs
+++ b/components/report/src/ring.rs
@@ -7,10 +7,10 @@
 
 use names::Clock;
 
-/// Request counts.
+/// Counts of requests and of those that missed the level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// All requests.
+    /// Number of all requests.
     pub requests: u64,
     /// Requests that missed the level.
     pub missed: u64,
--- a/components/settings/src/load.rs
+++ b/components/settings/src/load.rs
@@ -23,7 +23,7 @@
     /// The file can't be read.
     #[error("{path}: can't be read: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: String,
         /// The operating system's error.
         source: std::io::Error,
@@ -31,7 +31,7 @@
     /// Fields are missing, unknown, of the wrong type or out of range.
     #[error("{}", format_faults(path, faults))]
     Faulty {
-        /// The file.
+        /// Path of the settings file.
         path: String,
         /// All faults of the file, ordered by line.
         faults: Vec<Fault>,
--- a/components/sidecar/src/line.rs
+++ b/components/sidecar/src/line.rs
@@ -30,7 +30,7 @@
     End {
         /// Why the answer ended, as the engine reports it: `stop` or `length`.
         end: String,
-        /// Token counts.
+        /// Token counts that the engine reports.
         usage: Usage,
     },
 }
--- a/components/store/src/hosts.rs
+++ b/components/store/src/hosts.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// In service.
+    /// The host is in service.
     Live,
     /// About to be removed; receives no new work.
     Leaving,
@@ -31,7 +31,7 @@
 /// An entry of the host list. The list lags by seconds and may contain hosts that no longer exist.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Unique name.
+    /// Unique name of the host.
     pub name: names::Host,
     /// Data centre of the host.
     pub data_centre: DataCentre,
--- a/components/trial/src/stream.rs
+++ b/components/trial/src/stream.rs
@@ -26,7 +26,7 @@
     pub received_at: Option<Instant>,
 }
 
-/// Streamed answer.
+/// A streamed answer that is read event by event.
 pub struct Stream {
     response: reqwest::Response,
     /// Received text that isn't parsed yet.
--- a/components/trial/tests/support/relay.rs
+++ b/components/trial/tests/support/relay.rs
@@ -17,11 +17,11 @@
 /// Directions in which a flow's datagrams are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// Both directions.
+    /// Packets in both directions.
     Both,
-    /// From the sidecar to the entry.
+    /// Packets from the sidecar to the entry.
     ToEntry,
-    /// From the entry to the sidecar.
+    /// Packets from the entry to the sidecar.
     ToSidecar,
 }
 
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -149,7 +149,7 @@
     pub prompt: String,
     /// Maximum length of the answer in tokens.
     pub max_tokens: u64,
-    /// Sampling seed.
+    /// Seed of the token sampling.
     pub seed: u64,
     /// Sampling temperature in thousandths.
     pub temperature: u32,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -23,7 +23,7 @@
     pub command: Command,
 }
 
-/// Subcommand.
+/// Subcommands of the program.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -304,7 +304,7 @@
     pub format: Format,
 }
 
-/// Output format.
+/// Format in which a command prints its result.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Format {
     /// Text for people.
