--- a/components/fakes/tests/service.rs
+++ b/components/fakes/tests/service.rs
@@ -126,7 +126,7 @@
 }
 
 // The process pauses with a deposit in flight. The client gives up, and the service applies the
-// deposit when it resumes. A client that was told `not_run` would send it again and pay twice.
+// deposit when it resumes. A client that received `not_run` would send it again and pay twice.
 #[rstest]
 #[case::pause(Fault { pause_ms: Some(300), ..Fault::default() })]
 #[case::slow(Fault { slow_ms: Some(300), ..Fault::default() })]
--- a/components/measure/src/admission/policy.rs
+++ b/components/measure/src/admission/policy.rs
@@ -20,7 +20,7 @@
 use rand::rngs::StdRng;
 
 use super::simulation::{
-    CAPACITY,
+    FULL_SPEED_RUNS,
     MAX_WAIT, //
 };
 
@@ -67,11 +67,11 @@
         Self {
             policy,
             gate: Gate::new(Settings {
-                initial_limit: CAPACITY,
+                initial_limit: FULL_SPEED_RUNS,
                 ..Settings::default()
             }),
             running: 0,
-            capacity: CAPACITY,
+            capacity: FULL_SPEED_RUNS,
         }
     }
 
--- a/components/measure/src/admission/simulation.rs
+++ b/components/measure/src/admission/simulation.rs
@@ -27,7 +27,7 @@
 };
 
 /// Number of concurrent runs that the engines serve at full speed.
-pub const CAPACITY: u32 = 400;
+pub const FULL_SPEED_RUNS: u32 = 400;
 /// Longest wait with which the first token is still in time.
 pub const MAX_WAIT: Duration = Duration::from_millis(1200);
 
@@ -40,7 +40,7 @@
 /// Mean length of a run; see [`Simulation::length`].
 const MEAN_RUN_SECONDS: f64 = 0.12 * 120.0 + 0.88 * 6.0;
 /// Requests per second that the capacity can serve.
-const CAPACITY_PER_SECOND: f64 = CAPACITY as f64 / MEAN_RUN_SECONDS;
+const CAPACITY_PER_SECOND: f64 = FULL_SPEED_RUNS as f64 / MEAN_RUN_SECONDS;
 /// Requests that arrive earlier are not counted.
 const MEASUREMENT_START: Duration = Duration::from_secs(120);
 const SIMULATION_END: Duration = Duration::from_secs(600);
@@ -230,7 +230,11 @@
     }
 
     fn report(&mut self, now: Clock) {
-        let capacity = if self.in_outage(now) { 0 } else { CAPACITY };
+        let capacity = if self.in_outage(now) {
+            0
+        } else {
+            FULL_SPEED_RUNS
+        };
         let all: u32 = self.reported_running.iter().sum();
         let entries = self.controllers.len();
         for entry in 0..entries {
@@ -324,7 +328,7 @@
             return;
         }
         let running: u32 = self.controllers.iter().map(Controller::running).sum();
-        let in_time = running <= CAPACITY && now - attempted_at <= MAX_WAIT;
+        let in_time = running <= FULL_SPEED_RUNS && now - attempted_at <= MAX_WAIT;
         if in_time {
             self.in_time_by_second[now.as_secs() as usize] += 1;
             if request.arrived >= MEASUREMENT_START {
--- a/components/measure/src/calls/faults.rs
+++ b/components/measure/src/calls/faults.rs
@@ -26,7 +26,7 @@
     StoreAnswerLost,
     StoreWriteLate,
     SidecarBeforeRecord,
-    SidecarInHandOver,
+    SidecarAfterForward,
     ServiceDown,
     ServiceDiesBefore,
     ServiceDiesAfter,
@@ -38,7 +38,7 @@
     Fault::StoreAnswerLost,
     Fault::StoreWriteLate,
     Fault::SidecarBeforeRecord,
-    Fault::SidecarInHandOver,
+    Fault::SidecarAfterForward,
     Fault::ServiceDown,
     Fault::ServiceDiesBefore,
     Fault::ServiceDiesAfter,
@@ -52,18 +52,18 @@
             Self::StoreAnswerLost => "store's answer lost after the write",
             Self::StoreWriteLate => "store's write takes effect after its time-out",
             Self::SidecarBeforeRecord => "sidecar killed before the record",
-            Self::SidecarInHandOver => "sidecar killed after the hand-over",
+            Self::SidecarAfterForward => "sidecar killed after the forward",
             Self::ServiceDown => "service down",
             Self::ServiceDiesBefore => "service dies with the call, not taken",
             Self::ServiceDiesAfter => "service dies with the call, taken",
         }
     }
 
-    /// Whether the fault strikes before the sidecar passes the call to the service.
-    fn before_hand_over(self) -> bool {
+    /// Whether the fault strikes before the sidecar forwards the call to the service.
+    fn before_forward(self) -> bool {
         !matches!(
             self,
-            Self::SidecarInHandOver | Self::ServiceDiesBefore | Self::ServiceDiesAfter
+            Self::SidecarAfterForward | Self::ServiceDiesBefore | Self::ServiceDiesAfter
         )
     }
 }
@@ -77,13 +77,13 @@
     }
     let heading = [
         "fault",
-        "loss before the hand-over",
+        "loss before the forward",
         "record",
         "ran",
         "not_run",
         "unknown",
         "longest s",
-        "most hand-overs a call",
+        "most forwards a call",
     ];
     table::print(&heading, &rows);
 }
@@ -113,12 +113,7 @@
     };
     vec![
         fault.name().into(),
-        if fault.before_hand_over() {
-            "yes"
-        } else {
-            "no"
-        }
-        .into(),
+        if fault.before_forward() { "yes" } else { "no" }.into(),
         if recorded { "kept" } else { "none" }.into(),
         share("ran"),
         share("not_run"),
@@ -156,7 +151,7 @@
             });
         }
         Fault::SidecarBeforeRecord => return kill_before_record(fixture, key).await,
-        Fault::SidecarInHandOver => return kill_in_hand_over(fixture, key).await,
+        Fault::SidecarAfterForward => return kill_after_forward(fixture, key).await,
         Fault::ServiceDown => {
             inject_service_fault(
                 fixture,
@@ -223,7 +218,7 @@
 }
 
 /// Kills the sidecar of the replica that is serving the call.
-async fn kill_in_hand_over(fixture: &mut Fixture, key: Option<&str>) -> CallResult {
+async fn kill_after_forward(fixture: &mut Fixture, key: Option<&str>) -> CallResult {
     inject_service_fault(
         fixture,
         &service::Fault {
--- a/components/measure/src/calls/fixture.rs
+++ b/components/measure/src/calls/fixture.rs
@@ -32,7 +32,7 @@
 ";
 
 /// Number of replicas of the ledger service.
-pub(super) const REPLICAS: usize = 2;
+pub(super) const REPLICA_COUNT: usize = 2;
 
 /// Time between two checks of a condition.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(1);
@@ -53,7 +53,7 @@
     /// Starts the system and waits until it is ready.
     pub(super) async fn start() -> Self {
         let mut trial = Trial::start().await.expect("a trial starts");
-        for index in 0..REPLICAS {
+        for index in 0..REPLICA_COUNT {
             let name = format!("ledger-{index}");
             let settings = service::Settings::default();
             let started = trial.start_service(&name, "dc1", "ledger", settings).await;
--- a/components/measure/src/calls/poison.rs
+++ b/components/measure/src/calls/poison.rs
@@ -1,6 +1,6 @@
 //! Servers lost per poisonous request and innocent requests refused, in virtual time.
 //!
-//! A simulated fleet drives the production ledger, whose placement rule decides which requests may
+//! A simulated fleet drives the production detector, whose placement rule decides which requests may
 //! run together. Nothing else of a fleet is modelled.
 
 use std::time::Duration;
@@ -41,7 +41,7 @@
     NoRefusals,
     /// A request that was in flight at two deaths is refused; suspects run on any server.
     TwoDeaths,
-    /// The production ledger, which isolates suspects.
+    /// The production detector, which isolates suspects.
     Isolation,
 }
 
@@ -152,7 +152,7 @@
     case: Case,
     rule: Rule,
     rng: StdRng,
-    ledger: Detector,
+    detector: Detector,
     deaths: Vec<Vec<Fingerprint>>,
     now: Duration,
     servers: Vec<Vec<Flight>>,
@@ -190,7 +190,7 @@
             case,
             rule,
             rng,
-            ledger: Detector::new(Settings::default()),
+            detector: Detector::new(Settings::default()),
             deaths: Vec::new(),
             now: Duration::from_secs(1_000_000),
             servers,
@@ -268,7 +268,7 @@
                 let running = &self.servers[**server];
                 self.rule != Rule::Isolation
                     || self
-                        .ledger
+                        .detector
                         .placement(request.fingerprint, running, self.now)
                         == Placement::Allowed
             });
@@ -294,7 +294,7 @@
                 deaths.filter(|death| death.contains(&fingerprint)).count() >= 2
             }
             Rule::Isolation => matches!(
-                self.ledger.verdict(fingerprint, self.now),
+                self.detector.verdict(fingerprint, self.now),
                 Verdict::Refused { .. }
             ),
         }
@@ -316,7 +316,8 @@
         let run_time = Duration::from_secs(60);
         for flight in self.servers[server].extract_if(.., |flight| flight.elapsed >= run_time) {
             if self.rule == Rule::Isolation {
-                self.ledger.record_completion(flight.fingerprint, self.now);
+                self.detector
+                    .record_completion(flight.fingerprint, self.now);
             }
         }
     }
@@ -343,6 +344,6 @@
             flights,
         };
         let death_id = self.deaths.len() as u64;
-        self.ledger.record_death(death_id, death, self.now);
+        self.detector.record_death(death_id, death, self.now);
     }
 }
--- a/components/measure/src/links.rs
+++ b/components/measure/src/links.rs
@@ -127,7 +127,7 @@
     ])
 }
 
-/// Runs a fake sidecar that only answers the greeting and sends heartbeats.
+/// Runs a fake sidecar that only answers the `Hello` frame and sends heartbeats.
 async fn fake_sidecar(node: Node, host: String, links: mpsc::Sender<Link>) {
     let hello = Hello {
         protocol: PROTOCOL_VERSION,
--- a/components/measure/src/moves.rs
+++ b/components/measure/src/moves.rs
@@ -52,7 +52,7 @@
 
 /// Request rates: name, requests per second, and replicas per version. The second is the rate of
 /// the co-operative, the third the target.
-const RATES: [(&str, f64, u32); 3] = [
+const REQUEST_RATES: [(&str, f64, u32); 3] = [
     ("72 an hour", 0.02, 25),
     ("10 a second", 10.0, 25),
     ("150 a second", 150.0, 330),
@@ -101,7 +101,7 @@
 fn print_good(args: &Args) {
     let mut rows = Vec::new();
     for fault in GOOD_VERSIONS {
-        for (index, (name, rate, replicas)) in RATES.into_iter().enumerate() {
+        for (index, (name, rate, replicas)) in REQUEST_RATES.into_iter().enumerate() {
             if !is_selected(args, fault, name) {
                 continue;
             }
@@ -142,7 +142,7 @@
     for fault in BAD_VERSIONS {
         for onset in [Onset::AtOnce, Onset::Later, Onset::AfterFull] {
             for strength in 0..3 {
-                for (index, rate) in RATES.into_iter().enumerate() {
+                for (index, rate) in REQUEST_RATES.into_iter().enumerate() {
                     if !is_selected(args, fault, rate.0) {
                         continue;
                     }
--- a/components/measure/src/moves/simulation.rs
+++ b/components/measure/src/moves/simulation.rs
@@ -33,7 +33,7 @@
 };
 
 /// Number of entries.
-const ENTRIES: usize = 4;
+const ENTRY_COUNT: usize = 4;
 
 /// Time by which the operator wants the move completed; see [`super::fleet::plan`].
 const DEADLINE_SECONDS: f64 = 3600.0;
@@ -106,7 +106,9 @@
 pub fn simulate(case: Case, policy: Policy, seed: u64) -> Outcome {
     let mut rng = StdRng::seed_from_u64(seed);
     let control = match policy {
-        Policy::Movers => Control::Movers(Box::new(Fleet::new(ENTRIES, case.replicas, &mut rng))),
+        Policy::Movers => {
+            Control::Movers(Box::new(Fleet::new(ENTRY_COUNT, case.replicas, &mut rng)))
+        }
         Policy::Fixed(rule) => Control::Fixed(Baseline::new(rule)),
     };
     let mut simulation = Simulation {
@@ -153,7 +155,7 @@
     }
 
     fn arrive(&mut self, now: f64) {
-        let entry = self.rng.random_range(0..ENTRIES);
+        let entry = self.rng.random_range(0..ENTRY_COUNT);
         let route = traffic::route(&mut self.rng);
         let hash = self.rng.random();
         let pick = self.pick(entry, route, hash, now);
@@ -356,7 +358,7 @@
 
     /// Reports a failure of the request that fails on every server.
     fn fail_repeated(&mut self, now: f64) {
-        let entry = self.rng.random_range(0..ENTRIES);
+        let entry = self.rng.random_range(0..ENTRY_COUNT);
         let pick = self.pick(entry, 0, 1, now);
         let mut result = self.case.draw(false, 0, false, 0.0, now, &mut self.rng);
         result.fails = true;
--- a/components/measure/src/moves/traffic.rs
+++ b/components/measure/src/moves/traffic.rs
@@ -86,7 +86,7 @@
 const FAILURE_SHARES: [f64; 3] = [0.01, 0.05, 0.5];
 
 /// Factor by which times are longer, by strength.
-const SLOWDOWNS: [f64; 3] = [1.3, 2.0, 5.0];
+const SLOWDOWN_FACTORS: [f64; 3] = [1.3, 2.0, 5.0];
 
 impl Fault {
     /// Whether the fault is the new version's.
@@ -129,8 +129,8 @@
             Fault::UnderLoad if new && active && load >= 0.8 => {
                 failure_share += FAILURE_SHARES[strength]
             }
-            Fault::SlowFirst if new && active => first_slowdown = SLOWDOWNS[strength],
-            Fault::SlowBetween if new && active => between_slowdown = SLOWDOWNS[strength],
+            Fault::SlowFirst if new && active => first_slowdown = SLOWDOWN_FACTORS[strength],
+            Fault::SlowBetween if new && active => between_slowdown = SLOWDOWN_FACTORS[strength],
             Fault::Overload if (1200.0..1500.0).contains(&now) => {
                 failure_share = 0.05;
                 first_slowdown = 4.0;
--- a/components/measure/src/plot.rs
+++ b/components/measure/src/plot.rs
@@ -11,7 +11,7 @@
 /// Size of a plot and of its margins, in SVG user units.
 const PLOT_WIDTH: f64 = 720.0;
 const PLOT_HEIGHT: f64 = 420.0;
-const MARGIN: f64 = 60.0;
+const PLOT_MARGIN: f64 = 60.0;
 
 /// Maps values from 0 to a maximum on each axis to SVG coordinates.
 pub struct Scale {
@@ -26,12 +26,12 @@
 
     /// Horizontal coordinate of a value.
     pub fn x(&self, value: f64) -> f64 {
-        MARGIN + value / self.max.0 * (PLOT_WIDTH - 2.0 * MARGIN)
+        PLOT_MARGIN + value / self.max.0 * (PLOT_WIDTH - 2.0 * PLOT_MARGIN)
     }
 
     /// Vertical coordinate of a value; SVG coordinates grow downwards.
     pub fn y(&self, value: f64) -> f64 {
-        PLOT_HEIGHT - MARGIN - value / self.max.1 * (PLOT_HEIGHT - 2.0 * MARGIN)
+        PLOT_HEIGHT - PLOT_MARGIN - value / self.max.1 * (PLOT_HEIGHT - 2.0 * PLOT_MARGIN)
     }
 
     /// Starts an SVG document and draws both axes, each with five tick labels and a title.
@@ -55,8 +55,8 @@
             );
             svg += &svg_text(8.0, self.y(up) + 4.0, &format!("{up:.2}"));
         }
-        svg += &svg_text(MARGIN, PLOT_HEIGHT - 16.0, x_title);
-        svg + &svg_text(MARGIN, 24.0, y_title)
+        svg += &svg_text(PLOT_MARGIN, PLOT_HEIGHT - 16.0, x_title);
+        svg + &svg_text(PLOT_MARGIN, 24.0, y_title)
     }
 }
 
--- a/components/measure/src/routing/simulation.rs
+++ b/components/measure/src/routing/simulation.rs
@@ -25,8 +25,8 @@
     Policy, //
 };
 
-const ENTRIES: usize = 4;
-const REPLICAS: usize = 40;
+const ENTRY_COUNT: usize = 4;
+const REPLICA_COUNT: usize = 40;
 /// Number of concurrent runs with which a replica is full.
 const REPLICA_CAPACITY: u32 = 16;
 /// Number of prefixes; their frequencies follow Zipf's law.
@@ -203,8 +203,12 @@
             cumulative_weights.push(sum);
         }
         let mut entries = Vec::new();
-        for entry in 0..ENTRIES {
-            entries.push(Chooser::new(policy, REPLICAS, entry * REPLICAS / ENTRIES));
+        for entry in 0..ENTRY_COUNT {
+            entries.push(Chooser::new(
+                policy,
+                REPLICA_COUNT,
+                entry * REPLICA_COUNT / ENTRY_COUNT,
+            ));
         }
         let mut simulation = Self {
             case,
@@ -212,7 +216,7 @@
             queue: BinaryHeap::new(),
             sequence: 0,
             entries,
-            replicas: vec![Replica::default(); REPLICAS],
+            replicas: vec![Replica::default(); REPLICA_COUNT],
             cumulative_weights,
             loads_met: Vec::new(),
             full_choices: 0,
@@ -247,7 +251,7 @@
             }
             Scheduled::Report => self.report(now),
             Scheduled::Fault if self.case == Case::HalfDie => {
-                for replica in 0..REPLICAS / 2 {
+                for replica in 0..REPLICA_COUNT / 2 {
                     for entry in &mut self.entries {
                         entry.remove(replica);
                     }
@@ -263,7 +267,7 @@
             .rng
             .random_range(0.0..self.cumulative_weights[PREFIX_COUNT - 1]);
         let prefix = self.cumulative_weights.partition_point(|sum| *sum <= draw) as u64;
-        let entry = self.rng.random_range(0..ENTRIES);
+        let entry = self.rng.random_range(0..ENTRY_COUNT);
         let chosen = self.entries[entry].choose(now, prefix, &mut self.rng);
         let counted =
             now >= MEASUREMENT_START && (self.case != Case::HalfDie || now >= FAULT_START);
@@ -274,8 +278,8 @@
             Some(replica) => self.begin(now, entry, replica, prefix, length, counted),
             None => self.refused += u32::from(counted),
         }
-        let rate =
-            f64::from(REPLICA_CAPACITY) * REPLICAS as f64 * self.case.load() / MEAN_RUN_SECONDS;
+        let rate = f64::from(REPLICA_CAPACITY) * REPLICA_COUNT as f64 * self.case.load()
+            / MEAN_RUN_SECONDS;
         let gap = -(1.0 - self.rng.random_range(0.0..1.0f64)).ln() / rate;
         self.schedule(now + Duration::from_secs_f64(gap), Scheduled::Arrive);
     }
@@ -322,7 +326,7 @@
     }
 
     fn report(&mut self, now: Clock) {
-        for index in 0..REPLICAS {
+        for index in 0..REPLICA_COUNT {
             let faulty = self.case == Case::ReportsZero && index == 0 && now >= FAULT_START;
             let replica = &mut self.replicas[index];
             let running = if faulty {
--- a/components/measure/src/slopes.rs
+++ b/components/measure/src/slopes.rs
@@ -114,10 +114,10 @@
 
 /// Measures the memory of a replica with a full history of load levels.
 fn replica_memory() -> io::Result<Vec<String>> {
-    const COUNT: usize = 50_000;
+    const REPLICA_COUNT: usize = 50_000;
     let before = resident_bytes()?;
-    let mut pool = pool(COUNT);
-    for number in 0..COUNT {
+    let mut pool = pool(REPLICA_COUNT);
+    for number in 0..REPLICA_COUNT {
         let server = server_name(number);
         for iteration in 0..40 {
             let now = Duration::from_secs(1000) + Duration::from_millis(iteration * 200);
@@ -126,18 +126,22 @@
     }
     let after = resident_bytes()?;
     let how = "resident memory, 50,000 replicas with 40 levels each";
-    Ok(row("replica", bytes_each(before, after, COUNT as u64), how))
+    Ok(row(
+        "replica",
+        bytes_each(before, after, REPLICA_COUNT as u64),
+        how,
+    ))
 }
 
 /// Measures the memory of a prefix with four holders.
 fn prefix_memory() -> io::Result<Vec<String>> {
-    const COUNT: u64 = 16_384;
+    const PREFIX_COUNT: u64 = 16_384;
     const POOL_COUNT: u64 = 8;
     let before = resident_bytes()?;
     let mut pools = Vec::new();
     for _ in 0..POOL_COUNT {
         let mut pool = pool(10);
-        for prefix in 0..COUNT {
+        for prefix in 0..PREFIX_COUNT {
             for number in 0..4 {
                 pool.sent(Duration::from_secs(1), &server_name(number), Some(prefix));
             }
@@ -148,7 +152,7 @@
     let how = "resident memory, 16,384 prefixes with 4 holders each, 8 pools";
     Ok(row(
         "prefix",
-        bytes_each(before, after, POOL_COUNT * COUNT),
+        bytes_each(before, after, POOL_COUNT * PREFIX_COUNT),
         how,
     ))
 }
@@ -178,11 +182,11 @@
 
 /// Measures the memory of a team with a request in progress.
 fn team_memory() -> io::Result<Vec<String>> {
-    const COUNT: u32 = 100_000;
+    const TEAM_COUNT: u32 = 100_000;
     let before = resident_bytes()?;
-    let mut gate = Gate::new(settings(COUNT));
+    let mut gate = Gate::new(settings(TEAM_COUNT));
     let mut rng = StdRng::seed_from_u64(1);
-    for number in 0..COUNT {
+    for number in 0..TEAM_COUNT {
         let team = format!("team-of-the-north-{number:06}");
         gate.arrive(Duration::from_secs(1), &arrival(&team), &mut rng);
     }
@@ -190,7 +194,7 @@
     let how = "resident memory, 100,000 teams with a request in progress";
     Ok(row(
         "team",
-        bytes_each(before, after, u64::from(COUNT)),
+        bytes_each(before, after, u64::from(TEAM_COUNT)),
         how,
     ))
 }
--- a/components/measure/src/spread.rs
+++ b/components/measure/src/spread.rs
@@ -1,6 +1,6 @@
 //! Time until a document is in force on all hosts, with the traffic and store calls that it takes.
 //!
-//! The production boards are connected in memory, in virtual time. The baseline is an entry that
+//! The production replicas are connected in memory, in virtual time. The baseline is an entry that
 //! knows of no peers: it holds a long-polling watch of its own, with the same pauses and the same
 //! limit on silence. A third row sends complete documents where the spread sends only the change.
 
@@ -79,7 +79,7 @@
     /// Store calls per second when idle, of all hosts.
     idle_store_calls: f64,
     /// Processor time of one host when idle, as a share of a core. It includes the mesh that
-    /// connects the boards.
+    /// connects the replicas.
     idle_core_share: f64,
 }
 
--- a/components/models/src/contract.rs
+++ b/components/models/src/contract.rs
@@ -28,9 +28,9 @@
 pub enum Mutation {
     /// The system without a defect.
     None,
-    /// A frame that is delivered twice starts two handovers.
+    /// A frame that is delivered twice starts two forwarders.
     CopyBegins,
-    /// A frame that is delivered twice starts two handovers, both with the nonce from the frame.
+    /// A frame that is delivered twice starts two forwarders, both with the nonce from the frame.
     NonceFromFrame,
     /// A create without a response counts as applied.
     UnansweredIsWon,
--- a/components/models/src/contract/actors.rs
+++ b/components/models/src/contract/actors.rs
@@ -1,4 +1,4 @@
-//! The requests at their entries and the handovers at their sidecars.
+//! The requests at their entries and the forwarding of their calls at the sidecars.
 
 use contract::{
     Outcome,
@@ -67,7 +67,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Handover {
+pub(super) struct Forwarding {
     pub(super) machine: Forwarder,
     pub(super) entry: usize,
     pub(super) send: u32,
@@ -146,7 +146,7 @@
     }
 }
 
-impl Handover {
+impl Forwarding {
     pub(super) fn sidecar(&self) -> usize {
         target_sidecar(self.entry, self.send)
     }
--- a/components/models/src/contract/enabled.rs
+++ b/components/models/src/contract/enabled.rs
@@ -18,14 +18,14 @@
         for entry in 0..NODE_COUNT {
             self.entry_steps(entry, &mut steps);
         }
-        for handover in 0..self.handovers.len() {
-            self.handover_steps(handover, &mut steps);
+        for forwarding in 0..self.forwardings.len() {
+            self.forwarding_steps(forwarding, &mut steps);
         }
         for sidecar in 0..NODE_COUNT {
             let busy = self
-                .handovers
+                .forwardings
                 .iter()
-                .any(|handover| handover.sidecar() == sidecar);
+                .any(|forwarding| forwarding.sidecar() == sidecar);
             if busy && self.faults > 0 {
                 steps.push(Step::SidecarDies(sidecar));
             }
@@ -77,9 +77,9 @@
         }
     }
 
-    fn handover_steps(&self, index: usize, steps: &mut Vec<Step>) {
-        let handover = &self.handovers[index];
-        if let Some(op) = &handover.op {
+    fn forwarding_steps(&self, index: usize, steps: &mut Vec<Step>) {
+        let forwarding = &self.forwardings[index];
+        if let Some(op) = &forwarding.op {
             let completions = self.completions(op);
             steps.extend(
                 completions
@@ -90,7 +90,7 @@
                 steps.push(Step::SidecarStore(index, Completion::AnsweredLate));
             }
         }
-        match handover.service {
+        match forwarding.service {
             Service::Idle => {}
             Service::Requested => {
                 steps.push(Step::ServiceTakes(index));
@@ -105,12 +105,14 @@
                 }
             }
         }
-        if handover.waiting {
+        if forwarding.waiting {
             steps.push(Step::Waited(index));
         }
-        let request = &self.requests[handover.entry];
-        let before_handover = matches!(handover.op, Some(Op::Create { .. } | Op::Read));
-        if before_handover && !handover.entry_gone && (!request.alive || request.reported.is_some())
+        let request = &self.requests[forwarding.entry];
+        let before_forwarding = matches!(forwarding.op, Some(Op::Create { .. } | Op::Read));
+        if before_forwarding
+            && !forwarding.entry_gone
+            && (!request.alive || request.reported.is_some())
         {
             steps.push(Step::Gone(index));
         }
--- a/components/models/src/contract/state.rs
+++ b/components/models/src/contract/state.rs
@@ -24,8 +24,8 @@
     Mutation,
     Step,
     actors::{
+        Forwarding,
         Frame,
-        Handover,
         Op,
         Report,
         Request,
@@ -47,11 +47,11 @@
     pub(super) stored: Option<Stored>,
     pub(super) delayed_writes: Vec<Op>,
     pub(super) requests: Vec<Request>,
-    pub(super) handovers: Vec<Handover>,
-    /// Sends for which each sidecar has started a handover.
+    pub(super) forwardings: Vec<Forwarding>,
+    /// Sends that each sidecar has started to forward.
     pub(super) seen: Vec<Seen>,
-    /// The entry of each call that was handed over, in order.
-    pub(super) handed_over: Vec<usize>,
+    /// The entry of each call that a service received, in order.
+    pub(super) forwarded: Vec<usize>,
 }
 
 impl State {
@@ -65,23 +65,23 @@
             stored: None,
             delayed_writes: Vec::new(),
             requests: requests.collect(),
-            handovers: Vec::new(),
+            forwardings: Vec::new(),
             seen: vec![Seen::new(8); NODE_COUNT],
-            handed_over: Vec::new(),
+            forwarded: Vec::new(),
         }
     }
 
     /// Returns the invariant that the state violates.
     pub fn violated_invariant(&self) -> Option<&'static str> {
-        if self.handed_over.len() > 1 {
-            return Some("at most one handover per key");
+        if self.forwarded.len() > 1 {
+            return Some("at most one forwarded call per key");
         }
         for (entry, request) in self.requests.iter().enumerate() {
-            if request.reported == Some(Report::NotRun) && self.handed_over.contains(&entry) {
-                return Some("not_run implies no handover ever");
+            if request.reported == Some(Report::NotRun) && self.forwarded.contains(&entry) {
+                return Some("not_run implies that the call is never forwarded");
             }
-            if request.reported == Some(Report::Ran) && self.handed_over.is_empty() {
-                return Some("ran implies a handover");
+            if request.reported == Some(Report::Ran) && self.forwarded.is_empty() {
+                return Some("ran implies a forwarded call");
             }
         }
         None
@@ -95,10 +95,10 @@
     }
 
     /// Removes what can have no further effect, which keeps the state space small: finished
-    /// handovers, and delayed writes whose expected revision has been replaced.
+    /// forwarders, and delayed writes whose expected revision has been replaced.
     fn prune(&mut self) {
-        self.handovers
-            .retain(|handover| !handover.machine.done() || handover.op.is_some());
+        self.forwardings
+            .retain(|forwarding| !forwarding.machine.done() || forwarding.op.is_some());
         let revision = self.stored.as_ref().map_or(0, |stored| stored.revision);
         let compares = self.mutation != Mutation::NoCompare;
         self.delayed_writes
@@ -133,47 +133,47 @@
             }
             Step::Silent(entry) => self.time_out_sidecar(entry),
             Step::EntryStore(entry, completion) => self.finish_entry_call(entry, completion),
-            Step::SidecarStore(handover, completion) => {
-                self.finish_sidecar_call(handover, completion)
+            Step::SidecarStore(forwarding, completion) => {
+                self.finish_sidecar_call(forwarding, completion)
             }
             Step::LateWrite(write) => {
                 let op = self.delayed_writes.remove(write);
                 self.execute(&op);
             }
-            Step::ServiceRefuses(handover) => {
+            Step::ServiceRefuses(forwarding) => {
                 self.faults -= 1;
-                self.handovers[handover].service = Service::Idle;
-                self.handle_at_sidecar(handover, forwarder::Event::Unreachable, Clock::ZERO);
+                self.forwardings[forwarding].service = Service::Idle;
+                self.handle_at_sidecar(forwarding, forwarder::Event::Unreachable, Clock::ZERO);
             }
-            Step::ServiceTakes(handover) => {
-                self.handovers[handover].service = Service::Running;
-                let entry = self.handovers[handover].entry;
-                self.handed_over.push(entry);
+            Step::ServiceTakes(forwarding) => {
+                self.forwardings[forwarding].service = Service::Running;
+                let entry = self.forwardings[forwarding].entry;
+                self.forwarded.push(entry);
             }
-            Step::ServiceAnswers(handover) => {
-                self.handovers[handover].service = Service::Idle;
+            Step::ServiceAnswers(forwarding) => {
+                self.forwardings[forwarding].service = Service::Idle;
                 self.handle_at_sidecar(
-                    handover,
+                    forwarding,
                     forwarder::Event::Answered(response()),
                     Clock::ZERO,
                 );
             }
-            Step::ServiceBreaks(handover) => {
+            Step::ServiceBreaks(forwarding) => {
                 self.faults -= 1;
-                self.handovers[handover].service = Service::Idle;
+                self.forwardings[forwarding].service = Service::Idle;
                 let event = match self.mutation {
                     Mutation::BrokenIsRefused => forwarder::Event::Unreachable,
                     _ => forwarder::Event::ConnectionLost,
                 };
-                self.handle_at_sidecar(handover, event, Clock::ZERO);
+                self.handle_at_sidecar(forwarding, event, Clock::ZERO);
             }
-            Step::Waited(handover) => {
-                self.handovers[handover].waiting = false;
-                self.handle_at_sidecar(handover, forwarder::Event::TimerFired, Clock::ZERO);
+            Step::Waited(forwarding) => {
+                self.forwardings[forwarding].waiting = false;
+                self.handle_at_sidecar(forwarding, forwarder::Event::TimerFired, Clock::ZERO);
             }
-            Step::Gone(handover) => {
-                self.handovers[handover].entry_gone = true;
-                self.handle_at_sidecar(handover, forwarder::Event::EntryGone, Clock::ZERO);
+            Step::Gone(forwarding) => {
+                self.forwardings[forwarding].entry_gone = true;
+                self.handle_at_sidecar(forwarding, forwarder::Event::EntryGone, Clock::ZERO);
             }
             Step::EntryDies(entry) => self.entry_dies(entry),
             Step::SidecarDies(sidecar) => self.sidecar_dies(sidecar),
@@ -221,18 +221,18 @@
                 .frames
                 .retain(|frame| target_sidecar(entry, frame.send) != sidecar);
         }
-        for handover in std::mem::take(&mut self.handovers) {
-            if handover.sidecar() != sidecar {
-                self.handovers.push(handover);
+        for forwarding in std::mem::take(&mut self.forwardings) {
+            if forwarding.sidecar() != sidecar {
+                self.forwardings.push(forwarding);
                 continue;
             }
-            if let Some(op) = handover.op {
+            if let Some(op) = forwarding.op {
                 self.delay_write(op);
             }
         }
     }
 
-    /// Delivers a frame. The sidecar starts a handover with its own nonce.
+    /// Delivers a frame. The sidecar starts to forward the call with its own nonce.
     fn deliver_frame(&mut self, entry: usize) {
         let frames = &mut self.requests[entry].frames;
         let frame = frames[0].clone();
@@ -256,10 +256,10 @@
             return;
         }
         let nonce = number + copy;
-        self.start_handover(entry, frame.send, frame.base, nonce);
+        self.start_forwarding(entry, frame.send, frame.base, nonce);
     }
 
-    fn start_handover(&mut self, entry: usize, send: u32, base: Revision, nonce: Nonce) {
+    fn start_forwarding(&mut self, entry: usize, send: u32, base: Revision, nonce: Nonce) {
         let call = forwarder::Call {
             base_revision: base,
             digest: String::new(),
@@ -272,7 +272,7 @@
             max_write_attempts: 2,
             ..forwarder::Settings::default()
         };
-        self.handovers.push(Handover {
+        self.forwardings.push(Forwarding {
             machine: Forwarder::new(call, settings),
             entry,
             send,
@@ -282,7 +282,7 @@
             entry_gone: false,
         });
         self.handle_at_sidecar(
-            self.handovers.len() - 1,
+            self.forwardings.len() - 1,
             forwarder::Event::Requested,
             Clock::ZERO,
         );
@@ -296,33 +296,33 @@
     }
 
     pub(super) fn handle_at_sidecar(&mut self, index: usize, event: forwarder::Event, now: Clock) {
-        let actions = self.handovers[index].machine.handle(event, now);
+        let actions = self.forwardings[index].machine.handle(event, now);
         for action in actions {
-            let handover = &mut self.handovers[index];
+            let forwarding = &mut self.forwardings[index];
             match action {
                 forwarder::Action::Create { expect, record } => {
-                    handover.op = Some(Op::Create { expect, record });
+                    forwarding.op = Some(Op::Create { expect, record });
                 }
                 forwarder::Action::Write { expect, record } => {
-                    handover.op = Some(Op::Write { expect, record });
+                    forwarding.op = Some(Op::Write { expect, record });
                 }
-                forwarder::Action::ReadBack => handover.op = Some(Op::Read),
-                forwarder::Action::Forward => handover.service = Service::Requested,
-                forwarder::Action::Wait(_) => handover.waiting = true,
+                forwarder::Action::ReadBack => forwarding.op = Some(Op::Read),
+                forwarder::Action::Forward => forwarding.service = Service::Requested,
+                forwarder::Action::Wait(_) => forwarding.waiting = true,
                 forwarder::Action::Reply(reply) => self.send_reply(index, reply),
             }
         }
     }
 
     fn send_reply(&mut self, index: usize, reply: Reply) {
-        let (entry, send) = (self.handovers[index].entry, self.handovers[index].send);
+        let (entry, send) = (self.forwardings[index].entry, self.forwardings[index].send);
         if self.mutation == Mutation::SidecarGoesOn
             && send < 2
-            && let Reply::Conflict(Some(standing)) = &reply
-            && matches!(standing.record.state, RecordState::Void { .. })
+            && let Reply::Conflict(Some(stored)) = &reply
+            && matches!(stored.record.state, RecordState::Void { .. })
         {
             let nonce = 200 + entry as Nonce;
-            self.start_handover(entry, 2, standing.revision, nonce);
+            self.start_forwarding(entry, 2, stored.revision, nonce);
             return;
         }
         let request = &mut self.requests[entry];
--- a/components/models/src/contract/step.rs
+++ b/components/models/src/contract/step.rs
@@ -3,15 +3,15 @@
 /// Index of a request, which is also the index of its entry.
 pub type EntryIndex = usize;
 
-/// Index of a handover among those in progress.
-pub type HandoverIndex = usize;
+/// Index of a call among those that sidecars forward now.
+pub type ForwardingIndex = usize;
 
 /// How a call to the store completes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Completion {
     /// The call is executed, and the response arrives.
     Answered,
-    /// The response arrives only after the time limit of the handover.
+    /// The response arrives only after the time limit for forwarding the call.
     AnsweredLate,
     /// The call is executed, and the response is lost.
     AnswerLost,
@@ -39,21 +39,21 @@
     /// A call of an entry to the store ends.
     EntryStore(EntryIndex, Completion),
     /// A call of a sidecar to the store ends.
-    SidecarStore(HandoverIndex, Completion),
+    SidecarStore(ForwardingIndex, Completion),
     /// A delayed write is executed.
     LateWrite(usize),
     /// The service refuses the connection.
-    ServiceRefuses(HandoverIndex),
+    ServiceRefuses(ForwardingIndex),
     /// The service starts to run the call.
-    ServiceTakes(HandoverIndex),
+    ServiceTakes(ForwardingIndex),
     /// The service responds.
-    ServiceAnswers(HandoverIndex),
+    ServiceAnswers(ForwardingIndex),
     /// The connection to the service breaks while the service runs the call.
-    ServiceBreaks(HandoverIndex),
+    ServiceBreaks(ForwardingIndex),
     /// A sidecar's timer fires.
-    Waited(HandoverIndex),
+    Waited(ForwardingIndex),
     /// A sidecar learns that the entry is gone.
-    Gone(HandoverIndex),
+    Gone(ForwardingIndex),
     /// An entry dies.
     EntryDies(EntryIndex),
     /// A sidecar dies.
--- a/components/models/src/contract/store.rs
+++ b/components/models/src/contract/store.rs
@@ -20,7 +20,7 @@
     actors::Op, //
 };
 
-/// Maximum time until the handover.
+/// Maximum time until the call is forwarded.
 pub(super) const START_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(super) enum Answer {
@@ -40,8 +40,8 @@
         self.handle_at_entry(entry, event);
     }
 
-    pub(super) fn finish_sidecar_call(&mut self, handover: usize, completion: Completion) {
-        let Some(op) = self.handovers[handover].op.take() else {
+    pub(super) fn finish_sidecar_call(&mut self, forwarding: usize, completion: Completion) {
+        let Some(op) = self.forwardings[forwarding].op.take() else {
             return;
         };
         let creates = matches!(op, Op::Create { .. });
@@ -59,7 +59,7 @@
             Completion::AnsweredLate => START_TIMEOUT + START_TIMEOUT,
             _ => Clock::ZERO,
         };
-        self.handle_at_sidecar(handover, event, now);
+        self.handle_at_sidecar(forwarding, event, now);
     }
 
     fn call_store(&mut self, op: Op, completion: Completion) -> Answer {
--- a/components/models/src/edits.rs
+++ b/components/models/src/edits.rs
@@ -83,7 +83,7 @@
     faults: u8,
 }
 
-/// Returns the initial state, in which a trial stands at revision 1.
+/// Returns the initial state, in which a trial is at revision 1.
 ///
 /// Four operators edit: one promotes the trial, one writes to production at the same time, one
 /// follows the first of these two, and one changes the trial. At most `faults` calls fail.
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -67,7 +67,7 @@
         /// the delay until this beacon. Times are in milliseconds.
         echo: Option<(Incarnation, u64, u64)>,
         /// Revision that the sender has, and the milliseconds since it was current.
-        fresh: Option<(Revision, u64)>,
+        freshness: Option<(Revision, u64)>,
     },
     /// Changes up to a revision, for a receiver that has all earlier ones.
     Changes {
@@ -239,7 +239,7 @@
                 let delay = clock.saturating_sub(*received_at);
                 (*incarnation, *stamp, delay.as_millis() as u64)
             });
-        let fresh = self.freshness.claim().map(|claim| {
+        let freshness = self.freshness.claim().map(|claim| {
             let age = clock.saturating_sub(claim.at);
             (claim.revision, age.as_millis() as u64 + 1)
         });
@@ -249,7 +249,7 @@
             to,
             stamp: clock.as_millis() as u64,
             echo,
-            fresh,
+            freshness,
         }
     }
 }
@@ -356,7 +356,7 @@
                 to,
                 stamp,
                 echo,
-                fresh,
+                freshness,
             } => {
                 let host = &mut self.hosts[*to];
                 let now = host.clock(self.now);
@@ -366,7 +366,7 @@
                 }
                 host.peers.insert(*from, (*incarnation, *stamp, now));
                 let beacon = Beacon {
-                    freshness: fresh.map(|(revision, ms)| Age { revision, ms }),
+                    freshness: freshness.map(|(revision, ms)| Age { revision, ms }),
                     echo: echo.map(|(incarnation, timestamp, delay_ms)| Echo {
                         incarnation,
                         timestamp,
--- a/components/report/src/burn.rs
+++ b/components/report/src/burn.rs
@@ -31,7 +31,7 @@
 /// [`OVERFLOW_TEAM`] of their service.
 pub const MAX_ROWS: usize = 4096;
 
-/// Team name that stands for all rows beyond [`MAX_ROWS`].
+/// Team name under which all rows beyond [`MAX_ROWS`] are counted.
 pub const OVERFLOW_TEAM: &str = "(others)";
 
 /// Fewest requests in the short window for an alert. Among fewer, a single miss would raise one.
--- a/components/report/src/resumes.rs
+++ b/components/report/src/resumes.rs
@@ -95,7 +95,7 @@
         tally.row.recomputed += tokens;
     }
 
-    /// Records the first fresh token of another epoch, `latency` after the last token before it.
+    /// Records the first new token of another epoch, `latency` after the last token before it.
     pub fn record_latency(&mut self, service: &str, version: &str, latency: Duration, now: Clock) {
         let ms = u64::try_from(latency.as_millis()).unwrap_or(u64::MAX);
         let tally = self.tally(service, version, now);
--- a/components/trial/tests/calls.rs
+++ b/components/trial/tests/calls.rs
@@ -83,7 +83,7 @@
     retry_until_run(&ledger, "k", 2).await;
 }
 
-/// The store receives writes and never responds; later it recovers. The caller was told `not_run`,
+/// The store receives writes and never responds; later it recovers. The caller received `not_run`,
 /// so the key must run when the call is repeated, whether or not the unanswered write took effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_store_refuses_calls_and_the_key_stays_usable() {
@@ -104,7 +104,7 @@
     retry_until_run(&ledger, "k", 1).await;
 }
 
-/// Writes to the store take effect only after they have timed out. The caller was told `not_run`,
+/// Writes to the store take effect only after they have timed out. The caller received `not_run`,
 /// so nothing may run, and the late record must not make the key unusable.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_record_written_after_its_timeout_runs_nothing() {
@@ -177,11 +177,11 @@
 /// A sidecar is killed after it has written its record and before the service responds. Whether the
 /// deposit was applied can't be known, so no reply says `not_run`, and no retry runs the call again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_is_unknown_and_not_repeated_if_the_sidecar_is_killed_after_the_hand_over() {
+async fn a_call_is_unknown_and_not_repeated_if_the_sidecar_is_killed_after_the_forward() {
     let mut ledger = Ledger::start(2).await;
     ledger.inject_service_fault(&slow_fault(300));
     let reply = ledger.send(0, Some("k"), 5);
-    let replica = ledger.wait_for_hand_over().await;
+    let replica = ledger.wait_for_forward().await;
     ledger.0.sidecars[replica].kill();
     let reply = reply.await.unwrap();
     assert_eq!(reply.run(), "unknown", "{reply:?}");
@@ -191,7 +191,7 @@
     let again = ledger.deposit(1, Some("k")).await;
     assert_eq!(again.run(), "unknown", "{again:?}");
     let calls: usize = ledger.0.services.iter().map(|s| s.calls().len()).sum();
-    assert_eq!(calls, 1, "calls handed over");
+    assert_eq!(calls, 1, "forwarded calls");
 }
 
 /// A sidecar is killed after the outcome was recorded. Every entry still replays it.
@@ -200,7 +200,7 @@
     let mut ledger = Ledger::start(2).await;
     let reply = ledger.deposit(0, Some("k")).await;
     wait_until_recorded(&ledger, "k").await;
-    let replica = ledger.wait_for_hand_over().await;
+    let replica = ledger.wait_for_forward().await;
     ledger.0.sidecars[replica].kill();
     let again = wait_for("a reply by another replica", async || {
         let again = ledger.deposit(1, Some("k")).await;
@@ -218,7 +218,7 @@
     let mut ledger = Ledger::start(2).await;
     ledger.inject_service_fault(&slow_fault(400));
     let aborted = ledger.send(0, Some("k"), 5);
-    ledger.wait_for_hand_over().await;
+    ledger.wait_for_forward().await;
     ledger.0.entries[0].kill();
     aborted.abort();
     let first_retry = ledger.deposit(1, Some("k")).await;
--- a/components/trial/tests/calls_service.rs
+++ b/components/trial/tests/calls_service.rs
@@ -84,7 +84,7 @@
     let ledger = Ledger::start(1).await;
     ledger.inject_service_fault(&slow_fault(300));
     let running = ledger.send(0, Some("k"), 5);
-    ledger.wait_for_hand_over().await;
+    ledger.wait_for_forward().await;
     let before = ledger.0.platform.counts().writes;
     ledger.0.platform.inject_fault(platform::Fault {
         outage: true,
@@ -104,7 +104,7 @@
     let ledger = Ledger::start(2).await;
     ledger.inject_service_fault(&slow_fault(500));
     let running = ledger.send(0, Some("k"), 5);
-    let leaving = ledger.wait_for_hand_over().await;
+    let leaving = ledger.wait_for_forward().await;
     ledger.0.sidecars[leaving].stop();
     // More calls than load balancing alone would send to the other replica.
     let mut others = Vec::new();
--- a/components/trial/tests/documents.rs
+++ b/components/trial/tests/documents.rs
@@ -391,13 +391,13 @@
         let mut holding = Vec::new();
         let mut silent = Vec::new();
         for data_centre in body["data_centres"].as_array().cloned().unwrap_or_default() {
-            for standing in data_centre["standings"]
+            for group in data_centre["standings"]
                 .as_array()
                 .cloned()
                 .unwrap_or_default()
             {
-                if standing["revision"].as_u64() == Some(revision) {
-                    holding.extend(standing["hosts"].as_array().cloned().unwrap_or_default());
+                if group["revision"].as_u64() == Some(revision) {
+                    holding.extend(group["hosts"].as_array().cloned().unwrap_or_default());
                 }
             }
             silent.extend(
--- a/components/trial/tests/failing.rs
+++ b/components/trial/tests/failing.rs
@@ -16,7 +16,7 @@
   - {name: ledger, match: {path: /svc/ledger}, service: ledger, version: v1}
 ";
 
-const CALLS: usize = 100;
+const CALL_COUNT: usize = 100;
 
 // One of three replicas fails each call at once, or is dead and refuses connections while its
 // sidecar is alive. Such a replica always looks idle and fast; a balancer that preferred it would
@@ -38,7 +38,7 @@
     trial.wait_ready(revision).await.unwrap();
     trial.services[0].inject_fault(fault);
     let mut failed = 0;
-    for number in 0..CALLS {
+    for number in 0..CALL_COUNT {
         let address = format!("{}/svc/ledger/deposits", trial.callers_url(0));
         let request = trial
             .client
@@ -49,5 +49,5 @@
         failed += usize::from(answer.status() != StatusCode::CREATED);
     }
     // Five failures in a row eject the replica; a few probes may follow.
-    assert!(failed <= 8, "{failed} of {CALLS} calls failed");
+    assert!(failed <= 8, "{failed} of {CALL_COUNT} calls failed");
 }
--- a/components/trial/tests/ledger/mod.rs
+++ b/components/trial/tests/ledger/mod.rs
@@ -167,7 +167,7 @@
     }
 
     /// Waits until a call reaches a service and returns the number of its replica.
-    pub async fn wait_for_hand_over(&self) -> usize {
+    pub async fn wait_for_forward(&self) -> usize {
         wait_for("a call to reach a service", async || {
             let mut services = self.0.services.iter();
             services.position(|service| !service.calls().is_empty())
--- a/components/trial/tests/pause.rs
+++ b/components/trial/tests/pause.rs
@@ -25,9 +25,9 @@
     /// The sidecar waits for its lease; the record isn't written yet.
     BeforeRecord,
     /// The record is being written; the store responds while the sidecar is paused.
-    BetweenRecordAndHandOver,
+    BetweenRecordAndForward,
     /// The service has received the call.
-    AfterHandOver,
+    AfterForward,
 }
 
 /// A sidecar is paused for some seconds and resumes long after its entry has replied to the caller.
@@ -35,9 +35,9 @@
 /// the call with its key until it gets the outcome.
 #[rstest::rstest]
 #[case::before_record(Step::BeforeRecord, 3, "not_run")]
-#[case::before_hand_over(Step::BetweenRecordAndHandOver, 3, "unknown")]
-#[case::before_hand_over_too_long(Step::BetweenRecordAndHandOver, 7, "unknown")]
-#[case::after_hand_over(Step::AfterHandOver, 3, "unknown")]
+#[case::before_forward(Step::BetweenRecordAndForward, 3, "unknown")]
+#[case::before_forward_too_long(Step::BetweenRecordAndForward, 7, "unknown")]
+#[case::after_forward(Step::AfterForward, 3, "unknown")]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_sidecar_runs_a_call_at_most_once(
     #[case] step: Step,
@@ -52,7 +52,7 @@
     let before = ledger.0.platform.counts().writes;
     let earlier_deposits = ledger.deposits();
     let reply = match step {
-        Step::BeforeRecord | Step::BetweenRecordAndHandOver => {
+        Step::BeforeRecord | Step::BetweenRecordAndForward => {
             ledger.0.platform.inject_fault(platform::Fault {
                 slow_ms: Some(300),
                 ..platform::Fault::default()
@@ -61,7 +61,7 @@
             ledger.wait_for_store_write(before).await;
             reply
         }
-        Step::AfterHandOver => {
+        Step::AfterForward => {
             ledger.inject_service_fault(&slow_fault(300));
             let reply = ledger.send(0, Some("k"), 5);
             wait_for("the service to receive the call", async || {
@@ -107,7 +107,7 @@
     }
     let reply = ledger.send(0, Some("k"), 5);
     if arrived {
-        ledger.wait_for_hand_over().await;
+        ledger.wait_for_forward().await;
         relay.set_dropping(true);
     }
     let reply = reply.await.unwrap();
--- a/components/trial/tests/poison.rs
+++ b/components/trial/tests/poison.rs
@@ -38,7 +38,7 @@
   - {name: ledger, match: {path: /svc/ledger}, service: ledger, version: v1}
 ";
 
-const ENGINES: usize = 4;
+const ENGINE_COUNT: usize = 4;
 
 /// Number of times that a poisonous call is sent.
 const POISONOUS_CALLS: usize = 12;
@@ -120,14 +120,14 @@
 async fn a_poisonous_request_costs_two_engines_and_no_other_answer(
     #[values(1, 8, 30)] normal_requests: usize,
 ) {
-    let system = System::start(ENGINES, 0).await;
+    let system = System::start(ENGINE_COUNT, 0).await;
     for engine in &system.0.engines {
         engine.inject_fault(engine::Fault {
             crash_on: Some("poison".into()),
             ..engine::Fault::default()
         });
     }
-    let prompts: Vec<String> = (0..normal_requests * ENGINES)
+    let prompts: Vec<String> = (0..normal_requests * ENGINE_COUNT)
         .map(|n| format!("letter {n}"))
         .collect();
     let length = 60;
--- a/components/trial/tests/shutdown.rs
+++ b/components/trial/tests/shutdown.rs
@@ -18,7 +18,7 @@
 };
 
 const SEED: u64 = 5;
-const TOKENS: u64 = 200;
+const TOKEN_COUNT: u64 = 200;
 const PROMPT: &str = "Write the rota statement.";
 
 /// Process that is stopped during an answer.
@@ -30,7 +30,7 @@
 
 async fn send_request(trial: &Trial) -> reqwest::Response {
     let body = json!({
-        "model": "m", "prompt": PROMPT, "max_tokens": TOKENS, "seed": SEED, "stream": true,
+        "model": "m", "prompt": PROMPT, "max_tokens": TOKEN_COUNT, "seed": SEED, "stream": true,
     });
     let address = format!("{}/v1/completions", trial.callers_url(0));
     let request = trial.client.post(address).json(&body);
@@ -69,7 +69,7 @@
         }
     }
     assert!(done);
-    assert_eq!(tokens, expected_tokens(PROMPT, SEED, TOKENS));
+    assert_eq!(tokens, expected_tokens(PROMPT, SEED, TOKEN_COUNT));
     // The answer completed in its first run.
     let runs: usize = trial.engines.iter().map(|engine| engine.runs().len()).sum();
     assert_eq!(runs, 1);
