--- a/components/measure/src/calls/faults.rs
+++ b/components/measure/src/calls/faults.rs
@@ -52,7 +52,7 @@
             Self::StoreAnswerLost => "store's answer lost after the write",
             Self::StoreWriteLate => "store's write takes effect after its time-out",
             Self::SidecarBeforeRecord => "sidecar killed before the record",
-            Self::SidecarAfterForward => "sidecar killed after the forward",
+            Self::SidecarAfterForward => "sidecar killed after forwarding",
             Self::ServiceDown => "service down",
             Self::ServiceDiesBefore => "service dies with the call, not taken",
             Self::ServiceDiesAfter => "service dies with the call, taken",
@@ -77,13 +77,13 @@
     }
     let heading = [
         "fault",
-        "loss before the forward",
+        "loss before forwarding",
         "record",
         "ran",
         "not_run",
         "unknown",
         "longest s",
-        "most forwards a call",
+        "most forwards per call",
     ];
     table::print(&heading, &rows);
 }
--- a/components/trial/tests/calls.rs
+++ b/components/trial/tests/calls.rs
@@ -177,7 +177,7 @@
 /// A sidecar is killed after it has written its record and before the service responds. Whether the
 /// deposit was applied can't be known, so no reply says `not_run`, and no retry runs the call again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_is_unknown_and_not_repeated_if_the_sidecar_is_killed_after_the_forward() {
+async fn a_call_is_unknown_and_not_repeated_if_the_sidecar_is_killed_after_forwarding() {
     let mut ledger = Ledger::start(2).await;
     ledger.inject_service_fault(&slow_fault(300));
     let reply = ledger.send(0, Some("k"), 5);
