--- a/components/contract/src/poison/detector.rs
+++ b/components/contract/src/poison/detector.rs
@@ -54,7 +54,7 @@
 /// Assessment of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// Not suspected.
+    /// The request is not suspected.
     Clear,
     /// In flight at one unexplained death: starts beside no request that has run for less than the
     /// probation period, and no new request starts beside it until it has run for that period.
@@ -62,7 +62,7 @@
     /// In flight at several unexplained deaths: starts beside no suspect and no fresh request, and
     /// nothing starts beside it.
     Isolated,
-    /// Refused everywhere.
+    /// The request is refused on every server.
     Refused {
         /// Time until the refusal ends.
         remaining: Duration,
--- a/components/measure/src/moves/traffic.rs
+++ b/components/measure/src/moves/traffic.rs
@@ -19,7 +19,7 @@
 /// A fault of the new version, or one that has another cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// No fault.
+    /// No fault occurs.
     None,
     /// The new version fails requests.
     Failing,
@@ -70,7 +70,7 @@
 /// A case of the tables.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    /// The fault.
+    /// Fault that occurs during the move.
     pub fault: Fault,
     /// The fault's start.
     pub onset: Onset,
@@ -86,7 +86,7 @@
 const FAILURE_SHARES: [f64; 3] = [0.01, 0.05, 0.5];
 
 /// Factor by which times are longer, by strength.
-const SLOWDOWNS: [f64; 3] = [1.3, 2.0, 5.0];
+const SLOWDOWN_FACTORS: [f64; 3] = [1.3, 2.0, 5.0];
 
 impl Fault {
     /// Whether the fault is the new version's.
@@ -129,8 +129,8 @@
             Fault::UnderLoad if new && active && load >= 0.8 => {
                 failure_share += FAILURE_SHARES[strength]
             }
-            Fault::SlowFirst if new && active => first_slowdown = SLOWDOWNS[strength],
-            Fault::SlowBetween if new && active => between_slowdown = SLOWDOWNS[strength],
+            Fault::SlowFirst if new && active => first_slowdown = SLOWDOWN_FACTORS[strength],
+            Fault::SlowBetween if new && active => between_slowdown = SLOWDOWN_FACTORS[strength],
             Fault::Overload if (1200.0..1500.0).contains(&now) => {
                 failure_share = 0.05;
                 first_slowdown = 4.0;
--- a/components/models/src/freshness.rs
+++ b/components/models/src/freshness.rs
@@ -55,11 +55,11 @@
 pub enum Packet {
     /// A beacon.
     Beacon {
-        /// Sender.
+        /// Index of the sending host.
         from: usize,
         /// Incarnation of the sender.
         incarnation: Incarnation,
-        /// Receiver.
+        /// Index of the receiving host.
         to: usize,
         /// The sender's clock, in milliseconds.
         stamp: u64,
@@ -67,11 +67,11 @@
         /// the delay until this beacon. Times are in milliseconds.
         echo: Option<(Incarnation, u64, u64)>,
         /// Revision that the sender has, and the milliseconds since it was current.
-        fresh: Option<(Revision, u64)>,
+        freshness: Option<(Revision, u64)>,
     },
     /// Changes up to a revision, for a receiver that has all earlier ones.
     Changes {
-        /// Receiver.
+        /// Index of the receiving host.
         to: usize,
         /// The last revision.
         revision: Revision,
@@ -80,7 +80,7 @@
     Answer {
         /// Incarnation that sent the query.
         incarnation: Incarnation,
-        /// Receiver.
+        /// Index of the receiving host.
         to: usize,
         /// Time of the query by the receiver's clock.
         at: Clock,
@@ -105,9 +105,9 @@
     Read(usize),
     /// A process sends a beacon to another.
     Send {
-        /// Sender.
+        /// Index of the sending host.
         from: usize,
-        /// Receiver.
+        /// Index of the receiving host.
         to: usize,
     },
     /// A message or response arrives.
@@ -143,15 +143,15 @@
 /// Number of events of each kind that may still occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
-    /// Ticks.
+    /// Number of ticks by which the time may advance.
     pub ticks: u64,
-    /// Changes.
+    /// Number of changes that the store may acknowledge.
     pub writes: u8,
     /// Hosts that the store starts to refuse.
     pub refusals: u8,
     /// Restarts of a host.
     pub restarts: u8,
-    /// Beacons.
+    /// Number of beacons that may be sent.
     pub beacons: u8,
     /// Queries of the store's revision.
     pub queries: u8,
@@ -239,7 +239,7 @@
                 let delay = clock.saturating_sub(*received_at);
                 (*incarnation, *stamp, delay.as_millis() as u64)
             });
-        let fresh = self.freshness.claim().map(|claim| {
+        let freshness = self.freshness.claim().map(|claim| {
             let age = clock.saturating_sub(claim.at);
             (claim.revision, age.as_millis() as u64 + 1)
         });
@@ -249,7 +249,7 @@
             to,
             stamp: clock.as_millis() as u64,
             echo,
-            fresh,
+            freshness,
         }
     }
 }
@@ -356,7 +356,7 @@
                 to,
                 stamp,
                 echo,
-                fresh,
+                freshness,
             } => {
                 let host = &mut self.hosts[*to];
                 let now = host.clock(self.now);
@@ -366,7 +366,7 @@
                 }
                 host.peers.insert(*from, (*incarnation, *stamp, now));
                 let beacon = Beacon {
-                    freshness: fresh.map(|(revision, age_ms)| Age { revision, age_ms }),
+                    freshness: freshness.map(|(revision, age_ms)| Age { revision, age_ms }),
                     echo: echo.map(|(incarnation, timestamp, delay_ms)| Echo {
                         incarnation,
                         timestamp,
