--- a/components/entry/src/answers.rs
+++ b/components/entry/src/answers.rs
@@ -54,7 +54,7 @@
 };
 
 use crate::{
-    attempt::Attempt,
+    attempt::EpochHandle,
     burn::Timer,
     gates::Permit,
     moves::{
@@ -145,7 +145,7 @@
     query: Query,
     permit: Arc<Permit>,
     resume: Resume,
-    attempts: HashMap<Epoch, Arc<Attempt>>,
+    attempts: HashMap<Epoch, Arc<EpochHandle>>,
     /// Tokens of the answer so far, each with the position after it.
     tokens: Vec<(Position, String)>,
     events: mpsc::Sender<Event>,
@@ -251,7 +251,7 @@
             .state
             .pool
             .start(&found.server, None, peer.work_counter());
-        let attempt = Attempt {
+        let attempt = EpochHandle {
             epoch: found.epoch,
             nonce: found.nonce,
             server: found.server.clone(),
@@ -345,14 +345,16 @@
 
     /// Counts tokens that another epoch has decoded before. Tokens that the log of the same epoch
     /// sends again were decoded only once, and are not counted.
-    fn count_duplicates(&self, epoch: Epoch, stale: Index) {
+    fn count_duplicates(&self, epoch: Epoch, duplicates: Index) {
         if self
             .last_tokens
             .is_some_and(|(_, last_epoch)| last_epoch != epoch)
         {
             let now = self.state.now();
             let target = &self.query.target;
-            self.state.resumes.dropped(target, stale, now);
+            self.state
+                .resumes
+                .record_duplicates(target, duplicates, now);
         }
     }
 
@@ -479,7 +481,9 @@
                     let at = self.state.now();
                     self.state.resumes.continued(target, gap, at);
                 } else if fresh == 1 {
-                    self.state.gaps.learn(&target.service, &target.version, gap);
+                    self.state
+                        .gaps
+                        .record(&target.service, &target.version, gap);
                 }
                 metrics::histogram!(
                     "medlarhatch_token_gap_seconds",
--- a/components/entry/src/answers/epochs.rs
+++ b/components/entry/src/answers/epochs.rs
@@ -28,7 +28,7 @@
     answers::Driver,
     attempt::{
         self,
-        Attempt, //
+        EpochHandle, //
     },
     pool::Criteria,
 };
@@ -80,7 +80,7 @@
             self.count_resume(cause);
         }
         let connection = replica.connection;
-        let attempt = Arc::new(Attempt {
+        let attempt = Arc::new(EpochHandle {
             epoch,
             nonce: rand::random(),
             server: replica.server,
@@ -123,7 +123,7 @@
     }
 
     /// Returns the frame that starts an epoch at its sidecar.
-    fn start_frame(&self, attempt: &Attempt) -> Start {
+    fn start_frame(&self, attempt: &EpochHandle) -> Start {
         Start {
             request: self.query.request.clone(),
             epoch: attempt.epoch,
@@ -165,7 +165,7 @@
     }
 }
 
-/// Returns the metric cause_label of a cause.
+/// Returns the metric label of a cause.
 fn cause_label(cause: Cause) -> &'static str {
     match cause {
         Cause::First => "first",
--- a/components/entry/src/attempt.rs
+++ b/components/entry/src/attempt.rs
@@ -1,5 +1,5 @@
-//! One epoch of an answer: converts the frames of a stream to a sidecar to events for the decisions
-//! about the answer.
+//! One epoch of an answer: opens the stream to its sidecar, and converts the received frames into
+//! events of `answer::resume`.
 
 use std::{
     sync::{
@@ -61,7 +61,7 @@
 const ATTACH_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Epoch of an answer, with the data that is needed to attach to it again.
-pub(crate) struct Attempt {
+pub(crate) struct EpochHandle {
     pub(crate) epoch: Epoch,
     pub(crate) nonce: Nonce,
     pub(crate) server: Server,
@@ -85,7 +85,7 @@
 
 /// Starts a generation at the chosen sidecar and forwards its events.
 pub(crate) async fn start(
-    attempt: Arc<Attempt>,
+    attempt: Arc<EpochHandle>,
     connection: Connection,
     start: Start,
     events: Events,
@@ -109,7 +109,7 @@
 /// Attaches to a running generation over a new stream to its sidecar, and forwards its events.
 pub(crate) async fn attach(
     state: Arc<State>,
-    attempt: Arc<Attempt>,
+    attempt: Arc<EpochHandle>,
     request: Request,
     from: Index,
     events: Events,
@@ -157,7 +157,7 @@
 }
 
 /// Handles the first frame after an attach, and the events after it if that succeeded.
-async fn handle_attach(attempt: &Attempt, stream: Stream, first: Frame, events: &Events) {
+async fn handle_attach(attempt: &EpochHandle, stream: Stream, first: Frame, events: &Events) {
     let Some(event) = to_event(attempt, first, true) else {
         return;
     };
@@ -169,7 +169,7 @@
 }
 
 /// Forwards events until the last one, or until the epoch is cancelled.
-async fn read_events(attempt: &Attempt, stream: Stream, events: &Events, attached: bool) {
+async fn read_events(attempt: &EpochHandle, stream: Stream, events: &Events, attached: bool) {
     let Stream {
         mut sender,
         mut receiver,
@@ -215,7 +215,7 @@
 }
 
 /// Converts a frame to an event; returns `None` for a frame that causes none.
-fn to_event(attempt: &Attempt, frame: Frame, attached: bool) -> Option<Event> {
+fn to_event(attempt: &EpochHandle, frame: Frame, attached: bool) -> Option<Event> {
     let epoch = attempt.epoch;
     match frame {
         Frame::Started if attached => Some(Event::Attached { epoch }),
--- a/components/entry/src/burn.rs
+++ b/components/entry/src/burn.rs
@@ -19,9 +19,9 @@
 
 /// Request counters of this entry.
 #[derive(Default)]
-pub(crate) struct Recorder(Mutex<Counters>);
+pub(crate) struct BurnCounters(Mutex<Counters>);
 
-impl Recorder {
+impl BurnCounters {
     /// Replaces the service levels by those of a document.
     pub(crate) fn set_levels(&self, document: &Document) {
         let levels = document.levels.iter().map(|level| {
--- a/components/entry/src/daemon.rs
+++ b/components/entry/src/daemon.rs
@@ -34,7 +34,7 @@
 };
 
 use crate::{
-    burn::Recorder,
+    burn::BurnCounters,
     callers,
     documents::{
         self,
@@ -194,7 +194,7 @@
         gates: Gates::new(origin),
         documents: Documents::default(),
         movers: Movers::default(),
-        burn: Recorder::default(),
+        burn: BurnCounters::default(),
         resumes: Resumes::default(),
         gaps: GapTable::default(),
         unresponsive: Default::default(),
--- a/components/entry/src/moves.rs
+++ b/components/entry/src/moves.rs
@@ -1,4 +1,6 @@
 //! Moves at this entry: runs the movers, and reads and writes the records of moves in the store.
+//! A move shifts a service's traffic gradually from one version to another; its mover decides the
+//! share.
 //!
 //! A veto is spread to all entries immediately, and so is the record of a move once an entry has
 //! written or read it. The entries write the record in turns, by rank, so that usually only one
--- a/components/entry/src/moves/observer.rs
+++ b/components/entry/src/moves/observer.rs
@@ -32,11 +32,12 @@
     state::State, //
 };
 
-/// Time within which broken generations on one server count as one death.
+/// Length of the fixed windows of wall-clock time; generations that break on one server in the same
+/// window count as one crash.
 ///
-/// A death breaks all generations on the server. Counted separately, they would look like as many
-/// deaths.
-const DEATH_WINDOW: Duration = Duration::from_secs(10);
+/// A crash breaks all generations on the server. Counted separately, they would look like as many
+/// crashes.
+const CRASH_WINDOW: Duration = Duration::from_secs(10);
 
 /// Tokens after which the mean time between tokens is reported.
 const GAP_REPORT_TOKENS: usize = 50;
@@ -101,7 +102,7 @@
                 let since = wall.duration_since(UNIX_EPOCH).unwrap_or_default();
                 let death = Death {
                     server: server.clone(),
-                    incarnation: since.as_secs() / DEATH_WINDOW.as_secs(),
+                    incarnation: since.as_secs() / CRASH_WINDOW.as_secs(),
                     side: assignment.pick.side,
                     slot: assignment.pick.slot,
                     level: assignment.pick.level,
--- a/components/entry/src/operators.rs
+++ b/components/entry/src/operators.rs
@@ -128,8 +128,8 @@
     }
 }
 
-/// `POST /environments/<environment>/promote`: copies the document of another environment in which
-/// it was tried.
+/// `POST /environments/<environment>/promote`: copies the document that was tried in another
+/// environment.
 struct Promote {
     state: Arc<State>,
 }
@@ -138,16 +138,16 @@
 impl Promote {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let applied = async {
-            let pin = pin(req)?;
+            let trial_revision = trial_revision(req)?;
             let environment = environment_name(req);
-            let trial = edit::read(&self.state.platform, &pin.environment)
+            let trial = edit::read(&self.state.platform, &trial_revision.environment)
                 .await
                 .map_err(|error| unavailable(&error.to_string()))?;
             let text = trial.map_or_else(String::new, |stored| stored.envelope.text);
-            // The edit is refused if the trial differs from the pin, except for a repeated edit:
-            // that is accepted even if the trial has changed since.
+            // The edit is refused if the trial differs from this revision, except for a repeated
+            // edit: that is accepted even if the trial has changed since.
             let text = environment::replace_environment(&text, &environment).unwrap_or_default();
-            let draft = draft(&self.state, req, text, Some(pin)).await?;
+            let draft = draft(&self.state, req, text, Some(trial_revision)).await?;
             apply(&self.state, draft).await
         };
         render(applied.await, res);
@@ -159,12 +159,12 @@
     req.param("environment").unwrap_or_default()
 }
 
-/// Reads the pin of a promotion from the query.
+/// Reads from the query which revision of another environment was tried.
 ///
 /// # Errors
 ///
 /// Returns a [`Code::Invalid`] problem for a parameter that is missing or malformed.
-fn pin(req: &mut Request) -> Result<Pin, Problem> {
+fn trial_revision(req: &mut Request) -> Result<Pin, Problem> {
     let invalid = |field: &str, message: &str| Problem::invalid(field, message);
     let digest: Option<String> = req.query("digest");
     let digest = digest.and_then(|digest| u64::from_str_radix(&digest, 16).ok());
--- a/components/entry/src/resumes.rs
+++ b/components/entry/src/resumes.rs
@@ -39,8 +39,8 @@
         counters.record_latency(&target.service, &target.version, latency, now);
     }
 
-    /// Records decoded tokens that were dropped.
-    pub(crate) fn dropped(&self, target: &Target, tokens: u64, now: Clock) {
+    /// Records decoded tokens that were dropped as duplicates.
+    pub(crate) fn record_duplicates(&self, target: &Target, tokens: u64, now: Clock) {
         if tokens == 0 {
             return;
         }
--- a/components/entry/src/state.rs
+++ b/components/entry/src/state.rs
@@ -38,7 +38,7 @@
 };
 
 use crate::{
-    burn::Recorder,
+    burn::BurnCounters,
     documents::Documents,
     fleet::{
         Fleet,
@@ -73,7 +73,7 @@
     pub(crate) documents: Documents,
     pub(crate) movers: Movers,
     /// Counters of service-level burn.
-    pub(crate) burn: Recorder,
+    pub(crate) burn: BurnCounters,
     /// Counters of resumed answers.
     pub(crate) resumes: Resumes,
     /// Times between tokens, by service and version.
@@ -115,7 +115,7 @@
 
 impl GapTable {
     /// Adds a time between two tokens.
-    pub(crate) fn learn(&self, service: &str, version: &str, gap: Duration) {
+    pub(crate) fn record(&self, service: &str, version: &str, gap: Duration) {
         let mut gaps = self.0.lock().expect("no panic while held");
         let key = (service.to_string(), version.to_string());
         gaps.entry(key).or_default().learn(gap);
--- a/components/gates/src/gates.rs
+++ b/components/gates/src/gates.rs
@@ -51,18 +51,18 @@
 }
 
 struct State {
-    gates: HashMap<Service, Queue>,
+    gates: HashMap<Service, ServiceGate>,
     rng: SmallRng,
 }
 
 /// Gate of one service, and the requests that wait at it.
-struct Queue {
+struct ServiceGate {
     gate: Gate,
     waiting: HashMap<Ticket, Waiter>,
 }
 
 /// Data about a request that its gate needs from the request's arrival to its end.
-struct Work {
+struct RequestInfo {
     team: Team,
     priority: u8,
     cost: u64,
@@ -72,7 +72,7 @@
 /// A waiting request. The permit itself is sent through the channel: if the caller disconnects at
 /// the same moment, the unread permit is dropped and frees its slot.
 struct Waiter {
-    work: Work,
+    info: RequestInfo,
     sender: oneshot::Sender<Decision>,
 }
 
@@ -117,7 +117,7 @@
 pub struct Permit {
     gates: Arc<Gates>,
     service: Service,
-    work: Work,
+    info: RequestInfo,
     used_tokens: AtomicU64,
     admitted: Instant,
     first_output: Mutex<Option<Duration>>,
@@ -155,7 +155,7 @@
     /// [`Rejection`] immediately, or once the request has waited for [`Request::max_wait`].
     pub async fn admit(self: &Arc<Self>, request: Request<'_>) -> Result<Permit, Rejection> {
         let Some((ticket, decision)) = self.arrive(&request)? else {
-            return Ok(self.permit(request.service, Work::new(&request)));
+            return Ok(self.permit(request.service, RequestInfo::new(&request)));
         };
         let _guard = WaitGuard {
             gates: self,
@@ -182,9 +182,9 @@
         let now = self.origin.elapsed();
         let mut state = self.lock();
         let State { gates, rng } = &mut *state;
-        let queue = gates
+        let service_gate = gates
             .entry(request.service.clone())
-            .or_insert_with(|| Queue {
+            .or_insert_with(|| ServiceGate {
                 gate: Gate::new(Settings {
                     first_token_target: request.objective,
                     min_factor: request.min_concurrency_factor,
@@ -192,15 +192,15 @@
                 }),
                 waiting: HashMap::new(),
             });
-        match queue.gate.arrive(now, &arrival, rng) {
+        match service_gate.gate.arrive(now, &arrival, rng) {
             Verdict::Admit => Ok(None),
             Verdict::Queue(ticket) => {
                 let (sender, receiver) = oneshot::channel();
                 let waiter = Waiter {
-                    work: Work::new(request),
+                    info: RequestInfo::new(request),
                     sender,
                 };
-                queue.waiting.insert(ticket, waiter);
+                service_gate.waiting.insert(ticket, waiter);
                 Ok(Some((ticket, receiver)))
             }
             Verdict::Refuse {
@@ -213,11 +213,11 @@
         }
     }
 
-    fn permit(self: &Arc<Self>, service: &str, work: Work) -> Permit {
+    fn permit(self: &Arc<Self>, service: &str, info: RequestInfo) -> Permit {
         Permit {
             gates: self.clone(),
             service: service.to_string(),
-            work,
+            info,
             used_tokens: AtomicU64::new(0),
             admitted: Instant::now(),
             first_output: Mutex::new(None),
@@ -230,7 +230,7 @@
         // locks the state again.
         for (waiter, released) in self.take_released(service) {
             let decision = match released {
-                Released::Admit(_) => Ok(self.permit(service, waiter.work)),
+                Released::Admit(_) => Ok(self.permit(service, waiter.info)),
                 Released::Refuse {
                     reason,
                     retry_after,
@@ -249,13 +249,13 @@
         let now = self.origin.elapsed();
         let mut state = self.lock();
         let State { gates, rng } = &mut *state;
-        let Some(queue) = gates.get_mut(service) else {
+        let Some(service_gate) = gates.get_mut(service) else {
             return Vec::new();
         };
         let mut decided = Vec::new();
-        for released in queue.gate.tick(now, rng) {
+        for released in service_gate.gate.tick(now, rng) {
             let (Released::Admit(ticket) | Released::Refuse { ticket, .. }) = &released;
-            if let Some(waiter) = queue.waiting.remove(ticket) {
+            if let Some(waiter) = service_gate.waiting.remove(ticket) {
                 decided.push((waiter, released));
             }
         }
@@ -268,13 +268,16 @@
         state
             .gates
             .get(service)
-            .map_or(0, |queue| queue.gate.waiting())
+            .map_or(0, |service_gate| service_gate.gate.waiting())
     }
 
     /// Returns whether any request waits at any gate.
     pub fn any_waiting(&self) -> bool {
         let state = self.lock();
-        state.gates.values().any(|queue| !queue.waiting.is_empty())
+        state
+            .gates
+            .values()
+            .any(|service_gate| !service_gate.waiting.is_empty())
     }
 
     /// Admits waiting requests where there is capacity, and rejects those that waited too long.
@@ -284,7 +287,7 @@
             let queued = state
                 .gates
                 .iter()
-                .filter(|(_, queue)| !queue.waiting.is_empty());
+                .filter(|(_, service_gate)| !service_gate.waiting.is_empty());
             queued.map(|(service, _)| service.clone()).collect()
         };
         for service in services {
@@ -298,17 +301,17 @@
     /// server.
     pub fn report(&self, mut report: impl FnMut(&Service, u32) -> Option<Report>) {
         let mut state = self.lock();
-        for (service, queue) in &mut state.gates {
-            if let Some(report) = report(service, queue.gate.running()) {
-                queue.gate.report(report);
+        for (service, service_gate) in &mut state.gates {
+            if let Some(report) = report(service, service_gate.gate.running()) {
+                service_gate.gate.report(report);
             }
         }
     }
 }
 
-impl Work {
-    fn new(request: &Request<'_>) -> Work {
-        Work {
+impl RequestInfo {
+    fn new(request: &Request<'_>) -> RequestInfo {
+        RequestInfo {
             team: request.team.clone(),
             priority: request.limit.priority,
             cost: request.cost,
@@ -324,7 +327,7 @@
             .first_output
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        first_output.get_or_insert_with(|| self.work.arrived.elapsed());
+        first_output.get_or_insert_with(|| self.info.arrived.elapsed());
     }
 
     /// Adds tokens to the work that the request has used.
@@ -336,8 +339,8 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let done = Done {
-            priority: self.work.priority,
-            cost: self.work.cost,
+            priority: self.info.priority,
+            cost: self.info.cost,
             used: self.used_tokens.load(Ordering::Relaxed),
             time: self.admitted.elapsed(),
             first_token: *self
@@ -347,8 +350,8 @@
         };
         {
             let mut state = self.gates.lock();
-            if let Some(queue) = state.gates.get_mut(&self.service) {
-                queue.gate.finish(&self.work.team, &done);
+            if let Some(service_gate) = state.gates.get_mut(&self.service) {
+                service_gate.gate.finish(&self.info.team, &done);
             }
         }
         self.gates.release(&self.service);
@@ -358,12 +361,12 @@
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.gates.lock();
-        let Some(queue) = state.gates.get_mut(self.service) else {
+        let Some(service_gate) = state.gates.get_mut(self.service) else {
             return;
         };
         // A ticket that was already released is no longer in the map.
-        if queue.waiting.remove(&self.ticket).is_some() {
-            queue.gate.cancel(self.ticket);
+        if service_gate.waiting.remove(&self.ticket).is_some() {
+            service_gate.gate.cancel(self.ticket);
         }
     }
 }
--- a/components/gateway/src/accept.rs
+++ b/components/gateway/src/accept.rs
@@ -58,8 +58,7 @@
 /// Timeout of a request's head while no document is known.
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Maximum size of a request's head while no document is known, in bytes. Hyper accepts no less
-/// than 8 KiB.
+/// Maximum size of a request's head while no document is known, in bytes.
 const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
 
 /// Accepts connections until `stop` is cancelled. Once `close` is cancelled, each open connection
@@ -169,6 +168,7 @@
         inner: stream,
         progress: progress.clone(),
     };
+    // Hyper accepts no less than 8 KiB.
     let connection = http1::Builder::new()
         .max_buf_size(max_header_bytes.max(8192))
         .serve_connection(caller_stream, service);
@@ -202,9 +202,9 @@
 fn limits<P>(context: &Context<P>) -> (Duration, Duration, usize) {
     let document_cache = context.document_cache.borrow();
     let snapshot = document_cache.snapshot();
-    let bounds = snapshot.and_then(|snapshot| snapshot.index.document().callers.as_ref());
-    match bounds {
-        Some(bounds) => (bounds.idle_time, bounds.header_time, bounds.header_bytes),
+    let caller_limits = snapshot.and_then(|snapshot| snapshot.index.document().callers.as_ref());
+    match caller_limits {
+        Some(limits) => (limits.idle_time, limits.header_time, limits.header_bytes),
         None => (
             DEFAULT_IDLE_TIMEOUT,
             DEFAULT_HEADER_TIMEOUT,
@@ -224,7 +224,7 @@
     progress.idle_since.get().unwrap_or_else(Instant::now) + idle_timeout
 }
 
-/// Caller's connection in the form that hyper reads and writes. Records when a request begins.
+/// TCP connection in the form that hyper reads and writes. Records when a request begins.
 pub(crate) struct CallerStream {
     inner: TcpStream,
     progress: Rc<Progress>,
--- a/components/gateway/src/cache_lookup.rs
+++ b/components/gateway/src/cache_lookup.rs
@@ -4,7 +4,7 @@
 //! No gateway knows any more where their prompts were processed, so each prompt would be processed
 //! again, which takes a second of an engine and of the caller's short remaining time. The engines
 //! are therefore queried for the contents of their caches, once for all callers that reconnect
-//! together. In a large fleet each gateway queries its partition of the engines and sends the
+//! together. When there are many gateways, each queries its partition of the engines and sends the
 //! results to the others, as a hundred gateways that query all engines would slow them down.
 
 use std::{
@@ -176,8 +176,8 @@
     }
 }
 
-/// Waits until a gateway that has just started knows whether its fleet is large. All gateways may
-/// have started together, and each that knows no peers yet would query all engines.
+/// Waits until a gateway that has just started knows whether there are many gateways. All gateways
+/// may have started together, and each that knows no peers yet would query all engines.
 async fn wait_for_peers<P>(context: &Context<P>, max_wait: Duration) {
     let until = context.started + DISCOVERY_TIME;
     let until = until.min(Instant::now() + max_wait);
--- a/components/gateway/src/fleet.rs
+++ b/components/gateway/src/fleet.rs
@@ -158,8 +158,8 @@
         true
     }
 
-    /// Records that another server took over a server's address: the runs of the former are lost.
-    /// Returns the address.
+    /// Records that another server has taken over this server's address, so that this server's runs
+    /// are lost. Returns the address.
     pub fn mark_replaced(&mut self, server: &Server) -> Option<SocketAddr> {
         self.replaced.push_back(server.clone());
         if self.replaced.len() > MAX_REPLACED_SERVERS {
--- a/components/gateway/src/fleet/exchange.rs
+++ b/components/gateway/src/fleet/exchange.rs
@@ -83,8 +83,8 @@
         changed.iter().map(load).collect()
     }
 
-    /// Records that this gateway's work at a server changed. Peers are notified at once only in a
-    /// partitioned fleet.
+    /// Records that this gateway's work at a server changed. Peers are notified at once only when
+    /// the gateways partition the engines.
     pub(super) fn mark_changed(&mut self, server: &Server) {
         self.changed = true;
         if !self.is_partitioned() {
--- a/components/gateway/src/fleet/in_flight.rs
+++ b/components/gateway/src/fleet/in_flight.rs
@@ -24,7 +24,7 @@
     work: Work,
     /// Prompt tokens that the server had to process when the work was sent, including those of this
     /// request.
-    ahead: u64,
+    unread_tokens: u64,
     outcome: Outcome,
 }
 
@@ -34,13 +34,13 @@
         let mut inner = fleet.borrow_mut();
         inner.placement.sent(clock::now(), server, work);
         inner.mark_changed(server);
-        let ahead = inner.placement.unread_tokens(server);
+        let unread_tokens = inner.placement.unread_tokens(server);
         drop(inner);
         InFlight {
             fleet: fleet.clone(),
             server: server.clone(),
             work,
-            ahead,
+            unread_tokens,
             outcome: Outcome::Cancelled,
         }
     }
@@ -52,7 +52,7 @@
         fleet.mark_changed(&self.server);
         fleet
             .placement
-            .record_read(clock::now(), &self.server, unread, self.ahead, time);
+            .record_read(clock::now(), &self.server, unread, self.unread_tokens, time);
     }
 
     /// Sets the outcome; it defaults to cancelled.
--- a/components/gateway/src/handle.rs
+++ b/components/gateway/src/handle.rs
@@ -264,8 +264,8 @@
         if !self.shutdown.admits(&route, pass.objective, grace) {
             return Err(refuse(Refusal::ShuttingDown(self.shutdown.retry_after())));
         }
-        let bounds = index.document().callers.as_ref();
-        let body = read_body(&parts, body, bounds, arrived)
+        let caller_limits = index.document().callers.as_ref();
+        let body = read_body(&parts, body, caller_limits, arrived)
             .await
             .map_err(refuse)?;
         let default_timeout = Duration::from_secs(3600);
@@ -360,10 +360,10 @@
 async fn read_body(
     parts: &Parts,
     mut body: Incoming,
-    bounds: Option<&Bounds>,
+    caller_limits: Option<&Bounds>,
     arrived: Instant,
 ) -> Result<Bytes, Refusal> {
-    let limit = bounds.map_or(usize::MAX, |bounds| bounds.body_bytes);
+    let limit = caller_limits.map_or(usize::MAX, |limits| limits.body_bytes);
     let declared = parts
         .headers
         .get(CONTENT_LENGTH)
@@ -376,9 +376,9 @@
     loop {
         let frame = timeout_at(until, body.frame()).await;
         let frame = match frame {
-            Err(_) => return Err(Refusal::BodyTimeout),
+            Err(_) => return Err(Refusal::BodyIncomplete),
             Ok(None) => return Ok(buffer.freeze()),
-            Ok(Some(Err(_))) => return Err(Refusal::BodyTimeout),
+            Ok(Some(Err(_))) => return Err(Refusal::BodyIncomplete),
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(data) = frame.into_data() else {
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -4,6 +4,8 @@
 //! Routing, placement, failure and admission decisions are made by crates of their own (`routing`,
 //! `answer`, `environment`, `admission`); this crate drives them. Everything specific to the
 //! platform's HTTP is behind the [`protocol::Protocol`] trait.
+//!
+//! An engine is a backend server that generates streams.
 
 mod accept;
 mod admin;
--- a/components/gateway/src/peers.rs
+++ b/components/gateway/src/peers.rs
@@ -213,8 +213,8 @@
             .freshness
             .borrow_mut()
             .set_rank(self.table.rank(), local_rank);
-        let neighbours = self.table.local_count(&settings.data_centre);
-        self.shared.shutdown.set_neighbours(neighbours);
+        let local_peers = self.table.local_count(&settings.data_centre);
+        self.shared.shutdown.set_local_peers(local_peers);
         self.table.add_seeds(&settings.seeds);
     }
 
@@ -407,7 +407,8 @@
     }
 }
 
-/// Drops the smallest loads of a beacon that is too long for a datagram.
+/// Drops the smallest loads and the last failures, a quarter at a time, until the beacon fits a
+/// datagram.
 fn shrink_to_fit(beacon: &mut Beacon) {
     let loads = &mut beacon.loads;
     loads.sort_unstable_by_key(|load| std::cmp::Reverse(load.unread + load.tokens));
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -103,7 +103,7 @@
         call,
         class,
         tried: Vec::new(),
-        unsent: 0,
+        uncounted_sends: 0,
         response: None,
     };
     plain.run().await
@@ -119,8 +119,8 @@
     sends: Sends,
     /// Servers to which the request was sent.
     tried: Vec<Server>,
-    /// Number of counted sends that reached no server; as many further sends are not counted.
-    unsent: u32,
+    /// Further sends that aren't counted, one for each counted send that reached no server.
+    uncounted_sends: u32,
     /// Last response of a server.
     response: Option<Response<Body>>,
 }
@@ -141,7 +141,7 @@
             };
             let mut step = Step::Send;
             for result in results {
-                self.unsent += u32::from(result.ending == Ending::Unsent);
+                self.uncounted_sends += u32::from(result.ending == Ending::Unsent);
                 self.response = result.response.or(self.response.take());
                 step = self.sends.record(result.ending);
             }
@@ -169,8 +169,8 @@
         let first = self.tried.is_empty();
         let service = &self.call.service;
         // A send that can't have reached a server doesn't count.
-        if self.unsent > 0 {
-            self.unsent -= 1;
+        if self.uncounted_sends > 0 {
+            self.uncounted_sends -= 1;
         } else if !self.context.may_send(service, first, Purpose::First) {
             return None;
         }
--- a/components/gateway/src/queue.rs
+++ b/components/gateway/src/queue.rs
@@ -68,9 +68,9 @@
 /// so the delay doesn't matter.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Interval at which a queued request checks whether the process is shutting down. A shorter wait
-/// results from sharing the engines with other gateways, and doesn't count as pressure.
-const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which a queued request is recorded as waiting and checks for a shutdown. Shorter
+/// waits occur whenever gateways share engines, so they don't count as pressure.
+const WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time after a wait for which a service counts as under pressure: the usual duration of a run,
 /// since the waiting requests need the memory of the current runs.
@@ -192,10 +192,7 @@
             .then(|| UrgentGuard::new(context, &call.service));
         pin!(admitted);
         poll_gates(context);
-        let mut ticks = interval_at(
-            Instant::now() + SHUTDOWN_POLL_INTERVAL,
-            SHUTDOWN_POLL_INTERVAL,
-        );
+        let mut ticks = interval_at(Instant::now() + WAIT_CHECK_INTERVAL, WAIT_CHECK_INTERVAL);
         let result = loop {
             select! {
                 biased;
--- a/components/gateway/src/refuse.rs
+++ b/components/gateway/src/refuse.rs
@@ -24,7 +24,7 @@
     protocol::HeaderError, //
 };
 
-/// Default value of `Retry-After` when no backend server could take a request.
+/// Value of `Retry-After` where no better estimate is known.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Document on which a decision is based.
@@ -47,8 +47,8 @@
     NoKey,
     /// The body is longer than the document allows.
     BodyTooLong,
-    /// The body didn't arrive in time.
-    BodyTimeout,
+    /// The body didn't arrive completely, or not in time.
+    BodyIncomplete,
     /// No document is known yet, or it may be out of date.
     StaleDocument,
     /// The process would exit before the request ends; the caller can reach another gateway after
@@ -78,7 +78,7 @@
             Refusal::NoRoute => StatusCode::NOT_FOUND,
             Refusal::NoKey => StatusCode::UNAUTHORIZED,
             Refusal::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Refusal::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            Refusal::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
             Refusal::StaleDocument
             | Refusal::ShuttingDown(_)
             | Refusal::NoServer
@@ -98,7 +98,7 @@
             Refusal::NoRoute => "no_route",
             Refusal::NoKey => "no_key",
             Refusal::BodyTooLong => "too_long",
-            Refusal::BodyTimeout => "too_slow",
+            Refusal::BodyIncomplete => "too_slow",
             Refusal::StaleDocument => "no_current_document",
             Refusal::ShuttingDown(_) => "leaving",
             Refusal::NoServer => "no_server",
--- a/components/gateway/src/retry_budget.rs
+++ b/components/gateway/src/retry_budget.rs
@@ -71,12 +71,15 @@
         let now = clock::now();
         let mut sends = Vec::with_capacity(self.services.len());
         for (service, retries) in &mut self.services {
-            let Counts { totals, retries } = retries.counts(now, bound);
+            let Counts {
+                totals: window_totals,
+                retries: total_retries,
+            } = retries.counts(now, bound);
             sends.push(Sends {
                 service: *service,
-                requests: totals.requests,
-                retries: totals.retries,
-                total_retries: retries,
+                requests: window_totals.requests,
+                retries: window_totals.retries,
+                total_retries,
             });
         }
         sends
--- a/components/gateway/src/rollout.rs
+++ b/components/gateway/src/rollout.rs
@@ -39,8 +39,8 @@
 
 use crate::clock;
 
-/// Time after the start before a new version gets traffic: until then the number of gateways that
-/// share the exposure limit is unknown.
+/// Time after this gateway's rank is first set before a new version gets traffic: until then the
+/// number of gateways that share the exposure limit is unknown.
 const NEW_VERSION_DELAY: Duration = Duration::from_secs(2);
 
 /// Samples of a route that are needed before a request can count as slow.
--- a/components/gateway/src/sender.rs
+++ b/components/gateway/src/sender.rs
@@ -41,8 +41,8 @@
 /// Timeout of a request for a server's current runs.
 const ACTIVITY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Maximum size of a response body that is read for the gateway itself: of a response to an earlier
-/// request, or to a call of the gateway.
+/// Maximum size of a response body that isn't passed to a caller: the response to an earlier
+/// request on the connection, or to a call of the gateway's own.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Client for backend servers, with a pool of connections.
@@ -152,6 +152,7 @@
         let head = self.protocol.activity_request();
         let call = self.call(target, &Method::GET, head, Bytes::new());
         let (head, body) = timeout(ACTIVITY_TIMEOUT, call).await.ok()?.ok()?;
+        // While `queued` isn't 0, `Activity::has_lost` doesn't count a missing run as lost.
         let unknown = Activity {
             queued: 1,
             runs: Vec::new(),
--- a/components/gateway/src/settings.rs
+++ b/components/gateway/src/settings.rs
@@ -29,11 +29,12 @@
     pub metrics: Option<SocketAddr>,
     /// Addresses of some other gateways, which may no longer exist.
     pub seeds: Vec<SocketAddr>,
-    /// Limits that the operator sets for all gateways together.
+    /// Limits that the operator sets.
     pub bounds: Bounds,
 }
 
-/// Limits that hold over all gateways together.
+/// Limits that the operator sets. The limits on retries and the exposure hold over all gateways
+/// together, the others for each process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// Time that a process has between SIGTERM and SIGKILL.
--- a/components/gateway/src/shutdown.rs
+++ b/components/gateway/src/shutdown.rs
@@ -23,7 +23,7 @@
 /// failed health checks, one a second, and the response to the first may already be on its way.
 const BALANCER_DELAY: Duration = Duration::from_millis(2600);
 
-/// Time that is left unused at the end of the grace time.
+/// Part of the grace time that is reserved for the exit after the last request.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
 /// Weight of a new sample in the average duration of a route's requests.
@@ -51,7 +51,7 @@
 pub struct Shutdown {
     began: Cell<Option<Instant>>,
     /// Number of other gateways of the data centre that accept new work.
-    neighbours: Cell<usize>,
+    local_peers: Cell<usize>,
     averages: RefCell<HashMap<Route, Average>>,
 }
 
@@ -67,15 +67,15 @@
     }
 
     /// Sets the number of other gateways of the data centre that accept new work.
-    pub fn set_neighbours(&self, neighbours: usize) {
-        self.neighbours.set(neighbours);
+    pub fn set_local_peers(&self, local_peers: usize) {
+        self.local_peers.set(local_peers);
     }
 
     /// Returns the time after which a rejected caller can reach another gateway. The balancer keeps
     /// to the caller's data centre while it believes that a gateway runs there, and this one may be
     /// the last.
     pub fn retry_after(&self) -> Duration {
-        let (Some(close_at), 0) = (self.idle_close_at(), self.neighbours.get()) else {
+        let (Some(close_at), 0) = (self.idle_close_at(), self.local_peers.get()) else {
             return DEFAULT_RETRY_AFTER;
         };
         let remaining = close_at.saturating_duration_since(Instant::now());
@@ -124,7 +124,7 @@
     /// another one at once. `objective` is used to estimate the duration on a route without
     /// samples.
     pub fn admits(&self, route: &Route, objective: Duration, grace: Duration) -> bool {
-        match self.neighbours.get() {
+        match self.local_peers.get() {
             0 => self.ends_within(route, objective, grace, MAX_DEVIATIONS_LAST_GATEWAY),
             _ => self.fits_before_exit(route, objective, grace),
         }
--- a/components/gateway/src/stream.rs
+++ b/components/gateway/src/stream.rs
@@ -87,7 +87,7 @@
         tried: Vec::new(),
         ran_at: Vec::new(),
         last_lost: None,
-        unsent: 0,
+        uncounted_sends: 0,
         unreachable_in_row: 0,
         last_event: Instant::now(),
         time_to_first: None,
@@ -130,8 +130,8 @@
     ran_at: Vec<Server>,
     /// Server of the last lost run.
     last_lost: Option<Server>,
-    /// Number of counted sends that reached no server; as many further sends are not counted.
-    unsent: u32,
+    /// Further sends that aren't counted, one for each counted send that reached no server.
+    uncounted_sends: u32,
     /// Number of unreachable servers in a row.
     unreachable_in_row: u32,
     /// Time at which the caller was last sent an event; initially the arrival of the request.
@@ -192,7 +192,7 @@
                     break;
                 }
                 Start::Unreachable => {
-                    self.unsent += 1;
+                    self.uncounted_sends += 1;
                     self.count_unreachable().await;
                 }
                 Start::Replaced => self.count_unreachable().await,
@@ -235,8 +235,8 @@
     /// Counts a send; returns `false` when it is a retry and the budget is used up. A send that
     /// can't have reached a server doesn't count.
     fn may_send(&mut self, first: bool, purpose: Purpose) -> bool {
-        if self.unsent > 0 {
-            self.unsent -= 1;
+        if self.uncounted_sends > 0 {
+            self.uncounted_sends -= 1;
             return true;
         }
         self.context.may_send(&self.call.service, first, purpose)
@@ -399,7 +399,7 @@
                 Start::Failed(_) => self.record_ran(&target),
                 Start::Lost(lost) => self.record_loss(&mut resumption, *lost),
                 Start::Unreachable => {
-                    self.unsent += 1;
+                    self.uncounted_sends += 1;
                     self.count_unreachable().await;
                 }
                 Start::Replaced => self.count_unreachable().await,
--- a/components/gateway/src/stream/selection.rs
+++ b/components/gateway/src/stream/selection.rs
@@ -126,9 +126,9 @@
         if self.call.pass.repeats != Repeats::Resumes || !self.call.backups {
             return None;
         }
-        // A copy saves processing the prompt only if the run is lost, while a slot certainly serves
-        // a waiting caller. When the memory suffices for both, a copy delays no caller: callers
-        // then wait for a slot, or for an engine that has prompts to process.
+        // A copy is useful only if the run is lost; the same memory always serves a waiting caller.
+        // While memory suffices for both, a copy delays no caller, as callers then wait for a free
+        // slot or for other prompts to be processed.
         let service = &self.call.service;
         let scarce = || self.context.fleet.borrow().memory_use(service) > SCARCE_MEMORY_SHARE;
         if self.context.queue.is_under_pressure(service) && scarce() {
--- a/components/gateway/tests/callers.rs
+++ b/components/gateway/tests/callers.rs
@@ -96,7 +96,8 @@
     });
 }
 
-/// A head that is longer than the document allows is refused.
+/// Guards against callers that occupy memory with heads longer than the document allows, and
+/// against forwarding such requests.
 #[test]
 fn a_long_head_is_refused() {
     common::run(async {
@@ -171,7 +172,8 @@
     });
 }
 
-/// A connection carries many requests, also when they are pipelined.
+/// Guards against losing or reordering the responses to requests that are pipelined on one
+/// connection.
 #[test]
 fn a_connection_carries_many_requests() {
     common::run(async {
--- a/components/gateway/tests/prompt_lookup.rs
+++ b/components/gateway/tests/prompt_lookup.rs
@@ -1,5 +1,4 @@
-//! Tests of prompt lookups in a fleet of many gateways, each of which queries its share of the
-//! engines.
+//! Tests of prompt lookups with many gateways, each of which queries its partition of the engines.
 
 mod common;
 
@@ -297,9 +296,9 @@
 }
 
 /// Guards against engines that no gateway queries: when a peer looks up a prompt, each gateway
-/// queries its share of the engines, once.
+/// queries its partition of the engines, once.
 #[test]
-fn a_gateway_queries_its_share_when_a_peer_looks_up_a_prompt() {
+fn a_gateway_queries_its_partition_when_a_peer_looks_up_a_prompt() {
     common::run(async {
         let fleet = Fleet::start("77:5000").await;
         let service = beacon::id("draft");
@@ -307,12 +306,13 @@
             send(&fleet.peer, &fleet.harness, Message::Lookup(service)).await;
         }
         let is_result = |message: &Message| matches!(message, Message::CachedPrompts(_));
-        let share = (0..ENGINE_COUNT).filter(|number| fleet.engines[*number].request_count() > 0);
+        let partition =
+            (0..ENGINE_COUNT).filter(|number| fleet.engines[*number].request_count() > 0);
         let reply = timeout(Duration::from_secs(1), receive(&fleet.peer, is_result)).await;
-        let share: Vec<_> = share.collect();
+        let partition: Vec<_> = partition.collect();
         match reply {
             Ok(Message::CachedPrompts(prompts)) => {
-                let servers = share.iter().map(|number| beacon::id(&name(*number)));
+                let servers = partition.iter().map(|number| beacon::id(&name(*number)));
                 let mut servers: Vec<_> = servers.collect();
                 let mut reported: Vec<_> = prompts.iter().map(|prompt| prompt.server).collect();
                 servers.sort_unstable();
@@ -320,11 +320,14 @@
                 assert_eq!(reported, servers);
                 assert!(prompts.iter().all(|prompt| prompt.hash == PART_ID));
             }
-            other => assert!(share.is_empty(), "{other:?}, queried: {share:?}"),
+            other => assert!(partition.is_empty(), "{other:?}, queried: {partition:?}"),
         }
         sleep(Duration::from_millis(50)).await;
         let counts = fleet.engines.iter().map(Backend::request_count);
         assert!(counts.max() <= Some(1));
-        assert!(share.len() <= ENGINE_COUNT / 4, "queried: {share:?}");
+        assert!(
+            partition.len() <= ENGINE_COUNT / 4,
+            "queried: {partition:?}"
+        );
     });
 }
--- a/components/gateway/tests/queue.rs
+++ b/components/gateway/tests/queue.rs
@@ -114,8 +114,8 @@
     });
 }
 
-/// In a large fleet some request waits at nearly every moment. Guards against late requests that
-/// are held, and then refused, while most engines are idle.
+/// With many gateways and engines some request waits at nearly every moment. Guards against late
+/// requests that are held, and then refused, while most engines are idle.
 #[rstest]
 #[case::more_capacity_than_waiting_elsewhere(3, 200)]
 #[case::all_capacity_for_those_elsewhere(8, 503)]
--- a/components/gateway/tests/streams.rs
+++ b/components/gateway/tests/streams.rs
@@ -209,9 +209,10 @@
     });
 }
 
-/// An engine crashes. Another engine, in another data centre, holds a named copy of its memory with
-/// the prompt, and the stream resumes there from the copy. The gateway gives the address of that
-/// engine to the one that runs the request.
+/// Guards against processing the prompt again after a crash although another engine has a copy of
+/// the run's KV cache. The other engine is in another data centre, and the stream resumes there
+/// from the named copy. The gateway gives the address of that engine to the one that runs the
+/// request.
 #[test]
 fn after_a_crash_a_stream_resumes_from_the_copy() {
     common::run(async {
