--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -299,7 +299,7 @@
     let server = target.server.as_str();
     let dispatch = Dispatch {
         server: &target.server,
-        deadline: call.time_left(),
+        remaining: call.time_left(),
         team: call.team.as_ref(),
         after: None,
         backup: None,
--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -61,8 +61,8 @@
 pub struct Dispatch<'a> {
     /// The intended server; another one at the same address must not run the request.
     pub server: &'a Server,
-    /// Remaining time.
-    pub deadline: Option<Duration>,
+    /// Time that remains until the deadline.
+    pub remaining: Option<Duration>,
     /// The caller's team.
     pub team: Option<&'a Team>,
     /// Last event that the caller received, when a stream is resumed.
--- a/components/gateway/src/stream/run.rs
+++ b/components/gateway/src/stream/run.rs
@@ -405,7 +405,7 @@
         let mut in_flight = InFlight::new(&self.context.fleet, &target.server, work);
         let dispatch = Dispatch {
             server: &target.server,
-            deadline: self.call.time_left(),
+            remaining: self.call.time_left(),
             team: self.call.team.as_ref(),
             after: self.sequence.last(),
             backup: backup.as_ref().map(|backup| backup.holder.address),
@@ -423,7 +423,7 @@
             prompt = self.parts().last().map(|(part, _)| *part),
             attempt = self.ran_at.len() + 1,
             after = dispatch.after,
-            left_ms = dispatch.deadline.map(|left| left.as_millis() as u64),
+            left_ms = dispatch.remaining.map(|left| left.as_millis() as u64),
             copy = copy.is_some(),
             backup = backup.as_ref().map(|backup| backup.holder.server.as_str())
         );
--- a/components/gateway/tests/common/mod.rs
+++ b/components/gateway/tests/common/mod.rs
@@ -128,7 +128,7 @@
         let mut head = format!("{} {} HTTP/1.1\r\n", request.method, request.uri);
         head += &format!("id: {}\r\ncontent-length: {length}\r\n", metadata.id);
         head += &format!("server: {}\r\n", dispatch.server);
-        if let Some(left) = dispatch.deadline {
+        if let Some(left) = dispatch.remaining {
             head += &format!("deadline: {}\r\n", left.as_millis());
         }
         if let Some(team) = dispatch.team {
