--- a/components/gateway/src/protocol.rs
+++ b/components/gateway/src/protocol.rs
@@ -62,7 +62,7 @@
     /// The intended server; another one at the same address must not run the request.
     pub server: &'a Server,
     /// Time that remains until the deadline.
-    pub deadline: Option<Duration>,
+    pub remaining: Option<Duration>,
     /// The caller's team.
     pub team: Option<&'a Team>,
     /// Last event that the caller received, when a stream is resumed.
